--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -33,7 +33,7 @@
 }
 
 /// A caller's request, read whole.
-pub struct CallerRequest {
+pub struct BufferedRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
@@ -145,7 +145,8 @@
     let name = RequestName { ticket: driver.next_ticket(), id: ask.id.clone() };
     let mut guard = RequestGuard { driver, name, began: Instant::now(), ended: false };
     let mut step = guard.feed(RouteEvent::Arrived(guard.name.ticket, ask));
-    let caller = CallerRequest { method: head.method, uri: head.uri, headers: head.headers, body };
+    let caller =
+        BufferedRequest { method: head.method, uri: head.uri, headers: head.headers, body };
     loop {
         let order = match step {
             Some(RequestStep::Send(order)) => order,
@@ -182,7 +183,7 @@
 /// Sends the request to a replica and waits for its answer, as long as the order says.
 pub async fn attempt(
     tools: &GatewayTools,
-    caller: &CallerRequest,
+    caller: &BufferedRequest,
     guard: &mut RequestGuard,
     order: &SendOrder,
     resume_after: Option<&str>,
@@ -229,7 +230,7 @@
 /// Sends the request to the order's replica, and reads the answer: whole, or a stream's head.
 async fn ask_replica(
     tools: &GatewayTools,
-    caller: &CallerRequest,
+    caller: &BufferedRequest,
     ticket: RequestTicket,
     order: &SendOrder,
     resume_after: Option<&str>,
@@ -305,7 +306,7 @@
 
 fn replica_request(
     tools: &GatewayTools,
-    caller: &CallerRequest,
+    caller: &BufferedRequest,
     order: &SendOrder,
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
@@ -320,7 +321,7 @@
 
 fn pass_on(
     tools: Arc<GatewayTools>,
-    caller: CallerRequest,
+    caller: BufferedRequest,
     mut guard: RequestGuard,
     order: Box<SendOrder>,
     answer: ReplicaAnswer,
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use super::driver::RequestStep;
 use super::event_cut::EventCutter;
 use super::exchange::{
-    attempt, give_back, AnswerBody, AttemptOutcome, CallerRequest, GatewayTools, RequestGuard,
+    attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayTools, RequestGuard,
 };
 use super::observe;
 use super::pool::ReplicaLink;
@@ -22,7 +22,7 @@
 /// A stream under way. Dropped when the caller leaves, which closes the replica's connection.
 struct StreamRelay {
     tools: Arc<GatewayTools>,
-    caller: CallerRequest,
+    caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
     cutter: EventCutter,
@@ -49,7 +49,7 @@
 /// The body of a stream for the caller.
 pub(super) fn relay_stream(
     tools: Arc<GatewayTools>,
-    caller: CallerRequest,
+    caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
     source: StreamSource,
