--- a/crates/box/src/gateway/answer_pace.rs
+++ b/crates/box/src/gateway/answer_pace.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use ravenspoke_core::route::peers::PeerNote;
+use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
 
 /// Part of a box's link that answers to other boxes take, at most: the rest is for callers and replicas.
@@ -41,7 +41,7 @@
     }
 
     /// About how long an answer is, in bytes.
-    pub fn expected_bytes(note: &PeerNote) -> usize {
+    pub fn expected_bytes(note: &GossipMessage) -> usize {
         BARE_BYTES + ENTRY_BYTES * note.changes.len()
     }
 
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -10,7 +10,7 @@
 };
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
 use ravenspoke_core::route::leader::LeaderOrder;
-use ravenspoke_core::route::peers::{PeerAsk, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerAsk};
 use ravenspoke_core::route::placement::PlacementNote;
 use ravenspoke_core::route::progress::TrialMark;
 use ravenspoke_core::route::trial::TrialVerdict;
@@ -50,7 +50,7 @@
 /// A datagram for other boxes.
 pub enum PeerDatagram {
     /// A note, for each of these addresses.
-    Note(Vec<String>, Box<PeerNote>),
+    Note(Vec<String>, Box<GossipMessage>),
     /// Word of a placed prompt, for each of these addresses.
     Placement(Vec<String>, PlacementNote),
     /// An ask, for this address.
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -17,7 +17,7 @@
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
-use ravenspoke_core::route::peers::{PeerAsk, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerAsk};
 use ravenspoke_core::route::placement::PlacementNote;
 
 use ask::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
@@ -114,7 +114,7 @@
 /// Encodes a note as a datagram, with the records that the ask it answers wants, if they are not left out. `page` is what
 /// was packed of its changes, if that was.
 pub fn encode_note(
-    note: &PeerNote,
+    note: &GossipMessage,
     records: Option<&PackedRecords>,
     page: Option<&[u8]>,
 ) -> Vec<u8> {
@@ -160,7 +160,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HeardDatagram {
     /// A note, with the records that this box asked for, if they are not left out.
-    Note(Box<PeerNote>, Option<Vec<KeyedRecord>>),
+    Note(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
     /// An ask.
     Ask(PeerAsk),
     /// A prompt that was placed.
@@ -206,7 +206,7 @@
     Ok(HeardDatagram::Note(Box::new(note), records))
 }
 
-fn write_note(note: &PeerNote, changes: &[BackendChange]) -> WireNote {
+fn write_note(note: &GossipMessage, changes: &[BackendChange]) -> WireNote {
     WireNote {
         name: note.name.clone(),
         number: note.number,
@@ -232,8 +232,8 @@
     }
 }
 
-fn read_note(wire: WireNote) -> PeerNote {
-    PeerNote {
+fn read_note(wire: WireNote) -> GossipMessage {
+    GossipMessage {
         name: wire.name,
         number: wire.number,
         card: wire.card.map(read_card).unwrap_or_default(),
--- a/crates/box/src/gateway/note_wire/pages.rs
+++ b/crates/box/src/gateway/note_wire/pages.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::peers::PeerNote;
+use ravenspoke_core::route::peers::GossipMessage;
 
 use super::packed::{deflate, inflate, PackedError};
 use super::replica::{read_change, write_change, WireChange};
@@ -43,7 +43,7 @@
 
 impl PackedPages {
     /// The packed entries of an answer, if they are many.
-    pub fn of(&mut self, note: &PeerNote) -> Option<&[u8]> {
+    pub fn of(&mut self, note: &GossipMessage) -> Option<&[u8]> {
         note.echo.as_ref().filter(|_| note.changes.len() >= KEPT_FROM)?;
         let key = PageKey::of(&note.changes)?;
         let place = match self.0.iter().position(|(known, _)| *known == key) {
--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::peers::PeerNote;
+use ravenspoke_core::route::peers::GossipMessage;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
@@ -116,7 +116,7 @@
 fn encode_with_records(
     driver: &GatewayDriver,
     pages: &mut PackedPages,
-    note: &PeerNote,
+    note: &GossipMessage,
 ) -> Vec<u8> {
     let page = pages.of(note);
     let bare = encode_note(note, None, page);
--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::peers::{KnownPlan, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, KnownPlan};
 use ravenspoke_core::route::plan::RoutePlan;
 use ravenspoke_core::time::BoxTime;
 
@@ -142,7 +142,7 @@
 }
 
 /// Takes records that another box told in answer to an ask.
-pub fn take_told(driver: &GatewayDriver, note: &PeerNote, records: &[KeyedRecord]) {
+pub fn take_told(driver: &GatewayDriver, note: &GossipMessage, records: &[KeyedRecord]) {
     let (as_of, known) = {
         let state = driver.state();
         (state.word_as_of(note, driver.now()), state.known_plan())
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryWish, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::peers::{
-    BudgetNote, EntryWord, KnownPlan, PeerAsk, PeerCard, PeerNote, PeerSummary,
+    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerAsk, PeerCard, PeerSummary,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -69,8 +69,8 @@
     LearntPace { token, begin: LearntTime { ms: 32.0, answers: 30.0 } }
 }
 
-fn answer() -> PeerNote {
-    PeerNote {
+fn answer() -> GossipMessage {
+    GossipMessage {
         name: "front-1".to_owned(),
         number: 5,
         card: card("front-1"),
@@ -95,7 +95,7 @@
         }],
         paces: vec![PaceNote { service: "pool".to_owned(), models: vec![pace(0.25), pace(1.5)] }],
         leads: vec![PeerSummary { name: "f-2".to_owned(), card: card("f-2"), age_ms: 900 }],
-        ..PeerNote::default()
+        ..GossipMessage::default()
     }
 }
 
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_note_that_answers_nothing_has_no_word_of_entries() {
-    let note = PeerNote { echo: None, entries: EntryWord::default(), ..answer() };
+    let note = GossipMessage { echo: None, entries: EntryWord::default(), ..answer() };
     let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
     assert_eq!(heard, HeardDatagram::Note(Box::new(note), None));
 }
@@ -126,7 +126,7 @@
 #[test]
 fn a_page_of_a_listing_fits_into_a_datagram() {
     let changes = (0..CHANGES_TOLD).map(change).collect();
-    let note = PeerNote { changes, ..answer() };
+    let note = GossipMessage { changes, ..answer() };
     assert!(encode_note(&note, None, None).len() < NOTE_LIMIT);
 }
 
@@ -164,7 +164,7 @@
 #[test]
 fn a_plan_of_a_thousand_routes_fits_into_an_answer_beside_a_page_of_replicas() {
     let record = plan_of_many_routes();
-    let note = PeerNote { changes: (0..CHANGES_TOLD).map(change).collect(), ..answer() };
+    let note = GossipMessage { changes: (0..CHANGES_TOLD).map(change).collect(), ..answer() };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
     let datagram = encode_note(&note, Some(&packed), None);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -7,7 +7,7 @@
 use super::leader::usage::{UsageAsk, UsageNote};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
-use super::peers::{KnownPlan, PeerAsk, PeerNote};
+use super::peers::{GossipMessage, KnownPlan, PeerAsk};
 use super::placement::PlacementNote;
 use super::plan::{RouteKind, RoutePlan};
 use super::progress::TrialMark;
@@ -170,7 +170,7 @@
     /// The store answers again.
     StoreBack,
     /// Another box's note came.
-    PeerHeard(Box<PeerNote>),
+    PeerHeard(Box<GossipMessage>),
     /// Another box has placed a long prompt.
     PlacementHeard(PlacementNote),
     /// Another box asks how fresh this one's knowledge is.
@@ -379,7 +379,7 @@
     /// Break the answer off: the caller has a part of it, and the rest can't be had.
     BreakOff(RequestTicket, RefusalReason),
     /// Tell other boxes.
-    SendNotes(Vec<String>, Box<PeerNote>),
+    SendNotes(Vec<String>, Box<GossipMessage>),
     /// Tell other boxes of a long prompt that was placed.
     TellPlacement(Vec<String>, PlacementNote),
     /// Ask a reader.
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -8,7 +8,7 @@
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{PaceNote, ServicePace};
-use super::peers::{self, BudgetNote, EntryWord, PeerAsk, PeerCard, PeerNote, TrialNote};
+use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerAsk, PeerCard, TrialNote};
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
@@ -77,7 +77,7 @@
         }
     }
 
-    fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> PeerNote {
+    fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> GossipMessage {
         self.rounds.note_number += 1;
         let number = self.rounds.note_number;
         let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
@@ -102,7 +102,7 @@
             marked: trial.marked,
             tallies: trial.own.clone(),
         });
-        PeerNote {
+        GossipMessage {
             name: self.settings.name.clone(),
             number,
             card: self.card(stamp.now),
@@ -238,7 +238,7 @@
     pub(super) fn on_note(
         &mut self,
         stamp: EventStamp,
-        note: &PeerNote,
+        note: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
         if note.name == self.settings.name || !self.peers.hear(note, stamp.now) {
@@ -281,7 +281,12 @@
     }
 
     /// Takes what another box says of replicas: news, or the answer to an ask.
-    fn hear_entries(&mut self, stamp: EventStamp, note: &PeerNote, out: &mut Vec<RouteEffect>) {
+    fn hear_entries(
+        &mut self,
+        stamp: EventStamp,
+        note: &GossipMessage,
+        out: &mut Vec<RouteEffect>,
+    ) {
         let changes = note.changes.clone();
         let Some(asked) = own_ask(note, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
@@ -316,7 +321,12 @@
     }
 
     /// Relies on what another box read, as of when it says, if this box has read as far.
-    fn hear_freshness(&mut self, stamp: EventStamp, note: &PeerNote, out: &mut Vec<RouteEffect>) {
+    fn hear_freshness(
+        &mut self,
+        stamp: EventStamp,
+        note: &GossipMessage,
+        out: &mut Vec<RouteEffect>,
+    ) {
         if note.known > self.known_plan() {
             self.asks.behind_since.get_or_insert(stamp.now);
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
@@ -338,14 +348,14 @@
 
     /// As of when, on this box's clock, another one knew what its note says; `None` if the note
     /// answers no ask of this life of the process, or one that is too old.
-    pub fn word_as_of(&self, note: &PeerNote, now: BoxTime) -> Option<BoxTime> {
+    pub fn word_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
         let asked = own_ask(note, self.settings.incarnation, now)?;
         Some(asked.asked_at.minus_millis(note.read_age_ms?))
     }
 }
 
 /// The ask that a note answers, if it was made in this life of the process and not too long ago.
-fn own_ask(note: &PeerNote, incarnation: u64, now: BoxTime) -> Option<&PeerAsk> {
+fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&PeerAsk> {
     let asked = note.echo.as_ref().filter(|ask| ask.incarnation == incarnation)?;
     let early = now.millis_since(asked.asked_at) < peers::ECHO_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -190,7 +190,7 @@
 
 /// What a box tells another.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PeerNote {
+pub struct GossipMessage {
     /// Name of the sender.
     pub name: String,
     /// Number of the note; a lower one than seen is old.
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    PeerCard, PeerNote, PeerSummary, FORGET_MS, NOTE_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
+    GossipMessage, PeerCard, PeerSummary, FORGET_MS, NOTE_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
     TOLD_SILENT_MS,
 };
 use crate::time::BoxTime;
@@ -50,7 +50,7 @@
     }
 
     /// Takes a note. Returns false if it is older than one that was taken.
-    pub fn hear(&mut self, note: &PeerNote, now: BoxTime) -> bool {
+    pub fn hear(&mut self, note: &GossipMessage, now: BoxTime) -> bool {
         let known = self.rows.get(&note.name);
         let same = known.filter(|row| row.card.incarnation == note.card.incarnation);
         if same.is_some_and(|row| row.number >= note.number) {
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::event::RouteEffect;
-use super::peers::PeerNote;
+use super::peers::GossipMessage;
 use super::progress::TrialMark;
 use super::trial::{TrialOrder, TrialState, TrialVerdict, VersionTrial};
 use super::RouteState;
@@ -122,7 +122,7 @@
     pub(super) fn hear_trials(
         &mut self,
         stamp: EventStamp,
-        note: &PeerNote,
+        note: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
         // What a box knows to stand in the store of a former era, the store may have lost.
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -159,7 +159,7 @@
     teller.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
     let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
 
-    let note = ravenspoke_core::route::peers::PeerNote { name: "box-2".to_owned(), ..note };
+    let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
     subject.feed(RouteEvent::PeerHeard(Box::new(note)));
     let (_, order) = subject.sent(ask("/file/x"));
     assert_eq!(order.replica_id, "r-west");
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::fatal::{
     ContentWord, EndNote, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
-use ravenspoke_core::route::peers::{PeerCard, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -231,7 +231,13 @@
 fn told_content(number: u64, word: ContentWord) -> RouteEvent {
     let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
     let contents = vec![ContentWord { content: CONTENT, ..word }];
-    let note = PeerNote { name: "box-2".to_owned(), number, card, contents, ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-2".to_owned(),
+        number,
+        card,
+        contents,
+        ..GossipMessage::default()
+    };
     RouteEvent::PeerHeard(Box::new(note))
 }
 
@@ -277,7 +283,13 @@
 
 fn told(ends: Vec<EndNote>) -> RouteEvent {
     let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
-    let note = PeerNote { name: "box-2".to_owned(), number: 1, card, ends, ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-2".to_owned(),
+        number: 1,
+        card,
+        ends,
+        ..GossipMessage::default()
+    };
     RouteEvent::PeerHeard(Box::new(note))
 }
 
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -10,7 +10,7 @@
     AnswerHead, RefusalReason, RouteAsk, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
 use ravenspoke_core::route::fresh::FreshBounds;
-use ravenspoke_core::route::peers::{BoxCapacity, PeerNote};
+use ravenspoke_core::route::peers::{BoxCapacity, GossipMessage};
 use ravenspoke_core::route::plan::{KeyHolder, RouteKind, RoutePlan, RouteSpec, RouteTarget};
 use ravenspoke_core::route::trial::TrialOrder;
 use ravenspoke_core::route::{RouteSettings, RouteState};
@@ -222,7 +222,7 @@
     })
 }
 
-pub fn note_in(effects: &[RouteEffect]) -> Option<PeerNote> {
+pub fn note_in(effects: &[RouteEffect]) -> Option<GossipMessage> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendNotes(_, note) => Some((**note).clone()),
         _ => None,
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{AnswerHead, RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::{PeerCard, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
 
 use crate::fixture::{ask, at, entry, head, note_in, ready_box, TestBox};
 
@@ -11,12 +11,18 @@
 
 fn note_of_other(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
     let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
-    let note = PeerNote { name: "box-2".to_owned(), number, card, changes, ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-2".to_owned(),
+        number,
+        card,
+        changes,
+        ..GossipMessage::default()
+    };
     RouteEvent::PeerHeard(Box::new(note))
 }
 
 /// A box whose replica `a` has just said that it leaves, and the note that follows.
-fn box_that_was_told() -> (TestBox, PeerNote) {
+fn box_that_was_told() -> (TestBox, GossipMessage) {
     let mut subject = ready_box();
     subject.feed(note_of_other(1, Vec::new()));
     for _ in 0..REQUESTS {
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
 use ravenspoke_core::route::limit::{LimitNote, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
-use ravenspoke_core::route::peers::{PeerCard, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::RouteState;
 
@@ -138,7 +138,13 @@
     let replica = ravenspoke_core::route::backend::backend_hash("a");
     let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
     let limits = vec![LimitNote { replica, per_s, age_ms }];
-    let note = PeerNote { name: "box-2".to_owned(), number, card, limits, ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-2".to_owned(),
+        number,
+        card,
+        limits,
+        ..GossipMessage::default()
+    };
     RouteEvent::PeerHeard(Box::new(note))
 }
 
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::deeds::DOWN_TELL_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RouteAsk, RouteEvent};
 use ravenspoke_core::route::loads::{BackendLoad, LoadNote};
-use ravenspoke_core::route::peers::PeerNote;
+use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, head, note_in, ready_box, TestBox};
@@ -19,11 +19,11 @@
 }
 
 fn note_of_loads(loads: Vec<LoadNote>) -> RouteEvent {
-    RouteEvent::PeerHeard(Box::new(PeerNote {
+    RouteEvent::PeerHeard(Box::new(GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
         loads,
-        ..PeerNote::default()
+        ..GossipMessage::default()
     }))
 }
 
@@ -78,7 +78,7 @@
     teller.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     teller.now += DOWN_TELL_MS;
     let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note, before the next is due");
-    let note = PeerNote { name: "box-9".to_owned(), ..note };
+    let note = GossipMessage { name: "box-9".to_owned(), ..note };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
         let mut one = || {
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::route::entries::{EntryWish, CHANGES_TOLD, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    PeerAsk, PeerCard, PeerNote, PeerSummary, START_SETTLE_MS, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerAsk, PeerCard, PeerSummary, START_SETTLE_MS, START_SPREAD_MS, START_WAIT_MS,
 };
 use ravenspoke_core::route::{LAPSE_MS, NAMED_AGE_MS};
 use ravenspoke_core::time::BoxTime;
@@ -131,7 +131,7 @@
 }
 
 /// Asks `reader` now, and gives its answer.
-pub fn answer(reader: &mut TestBox, asker: &TestBox) -> PeerNote {
+pub fn answer(reader: &mut TestBox, asker: &TestBox) -> GossipMessage {
     let ask = PeerAsk {
         note_address: "box-1:90".to_owned(),
         incarnation: 1,
@@ -234,13 +234,13 @@
 fn few_boxes_read_and_each_knows_which() {
     let mut boxes: Vec<TestBox> = (0..60).map(|n| new_box(&format!("box-{n}"))).collect();
     for (number, subject) in boxes.iter_mut().enumerate() {
-        let notes: Vec<PeerNote> = (0..60)
+        let notes: Vec<GossipMessage> = (0..60)
             .filter(|other| *other != number)
-            .map(|other| PeerNote {
+            .map(|other| GossipMessage {
                 name: format!("box-{other}"),
                 number: 1,
                 card: PeerCard { note_address: format!("box-{other}:90"), ..PeerCard::default() },
-                ..PeerNote::default()
+                ..GossipMessage::default()
             })
             .collect();
         for note in notes {
@@ -496,7 +496,7 @@
     let lead = PeerSummary { name: "box-2".to_owned(), card: note.card.clone(), age_ms: 0 };
     let leads = vec![lead];
     let name = "box-3".to_owned();
-    let other = PeerNote { name, number: 1, leads, ..PeerNote::default() };
+    let other = GossipMessage { name, number: 1, leads, ..GossipMessage::default() };
     first.feed(RouteEvent::PeerHeard(Box::new(other)));
     assert!(named(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
     first.feed(RouteEvent::PeerHeard(Box::new(note)));
@@ -515,8 +515,12 @@
     };
     let lead = PeerSummary { name: "box-2".to_owned(), card, age_ms: 1_900 };
     first.now += 1_900;
-    let note =
-        PeerNote { name: "box-3".to_owned(), number: 1, leads: vec![lead], ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-3".to_owned(),
+        number: 1,
+        leads: vec![lead],
+        ..GossipMessage::default()
+    };
     first.feed(RouteEvent::PeerHeard(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::PeerNote;
+use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
@@ -500,7 +500,7 @@
     }
 
     /// The operator's records that an answer brings with it.
-    fn take_records(&mut self, to: usize, note: &PeerNote) {
+    fn take_records(&mut self, to: usize, note: &GossipMessage) {
         let state = &self.boxes[to].state;
         let as_of = state.word_as_of(note, BoxTime::from_millis(self.now));
         let known = state.known_plan();
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -10,7 +10,7 @@
     AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::loads::BackendLoad;
-use ravenspoke_core::route::peers::{PeerCard, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
@@ -230,7 +230,8 @@
             let note_address = format!("{name}:90");
             let card = PeerCard { incarnation: 1, note_address, ..PeerCard::default() };
             let down = down[other].clone();
-            let note = PeerNote { name, number: self.now, card, down, ..PeerNote::default() };
+            let note =
+                GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
             self.feed(number, RouteEvent::PeerHeard(Box::new(note)));
         }
     }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -25,7 +25,7 @@
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::event::{RefusalReason, RouteAsk, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    PeerAsk, PeerCard, PeerNote, TrialNote, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerAsk, PeerCard, TrialNote, START_SPREAD_MS, START_WAIT_MS,
 };
 use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
@@ -82,7 +82,7 @@
 }
 
 /// The note that a box sends next.
-fn told_by(subject: &mut TestBox) -> PeerNote {
+fn told_by(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
     subject.now += 500;
     note_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
@@ -304,12 +304,12 @@
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
     let card = PeerCard { note_address: "box-1:90".to_owned(), ..PeerCard::default() };
-    let news = PeerNote {
+    let news = GossipMessage {
         name: "box-1".to_owned(),
         number: 1,
         card,
         changes: vec![change.clone()],
-        ..PeerNote::default()
+        ..GossipMessage::default()
     };
 
     subject.feed(RouteEvent::PeerHeard(Box::new(news)));
@@ -322,7 +322,7 @@
 }
 
 /// Answers that a box tells of, none of them failed.
-fn told_answers(name: &str, incarnation: u64, runs: f64) -> PeerNote {
+fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let fresh = VersionTally { runs, ..VersionTally::default() };
     let tally = TrialTally { fresh, ..TrialTally::default() };
     let trial = TrialNote {
@@ -331,12 +331,12 @@
         tallies: [("file".to_owned(), tally)].into(),
         ..TrialNote::default()
     };
-    PeerNote {
+    GossipMessage {
         name: name.to_owned(),
         number: 1,
         card: PeerCard { incarnation, note_address: format!("{name}:90"), ..PeerCard::default() },
         trials: vec![trial],
-        ..PeerNote::default()
+        ..GossipMessage::default()
     }
 }
 
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -7,7 +7,7 @@
     EvacuationRead, EvacuationWord, ZoneOrder, UNSEEN_ORDER_MS,
 };
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::{KnownPlan, PeerNote};
+use ravenspoke_core::route::peers::{GossipMessage, KnownPlan};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict};
 use ravenspoke_core::route::{RouteState, LAPSE_MS};
 use ravenspoke_core::time::BoxTime;
@@ -289,8 +289,13 @@
     subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::Done)));
     subject.feed(RouteEvent::EraNamed(2));
     let verdicts = vec![verdict(TrialState::Done)];
-    let note =
-        PeerNote { name: "box-2".to_owned(), number: 1, era: 1, verdicts, ..PeerNote::default() };
+    let note = GossipMessage {
+        name: "box-2".to_owned(),
+        number: 1,
+        era: 1,
+        verdicts,
+        ..GossipMessage::default()
+    };
 
     subject.feed(RouteEvent::PeerHeard(Box::new(note)));
 
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -298,7 +298,7 @@
 #[test]
 fn the_next_box_writes_a_verdict_that_the_first_did_not() {
     let mut subject = ready_box();
-    subject.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::PeerNote {
+    subject.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
         name: "box-3".to_owned(),
         number: 1,
         card: PeerCard { note_address: "box-3:90".to_owned(), open: true, ..PeerCard::default() },
@@ -320,7 +320,7 @@
     let dump = seen_bad.state.dump(Default::default());
     let tallies = dump.trials[0].own.clone();
     let mut other = box_on_trial();
-    other.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::PeerNote {
+    other.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
         trials: vec![ravenspoke_core::route::peers::TrialNote {
