--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -10,7 +10,7 @@
 };
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
 use ravenspoke_core::route::leader::LeaderOrder;
-use ravenspoke_core::route::peers::{GossipMessage, PeerAsk};
+use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementNote;
 use ravenspoke_core::route::progress::TrialMark;
 use ravenspoke_core::route::trial::TrialVerdict;
@@ -54,7 +54,7 @@
     /// Word of a placed prompt, for each of these addresses.
     Placement(Vec<String>, PlacementNote),
     /// An ask, for this address.
-    Ask(String, PeerAsk),
+    Ask(String, SyncRequest),
     /// A question for counts of usage, for each of these addresses.
     UsageAsk(Vec<String>, UsageAsk),
     /// Counts of usage, for this address.
--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::route::entries::{EntryWish, ListingPage};
-use ravenspoke_core::route::peers::{EntryWord, PeerAsk};
+use ravenspoke_core::route::peers::{EntryWord, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
 use super::position::{read_known, read_position, write_known, WireKnownPlan, WirePosition};
@@ -42,7 +42,7 @@
     page_gone_from: Option<WirePosition>,
 }
 
-pub(super) fn write_ask(ask: &PeerAsk) -> WireAsk {
+pub(super) fn write_ask(ask: &SyncRequest) -> WireAsk {
     WireAsk {
         note_address: ask.note_address.clone(),
         incarnation: ask.incarnation,
@@ -54,8 +54,8 @@
     }
 }
 
-pub(super) fn read_ask(ask: WireAsk) -> PeerAsk {
-    PeerAsk {
+pub(super) fn read_ask(ask: WireAsk) -> SyncRequest {
+    SyncRequest {
         note_address: ask.note_address,
         incarnation: ask.incarnation,
         asked_at: BoxTime::from_micros(ask.asked_at),
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -17,7 +17,7 @@
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
-use ravenspoke_core::route::peers::{GossipMessage, PeerAsk};
+use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementNote;
 
 use ask::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
@@ -133,7 +133,7 @@
 }
 
 /// Encodes an ask as a datagram.
-pub fn encode_ask(ask: &PeerAsk) -> Vec<u8> {
+pub fn encode_ask(ask: &SyncRequest) -> Vec<u8> {
     let ask = Some(write_ask(ask));
     WireDatagram { ask, ..WireDatagram::default() }.encode_to_vec()
 }
@@ -162,7 +162,7 @@
     /// A note, with the records that this box asked for, if they are not left out.
     Note(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
     /// An ask.
-    Ask(PeerAsk),
+    Ask(SyncRequest),
     /// A prompt that was placed.
     Placement(PlacementNote),
     /// A question for counts of usage.
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryWish, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::peers::{
-    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerAsk, PeerCard, PeerSummary,
+    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerCard, PeerSummary, SyncRequest,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -36,8 +36,8 @@
     }
 }
 
-fn ask() -> PeerAsk {
-    PeerAsk {
+fn ask() -> SyncRequest {
+    SyncRequest {
         note_address: "10.1.0.9:7680".to_owned(),
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
@@ -117,7 +117,7 @@
 fn an_ask_is_read_as_it_was_written() {
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
         let entries = EntryWish { known_to, ..ask().entries };
-        let ask = PeerAsk { entries, ..ask() };
+        let ask = SyncRequest { entries, ..ask() };
         let heard = decode_datagram(&encode_ask(&ask)).expect("a datagram");
         assert_eq!(heard, HeardDatagram::Ask(ask));
     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -7,7 +7,7 @@
 use super::leader::usage::{UsageAsk, UsageNote};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
-use super::peers::{GossipMessage, KnownPlan, PeerAsk};
+use super::peers::{GossipMessage, KnownPlan, SyncRequest};
 use super::placement::PlacementNote;
 use super::plan::{RouteKind, RoutePlan};
 use super::progress::TrialMark;
@@ -174,7 +174,7 @@
     /// Another box has placed a long prompt.
     PlacementHeard(PlacementNote),
     /// Another box asks how fresh this one's knowledge is.
-    PeerAsked(PeerAsk),
+    PeerAsked(SyncRequest),
     /// The store answered an ask for the lease of what one box does for all.
     LeaseAnswered {
         /// When it was asked.
@@ -383,7 +383,7 @@
     /// Tell other boxes of a long prompt that was placed.
     TellPlacement(Vec<String>, PlacementNote),
     /// Ask a reader.
-    SendAsk(String, PeerAsk),
+    SendAsk(String, SyncRequest),
     /// Write a verdict to the store, unless it has one.
     WriteVerdict(TrialVerdict),
     /// Mark in the store how far a trial has come, unless it knows of more.
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -8,7 +8,7 @@
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{PaceNote, ServicePace};
-use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerAsk, PeerCard, TrialNote};
+use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerCard, SyncRequest, TrialNote};
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
@@ -211,8 +211,8 @@
         }
     }
 
-    fn ask(&self, stamp: EventStamp) -> PeerAsk {
-        PeerAsk {
+    fn ask(&self, stamp: EventStamp) -> SyncRequest {
+        SyncRequest {
             note_address: self.settings.note_address.clone(),
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
@@ -222,7 +222,12 @@
     }
 
     /// Answers another box's ask.
-    pub(super) fn on_ask(&mut self, stamp: EventStamp, ask: PeerAsk, out: &mut Vec<RouteEffect>) {
+    pub(super) fn on_ask(
+        &mut self,
+        stamp: EventStamp,
+        ask: SyncRequest,
+        out: &mut Vec<RouteEffect>,
+    ) {
         let to = vec![ask.note_address.clone()];
         self.peers.hear_of(&to, &self.settings.note_address, stamp.now);
         let mut note = self.note(stamp, NoteKind::Answer);
@@ -355,7 +360,7 @@
 }
 
 /// The ask that a note answers, if it was made in this life of the process and not too long ago.
-fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&PeerAsk> {
+fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
     let asked = note.echo.as_ref().filter(|ask| ask.incarnation == incarnation)?;
     let early = now.millis_since(asked.asked_at) < peers::ECHO_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -206,7 +206,7 @@
     /// Availability zones under evacuation, as far as the sender knows.
     pub evacuation: EvacuationWord,
     /// The ask that this note answers.
-    pub echo: Option<PeerAsk>,
+    pub echo: Option<SyncRequest>,
     /// Changes to the replicas' entries: in an answer what the ask wants, else what is news.
     pub changes: Vec<BackendChange>,
     /// How far an answer shows the replicas' entries.
@@ -269,7 +269,7 @@
 
 /// A box's question to a reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PeerAsk {
+pub struct SyncRequest {
     /// Where the answer goes.
     pub note_address: String,
     /// Random number of this life of the asker's process.
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -5,7 +5,8 @@
 use ravenspoke_core::route::entries::{EntryWish, CHANGES_TOLD, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    GossipMessage, PeerAsk, PeerCard, PeerSummary, START_SETTLE_MS, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerCard, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
+    START_WAIT_MS,
 };
 use ravenspoke_core::route::{LAPSE_MS, NAMED_AGE_MS};
 use ravenspoke_core::time::BoxTime;
@@ -132,7 +133,7 @@
 
 /// Asks `reader` now, and gives its answer.
 pub fn answer(reader: &mut TestBox, asker: &TestBox) -> GossipMessage {
-    let ask = PeerAsk {
+    let ask = SyncRequest {
         note_address: "box-1:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(asker.now),
@@ -190,7 +191,7 @@
     reader.read_plan(Some(plan(1)));
     asker.now += 500;
     let mut other_life = answer(&mut reader, &asker);
-    other_life.echo = other_life.echo.map(|echo| PeerAsk { incarnation: 2, ..echo });
+    other_life.echo = other_life.echo.map(|echo| SyncRequest { incarnation: 2, ..echo });
     let old = answer(&mut reader, &asker);
     asker.feed(RouteEvent::PeerHeard(Box::new(other_life)));
     assert_eq!(age(&asker), Some(500));
@@ -336,7 +337,7 @@
     BoxTime::from_millis(subject.now)
 }
 
-pub fn ask_in(effects: &[RouteEffect]) -> Option<PeerAsk> {
+pub fn ask_in(effects: &[RouteEffect]) -> Option<SyncRequest> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendAsk(_, ask) => Some(ask.clone()),
         _ => None,
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -25,7 +25,7 @@
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::event::{RefusalReason, RouteAsk, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    GossipMessage, PeerAsk, PeerCard, TrialNote, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerCard, SyncRequest, TrialNote, START_SPREAD_MS, START_WAIT_MS,
 };
 use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
@@ -369,11 +369,11 @@
     reader.now += 4_500;
     let mut starter = new_box("box-2");
     starter.now = 200;
-    let ask_of_starter = PeerAsk {
+    let ask_of_starter = SyncRequest {
         note_address: "box-2:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(starter.now),
-        ..PeerAsk::default()
+        ..SyncRequest::default()
     };
     let told = note_in(&reader.feed(RouteEvent::PeerAsked(ask_of_starter))).expect("an answer");
 
