--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::evacuation::EvacuationWord;
-use ravenspoke_core::route::peers::{BudgetNote, PeerCard, PeerSummary};
+use ravenspoke_core::route::peers::{BudgetNote, PeerInfo, PeerSummary};
 
 use super::position::{read_position, WirePosition};
 
@@ -92,7 +92,7 @@
     }
 }
 
-pub(super) fn write_card(card: &PeerCard) -> WireCard {
+pub(super) fn write_card(card: &PeerInfo) -> WireCard {
     WireCard {
         incarnation: card.incarnation,
         note_address: card.note_address.clone(),
@@ -105,8 +105,8 @@
     }
 }
 
-pub(super) fn read_card(card: WireCard) -> PeerCard {
-    PeerCard {
+pub(super) fn read_card(card: WireCard) -> PeerInfo {
+    PeerInfo {
         incarnation: card.incarnation,
         note_address: card.note_address,
         entry_address: card.entry_address,
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryWish, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::peers::{
-    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerCard, PeerSummary, SyncRequest,
+    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -23,8 +23,8 @@
     TopicPosition::new(3, offset)
 }
 
-fn card(name: &str) -> PeerCard {
-    PeerCard {
+fn card(name: &str) -> PeerInfo {
+    PeerInfo {
         incarnation: 17,
         note_address: format!("10.1.0.{}:7680", name.len()),
         entry_address: format!("10.1.0.{}:8603", name.len()),
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -8,7 +8,7 @@
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{PaceNote, ServicePace};
-use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerCard, SyncRequest, TrialNote};
+use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerInfo, SyncRequest, TrialNote};
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
@@ -160,8 +160,8 @@
     }
 
     /// What this box says of itself.
-    fn card(&self, now: BoxTime) -> PeerCard {
-        PeerCard {
+    fn card(&self, now: BoxTime) -> PeerInfo {
+        PeerInfo {
             incarnation: self.settings.incarnation,
             note_address: self.settings.note_address.clone(),
             entry_address: self.settings.entry_address.clone(),
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -162,7 +162,7 @@
 
 /// What a box says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct PeerCard {
+pub struct PeerInfo {
     /// Random number of this life of its process.
     pub incarnation: u64,
     /// Where it hears notes.
@@ -181,7 +181,7 @@
     pub strong: bool,
 }
 
-impl PeerCard {
+impl PeerInfo {
     /// Whether callers may be sent to it, or it reads the store for the others.
     pub fn serves(&self) -> bool {
         self.open || self.reads
@@ -196,7 +196,7 @@
     /// Number of the note; a lower one than seen is old.
     pub number: u64,
     /// What the sender says of itself.
-    pub card: PeerCard,
+    pub card: PeerInfo,
     /// The store's era, as far as it knows.
     pub era: u64,
     /// How far it knows the operator's records.
@@ -262,7 +262,7 @@
     /// Name.
     pub name: String,
     /// What it said of itself.
-    pub card: PeerCard,
+    pub card: PeerInfo,
     /// How long ago it spoke, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerCard, PeerSummary, FORGET_MS, NOTE_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
+    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, NOTE_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
     TOLD_SILENT_MS,
 };
 use crate::time::BoxTime;
@@ -16,7 +16,7 @@
 pub struct PeerState {
     /// What it says of itself.
     #[serde(flatten)]
-    pub card: PeerCard,
+    pub card: PeerInfo,
     /// Number of its last note; 0 if it was only heard of.
     pub number: u64,
     /// When it was heard last.
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::fatal::{
     ContentWord, EndNote, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
-use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
+use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -229,7 +229,7 @@
 
 /// Another box's word of [`CONTENT`].
 fn told_content(number: u64, word: ContentWord) -> RouteEvent {
-    let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
+    let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![ContentWord { content: CONTENT, ..word }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
@@ -282,7 +282,7 @@
 }
 
 fn told(ends: Vec<EndNote>) -> RouteEvent {
-    let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
+    let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
 use ravenspoke_core::route::limit::{LimitNote, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
-use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
+use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::RouteState;
 
@@ -136,7 +136,7 @@
 /// A note of another box with word of replica `a`'s limit.
 fn note(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
-    let card = PeerCard { note_address: "box-2:90".to_owned(), ..PeerCard::default() };
+    let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let limits = vec![LimitNote { replica, per_s, age_ms }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::route::entries::{EntryWish, CHANGES_TOLD, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    GossipMessage, PeerCard, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
+    GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
     START_WAIT_MS,
 };
 use ravenspoke_core::route::{LAPSE_MS, NAMED_AGE_MS};
@@ -240,7 +240,7 @@
             .map(|other| GossipMessage {
                 name: format!("box-{other}"),
                 number: 1,
-                card: PeerCard { note_address: format!("box-{other}:90"), ..PeerCard::default() },
+                card: PeerInfo { note_address: format!("box-{other}:90"), ..PeerInfo::default() },
                 ..GossipMessage::default()
             })
             .collect();
@@ -508,11 +508,11 @@
 fn old_word_of_a_box_does_not_make_it_live() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
     tell(&mut second, &mut first);
-    let card = PeerCard {
+    let card = PeerInfo {
         entry_address: "box-2:80".to_owned(),
         note_address: "box-2:90".to_owned(),
         open: true,
-        ..PeerCard::default()
+        ..PeerInfo::default()
     };
     let lead = PeerSummary { name: "box-2".to_owned(), card, age_ms: 1_900 };
     first.now += 1_900;
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::entries::ListingPage;
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::{GossipMessage, PeerCard, BEHIND_MS, START_SETTLE_MS};
+use ravenspoke_core::route::peers::{GossipMessage, PeerInfo, BEHIND_MS, START_SETTLE_MS};
 
 use crate::fixture::{at, new_box, plan, ready_box, TestBox};
 use crate::membership::{answer, ask_in, clock, tell};
@@ -10,7 +10,7 @@
 /// Three other boxes speak, which callers may be sent to or not.
 fn hear_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
-        let card = PeerCard { note_address: format!("{name}:90"), open, ..PeerCard::default() };
+        let card = PeerInfo { note_address: format!("{name}:90"), open, ..PeerInfo::default() };
         let note =
             GossipMessage { name: name.to_owned(), number: 1, card, ..GossipMessage::default() };
         subject.feed(RouteEvent::PeerHeard(Box::new(note)));
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -10,7 +10,7 @@
     AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::loads::BackendLoad;
-use ravenspoke_core::route::peers::{GossipMessage, PeerCard};
+use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
@@ -228,7 +228,7 @@
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
             let note_address = format!("{name}:90");
-            let card = PeerCard { incarnation: 1, note_address, ..PeerCard::default() };
+            let card = PeerInfo { incarnation: 1, note_address, ..PeerInfo::default() };
             let down = down[other].clone();
             let note =
                 GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -25,7 +25,7 @@
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::event::{RefusalReason, RouteAsk, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    GossipMessage, PeerCard, SyncRequest, TrialNote, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerInfo, SyncRequest, TrialNote, START_SPREAD_MS, START_WAIT_MS,
 };
 use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
@@ -303,7 +303,7 @@
     let mut subject = new_box("box-2");
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
-    let card = PeerCard { note_address: "box-1:90".to_owned(), ..PeerCard::default() };
+    let card = PeerInfo { note_address: "box-1:90".to_owned(), ..PeerInfo::default() };
     let news = GossipMessage {
         name: "box-1".to_owned(),
         number: 1,
@@ -334,7 +334,7 @@
     GossipMessage {
         name: name.to_owned(),
         number: 1,
-        card: PeerCard { incarnation, note_address: format!("{name}:90"), ..PeerCard::default() },
+        card: PeerInfo { incarnation, note_address: format!("{name}:90"), ..PeerInfo::default() },
         trials: vec![trial],
         ..GossipMessage::default()
     }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -1,7 +1,7 @@
 //! New versions: whose sessions they get, the verdict, and who writes it.
 
 use ravenspoke_core::route::event::{AttemptFailure, RouteAsk, RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::PeerCard;
+use ravenspoke_core::route::peers::PeerInfo;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::tally::{TrialFault, TrialTally, VersionTally};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, TRIAL_SHARE};
@@ -301,7 +301,7 @@
     subject.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
         name: "box-3".to_owned(),
         number: 1,
-        card: PeerCard { note_address: "box-3:90".to_owned(), open: true, ..PeerCard::default() },
+        card: PeerInfo { note_address: "box-3:90".to_owned(), open: true, ..PeerInfo::default() },
         ..Default::default()
     })));
     subject.give_order(order());
