--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::route::entries::{EntryWish, ListingPage};
-use ravenspoke_core::route::peers::{EntryWord, SyncRequest};
+use ravenspoke_core::route::peers::{EntryCoverage, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
 use super::position::{read_known, read_position, write_known, WireKnownPlan, WirePosition};
@@ -68,7 +68,7 @@
     }
 }
 
-pub(super) fn write_word(word: EntryWord) -> WireEntryWord {
+pub(super) fn write_word(word: EntryCoverage) -> WireEntryWord {
     WireEntryWord {
         known_to: word.known_to.map(Into::into),
         age_ms: word.age_ms,
@@ -78,7 +78,7 @@
     }
 }
 
-pub(super) fn read_word(word: WireEntryWord) -> EntryWord {
+pub(super) fn read_word(word: WireEntryWord) -> EntryCoverage {
     let next = word.page_next.map(Into::into);
     let page = word.page_end.map(|end| {
         let end = end.into();
@@ -86,5 +86,5 @@
         ListingPage { end, next, gone_from }
     });
     let known_to = word.known_to.map(Into::into);
-    EntryWord { known_to, age_ms: word.age_ms, page }
+    EntryCoverage { known_to, age_ms: word.age_ms, page }
 }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryWish, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::peers::{
-    BudgetNote, EntryWord, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
+    BudgetNote, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -79,7 +79,7 @@
         read_age_ms: Some(400),
         echo: Some(ask()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
-        entries: EntryWord {
+        entries: EntryCoverage {
             known_to: Some(at(43)),
             age_ms: Some(0),
             page: Some(ListingPage {
@@ -108,7 +108,7 @@
 
 #[test]
 fn a_note_that_answers_nothing_has_no_word_of_entries() {
-    let note = GossipMessage { echo: None, entries: EntryWord::default(), ..answer() };
+    let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
     let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
     assert_eq!(heard, HeardDatagram::Note(Box::new(note), None));
 }
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -8,7 +8,9 @@
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{PaceNote, ServicePace};
-use super::peers::{self, BudgetNote, EntryWord, GossipMessage, PeerInfo, SyncRequest, TrialNote};
+use super::peers::{
+    self, BudgetNote, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialNote,
+};
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
@@ -111,7 +113,7 @@
             read_age_ms: self.fresh.age_ms(stamp.now),
             evacuation: self.evacuated.word(),
             echo: None,
-            entries: EntryWord::default(),
+            entries: EntryCoverage::default(),
             changes: self
                 .rounds
                 .changes
@@ -235,7 +237,7 @@
             self.entries.answer(ask.entries, &self.backends, stamp.now);
         note.changes = changes;
         note.contents = self.answered_contents(note.number, stamp.now);
-        note.entries = EntryWord { known_to, age_ms, page };
+        note.entries = EntryCoverage { known_to, age_ms, page };
         note.echo = Some(ask);
         out.push(RouteEffect::SendNotes(to, Box::new(note)));
     }
@@ -303,7 +305,7 @@
         if note.card.reads {
             self.asks.reader_answered_at = Some(stamp.now);
         }
-        let EntryWord { known_to, age_ms, page } = note.entries;
+        let EntryCoverage { known_to, age_ms, page } = note.entries;
         let as_of = age_ms.map(|age| asked.asked_at.minus_millis(age));
         let Some(page) = page else {
             // An answer that is no word of all there is has more behind it.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -210,7 +210,7 @@
     /// Changes to the replicas' entries: in an answer what the ask wants, else what is news.
     pub changes: Vec<BackendChange>,
     /// How far an answer shows the replicas' entries.
-    pub entries: EntryWord,
+    pub entries: EntryCoverage,
     /// Loads of busy replicas.
     pub loads: Vec<LoadNote>,
     /// Replicas that could not be reached.
@@ -247,7 +247,7 @@
 
 /// How far an answer shows the replicas' entries; see [`super::entries::EntryAnswer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EntryWord {
+pub struct EntryCoverage {
     /// All changes before this position are known with it.
     pub known_to: Option<TopicPosition>,
     /// How long ago that was all there was, in milliseconds.
