--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -1,7 +1,7 @@
 //! What a box asks of another, and how far the answer shows the replicas' entries.
 
 use prost::Message;
-use ravenspoke_core::route::entries::{EntryWish, ListingPage};
+use ravenspoke_core::route::entries::{EntryQuery, ListingPage};
 use ravenspoke_core::route::peers::{EntryCoverage, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
@@ -60,7 +60,7 @@
         incarnation: ask.incarnation,
         asked_at: BoxTime::from_micros(ask.asked_at),
         known: read_known(ask.known),
-        entries: EntryWish {
+        entries: EntryQuery {
             known_to: ask.entries_to.map(Into::into),
             page_from: read_position(ask.page_from),
             has_rows: ask.has_rows,
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::budget::SendCount;
-use ravenspoke_core::route::entries::{EntryWish, ListingPage, CHANGES_TOLD};
+use ravenspoke_core::route::entries::{EntryQuery, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::peers::{
     BudgetNote, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
@@ -42,7 +42,7 @@
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
         known: KnownPlan { version: 5, read_to: at(12) },
-        entries: EntryWish { known_to: Some(at(40)), page_from: at(7), has_rows: true },
+        entries: EntryQuery { known_to: Some(at(40)), page_from: at(7), has_rows: true },
     }
 }
 
@@ -116,7 +116,7 @@
 #[test]
 fn an_ask_is_read_as_it_was_written() {
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
-        let entries = EntryWish { known_to, ..ask().entries };
+        let entries = EntryQuery { known_to, ..ask().entries };
         let ask = SyncRequest { entries, ..ask() };
         let heard = decode_datagram(&encode_ask(&ask)).expect("a datagram");
         assert_eq!(heard, HeardDatagram::Ask(ask));
--- a/crates/core/src/route/entries.rs
+++ b/crates/core/src/route/entries.rs
@@ -35,7 +35,7 @@
 
 /// What a box wants to know of the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EntryWish {
+pub struct EntryQuery {
     /// All changes before this position are known; `None` if nothing is.
     pub known_to: Option<TopicPosition>,
     /// Where the next page of a listing begins, if one is under way; else before all.
@@ -120,13 +120,13 @@
     }
 
     /// What this box wants to know.
-    pub fn wish(&self, has_rows: bool) -> EntryWish {
+    pub fn wish(&self, has_rows: bool) -> EntryQuery {
         let page_from = self.listing.as_ref().map(|listing| listing.next).unwrap_or_default();
-        EntryWish { known_to: self.known_to, page_from, has_rows }
+        EntryQuery { known_to: self.known_to, page_from, has_rows }
     }
 
     /// What is told to a box with this wish.
-    pub fn answer(&self, wish: EntryWish, table: &BackendTable, now: BoxTime) -> EntryAnswer {
+    pub fn answer(&self, wish: EntryQuery, table: &BackendTable, now: BoxTime) -> EntryAnswer {
         let Some(known_to) = self.known_to else { return EntryAnswer::default() };
         // A replica that may come back is neither told nor passed over.
         let first_lapsing = table.first_lapsing();
@@ -156,7 +156,7 @@
     /// named no more than is known now.
     pub fn take_changes(
         &mut self,
-        wish: EntryWish,
+        wish: EntryQuery,
         told_to: Option<TopicPosition>,
         as_of: Option<BoxTime>,
     ) {
@@ -177,7 +177,7 @@
     /// Takes a page of a listing. Gives the whole of it, with its end, when the last one has come.
     pub fn take_page(
         &mut self,
-        wish: EntryWish,
+        wish: EntryQuery,
         page: ListingPage,
         changes: &[BackendChange],
         as_of: Option<BoxTime>,
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -21,7 +21,7 @@
 use super::backend::BackendChange;
 use super::budget::SendCount;
 use super::deeds::DownNote;
-use super::entries::{EntryWish, ListingPage};
+use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationWord;
 use super::fatal::{ContentWord, EndNote};
 use super::limit::LimitNote;
@@ -279,5 +279,5 @@
     /// How far it knows the operator's records: it wants what is behind.
     pub known: KnownPlan,
     /// What it wants to know of the replicas' entries.
-    pub entries: EntryWish,
+    pub entries: EntryQuery,
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::entries::{EntryWish, CHANGES_TOLD, LISTING_MS};
+use ravenspoke_core::route::entries::{EntryQuery, CHANGES_TOLD, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
@@ -138,7 +138,7 @@
         incarnation: 1,
         asked_at: BoxTime::from_millis(asker.now),
         known: asker.state.known_plan(),
-        entries: EntryWish {
+        entries: EntryQuery {
             known_to: asker.state.entries_to(),
             page_from: TopicPosition::default(),
             has_rows: asker.state.backends().rows().next().is_some(),
