--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::route::budget::SendCount;
-use ravenspoke_core::route::evacuation::EvacuationWord;
+use ravenspoke_core::route::evacuation::EvacuationDigest;
 use ravenspoke_core::route::peers::{BudgetNote, PeerInfo, PeerSummary};
 
 use super::position::{read_position, WirePosition};
@@ -58,12 +58,12 @@
     zones: Vec<String>,
 }
 
-pub(super) fn write_evacuation(word: &EvacuationWord) -> WireEvacuation {
+pub(super) fn write_evacuation(word: &EvacuationDigest) -> WireEvacuation {
     WireEvacuation { known_to: Some(word.known_to.into()), zones: word.zones.clone() }
 }
 
-pub(super) fn read_evacuation(wire: WireEvacuation) -> EvacuationWord {
-    EvacuationWord { known_to: read_position(wire.known_to), zones: wire.zones }
+pub(super) fn read_evacuation(wire: WireEvacuation) -> EvacuationDigest {
+    EvacuationDigest { known_to: read_position(wire.known_to), zones: wire.zones }
 }
 
 pub(super) fn write_budget(told: &BudgetNote) -> WireBudget {
--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -45,7 +45,7 @@
 
 /// The zones under evacuation, as one box tells them to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EvacuationWord {
+pub struct EvacuationDigest {
     /// Position up to which the operator's records were read.
     pub known_to: TopicPosition,
     /// All zones under evacuation then, sorted.
@@ -85,8 +85,8 @@
     }
 
     /// What is told to other boxes.
-    pub fn word(&self) -> EvacuationWord {
-        EvacuationWord { known_to: self.known_to, zones: self.zones.clone() }
+    pub fn word(&self) -> EvacuationDigest {
+        EvacuationDigest { known_to: self.known_to, zones: self.zones.clone() }
     }
 
     /// Takes what was read. Gives what of it is news.
@@ -110,7 +110,7 @@
     }
 
     /// Takes another box's word. Gives what of it is news.
-    pub fn hear(&mut self, word: &EvacuationWord, now: BoxTime) -> Vec<ZoneOrder> {
+    pub fn hear(&mut self, word: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
         if word.known_to.era < self.known_to.era {
             word.zones.iter().for_each(|zone| self.keep_unseen(zone, now));
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -1,7 +1,7 @@
 //! What can happen to a routing box, and what it can be told to do, as data.
 
 use super::backend::BackendChange;
-use super::evacuation::{EvacuationRead, EvacuationWord, ZoneOrder};
+use super::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
 use super::leader::lease::{LeaderPart, LeaseWord};
 use super::leader::scale::ScaleSubject;
 use super::leader::usage::{UsageAsk, UsageNote};
@@ -118,7 +118,7 @@
     /// Orders to evacuate availability zones were read, or that there are no others.
     EvacuationsRead(EvacuationRead),
     /// Another box told, beside the plan, which zones are under evacuation.
-    EvacuationsTold(EvacuationWord),
+    EvacuationsTold(EvacuationDigest),
     /// Orders to bring versions in were read.
     OrdersRead {
         /// Position behind the last record that was read.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -22,7 +22,7 @@
 use super::budget::SendCount;
 use super::deeds::DownNote;
 use super::entries::{EntryQuery, ListingPage};
-use super::evacuation::EvacuationWord;
+use super::evacuation::EvacuationDigest;
 use super::fatal::{ContentWord, EndNote};
 use super::limit::LimitNote;
 use super::loads::LoadNote;
@@ -204,7 +204,7 @@
     /// How long ago that was all there was, in milliseconds; `None` if it has read nothing yet.
     pub read_age_ms: Option<u64>,
     /// Availability zones under evacuation, as far as the sender knows.
-    pub evacuation: EvacuationWord,
+    pub evacuation: EvacuationDigest,
     /// The ask that this note answers.
     pub echo: Option<SyncRequest>,
     /// Changes to the replicas' entries: in an answer what the ask wants, else what is news.
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -1,7 +1,7 @@
 //! Zones that the operator empties: their replicas get nothing, by whichever way a request would come there.
 
 use ravenspoke_core::route::backend::BackendEntry;
-use ravenspoke_core::route::evacuation::{EvacuationRead, EvacuationWord, ZoneOrder};
+use ravenspoke_core::route::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::{AttemptFailure, RefusalReason, RouteEffect, RouteEvent};
 use ravenspoke_core::time::BoxTime;
 
@@ -136,7 +136,7 @@
     read_orders(&mut subject, None, 4, &[("east", true)]);
     let told = |known_to, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
-        RouteEvent::EvacuationsTold(EvacuationWord { known_to: at(known_to), zones })
+        RouteEvent::EvacuationsTold(EvacuationDigest { known_to: at(known_to), zones })
     };
 
     subject.feed(told(3, &[]));
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::evacuation::{
-    EvacuationRead, EvacuationWord, ZoneOrder, UNSEEN_ORDER_MS,
+    EvacuationDigest, EvacuationRead, ZoneOrder, UNSEEN_ORDER_MS,
 };
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, KnownPlan};
@@ -179,7 +179,7 @@
 fn a_box_that_read_the_copy_hears_of_an_emptied_zone_from_one_of_a_former_era() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, restored(5), &[]);
-    let word = EvacuationWord { known_to: at(8), zones: vec!["east".to_owned()] };
+    let word = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
 
     subject.feed(RouteEvent::EvacuationsTold(word));
 
