--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::deeds::DownNote;
-use ravenspoke_core::route::fatal::{ContentWord, EndNote};
+use ravenspoke_core::route::fatal::{EndNote, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitNote;
 use ravenspoke_core::route::loads::LoadNote;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
@@ -215,14 +215,14 @@
     answered: bool,
 }
 
-pub(super) fn write_content(told: &ContentWord) -> WireContent {
-    let ContentWord { content, age_ms, answered } = *told;
+pub(super) fn write_content(told: &PoisonUpdate) -> WireContent {
+    let PoisonUpdate { content, age_ms, answered } = *told;
     WireContent { content, age_ms, answered }
 }
 
-pub(super) fn read_content(wire: WireContent) -> ContentWord {
+pub(super) fn read_content(wire: WireContent) -> PoisonUpdate {
     let WireContent { content, age_ms, answered } = wire;
-    ContentWord { content, age_ms, answered }
+    PoisonUpdate { content, age_ms, answered }
 }
 
 pub(super) fn write_placement(told: PlacementNote) -> WirePlacement {
--- a/crates/core/src/route/fatal/mod.rs
+++ b/crates/core/src/route/fatal/mod.rs
@@ -88,7 +88,7 @@
 
 /// What one box tells another of a content.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ContentWord {
+pub struct PoisonUpdate {
     /// Hash of what requests ask for.
     pub content: u64,
     /// How long ago the last replica ended under it, or it was answered, in milliseconds.
@@ -128,7 +128,7 @@
         self.row(content).note(end, now);
     }
 
-    fn hear(&mut self, word: &ContentWord, now: BoxTime) {
+    fn hear(&mut self, word: &PoisonUpdate, now: BoxTime) {
         // What was answered is no news of a content of which nothing bad is known.
         if !word.answered || self.rows.contains_key(&word.content) {
             self.row(word.content).hear(word, now);
@@ -177,9 +177,9 @@
     }
 
     /// At most `limit` words of contents, from another one on with each `turn`.
-    fn words(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<ContentWord> {
+    fn words(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
         let words = self.rows.iter().filter_map(|(content, row)| row.word(*content, now));
-        let mut words: Vec<ContentWord> = words.collect();
+        let mut words: Vec<PoisonUpdate> = words.collect();
         words.sort_by_key(|word| word.content);
         if words.len() > limit {
             let first = turn.wrapping_mul(limit as u64) % words.len() as u64;
@@ -249,7 +249,12 @@
     }
 
     /// Takes what other boxes tell of ends, and of contents.
-    pub(super) fn hear_ends(&mut self, stamp: EventStamp, ends: &[EndNote], words: &[ContentWord]) {
+    pub(super) fn hear_ends(
+        &mut self,
+        stamp: EventStamp,
+        ends: &[EndNote],
+        words: &[PoisonUpdate],
+    ) {
         for told in ends.iter().filter(|told| told.age_ms < END_TOLD_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
             let EndNote { content, request, replica, .. } = *told;
@@ -281,12 +286,12 @@
     }
 
     /// What other boxes are told of contents with the note of this number.
-    pub(super) fn told_contents(&self, number: u64, now: BoxTime) -> Vec<ContentWord> {
+    pub(super) fn told_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.fatal.words(number, WORDS_TOLD, now)
     }
 
     /// What a box that asks is told of contents.
-    pub(super) fn answered_contents(&self, number: u64, now: BoxTime) -> Vec<ContentWord> {
+    pub(super) fn answered_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.fatal.words(number, WORDS_ANSWERED, now)
     }
 
--- a/crates/core/src/route/fatal/record.rs
+++ b/crates/core/src/route/fatal/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    ContentWord, EndNote, END_KEPT_MS, END_SPREAD_MS, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS,
+    EndNote, PoisonUpdate, END_KEPT_MS, END_SPREAD_MS, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS,
     FATAL_ENDS_APART, FATAL_KEPT_MS, REQUESTS_KEPT, SAME_MOMENT_MS,
 };
 use crate::ids::ReplicaKey;
@@ -107,7 +107,7 @@
     }
 
     /// Takes another box's word.
-    pub(super) fn hear(&mut self, word: &ContentWord, now: BoxTime) {
+    pub(super) fn hear(&mut self, word: &PoisonUpdate, now: BoxTime) {
         let at = now.minus_millis(word.age_ms);
         if word.answered {
             self.clear(at);
@@ -200,11 +200,11 @@
     }
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
-    pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<ContentWord> {
+    pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
         let fatal = self.fatal_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < END_TOLD_MS);
-        let word = |age_ms, answered| ContentWord { content, age_ms, answered };
+        let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
         fatal.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
     }
 }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -23,7 +23,7 @@
 use super::deeds::DownNote;
 use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
-use super::fatal::{ContentWord, EndNote};
+use super::fatal::{EndNote, PoisonUpdate};
 use super::limit::LimitNote;
 use super::loads::LoadNote;
 use super::pace::PaceNote;
@@ -220,7 +220,7 @@
     /// Ends of replicas while they worked on requests.
     pub ends: Vec<EndNote>,
     /// Contents that crash replicas, or turned out not to.
-    pub contents: Vec<ContentWord>,
+    pub contents: Vec<PoisonUpdate>,
     /// Further sends.
     pub budgets: Vec<BudgetNote>,
     /// Paces of models.
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -6,7 +6,7 @@
     AttemptFailure, RefusalReason, RouteAsk, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::fatal::{
-    ContentWord, EndNote, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+    EndNote, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
@@ -228,9 +228,9 @@
 }
 
 /// Another box's word of [`CONTENT`].
-fn told_content(number: u64, word: ContentWord) -> RouteEvent {
+fn told_content(number: u64, word: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let contents = vec![ContentWord { content: CONTENT, ..word }];
+    let contents = vec![PoisonUpdate { content: CONTENT, ..word }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
@@ -244,10 +244,10 @@
 #[test]
 fn what_another_box_knows_to_crash_replicas_is_sent_on_once_it_was_answered_there() {
     let mut subject = box_of_six();
-    let fatal = ContentWord { age_ms: 30_000, ..ContentWord::default() };
+    let fatal = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
     subject.feed(told_content(1, fatal));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::Fatal));
-    let answered = ContentWord { age_ms: 100, answered: true, ..ContentWord::default() };
+    let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
     subject.feed(told_content(2, answered));
     subject.sent(asking("two"));
     subject.feed(told_content(3, fatal));
@@ -263,7 +263,7 @@
     subject.feed(told(Vec::new()));
     subject.feed(RouteEvent::Finished(ticket));
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
-    let word = ContentWord { content: CONTENT, age_ms: 0, answered: true };
+    let word = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
     assert_eq!(note.contents, vec![word]);
 }
 
