--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::deeds::DownNote;
-use ravenspoke_core::route::fatal::{EndNote, PoisonUpdate};
+use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitNote;
 use ravenspoke_core::route::loads::LoadNote;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
@@ -195,14 +195,14 @@
     age_ms: u64,
 }
 
-pub(super) fn write_end(told: &EndNote) -> WireEnd {
-    let EndNote { content, request, replica, age_ms } = *told;
+pub(super) fn write_end(told: &CrashUpdate) -> WireEnd {
+    let CrashUpdate { content, request, replica, age_ms } = *told;
     WireEnd { content, request, replica, age_ms }
 }
 
-pub(super) fn read_end(wire: WireEnd) -> EndNote {
+pub(super) fn read_end(wire: WireEnd) -> CrashUpdate {
     let WireEnd { content, request, replica, age_ms } = wire;
-    EndNote { content, request, replica, age_ms }
+    CrashUpdate { content, request, replica, age_ms }
 }
 
 #[derive(Clone, PartialEq, Message)]
--- a/crates/core/src/route/fatal/mod.rs
+++ b/crates/core/src/route/fatal/mod.rs
@@ -75,7 +75,7 @@
 
 /// A replica's end while it worked on a request, as one box tells it to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct EndNote {
+pub struct CrashUpdate {
     /// Hash of what the request asked for.
     pub content: u64,
     /// Hash of the request's id.
@@ -164,13 +164,13 @@
         self.rows.retain(|_, row| row.is_kept(now));
     }
 
-    fn told(&self, now: BoxTime) -> Vec<EndNote> {
+    fn told(&self, now: BoxTime) -> Vec<CrashUpdate> {
         let notes = |(content, row): (&u64, &ContentRecord)| {
-            let ends: Vec<EndNote> = row.told_ends(*content, now).collect();
+            let ends: Vec<CrashUpdate> = row.told_ends(*content, now).collect();
             let count = ends.len();
             ends.into_iter().map(move |note| (count, note))
         };
-        let mut told: Vec<(usize, EndNote)> = self.rows.iter().flat_map(notes).collect();
+        let mut told: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(notes).collect();
         told.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
         told.truncate(ENDS_TOLD);
         told.into_iter().map(|(_, note)| note).collect()
@@ -252,12 +252,12 @@
     pub(super) fn hear_ends(
         &mut self,
         stamp: EventStamp,
-        ends: &[EndNote],
+        ends: &[CrashUpdate],
         words: &[PoisonUpdate],
     ) {
         for told in ends.iter().filter(|told| told.age_ms < END_TOLD_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
-            let EndNote { content, request, replica, .. } = *told;
+            let CrashUpdate { content, request, replica, .. } = *told;
             let end = ReplicaEnd { requests: vec![request], replica, unsure: None, at };
             self.fatal.note(content, end, stamp.now);
         }
@@ -281,7 +281,7 @@
     }
 
     /// Ends that other boxes are told of.
-    pub(super) fn told_ends(&self, now: BoxTime) -> Vec<EndNote> {
+    pub(super) fn told_ends(&self, now: BoxTime) -> Vec<CrashUpdate> {
         self.fatal.told(now)
     }
 
--- a/crates/core/src/route/fatal/record.rs
+++ b/crates/core/src/route/fatal/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    EndNote, PoisonUpdate, END_KEPT_MS, END_SPREAD_MS, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS,
+    CrashUpdate, PoisonUpdate, END_KEPT_MS, END_SPREAD_MS, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS,
     FATAL_ENDS_APART, FATAL_KEPT_MS, REQUESTS_KEPT, SAME_MOMENT_MS,
 };
 use crate::ids::ReplicaKey;
@@ -185,11 +185,11 @@
         &self,
         content: u64,
         now: BoxTime,
-    ) -> impl Iterator<Item = EndNote> + '_ {
+    ) -> impl Iterator<Item = CrashUpdate> + '_ {
         let sure = self.ends.iter().filter(|end| end.unsure.is_none());
         let notes = sure.flat_map(move |end| {
             let (replica, age_ms) = (end.replica, now.millis_since(end.at));
-            end.requests.iter().map(move |request| EndNote {
+            end.requests.iter().map(move |request| CrashUpdate {
                 content,
                 request: *request,
                 replica,
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -23,7 +23,7 @@
 use super::deeds::DownNote;
 use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
-use super::fatal::{EndNote, PoisonUpdate};
+use super::fatal::{CrashUpdate, PoisonUpdate};
 use super::limit::LimitNote;
 use super::loads::LoadNote;
 use super::pace::PaceNote;
@@ -218,7 +218,7 @@
     /// Limits that replicas name, or name no more.
     pub limits: Vec<LimitNote>,
     /// Ends of replicas while they worked on requests.
-    pub ends: Vec<EndNote>,
+    pub ends: Vec<CrashUpdate>,
     /// Contents that crash replicas, or turned out not to.
     pub contents: Vec<PoisonUpdate>,
     /// Further sends.
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -6,7 +6,7 @@
     AttemptFailure, RefusalReason, RouteAsk, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::fatal::{
-    EndNote, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+    CrashUpdate, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
@@ -281,7 +281,7 @@
     assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::Fatal));
 }
 
-fn told(ends: Vec<EndNote>) -> RouteEvent {
+fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
     let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
@@ -296,7 +296,7 @@
 #[test]
 fn ends_that_other_boxes_saw_count_and_lapse() {
     let mut subject = box_of_six();
-    let end = |number: u64| EndNote {
+    let end = |number: u64| CrashUpdate {
         content: CONTENT,
         request: number,
         replica: backend_hash(&format!("gone-{number}")),
