--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::deeds::DownNote;
+use ravenspoke_core::route::deeds::UnreachableUpdate;
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitNote;
 use ravenspoke_core::route::loads::LoadNote;
@@ -155,12 +155,12 @@
     age_ms: u64,
 }
 
-pub(super) fn write_down(told: &DownNote) -> WireDown {
+pub(super) fn write_down(told: &UnreachableUpdate) -> WireDown {
     WireDown { replica: told.replica, age_ms: told.age_ms }
 }
 
-pub(super) fn read_down(wire: WireDown) -> DownNote {
-    DownNote { replica: wire.replica, age_ms: wire.age_ms }
+pub(super) fn read_down(wire: WireDown) -> UnreachableUpdate {
+    UnreachableUpdate { replica: wire.replica, age_ms: wire.age_ms }
 }
 
 /// A limit that a replica names, or names no more.
--- a/crates/core/src/route/deeds.rs
+++ b/crates/core/src/route/deeds.rs
@@ -35,7 +35,7 @@
 
 /// Word of a replica to which no connection came about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DownNote {
+pub struct UnreachableUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
     /// How long ago that was, in milliseconds.
@@ -108,7 +108,11 @@
     /// Takes word of another box that could not reach a replica, unless it has told its load since. A crash takes many
     /// replicas away at once, which then look idle; each box would find each of them out by a request of its own.
     /// Gives the replica if the word counts.
-    pub(super) fn hear_down(&mut self, told: &DownNote, now: BoxTime) -> Option<ReplicaKey> {
+    pub(super) fn hear_down(
+        &mut self,
+        told: &UnreachableUpdate,
+        now: BoxTime,
+    ) -> Option<ReplicaKey> {
         let key = *self.hashes.get(&told.replica)?;
         let row = &mut self.rows[key];
         let at = now.minus_millis(told.age_ms);
@@ -121,12 +125,12 @@
     }
 
     /// Replicas that could not be reached lately, as other boxes are told of them.
-    pub(super) fn down_to_tell(&self, now: BoxTime) -> Vec<DownNote> {
+    pub(super) fn down_to_tell(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let note = |row: &BackendState| {
             let age_ms = now.millis_since(row.down_at?);
-            (age_ms < DOWN_TOLD_MS).then_some(DownNote { replica: row.id_hash, age_ms })
+            (age_ms < DOWN_TOLD_MS).then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
         };
-        let mut notes: Vec<DownNote> = self.rows.values().filter_map(note).collect();
+        let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(note).collect();
         notes.sort_by_key(|note| note.age_ms);
         notes.truncate(DOWN_TOLD);
         notes
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -20,7 +20,7 @@
 
 use super::backend::BackendChange;
 use super::budget::SendCount;
-use super::deeds::DownNote;
+use super::deeds::UnreachableUpdate;
 use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::fatal::{CrashUpdate, PoisonUpdate};
@@ -214,7 +214,7 @@
     /// Loads of busy replicas.
     pub loads: Vec<LoadNote>,
     /// Replicas that could not be reached.
-    pub down: Vec<DownNote>,
+    pub down: Vec<UnreachableUpdate>,
     /// Limits that replicas name, or name no more.
     pub limits: Vec<LimitNote>,
     /// Ends of replicas while they worked on requests.
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::event::{EventStamp, RequestTicket};
 use ravenspoke_core::ids::ReplicaKey;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::deeds::DownNote;
+use ravenspoke_core::route::deeds::UnreachableUpdate;
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent, SendOrder,
 };
@@ -214,7 +214,7 @@
     }
 
     /// What each box tells of replicas that it could not reach.
-    fn told_down(&mut self) -> Vec<Vec<DownNote>> {
+    fn told_down(&mut self) -> Vec<Vec<UnreachableUpdate>> {
         let mut told = Vec::new();
         for number in 0..self.boxes.len() {
             let note = note_in(&self.feed(number, RouteEvent::Tick));
@@ -224,7 +224,7 @@
     }
 
     /// A box hears of all others.
-    pub fn meet(&mut self, number: usize, down: &[Vec<DownNote>]) {
+    pub fn meet(&mut self, number: usize, down: &[Vec<UnreachableUpdate>]) {
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
             let note_address = format!("{name}:90");
