--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::route::deeds::UnreachableUpdate;
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitNote;
-use ravenspoke_core::route::loads::LoadNote;
+use ravenspoke_core::route::loads::LoadUpdate;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::placement::PlacementNote;
 
@@ -138,12 +138,17 @@
     BackendChange { id: change.id, at: read_position(change.at), entry }
 }
 
-pub(super) fn write_load(told: &LoadNote) -> WireLoad {
+pub(super) fn write_load(told: &LoadUpdate) -> WireLoad {
     WireLoad { replica: told.replica, load: told.load, waiting: told.waiting, age_ms: told.age_ms }
 }
 
-pub(super) fn read_load(told: WireLoad) -> LoadNote {
-    LoadNote { replica: told.replica, load: told.load, waiting: told.waiting, age_ms: told.age_ms }
+pub(super) fn read_load(told: WireLoad) -> LoadUpdate {
+    LoadUpdate {
+        replica: told.replica,
+        load: told.load,
+        waiting: told.waiting,
+        age_ms: told.age_ms,
+    }
 }
 
 /// A replica that could not be reached.
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -47,7 +47,7 @@
 /// A busy replica's load, as one box tells it to another: a replica serves many boxes, and each of
 /// them hears from it but now and then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LoadNote {
+pub struct LoadUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
     /// Running requests, and waiting ones by [`WAITING_WEIGHT`].
@@ -102,8 +102,8 @@
     }
 
     /// Its reported load, as other boxes are told of it.
-    fn load_note(&self, now: BoxTime) -> LoadNote {
-        LoadNote {
+    fn load_note(&self, now: BoxTime) -> LoadUpdate {
+        LoadUpdate {
             replica: self.id_hash,
             load: self.reported,
             waiting: self.reported_waiting,
@@ -163,7 +163,7 @@
     }
 
     /// Takes the load that another box heard of, unless this one knows a later report.
-    pub fn hear_load(&mut self, told: &LoadNote, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
+    pub fn hear_load(&mut self, told: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
         let Some(key) = self.hashes.get(&told.replica) else { return };
         let row = &mut self.rows[*key];
         let at = now.minus_millis(told.age_ms);
@@ -174,7 +174,7 @@
     }
 
     /// Loads that other boxes should know of.
-    pub fn loads_to_tell(&self, now: BoxTime) -> Vec<LoadNote> {
+    pub fn loads_to_tell(&self, now: BoxTime) -> Vec<LoadUpdate> {
         let tells = |row: &&BackendState| {
             now.millis_since(row.reported_at) < TOLD_MS && row.reported_share() >= TOLD_SHARE
         };
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -25,7 +25,7 @@
 use super::evacuation::EvacuationDigest;
 use super::fatal::{CrashUpdate, PoisonUpdate};
 use super::limit::LimitNote;
-use super::loads::LoadNote;
+use super::loads::LoadUpdate;
 use super::pace::PaceNote;
 use super::progress::TrialProgress;
 use super::tally::RouteTallies;
@@ -212,7 +212,7 @@
     /// How far an answer shows the replicas' entries.
     pub entries: EntryCoverage,
     /// Loads of busy replicas.
-    pub loads: Vec<LoadNote>,
+    pub loads: Vec<LoadUpdate>,
     /// Replicas that could not be reached.
     pub down: Vec<UnreachableUpdate>,
     /// Limits that replicas name, or name no more.
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -3,7 +3,7 @@
 use ravenspoke_core::route::backend::backend_hash;
 use ravenspoke_core::route::deeds::DOWN_TELL_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RouteAsk, RouteEvent};
-use ravenspoke_core::route::loads::{BackendLoad, LoadNote};
+use ravenspoke_core::route::loads::{BackendLoad, LoadUpdate};
 use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
 
@@ -18,7 +18,7 @@
     order.replica_id
 }
 
-fn note_of_loads(loads: Vec<LoadNote>) -> RouteEvent {
+fn note_of_loads(loads: Vec<LoadUpdate>) -> RouteEvent {
     RouteEvent::PeerHeard(Box::new(GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
@@ -31,7 +31,7 @@
 fn a_replica_that_another_box_found_full_is_passed_over_for_its_parts() {
     let mut subject = ready_box();
     let full = holder(&mut subject, 9);
-    let load = LoadNote { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
+    let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
     subject.feed(note_of_loads(vec![load]));
     let (_, order) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
     assert_ne!(order.replica_id, full);
@@ -46,7 +46,7 @@
     subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.feed(RouteEvent::Finished(ticket));
     subject.now += 100;
-    let load = LoadNote { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
+    let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
     subject.feed(note_of_loads(vec![load]));
     let (_, order) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
     assert_eq!(order.replica_id, full);
@@ -55,7 +55,7 @@
 #[test]
 fn a_busy_replicas_load_is_told_and_told_on_with_its_age_and_an_idle_ones_is_not() {
     let mut subject = ready_box();
-    let load = LoadNote { replica: backend_hash("a"), load: 30, waiting: 5, age_ms: 300 };
+    let load = LoadUpdate { replica: backend_hash("a"), load: 30, waiting: 5, age_ms: 300 };
     subject.feed(note_of_loads(vec![load]));
     let (ticket, order) = subject.sent(ask("/chat/x"));
     assert_eq!(order.replica_id, "b");
@@ -63,7 +63,7 @@
     subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
-    assert_eq!(note.loads, [LoadNote { age_ms: 800, ..load }]);
+    assert_eq!(note.loads, [LoadUpdate { age_ms: 800, ..load }]);
     subject.now += 500;
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
     assert_eq!(note.loads, [], "it is too old to help");
