--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::deeds::UnreachableUpdate;
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
-use ravenspoke_core::route::limit::LimitNote;
+use ravenspoke_core::route::limit::LimitUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
 use ravenspoke_core::route::placement::PlacementNote;
@@ -179,12 +179,12 @@
     age_ms: u64,
 }
 
-pub(super) fn write_limit(told: &LimitNote) -> WireLimit {
+pub(super) fn write_limit(told: &LimitUpdate) -> WireLimit {
     WireLimit { replica: told.replica, per_s: told.per_s, age_ms: told.age_ms }
 }
 
-pub(super) fn read_limit(wire: WireLimit) -> LimitNote {
-    LimitNote { replica: wire.replica, per_s: wire.per_s, age_ms: wire.age_ms }
+pub(super) fn read_limit(wire: WireLimit) -> LimitUpdate {
+    LimitUpdate { replica: wire.replica, per_s: wire.per_s, age_ms: wire.age_ms }
 }
 
 /// A replica's end while it worked on a request.
--- a/crates/core/src/route/limit.rs
+++ b/crates/core/src/route/limit.rs
@@ -36,7 +36,7 @@
 
 /// Word of a replica's limit, as one box tells it to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LimitNote {
+pub struct LimitUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
     /// Requests a second; `None` if it names a limit no more.
@@ -105,9 +105,9 @@
     }
 
     /// What other boxes are told, if there is anything that they may not know.
-    fn note(&self, replica: u64, now: BoxTime) -> Option<LimitNote> {
+    fn note(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
         let age_ms = now.millis_since(self.said_at?);
-        (age_ms < LIMIT_TOLD_MS).then_some(LimitNote { replica, per_s: self.per_s, age_ms })
+        (age_ms < LIMIT_TOLD_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
     }
 }
 
@@ -125,7 +125,7 @@
     }
 
     /// The replica that a note names.
-    fn named(&self, told: &LimitNote) -> Option<ReplicaKey> {
+    fn named(&self, told: &LimitUpdate) -> Option<ReplicaKey> {
         self.hashes.get(&told.replica).copied()
     }
 
@@ -142,9 +142,9 @@
     }
 
     /// Limits that other boxes are told of.
-    pub(super) fn limits_to_tell(&self, now: BoxTime) -> Vec<LimitNote> {
+    pub(super) fn limits_to_tell(&self, now: BoxTime) -> Vec<LimitUpdate> {
         let note = |row: &BackendState| row.limit.note(row.id_hash, now);
-        let mut notes: Vec<LimitNote> = self.rows.values().filter_map(note).collect();
+        let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(note).collect();
         notes.sort_by_key(|note| note.age_ms);
         notes.truncate(LIMITS_TOLD);
         notes
@@ -170,7 +170,7 @@
     pub(super) fn hear_limits(
         &mut self,
         stamp: EventStamp,
-        notes: &[LimitNote],
+        notes: &[LimitUpdate],
         out: &mut Vec<RouteEffect>,
     ) {
         for told in notes.iter().filter(|told| told.age_ms < LIMIT_TOLD_MS) {
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -24,7 +24,7 @@
 use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::fatal::{CrashUpdate, PoisonUpdate};
-use super::limit::LimitNote;
+use super::limit::LimitUpdate;
 use super::loads::LoadUpdate;
 use super::pace::PaceNote;
 use super::progress::TrialProgress;
@@ -216,7 +216,7 @@
     /// Replicas that could not be reached.
     pub down: Vec<UnreachableUpdate>,
     /// Limits that replicas name, or name no more.
-    pub limits: Vec<LimitNote>,
+    pub limits: Vec<LimitUpdate>,
     /// Ends of replicas while they worked on requests.
     pub ends: Vec<CrashUpdate>,
     /// Contents that crash replicas, or turned out not to.
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -1,7 +1,7 @@
 //! Replicas that name a limit: what they get in four seconds, from all boxes together.
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
-use ravenspoke_core::route::limit::{LimitNote, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
+use ravenspoke_core::route::limit::{LimitUpdate, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::RouteState;
@@ -137,7 +137,7 @@
 fn note(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
     let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let limits = vec![LimitNote { replica, per_s, age_ms }];
+    let limits = vec![LimitUpdate { replica, per_s, age_ms }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
