--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
-use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
+use ravenspoke_core::route::pace::{LatencyUpdate, LearntPace, LearntTime};
 use ravenspoke_core::route::placement::PlacementNote;
 
 use super::position::{read_position, WirePosition};
@@ -87,7 +87,7 @@
     begin_answers: u32,
 }
 
-pub(super) fn write_pace(note: &PaceNote) -> WirePace {
+pub(super) fn write_pace(note: &LatencyUpdate) -> WirePace {
     let models = note.models.iter().map(|pace| WireModelPace {
         token_ms: pace.token.ms as f32,
         token_answers: pace.token.answers as u32,
@@ -97,13 +97,13 @@
     WirePace { service: note.service.clone(), models: models.collect() }
 }
 
-pub(super) fn read_pace(wire: WirePace) -> PaceNote {
+pub(super) fn read_pace(wire: WirePace) -> LatencyUpdate {
     let time = |ms, answers| LearntTime { ms: f64::from(ms), answers: f64::from(answers) };
     let models = wire.models.into_iter().map(|pace| LearntPace {
         token: time(pace.token_ms, pace.token_answers),
         begin: time(pace.begin_ms, pace.begin_answers),
     });
-    PaceNote { service: wire.service, models: models.collect() }
+    LatencyUpdate { service: wire.service, models: models.collect() }
 }
 
 pub(super) fn write_change(change: &BackendChange) -> WireChange {
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -9,7 +9,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::entries::{EntryQuery, ListingPage, CHANGES_TOLD};
-use ravenspoke_core::route::pace::{LearntPace, LearntTime, PaceNote};
+use ravenspoke_core::route::pace::{LatencyUpdate, LearntPace, LearntTime};
 use ravenspoke_core::route::peers::{
     BudgetNote, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
 };
@@ -93,7 +93,10 @@
             service: "pool".to_owned(),
             count: SendCount { requests: 21, sends: 9 },
         }],
-        paces: vec![PaceNote { service: "pool".to_owned(), models: vec![pace(0.25), pace(1.5)] }],
+        paces: vec![LatencyUpdate {
+            service: "pool".to_owned(),
+            models: vec![pace(0.25), pace(1.5)],
+        }],
         leads: vec![PeerSummary { name: "f-2".to_owned(), card: card("f-2"), age_ms: 900 }],
         ..GossipMessage::default()
     }
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -7,7 +7,7 @@
 use super::budget::SendCount;
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
-use super::pace::{PaceNote, ServicePace};
+use super::pace::{LatencyUpdate, ServicePace};
 use super::peers::{
     self, BudgetNote, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialNote,
 };
@@ -147,11 +147,11 @@
     }
 
     /// Paces of the models of services that have any.
-    fn told_paces(&self) -> Vec<PaceNote> {
+    fn told_paces(&self) -> Vec<LatencyUpdate> {
         let told = self
             .paces
             .iter()
-            .map(|(service, pace)| PaceNote { service: service.clone(), models: pace.told() });
+            .map(|(service, pace)| LatencyUpdate { service: service.clone(), models: pace.told() });
         told.filter(|note| !note.models.is_empty()).collect()
     }
 
--- a/crates/core/src/route/pace.rs
+++ b/crates/core/src/route/pace.rs
@@ -63,7 +63,7 @@
 
 /// What a box tells of the paces of a service's models.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PaceNote {
+pub struct LatencyUpdate {
     /// Service.
     pub service: String,
     /// By row among the route's models.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -26,7 +26,7 @@
 use super::fatal::{CrashUpdate, PoisonUpdate};
 use super::limit::LimitUpdate;
 use super::loads::LoadUpdate;
-use super::pace::PaceNote;
+use super::pace::LatencyUpdate;
 use super::progress::TrialProgress;
 use super::tally::RouteTallies;
 use super::trial::TrialVerdict;
@@ -224,7 +224,7 @@
     /// Further sends.
     pub budgets: Vec<BudgetNote>,
     /// Paces of models.
-    pub paces: Vec<PaceNote>,
+    pub paces: Vec<LatencyUpdate>,
     /// Trials under way.
     pub trials: Vec<TrialNote>,
     /// Verdicts known.
