--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -3,7 +3,7 @@
 use prost::Message;
 use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::evacuation::EvacuationDigest;
-use ravenspoke_core::route::peers::{BudgetNote, PeerInfo, PeerSummary};
+use ravenspoke_core::route::peers::{BudgetUpdate, PeerInfo, PeerSummary};
 
 use super::position::{read_position, WirePosition};
 
@@ -66,14 +66,14 @@
     EvacuationDigest { known_to: read_position(wire.known_to), zones: wire.zones }
 }
 
-pub(super) fn write_budget(told: &BudgetNote) -> WireBudget {
+pub(super) fn write_budget(told: &BudgetUpdate) -> WireBudget {
     let SendCount { requests, sends } = told.count;
     WireBudget { service: told.service.clone(), requests, sends }
 }
 
-pub(super) fn read_budget(wire: WireBudget) -> BudgetNote {
+pub(super) fn read_budget(wire: WireBudget) -> BudgetUpdate {
     let WireBudget { service, requests, sends } = wire;
-    BudgetNote { service, count: SendCount { requests, sends } }
+    BudgetUpdate { service, count: SendCount { requests, sends } }
 }
 
 pub(super) fn write_summary(summary: &PeerSummary) -> WireSummary {
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryQuery, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LatencyUpdate, LearntPace, LearntTime};
 use ravenspoke_core::route::peers::{
-    BudgetNote, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
+    BudgetUpdate, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -89,7 +89,7 @@
             }),
         },
         others: vec!["10.1.0.4:7680".to_owned()],
-        budgets: vec![BudgetNote {
+        budgets: vec![BudgetUpdate {
             service: "pool".to_owned(),
             count: SendCount { requests: 21, sends: 9 },
         }],
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -9,7 +9,7 @@
 use super::event::RouteEffect;
 use super::pace::{LatencyUpdate, ServicePace};
 use super::peers::{
-    self, BudgetNote, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialNote,
+    self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialNote,
 };
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
@@ -137,9 +137,9 @@
     }
 
     /// This box's further sends, for services that had requests lately.
-    fn told_budgets(&mut self, now: BoxTime) -> Vec<BudgetNote> {
+    fn told_budgets(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
         let bounds = self.settings.budget;
-        let counts = self.budgets.iter_mut().map(|(service, budget)| BudgetNote {
+        let counts = self.budgets.iter_mut().map(|(service, budget)| BudgetUpdate {
             service: service.clone(),
             count: budget.count(bounds, now),
         });
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -153,7 +153,7 @@
 
 /// What a box says of its further sends to a service in a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct BudgetNote {
+pub struct BudgetUpdate {
     /// Service.
     pub service: String,
     /// Its counts.
@@ -222,7 +222,7 @@
     /// Contents that crash replicas, or turned out not to.
     pub contents: Vec<PoisonUpdate>,
     /// Further sends.
-    pub budgets: Vec<BudgetNote>,
+    pub budgets: Vec<BudgetUpdate>,
     /// Paces of models.
     pub paces: Vec<LatencyUpdate>,
     /// Trials under way.
