--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -1,7 +1,7 @@
 //! Trials of new versions and their verdicts, as notes carry them.
 
 use prost::{Enumeration, Message};
-use ravenspoke_core::route::peers::TrialNote;
+use ravenspoke_core::route::peers::TrialUpdate;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::tally::{TrialTally, VersionTally};
 use ravenspoke_core::route::trial::{TrialState, TrialVerdict};
@@ -118,7 +118,7 @@
     }
 }
 
-pub(super) fn write_trial(trial: &TrialNote) -> WireTrial {
+pub(super) fn write_trial(trial: &TrialUpdate) -> WireTrial {
     let route = |(route, tally): (&String, &TrialTally)| WireRoute {
         route: route.clone(),
         fresh: Some(write_tally(&tally.fresh)),
@@ -140,7 +140,7 @@
     WireProgress { phase, age_ms: progress.age_ms, carries_at_ms: progress.carries_at_ms }
 }
 
-pub(super) fn read_trial(trial: WireTrial) -> TrialNote {
+pub(super) fn read_trial(trial: WireTrial) -> TrialUpdate {
     let progress = TrialProgress {
         phase: trial.phase().into(),
         age_ms: trial.age_ms,
@@ -156,7 +156,7 @@
         let tally = TrialTally { fresh: read_tally(row.fresh), base: read_tally(row.base) };
         (row.route, tally)
     };
-    TrialNote {
+    TrialUpdate {
         service: trial.service,
         version: trial.version,
         progress,
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -9,7 +9,7 @@
 use super::event::RouteEffect;
 use super::pace::{LatencyUpdate, ServicePace};
 use super::peers::{
-    self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialNote,
+    self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
 use super::start::BoxStart;
 use super::{BackendSource, RouteState};
@@ -97,7 +97,7 @@
         } else {
             Default::default()
         };
-        let trials = self.trials.values().map(|trial| TrialNote {
+        let trials = self.trials.values().map(|trial| TrialUpdate {
             service: trial.order.service.clone(),
             version: trial.order.version.clone(),
             progress: trial.progress(stamp.now),
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -138,7 +138,7 @@
 
 /// What a box says of one trial.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct TrialNote {
+pub struct TrialUpdate {
     /// Service.
     pub service: String,
     /// Version on trial.
@@ -226,7 +226,7 @@
     /// Paces of models.
     pub paces: Vec<LatencyUpdate>,
     /// Trials under way.
-    pub trials: Vec<TrialNote>,
+    pub trials: Vec<TrialUpdate>,
     /// Verdicts known.
     pub verdicts: Vec<TrialVerdict>,
     /// Where other boxes hear notes.
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -25,7 +25,7 @@
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::event::{RefusalReason, RouteAsk, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
-    GossipMessage, PeerInfo, SyncRequest, TrialNote, START_SPREAD_MS, START_WAIT_MS,
+    GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
 use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
@@ -325,11 +325,11 @@
 fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let fresh = VersionTally { runs, ..VersionTally::default() };
     let tally = TrialTally { fresh, ..TrialTally::default() };
-    let trial = TrialNote {
+    let trial = TrialUpdate {
         service: "pool".to_owned(),
         version: "v2".to_owned(),
         tallies: [("file".to_owned(), tally)].into(),
-        ..TrialNote::default()
+        ..TrialUpdate::default()
     };
     GossipMessage {
         name: name.to_owned(),
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -323,7 +323,7 @@
     other.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
-        trials: vec![ravenspoke_core::route::peers::TrialNote {
+        trials: vec![ravenspoke_core::route::peers::TrialUpdate {
             service: "pool".to_owned(),
             version: "v2".to_owned(),
             progress: TrialProgress {
