--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
 use ravenspoke_core::route::leader::LeaderOrder;
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
-use ravenspoke_core::route::placement::PlacementNote;
+use ravenspoke_core::route::placement::PlacementUpdate;
 use ravenspoke_core::route::progress::TrialMark;
 use ravenspoke_core::route::trial::TrialVerdict;
 use ravenspoke_core::route::RouteState;
@@ -52,7 +52,7 @@
     /// A note, for each of these addresses.
     Note(Vec<String>, Box<GossipMessage>),
     /// Word of a placed prompt, for each of these addresses.
-    Placement(Vec<String>, PlacementNote),
+    Placement(Vec<String>, PlacementUpdate),
     /// An ask, for this address.
     Ask(String, SyncRequest),
     /// A question for counts of usage, for each of these addresses.
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -18,7 +18,7 @@
 use ravenspoke_core::route::backend::BackendChange;
 use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
-use ravenspoke_core::route::placement::PlacementNote;
+use ravenspoke_core::route::placement::PlacementUpdate;
 
 use ask::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
 use packed::{deflate, inflate, PackedError};
@@ -139,7 +139,7 @@
 }
 
 /// Encodes word of a prompt that was placed as a datagram.
-pub fn encode_placement(placement: PlacementNote) -> Vec<u8> {
+pub fn encode_placement(placement: PlacementUpdate) -> Vec<u8> {
     let placement = Some(write_placement(placement));
     WireDatagram { placement, ..WireDatagram::default() }.encode_to_vec()
 }
@@ -164,7 +164,7 @@
     /// An ask.
     Ask(SyncRequest),
     /// A prompt that was placed.
-    Placement(PlacementNote),
+    Placement(PlacementUpdate),
     /// A question for counts of usage.
     UsageAsk(UsageAsk),
     /// Counts of usage.
--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::limit::LimitUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
 use ravenspoke_core::route::pace::{LatencyUpdate, LearntPace, LearntTime};
-use ravenspoke_core::route::placement::PlacementNote;
+use ravenspoke_core::route::placement::PlacementUpdate;
 
 use super::position::{read_position, WirePosition};
 
@@ -230,10 +230,10 @@
     PoisonUpdate { content, age_ms, answered }
 }
 
-pub(super) fn write_placement(told: PlacementNote) -> WirePlacement {
+pub(super) fn write_placement(told: PlacementUpdate) -> WirePlacement {
     WirePlacement { replica: told.replica, shared: told.shared, work_ms: told.work_ms }
 }
 
-pub(super) fn read_placement(told: WirePlacement) -> PlacementNote {
-    PlacementNote { replica: told.replica, shared: told.shared, work_ms: told.work_ms }
+pub(super) fn read_placement(told: WirePlacement) -> PlacementUpdate {
+    PlacementUpdate { replica: told.replica, shared: told.shared, work_ms: told.work_ms }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -8,7 +8,7 @@
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
 use super::peers::{GossipMessage, KnownPlan, SyncRequest};
-use super::placement::PlacementNote;
+use super::placement::PlacementUpdate;
 use super::plan::{RouteKind, RoutePlan};
 use super::progress::TrialMark;
 use super::tally::TrialFinding;
@@ -172,7 +172,7 @@
     /// Another box's note came.
     PeerHeard(Box<GossipMessage>),
     /// Another box has placed a long prompt.
-    PlacementHeard(PlacementNote),
+    PlacementHeard(PlacementUpdate),
     /// Another box asks how fresh this one's knowledge is.
     PeerAsked(SyncRequest),
     /// The store answered an ask for the lease of what one box does for all.
@@ -381,7 +381,7 @@
     /// Tell other boxes.
     SendNotes(Vec<String>, Box<GossipMessage>),
     /// Tell other boxes of a long prompt that was placed.
-    TellPlacement(Vec<String>, PlacementNote),
+    TellPlacement(Vec<String>, PlacementUpdate),
     /// Ask a reader.
     SendAsk(String, SyncRequest),
     /// Write a verdict to the store, unless it has one.
--- a/crates/core/src/route/learn.rs
+++ b/crates/core/src/route/learn.rs
@@ -3,7 +3,7 @@
 use super::deeds::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
 use super::pick::BackendPick;
-use super::placement::{PlacementNote, TOLD_WORK_MS};
+use super::placement::{PlacementUpdate, TOLD_WORK_MS};
 use super::trial::{TrialState, VersionTrial};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
@@ -28,7 +28,7 @@
         if work_ms >= TOLD_WORK_MS {
             let Some(row) = self.backends.get(pick.key) else { return };
             let replica = row.id_hash;
-            let note = PlacementNote { replica, shared: work.shared, work_ms: work_ms as u32 };
+            let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
             out.push(RouteEffect::TellPlacement(
                 self.peers.note_targets(&self.settings.zone, stamp.dice),
                 note,
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -3,7 +3,7 @@
 //! A replica's load comes with its answers; between two reports a box adds what it sent itself.
 
 use super::backend::{BackendState, BackendTable};
-use super::placement::{PlacementNote, PromptWork, ReplicaView};
+use super::placement::{PlacementUpdate, PromptWork, ReplicaView};
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
@@ -130,7 +130,7 @@
     }
 
     /// Takes word of a prompt that another box placed.
-    pub(super) fn hear_placement(&mut self, told: &PlacementNote, now: BoxTime) {
+    pub(super) fn hear_placement(&mut self, told: &PlacementUpdate, now: BoxTime) {
         let Some(key) = self.hashes.get(&told.replica) else { return };
         let row = &mut self.rows[*key];
         row.held.note(told.shared, now);
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -27,7 +27,7 @@
 /// Word of a long prompt that a box has placed: its work is there before any answer of the replica tells of
 /// it, and so are its shared parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PlacementNote {
+pub struct PlacementUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
     /// [`PromptWork::shared`].
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -13,7 +13,7 @@
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, ServicePace};
 use ravenspoke_core::route::placement::{
-    PlacementNote, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
+    PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -41,7 +41,7 @@
     RouteAsk { affinity, prompt: size, body_bytes: (shared + own) as usize, ..ask("/chat/x") }
 }
 
-fn told_in(effects: &[RouteEffect]) -> Option<PlacementNote> {
+fn told_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::TellPlacement(_, told) => Some(*told),
         _ => None,
@@ -110,8 +110,8 @@
     assert_ne!(spilled.replica_id, first.replica_id);
 }
 
-fn told(replica: &str, work_ms: u32) -> PlacementNote {
-    PlacementNote { replica: backend_hash(replica), shared: 0, work_ms }
+fn told(replica: &str, work_ms: u32) -> PlacementUpdate {
+    PlacementUpdate { replica: backend_hash(replica), shared: 0, work_ms }
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let told = told_in(&effects).expect("it is told");
     // The other box had a reason to have them read elsewhere.
     let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
-    let told = PlacementNote { replica: backend_hash(&placed), ..told };
+    let told = PlacementUpdate { replica: backend_hash(&placed), ..told };
     subject.feed(RouteEvent::PlacementHeard(told));
     subject.now += 2_000;
     subject.read_plan(None);
