--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::event::{
     RefusalReason, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
-use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
+use ravenspoke_core::route::leader::usage::{UsageNote, UsageRequest};
 use ravenspoke_core::route::leader::LeaderOrder;
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
@@ -56,7 +56,7 @@
     /// An ask, for this address.
     Ask(String, SyncRequest),
     /// A question for counts of usage, for each of these addresses.
-    UsageAsk(Vec<String>, UsageAsk),
+    UsageRequest(Vec<String>, UsageRequest),
     /// Counts of usage, for this address.
     Usage(String, UsageNote),
 }
@@ -77,7 +77,7 @@
             Self::Note(..) => DatagramKind::Note,
             Self::Placement(..) => DatagramKind::Placement,
             Self::Ask(..) => DatagramKind::Ask,
-            Self::UsageAsk(..) | Self::Usage(..) => DatagramKind::Usage,
+            Self::UsageRequest(..) | Self::Usage(..) => DatagramKind::Usage,
         }
     }
 }
@@ -235,7 +235,7 @@
             RouteEffect::WriteMark(mark) => drop(self.sinks.marks.send(mark)),
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
             RouteEffect::Lead(order) => drop(self.sinks.lead.send(order)),
-            RouteEffect::AskUsage(to, ask) => self.queue(PeerDatagram::UsageAsk(to, ask)),
+            RouteEffect::AskUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::TellUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
             _ => {}
         }
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote};
+use ravenspoke_core::route::leader::usage::{UsageNote, UsageRequest};
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
@@ -145,7 +145,7 @@
 }
 
 /// Encodes a question for counts of usage as a datagram.
-pub fn encode_usage_ask(ask: &UsageAsk) -> Vec<u8> {
+pub fn encode_usage_ask(ask: &UsageRequest) -> Vec<u8> {
     let usage_ask = Some(write_usage_ask(ask));
     WireDatagram { usage_ask, ..WireDatagram::default() }.encode_to_vec()
 }
@@ -166,7 +166,7 @@
     /// A prompt that was placed.
     Placement(PlacementUpdate),
     /// A question for counts of usage.
-    UsageAsk(UsageAsk),
+    UsageRequest(UsageRequest),
     /// Counts of usage.
     Usage(UsageNote),
     /// Nothing.
@@ -186,7 +186,7 @@
         return Ok(HeardDatagram::Placement(read_placement(placement)));
     }
     if let Some(ask) = wire.usage_ask {
-        return Ok(HeardDatagram::UsageAsk(read_usage_ask(ask)));
+        return Ok(HeardDatagram::UsageRequest(read_usage_ask(ask)));
     }
     if let Some(usage) = wire.usage {
         return Ok(HeardDatagram::Usage(read_usage(usage)));
--- a/crates/box/src/gateway/note_wire/usage.rs
+++ b/crates/box/src/gateway/note_wire/usage.rs
@@ -1,7 +1,7 @@
 //! Questions for counts of usage, and the counts.
 
 use prost::Message;
-use ravenspoke_core::route::leader::usage::{UsageAsk, UsageNote, UsageReport};
+use ravenspoke_core::route::leader::usage::{UsageNote, UsageReport, UsageRequest};
 
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireUsageAsk {
@@ -21,12 +21,12 @@
     counts: std::collections::BTreeMap<String, u64>,
 }
 
-pub(super) fn write_usage_ask(ask: &UsageAsk) -> WireUsageAsk {
+pub(super) fn write_usage_ask(ask: &UsageRequest) -> WireUsageAsk {
     WireUsageAsk { window: ask.window, note_address: ask.note_address.clone() }
 }
 
-pub(super) fn read_usage_ask(wire: WireUsageAsk) -> UsageAsk {
-    UsageAsk { window: wire.window, note_address: wire.note_address }
+pub(super) fn read_usage_ask(wire: WireUsageAsk) -> UsageRequest {
+    UsageRequest { window: wire.window, note_address: wire.note_address }
 }
 
 pub(super) fn write_usage(note: &UsageNote) -> WireUsage {
--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -45,7 +45,7 @@
                     }
                     driver.feed(RouteEvent::PeerHeard(note));
                 }
-                Ok(HeardDatagram::UsageAsk(ask)) => driver.feed(RouteEvent::UsageAsked(ask)),
+                Ok(HeardDatagram::UsageRequest(ask)) => driver.feed(RouteEvent::UsageAsked(ask)),
                 Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageTold(note)),
                 Ok(HeardDatagram::Empty) => observe::note_bad_note("it is empty"),
                 Err(error) => observe::note_bad_note(&error.to_string()),
@@ -96,7 +96,7 @@
         PeerDatagram::Note(targets, note) => (targets, encode_with_records(driver, pages, &note)),
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
         PeerDatagram::Ask(target, ask) => (vec![target], encode_ask(&ask)),
-        PeerDatagram::UsageAsk(targets, ask) => (targets, encode_usage_ask(&ask)),
+        PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_ask(&ask)),
         PeerDatagram::Usage(target, note) => (vec![target], encode_usage(&note)),
     };
     for target in &targets {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -4,7 +4,7 @@
 use super::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
 use super::leader::lease::{LeaderPart, LeaseWord};
 use super::leader::scale::ScaleSubject;
-use super::leader::usage::{UsageAsk, UsageNote};
+use super::leader::usage::{UsageNote, UsageRequest};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
 use super::peers::{GossipMessage, KnownPlan, SyncRequest};
@@ -206,7 +206,7 @@
     /// A call of this box as the holder has ended.
     LeaderCalled(LeaderCall, CallOutcome),
     /// The holder asks for this box's counts of usage.
-    UsageAsked(UsageAsk),
+    UsageAsked(UsageRequest),
     /// Another box told its counts.
     UsageTold(UsageNote),
     /// Addresses where other boxes may be.
@@ -509,7 +509,7 @@
         max: u32,
     },
     /// Ask other boxes for their counts of usage.
-    AskUsage(Vec<String>, UsageAsk),
+    AskUsage(Vec<String>, UsageRequest),
     /// Tell the holder this box's counts.
     TellUsage(String, UsageNote),
     /// The planned stop has begun.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -22,7 +22,9 @@
 
 use lease::{LeaderPart, LeaseWord};
 use scale::{ScaleOrders, ScaleSubject, ServiceSize};
-use usage::{RoundStep, UsageAsk, UsageBounds, UsageCounts, UsageNote, UsageReport, UsageRound};
+use usage::{
+    RoundStep, UsageBounds, UsageCounts, UsageNote, UsageReport, UsageRequest, UsageRound,
+};
 
 /// What is not answered is sent again after this, in milliseconds.
 pub const SEND_AGAIN_MS: u64 = 700;
@@ -232,7 +234,7 @@
     }
 
     /// Answers the holder's question for this box's counts.
-    pub(super) fn on_usage_asked(&self, ask: &UsageAsk, out: &mut Vec<RouteEffect>) {
+    pub(super) fn on_usage_asked(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
         let note = UsageNote { note_address: self.settings.note_address.clone(), usage };
         out.push(RouteEffect::TellUsage(ask.note_address.clone(), note));
@@ -389,7 +391,7 @@
             RoundStep::Wait => {}
             RoundStep::Ask(boxes) => {
                 let note_address = self.settings.note_address.clone();
-                out.push(RouteEffect::AskUsage(boxes, UsageAsk { window: next, note_address }));
+                out.push(RouteEffect::AskUsage(boxes, UsageRequest { window: next, note_address }));
             }
             RoundStep::Report(report) => {
                 self.leader.round = None;
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -54,7 +54,7 @@
 
 /// A question for another box's counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct UsageAsk {
+pub struct UsageRequest {
     /// The window.
     pub window: u64,
     /// Where the answer goes.
