--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::event::{
     RefusalReason, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
-use ravenspoke_core::route::leader::usage::{UsageNote, UsageRequest};
+use ravenspoke_core::route::leader::usage::{UsageRequest, UsageResponse};
 use ravenspoke_core::route::leader::LeaderOrder;
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
@@ -58,7 +58,7 @@
     /// A question for counts of usage, for each of these addresses.
     UsageRequest(Vec<String>, UsageRequest),
     /// Counts of usage, for this address.
-    Usage(String, UsageNote),
+    Usage(String, UsageResponse),
 }
 
 impl PeerDatagram {
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -16,7 +16,7 @@
 use prost::Message;
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::leader::usage::{UsageNote, UsageRequest};
+use ravenspoke_core::route::leader::usage::{UsageRequest, UsageResponse};
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
@@ -151,7 +151,7 @@
 }
 
 /// Encodes counts of usage as a datagram.
-pub fn encode_usage(note: &UsageNote) -> Vec<u8> {
+pub fn encode_usage(note: &UsageResponse) -> Vec<u8> {
     let usage = Some(write_usage(note));
     WireDatagram { usage, ..WireDatagram::default() }.encode_to_vec()
 }
@@ -168,7 +168,7 @@
     /// A question for counts of usage.
     UsageRequest(UsageRequest),
     /// Counts of usage.
-    Usage(UsageNote),
+    Usage(UsageResponse),
     /// Nothing.
     Empty,
 }
--- a/crates/box/src/gateway/note_wire/usage.rs
+++ b/crates/box/src/gateway/note_wire/usage.rs
@@ -1,7 +1,7 @@
 //! Questions for counts of usage, and the counts.
 
 use prost::Message;
-use ravenspoke_core::route::leader::usage::{UsageNote, UsageReport, UsageRequest};
+use ravenspoke_core::route::leader::usage::{UsageReport, UsageRequest, UsageResponse};
 
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireUsageAsk {
@@ -29,12 +29,12 @@
     UsageRequest { window: wire.window, note_address: wire.note_address }
 }
 
-pub(super) fn write_usage(note: &UsageNote) -> WireUsage {
+pub(super) fn write_usage(note: &UsageResponse) -> WireUsage {
     let UsageReport { window, counts } = note.usage.clone();
     WireUsage { note_address: note.note_address.clone(), window, counts }
 }
 
-pub(super) fn read_usage(wire: WireUsage) -> UsageNote {
+pub(super) fn read_usage(wire: WireUsage) -> UsageResponse {
     let usage = UsageReport { window: wire.window, counts: wire.counts };
-    UsageNote { note_address: wire.note_address, usage }
+    UsageResponse { note_address: wire.note_address, usage }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -4,7 +4,7 @@
 use super::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
 use super::leader::lease::{LeaderPart, LeaseWord};
 use super::leader::scale::ScaleSubject;
-use super::leader::usage::{UsageNote, UsageRequest};
+use super::leader::usage::{UsageRequest, UsageResponse};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
 use super::peers::{GossipMessage, KnownPlan, SyncRequest};
@@ -208,7 +208,7 @@
     /// The holder asks for this box's counts of usage.
     UsageAsked(UsageRequest),
     /// Another box told its counts.
-    UsageTold(UsageNote),
+    UsageTold(UsageResponse),
     /// Addresses where other boxes may be.
     PeersNamed(Vec<String>),
     /// A caller's request arrived.
@@ -511,7 +511,7 @@
     /// Ask other boxes for their counts of usage.
     AskUsage(Vec<String>, UsageRequest),
     /// Tell the holder this box's counts.
-    TellUsage(String, UsageNote),
+    TellUsage(String, UsageResponse),
     /// The planned stop has begun.
     StopBegun,
     /// Callers are served from now on.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -23,7 +23,7 @@
 use lease::{LeaderPart, LeaseWord};
 use scale::{ScaleOrders, ScaleSubject, ServiceSize};
 use usage::{
-    RoundStep, UsageBounds, UsageCounts, UsageNote, UsageReport, UsageRequest, UsageRound,
+    RoundStep, UsageBounds, UsageCounts, UsageReport, UsageRequest, UsageResponse, UsageRound,
 };
 
 /// What is not answered is sent again after this, in milliseconds.
@@ -236,12 +236,12 @@
     /// Answers the holder's question for this box's counts.
     pub(super) fn on_usage_asked(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
-        let note = UsageNote { note_address: self.settings.note_address.clone(), usage };
+        let note = UsageResponse { note_address: self.settings.note_address.clone(), usage };
         out.push(RouteEffect::TellUsage(ask.note_address.clone(), note));
     }
 
     /// Takes another box's counts.
-    pub(super) fn on_usage_told(&mut self, note: &UsageNote) {
+    pub(super) fn on_usage_told(&mut self, note: &UsageResponse) {
         if let Some(round) = &mut self.leader.round {
             round.hear(note);
         }
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -63,7 +63,7 @@
 
 /// A box's counts of a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct UsageNote {
+pub struct UsageResponse {
     /// Where the box hears notes.
     pub note_address: String,
     /// What it counted.
@@ -131,7 +131,7 @@
     }
 
     /// Takes another box's counts, once.
-    pub fn hear(&mut self, note: &UsageNote) {
+    pub fn hear(&mut self, note: &UsageResponse) {
         if note.usage.window != self.report.window || !self.heard.insert(note.note_address.clone())
         {
             return;
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::route::leader::lease::{LeaderPart, LeaseWord};
 use ravenspoke_core::route::leader::scale::{wish, ScalePlan, ZoneStock, ZoneWish};
 use ravenspoke_core::route::leader::usage::{
-    RoundStep, UsageBounds, UsageNote, UsageReport, UsageRound,
+    RoundStep, UsageBounds, UsageReport, UsageResponse, UsageRound,
 };
 use ravenspoke_core::route::leader::{LeaderBounds, LeaderCall, LeaderRecord, LeaderStep};
 use ravenspoke_core::route::{RouteSettings, RouteState};
@@ -207,7 +207,7 @@
 fn counts_that_a_box_tells_twice_are_taken_once() {
     let mut round = UsageRound::begin(7, [("alpha".to_owned(), 1)].into());
     let usage = UsageReport { window: 7, counts: [("alpha".to_owned(), 2)].into() };
-    let note = UsageNote { note_address: "box-2:90".to_owned(), usage };
+    let note = UsageResponse { note_address: "box-2:90".to_owned(), usage };
 
     round.hear(&note);
     round.hear(&note);
