--- a/crates/box/src/gateway/note_wire/position.rs
+++ b/crates/box/src/gateway/note_wire/position.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::position::TopicPosition;
-use ravenspoke_core::route::peers::KnownPlan;
+use ravenspoke_core::route::peers::PlanPosition;
 
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(super) struct WirePosition {
@@ -37,11 +37,11 @@
     wire.map(Into::into).unwrap_or_default()
 }
 
-pub(super) fn write_known(known: KnownPlan) -> WireKnownPlan {
+pub(super) fn write_known(known: PlanPosition) -> WireKnownPlan {
     WireKnownPlan { version: known.version, read_to: Some(known.read_to.into()) }
 }
 
-pub(super) fn read_known(wire: Option<WireKnownPlan>) -> KnownPlan {
+pub(super) fn read_known(wire: Option<WireKnownPlan>) -> PlanPosition {
     let wire = wire.unwrap_or_default();
-    KnownPlan { version: wire.version, read_to: read_position(wire.read_to) }
+    PlanPosition { version: wire.version, read_to: read_position(wire.read_to) }
 }
--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::peers::{GossipMessage, KnownPlan};
+use ravenspoke_core::route::peers::{GossipMessage, PlanPosition};
 use ravenspoke_core::route::plan::RoutePlan;
 use ravenspoke_core::time::BoxTime;
 
@@ -54,7 +54,7 @@
 
     /// What a box that knows so much lacks, as a datagram holds it: a newer plan, and all other newest records behind
     /// its position.
-    pub fn since(&mut self, known: KnownPlan) -> &PackedRecords {
+    pub fn since(&mut self, known: PlanPosition) -> &PackedRecords {
         let plan = self.plan.as_ref().filter(|plan| plan.version > known.version);
         let plan = plan.map(|plan| &plan.record);
         let others = self.newest.values().filter(|record| !is_plan_key(&record.key));
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::entries::{EntryQuery, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LatencyUpdate, LearntPace, LearntTime};
 use ravenspoke_core::route::peers::{
-    BudgetUpdate, EntryCoverage, GossipMessage, KnownPlan, PeerInfo, PeerSummary, SyncRequest,
+    BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, PeerSummary, PlanPosition, SyncRequest,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -41,7 +41,7 @@
         note_address: "10.1.0.9:7680".to_owned(),
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
-        known: KnownPlan { version: 5, read_to: at(12) },
+        known: PlanPosition { version: 5, read_to: at(12) },
         entries: EntryQuery { known_to: Some(at(40)), page_from: at(7), has_rows: true },
     }
 }
@@ -75,7 +75,7 @@
         number: 5,
         card: card("front-1"),
         era: 3,
-        known: KnownPlan { version: 6, read_to: at(12) },
+        known: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
         echo: Some(ask()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -7,7 +7,7 @@
 use super::leader::usage::{UsageRequest, UsageResponse};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
 use super::loads::BackendLoad;
-use super::peers::{GossipMessage, KnownPlan, SyncRequest};
+use super::peers::{GossipMessage, PlanPosition, SyncRequest};
 use super::placement::PlacementUpdate;
 use super::plan::{RouteKind, RoutePlan};
 use super::progress::TrialMark;
@@ -111,7 +111,7 @@
         /// As of when that was all there was.
         as_of: BoxTime,
         /// How far that box knows the operator's records.
-        known: KnownPlan,
+        known: PlanPosition,
         /// The plan.
         plan: Option<RoutePlan>,
     },
--- a/crates/core/src/route/known.rs
+++ b/crates/core/src/route/known.rs
@@ -5,7 +5,7 @@
 
 use super::event::RouteEffect;
 use super::fresh::PlanFreshness;
-use super::peers::KnownPlan;
+use super::peers::PlanPosition;
 use super::plan::{RoutePlan, RouteTable};
 use super::RouteState;
 use crate::event::EventStamp;
@@ -40,7 +40,7 @@
         &mut self,
         stamp: EventStamp,
         as_of: BoxTime,
-        known: KnownPlan,
+        known: PlanPosition,
         plan: Option<RoutePlan>,
         out: &mut Vec<RouteEffect>,
     ) {
@@ -121,7 +121,7 @@
     }
 
     /// How far this box knows the operator's records.
-    pub fn known_plan(&self) -> KnownPlan {
-        KnownPlan { version: self.table.plan().version, read_to: self.read_to }
+    pub fn known_plan(&self) -> PlanPosition {
+        PlanPosition { version: self.table.plan().version, read_to: self.read_to }
     }
 }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -200,7 +200,7 @@
     /// The store's era, as far as it knows.
     pub era: u64,
     /// How far it knows the operator's records.
-    pub known: KnownPlan,
+    pub known: PlanPosition,
     /// How long ago that was all there was, in milliseconds; `None` if it has read nothing yet.
     pub read_age_ms: Option<u64>,
     /// Availability zones under evacuation, as far as the sender knows.
@@ -238,7 +238,7 @@
 /// How far a box knows the operator's records. A newer plan goes before a later position: a store that came back from a
 /// copy may have lost that plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KnownPlan {
+pub struct PlanPosition {
     /// Version of the plan; 0 without one.
     pub version: u64,
     /// Position up to which the records were read.
@@ -277,7 +277,7 @@
     /// The asker's clock when it asked.
     pub asked_at: BoxTime,
     /// How far it knows the operator's records: it wants what is behind.
-    pub known: KnownPlan,
+    pub known: PlanPosition,
     /// What it wants to know of the replicas' entries.
     pub entries: EntryQuery,
 }
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -7,7 +7,7 @@
     EvacuationDigest, EvacuationRead, ZoneOrder, UNSEEN_ORDER_MS,
 };
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::peers::{GossipMessage, KnownPlan};
+use ravenspoke_core::route::peers::{GossipMessage, PlanPosition};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict};
 use ravenspoke_core::route::{RouteState, LAPSE_MS};
 use ravenspoke_core::time::BoxTime;
@@ -113,7 +113,7 @@
     read_plan_at(&mut subject, restored(4), Some(7));
     subject.now += 300;
     let as_of = BoxTime::from_millis(subject.now - 2_000);
-    let known = KnownPlan { version: 9, read_to: at(20) };
+    let known = PlanPosition { version: 9, read_to: at(20) };
 
     subject.feed(RouteEvent::PlanTold { as_of, known, plan: Some(plan(9)) });
     read_plan_at(&mut subject, restored(4), None);
@@ -127,7 +127,7 @@
     let mut subject = ready_box();
     subject.now += 1_000;
     let as_of = BoxTime::from_millis(subject.now);
-    let known = KnownPlan { version: 1, read_to: restored(6) };
+    let known = PlanPosition { version: 1, read_to: restored(6) };
 
     subject.feed(RouteEvent::PlanTold { as_of, known, plan: None });
 
@@ -139,7 +139,7 @@
 fn word_of_a_newer_plan_that_was_too_long_to_be_told_is_not_taken_for_the_plan() {
     let mut subject = ready_box();
     let as_of = BoxTime::from_millis(subject.now);
-    let known = KnownPlan { version: 2, read_to: at(6) };
+    let known = PlanPosition { version: 2, read_to: at(6) };
 
     subject.feed(RouteEvent::PlanTold { as_of, known, plan: None });
 
