--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -9,7 +9,7 @@
     GroupMember, GroupWord, KeyedRecord, ProducerEpoch, StoreClient, StoreError, CALL_MS,
 };
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::leader::lease::{token, LeaseWord};
+use ravenspoke_core::route::leader::lease::{token, LeaseAnswer};
 use ravenspoke_core::route::leader::{
     CallOutcome, KeptRecord, LeaderCall, LeaderOrder, LeaderRecord, LeaderStep,
 };
@@ -71,7 +71,7 @@
     let answer = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
     match answer {
         Ok(Ok(GroupWord { era, generation, has_first })) => {
-            let word = LeaseWord { token: token(era, generation), dealt: has_first };
+            let word = LeaseAnswer { token: token(era, generation), dealt: has_first };
             driver.feed(RouteEvent::LeaseAnswered { asked_at, word });
             Some(generation)
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -2,7 +2,7 @@
 
 use super::backend::BackendChange;
 use super::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
-use super::leader::lease::{LeaderPart, LeaseWord};
+use super::leader::lease::{LeaderPart, LeaseAnswer};
 use super::leader::scale::ScaleSubject;
 use super::leader::usage::{UsageRequest, UsageResponse};
 use super::leader::{CallOutcome, LeaderCall, LeaderOrder, LeaderRecord};
@@ -180,7 +180,7 @@
         /// When it was asked.
         asked_at: BoxTime,
         /// What it answered.
-        word: LeaseWord,
+        word: LeaseAnswer,
     },
     /// What former holders of the lease left was read, and they can write no more.
     LeadTaken {
--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -13,7 +13,7 @@
 
 /// What the store answered to a box that asked for the lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LeaseWord {
+pub struct LeaseAnswer {
     /// Rises each time that the lease is dealt, and with the store's era.
     pub token: u64,
     /// Whether the box has the lease.
@@ -85,7 +85,7 @@
 impl LeaderPart {
     /// Takes the store's answer to an ask of `asked_at`. A lease that lapsed meanwhile begins anew, with the token of the
     /// answer: another box may have had it.
-    pub fn hear(&mut self, word: LeaseWord, asked_at: BoxTime, now: BoxTime, length_ms: u64) {
+    pub fn hear(&mut self, word: LeaseAnswer, asked_at: BoxTime, now: BoxTime, length_ms: u64) {
         let until = asked_at.plus_millis(length_ms);
         *self = match *self {
             _ if !word.dealt => Self::Other,
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -20,7 +20,7 @@
 use crate::event::{EventStamp, RequestTicket};
 use crate::time::{BoxTime, WallTime};
 
-use lease::{LeaderPart, LeaseWord};
+use lease::{LeaderPart, LeaseAnswer};
 use scale::{ScaleOrders, ScaleSubject, ServiceSize};
 use usage::{
     RoundStep, UsageBounds, UsageCounts, UsageReport, UsageRequest, UsageResponse, UsageRound,
@@ -200,7 +200,7 @@
         &mut self,
         stamp: EventStamp,
         asked_at: BoxTime,
-        word: LeaseWord,
+        word: LeaseAnswer,
         out: &mut Vec<RouteEffect>,
     ) {
         let length_ms = self.lease_ms();
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::leader::lease::{LeaderPart, LeaseWord};
+use ravenspoke_core::route::leader::lease::{LeaderPart, LeaseAnswer};
 use ravenspoke_core::route::leader::scale::{wish, ScalePlan, ZoneStock, ZoneWish};
 use ravenspoke_core::route::leader::usage::{
     RoundStep, UsageBounds, UsageReport, UsageResponse, UsageRound,
@@ -24,7 +24,7 @@
 /// A part that was dealt the lease at 1 s, under token 5.
 fn dealt() -> LeaderPart {
     let mut part = LeaderPart::default();
-    part.hear(LeaseWord { token: 5, dealt: true }, millis(1_000), millis(1_010), LEASE_MS);
+    part.hear(LeaseAnswer { token: 5, dealt: true }, millis(1_000), millis(1_010), LEASE_MS);
     part
 }
 
@@ -32,7 +32,7 @@
 fn a_lease_is_acted_on_only_after_whoever_had_it_no_longer_may() {
     let mut part = dealt();
     for at in [2_000, 3_000, 4_000] {
-        part.hear(LeaseWord { token: 7, dealt: true }, millis(at), millis(at + 5), LEASE_MS);
+        part.hear(LeaseAnswer { token: 7, dealt: true }, millis(at), millis(at + 5), LEASE_MS);
         part.pass(millis(at + 5));
         assert_eq!(part.acting(millis(at + 5)), None, "at {at}");
     }
@@ -47,12 +47,12 @@
 fn a_lease_that_lapsed_while_the_box_was_frozen_begins_anew_under_another_token() {
     let mut part = dealt();
     part.pass(millis(9_000));
-    part.hear(LeaseWord { token: 9, dealt: true }, millis(9_000), millis(9_005), LEASE_MS);
+    part.hear(LeaseAnswer { token: 9, dealt: true }, millis(9_000), millis(9_005), LEASE_MS);
     part.pass(millis(9_005));
 
     assert_eq!(part.acting(millis(9_005)), None);
     for at in [10_000, 11_000, 12_000] {
-        part.hear(LeaseWord { token: 9, dealt: true }, millis(at), millis(at), LEASE_MS);
+        part.hear(LeaseAnswer { token: 9, dealt: true }, millis(at), millis(at), LEASE_MS);
     }
     part.pass(millis(12_100));
     assert_eq!(part.acting(millis(12_100)).map(|lease| lease.token()), Some(9));
@@ -167,7 +167,7 @@
     let mut subject = new_box("box-1");
     subject.state = RouteState::new(RouteSettings { leader, ..settings("box-1") });
     for _ in 0..4 {
-        let word = LeaseWord { token: 5, dealt: true };
+        let word = LeaseAnswer { token: 5, dealt: true };
         let asked_at = BoxTime::from_millis(subject.now);
         subject.feed(RouteEvent::LeaseAnswered { asked_at, word });
         subject.now += 1_000;
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::event::EventStamp;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
-use ravenspoke_core::route::leader::lease::{token, LeaseWord};
+use ravenspoke_core::route::leader::lease::{token, LeaseAnswer};
 use ravenspoke_core::route::leader::scale::{ScalePlan, ScaleSubject};
 use ravenspoke_core::route::leader::usage::{AccountCounts, UsageBounds};
 use ravenspoke_core::route::leader::{
@@ -360,7 +360,7 @@
         if subject.life == life {
             subject.generation = generation;
         }
-        let word = LeaseWord { token: token(0, generation), dealt };
+        let word = LeaseAnswer { token: token(0, generation), dealt };
         let asked_at = BoxTime::from_millis(asked_at);
         let way = 2 + self.draw(20);
         self.post(
