--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::leader::lease::{token, LeaseAnswer};
 use ravenspoke_core::route::leader::{
-    CallOutcome, KeptRecord, LeaderCall, LeaderOrder, LeaderRecord, LeaderStep,
+    CallOutcome, LeaderCall, LeaderOrder, LeaderRecord, LeaderStep, NumberedRecord,
 };
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::timeout;
@@ -149,7 +149,7 @@
     }
 
     /// Writes a record for the next holder.
-    async fn keep(&self, token: u64, kept: &KeptRecord) -> Result<(), StoreError> {
+    async fn keep(&self, token: u64, kept: &NumberedRecord) -> Result<(), StoreError> {
         self.driver.tally.count_call(LEADER_TOPIC, StoreCall::Append);
         let number = kept.number;
         let epoch = ProducerEpoch { producer: PRODUCER, epoch: token, sequence: number };
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -85,7 +85,7 @@
 
 /// A record for the next holder, as it is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptRecord {
+pub struct NumberedRecord {
     /// Its number among those of this token: the store takes each once, and in turn.
     pub number: u64,
     /// The record.
@@ -98,7 +98,7 @@
     /// Bar former holders from writing, and read what they left.
     TakeOver,
     /// Write this for the next holder.
-    Keep(KeptRecord),
+    Keep(NumberedRecord),
     /// Make this call.
     Call(LeaderCall),
 }
@@ -124,7 +124,7 @@
 /// A record that is being written.
 #[derive(Clone, Debug)]
 struct OpenWrite {
-    kept: KeptRecord,
+    kept: NumberedRecord,
     /// Not sent again before this.
     next_at: BoxTime,
 }
@@ -166,7 +166,7 @@
     fn write(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
         let number = self.next_number;
         let writing = self.writing.get_or_insert_with(|| OpenWrite {
-            kept: KeptRecord { number, record: record.clone() },
+            kept: NumberedRecord { number, record: record.clone() },
             next_at: now,
         });
         if writing.kept.record != record || now < writing.next_at {
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -10,7 +10,7 @@
 use ravenspoke_core::route::leader::scale::{ScalePlan, ScaleSubject};
 use ravenspoke_core::route::leader::usage::{AccountCounts, UsageBounds};
 use ravenspoke_core::route::leader::{
-    CallOutcome, KeptRecord, LeaderBounds, LeaderCall, LeaderOrder, LeaderRecord, LeaderStep,
+    CallOutcome, LeaderBounds, LeaderCall, LeaderOrder, LeaderRecord, LeaderStep, NumberedRecord,
 };
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::RouteState;
@@ -480,7 +480,7 @@
                 let event = RouteEvent::LeadTaken { token: order.token, next, left };
                 self.post(self.now + 3, Parcel::Event(number, life, event));
             }
-            LeaderStep::Keep(KeptRecord { number: count, record }) => {
+            LeaderStep::Keep(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
                     return;
                 }
