--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -12,7 +12,7 @@
 use ravenspoke_bench::prompt_router::new_box;
 use ravenspoke_bench::prompt_site::PromptSite;
 use ravenspoke_core::event::{EventStamp, RequestTicket};
-use ravenspoke_core::route::event::{PromptSize, RouteAsk, RouteEvent};
+use ravenspoke_core::route::event::{CallerRequest, PromptSize, RouteEvent};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
 fn decision(criterion: &mut Criterion) {
@@ -71,7 +71,7 @@
 }
 
 fn prompt_arrival(number: u64) -> RouteEvent {
-    let ask = RouteAsk {
+    let ask = CallerRequest {
         id: number.to_string(),
         host: "api.example".to_owned(),
         path: "/0/x".to_owned(),
@@ -79,7 +79,7 @@
         prompt: PromptSize { shared: 10_000, own: 3_000 },
         body_bytes: 13_000,
         any_model: true,
-        ..RouteAsk::default()
+        ..CallerRequest::default()
     };
     RouteEvent::Arrived(RequestTicket(number), ask)
 }
--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
-    AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent,
+    AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent,
 };
 use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::loads::BackendLoad;
@@ -104,7 +104,7 @@
     pub fn arrive(&mut self, row: usize, scene: &PromptScene) -> RouterStep {
         let request = &scene.requests[row];
         if self.policy == PromptPolicy::Ravenspoke {
-            let ask = RouteAsk {
+            let ask = CallerRequest {
                 id: row.to_string(),
                 host: HOST.to_owned(),
                 path: format!("/{}/x", request.class),
@@ -115,7 +115,7 @@
                 },
                 body_bytes: (request.tokens.0 + request.tokens.1) as usize,
                 any_model: true,
-                ..RouteAsk::default()
+                ..CallerRequest::default()
             };
             let event = RouteEvent::Arrived(RequestTicket(row as u64), ask);
             return self.feed(request.asked_box, row, event, scene.now_us);
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -10,7 +10,9 @@
 use hyper::body::Incoming;
 use ravenspoke_adapter::headers;
 use ravenspoke_core::event::RequestTicket;
-use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RouteAsk, RouteEvent, SendOrder};
+use ravenspoke_core::route::event::{
+    AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
+};
 
 use super::answers::{plain_answer, refuse, whole_body, BrokenAnswer, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
@@ -137,7 +139,7 @@
     let ask = headers::read_request(&head);
     let content = xxhash_rust::xxh3::xxh3_64_with_seed(&body, ask.content);
     let waited_ms = waited.as_millis() as u64;
-    let ask = RouteAsk { body_bytes: body.len(), content, waited_ms, ..ask };
+    let ask = CallerRequest { body_bytes: body.len(), content, waited_ms, ..ask };
     if waited_ms > 0 {
         observe::note_request_waited(&ask.id, waited_ms);
     }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -3,7 +3,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::deeds::BackendDeed;
-use super::event::{PromptSize, RefusalReason, RouteAsk, RouteEffect};
+use super::event::{CallerRequest, PromptSize, RefusalReason, RouteEffect};
 use super::plan::{KeyHolder, RouteSpec};
 use super::refuse::refusal;
 use super::region::allowed_zones;
@@ -18,7 +18,7 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        ask: RouteAsk,
+        ask: CallerRequest,
         out: &mut Vec<RouteEffect>,
     ) {
         let request = match self.admit(stamp, &ask) {
@@ -34,7 +34,7 @@
         self.send(stamp, ticket, RefusalReason::NoReplica, out);
     }
 
-    fn admit(&self, stamp: EventStamp, ask: &RouteAsk) -> Result<RouteRequest, RefusalReason> {
+    fn admit(&self, stamp: EventStamp, ask: &CallerRequest) -> Result<RouteRequest, RefusalReason> {
         let since = self.stopping_since;
         let late = |since| stamp.now.millis_since(since) >= STOP_TAKE_MS || !self.entry_opened();
         if since.is_some_and(late) {
@@ -82,7 +82,7 @@
     fn find_route(
         &self,
         stamp: EventStamp,
-        ask: &RouteAsk,
+        ask: &CallerRequest,
     ) -> Result<(&RouteSpec, Option<&KeyHolder>), RefusalReason> {
         let bounds = self.settings.fresh;
         let deny = |reason| {
@@ -112,7 +112,7 @@
 const UNTOLD_TOKENS: u32 = 1_000;
 
 /// The size of a request's prompt, if it has one.
-fn prompt_size(ask: &RouteAsk) -> Option<PromptSize> {
+fn prompt_size(ask: &CallerRequest) -> Option<PromptSize> {
     if ask.prompt != PromptSize::default() {
         return Some(ask.prompt);
     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -20,7 +20,7 @@
 
 /// A caller's request, decoded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct RouteAsk {
+pub struct CallerRequest {
     /// Id that the caller gave it.
     pub id: String,
     /// Hash of the session that it belongs to; 0 for none.
@@ -212,7 +212,7 @@
     /// Addresses where other boxes may be.
     PeersNamed(Vec<String>),
     /// A caller's request arrived.
-    Arrived(RequestTicket, RouteAsk),
+    Arrived(RequestTicket, CallerRequest),
     /// The head of a replica's answer came.
     HeadCame(RequestTicket, AnswerHead),
     /// Nothing came for as long as the order says: another replica may be asked, or the attempt is
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -3,7 +3,7 @@
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::backend::{backend_hash, BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{
-    AttemptFailure, RefusalReason, RouteAsk, RouteEvent, SendOrder,
+    AttemptFailure, CallerRequest, RefusalReason, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::fatal::{
     CrashUpdate, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
@@ -117,8 +117,8 @@
     subject
 }
 
-fn asking(id: &str) -> RouteAsk {
-    RouteAsk { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
+fn asking(id: &str) -> CallerRequest {
+    CallerRequest { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
 }
 
 /// The attempt under way breaks; gives the next one, if there is one.
@@ -155,7 +155,7 @@
     let refusal = subject.refused(asking("three"));
     assert!(is_refused(refusal, 502, RefusalReason::Fatal));
     assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
-    let other = RouteAsk { content: CONTENT + 1, ..asking("four") };
+    let other = CallerRequest { content: CONTENT + 1, ..asking("four") };
     subject.sent(other);
 }
 
@@ -217,7 +217,7 @@
 fn answer_elsewhere(subject: &mut TestBox, order: &SendOrder) {
     let load = ravenspoke_core::route::loads::BackendLoad { running: 1, waiting: 0, slots: 4 };
     loop {
-        let (ticket, other) = subject.sent(RouteAsk { content: 0, ..asking("other") });
+        let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
         let answer = ravenspoke_core::route::event::AnswerHead { load: Some(load), ..head(200) };
         subject.feed(RouteEvent::HeadCame(ticket, answer));
         subject.feed(RouteEvent::Finished(ticket));
@@ -340,7 +340,7 @@
 fn sent_to(subject: &mut TestBox, id: &str, replica: &str) -> (RequestTicket, SendOrder) {
     let mut tries = (0..100).map(|number| {
         let content = if number % 2 == 0 { CONTENT } else { 0 };
-        subject.sent(RouteAsk { content, ..asking(id) })
+        subject.sent(CallerRequest { content, ..asking(id) })
     });
     let hit = |(_, order): &(RequestTicket, SendOrder)| {
         order.replica_id == replica && order.content == CONTENT
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
-    AnswerHead, RefusalReason, RouteAsk, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
+    AnswerHead, CallerRequest, RefusalReason, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
 use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::peers::{BoxCapacity, GossipMessage};
@@ -115,14 +115,14 @@
     }
 }
 
-pub fn ask(path: &str) -> RouteAsk {
-    RouteAsk {
+pub fn ask(path: &str) -> CallerRequest {
+    CallerRequest {
         id: "r1".to_owned(),
         host: HOST.to_owned(),
         path: path.to_owned(),
         key: Some(KEY.to_owned()),
         deadline_ms: Some(4_000),
-        ..RouteAsk::default()
+        ..CallerRequest::default()
     }
 }
 
@@ -190,19 +190,19 @@
         BackendChange { id: id.to_owned(), at: at(self.offset), entry }
     }
 
-    pub fn arrive(&mut self, ask: RouteAsk) -> (RequestTicket, Vec<RouteEffect>) {
+    pub fn arrive(&mut self, ask: CallerRequest) -> (RequestTicket, Vec<RouteEffect>) {
         self.tickets += 1;
         let ticket = RequestTicket(self.tickets);
         (ticket, self.feed(RouteEvent::Arrived(ticket, ask)))
     }
 
     /// A request that was sent, with its order.
-    pub fn sent(&mut self, ask: RouteAsk) -> (RequestTicket, SendOrder) {
+    pub fn sent(&mut self, ask: CallerRequest) -> (RequestTicket, SendOrder) {
         let (ticket, effects) = self.arrive(ask);
         (ticket, order_in(&effects).expect("the request is sent"))
     }
 
-    pub fn refused(&mut self, ask: RouteAsk) -> RouteRefusal {
+    pub fn refused(&mut self, ask: CallerRequest) -> RouteRefusal {
         let (_, effects) = self.arrive(ask);
         refusal_in(&effects).expect("the request is refused")
     }
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::backend::backend_hash;
 use ravenspoke_core::route::deeds::DOWN_TELL_MS;
-use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RouteAsk, RouteEvent};
+use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, CallerRequest, RouteEvent};
 use ravenspoke_core::route::loads::{BackendLoad, LoadUpdate};
 use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
@@ -11,7 +11,7 @@
 
 /// The replica that holds the parts of `affinity`, as this box sends a first request for them.
 fn holder(subject: &mut TestBox, affinity: u64) -> String {
-    let (ticket, order) = subject.sent(RouteAsk { affinity, ..ask("/chat/x") });
+    let (ticket, order) = subject.sent(CallerRequest { affinity, ..ask("/chat/x") });
     subject.feed(RouteEvent::CallerLeft(ticket));
     subject.now += 60_000;
     subject.read_plan(None);
@@ -33,7 +33,7 @@
     let full = holder(&mut subject, 9);
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
     subject.feed(note_of_loads(vec![load]));
-    let (_, order) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
+    let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     assert_ne!(order.replica_id, full);
 }
 
@@ -41,14 +41,14 @@
 fn an_older_word_on_a_load_changes_nothing() {
     let mut subject = ready_box();
     let full = holder(&mut subject, 9);
-    let (ticket, _) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
+    let (ticket, _) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     let idle = BackendLoad { running: 0, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.feed(RouteEvent::Finished(ticket));
     subject.now += 100;
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
     subject.feed(note_of_loads(vec![load]));
-    let (_, order) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
+    let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     assert_eq!(order.replica_id, full);
 }
 
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::event::{
-    AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent,
+    AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent,
 };
 
 use ravenspoke_core::route::sizes::{
@@ -25,7 +25,7 @@
 
 /// A request whose small model was unsure, sent to the large one: its second of three attempts.
 fn asked_of_the_large_model(subject: &mut TestBox) -> RequestTicket {
-    let (ticket, _) = subject.sent(RouteAsk { any_model: true, ..ask("/chat/x") });
+    let (ticket, _) = subject.sent(CallerRequest { any_model: true, ..ask("/chat/x") });
     let unsure = AnswerHead { confidence: Some(3), ..head(200) };
     let order = order_in(&subject.feed(RouteEvent::HeadCame(ticket, unsure)));
     assert_eq!(order.expect("a larger model").model.as_deref(), Some("large"));
@@ -69,7 +69,8 @@
     let (mut asked, count) = (0, 40);
     for number in 0..count {
         let prompt = PromptSize { shared: 0, own: 5_000 };
-        let ask = RouteAsk { any_model: true, prompt, affinity: 100 + number, ..ask("/chat/x") };
+        let ask =
+            CallerRequest { any_model: true, prompt, affinity: 100 + number, ..ask("/chat/x") };
         let (ticket, _) = subject.sent(ask);
         let unsure = AnswerHead { confidence: Some(3), ..head(200) };
         let effects = subject.feed(RouteEvent::HeadCame(ticket, unsure));
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::backend::{backend_hash, BackendEntry};
 use ravenspoke_core::route::backlog::ReplicaBacklog;
 use ravenspoke_core::route::event::{
-    AnswerHead, PromptSize, RouteAsk, RouteEffect, RouteEvent, SendOrder,
+    AnswerHead, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::held::{HeldParts, HELD_MS};
 use ravenspoke_core::route::loads::BackendLoad;
@@ -36,9 +36,9 @@
 }
 
 /// A request with `shared` and `own` tokens; the caller names the model.
-fn prompt(affinity: u64, shared: u32, own: u32) -> RouteAsk {
+fn prompt(affinity: u64, shared: u32, own: u32) -> CallerRequest {
     let size = PromptSize { shared, own };
-    RouteAsk { affinity, prompt: size, body_bytes: (shared + own) as usize, ..ask("/chat/x") }
+    CallerRequest { affinity, prompt: size, body_bytes: (shared + own) as usize, ..ask("/chat/x") }
 }
 
 fn told_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
@@ -181,7 +181,7 @@
 }
 
 /// Zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of work in its own zone.
-fn zone_chosen(waiting_ms: u32, prompt: RouteAsk) -> String {
+fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
     let mut subject = taught_box(1, 0.1);
     subject.put(engine("i-west", "west"));
     subject.feed(RouteEvent::PlacementHeard(told("i-0", waiting_ms)));
@@ -206,7 +206,7 @@
 #[test]
 fn a_large_models_prompt_waits_behind_small_ones_at_a_replica() {
     let mut subject = box_with_engines(2);
-    let (ticket, small) = subject.sent(RouteAsk { any_model: true, ..prompt(9, 100, 100) });
+    let (ticket, small) = subject.sent(CallerRequest { any_model: true, ..prompt(9, 100, 100) });
     let unsure = AnswerHead { confidence: Some(3), ..quiet_head() };
     let effects = subject.feed(RouteEvent::HeadCame(ticket, unsure));
     let large: SendOrder = order_in(&effects).expect("a larger model is asked");
--- a/crates/core/tests/route/plan.rs
+++ b/crates/core/tests/route/plan.rs
@@ -31,7 +31,7 @@
 #[test]
 fn an_unknown_key_and_an_unknown_route_are_denied_while_the_plan_is_fresh() {
     let mut subject = ready_box();
-    let unknown = subject.refused(ravenspoke_core::route::event::RouteAsk {
+    let unknown = subject.refused(ravenspoke_core::route::event::CallerRequest {
         key: Some("other".to_owned()),
         ..ask("/read/x")
     });
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::deeds::UnreachableUpdate;
 use ravenspoke_core::route::event::{
-    AnswerHead, AttemptFailure, PromptSize, RouteAsk, RouteEffect, RouteEvent, SendOrder,
+    AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
@@ -358,7 +358,7 @@
         let prompt = PromptSize { shared: 300, own: OWN_TOKENS };
         let drawn = if self.other_luck || self.fatal_part > 0.0 { self.draw() } else { 1.0 };
         let fatal = drawn < self.fatal_part;
-        let request = RouteAsk {
+        let request = CallerRequest {
             id: format!("r{ticket}"),
             prompt,
             affinity: session(subject + 1),
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
-    AnswerHead, AttemptFailure, RefusalReason, RouteAsk, RouteEffect, RouteEvent,
+    AnswerHead, AttemptFailure, CallerRequest, RefusalReason, RouteEffect, RouteEvent,
 };
 use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::loads::BackendLoad;
@@ -202,7 +202,7 @@
     let mut subject = ready_box();
     let (_, short) = subject.sent(ask("/read/x"));
     assert_eq!(short.deadline.as_millis(), subject.now + 4_000);
-    let patient = RouteAsk { deadline_ms: Some(60_000), ..ask("/read/x") };
+    let patient = CallerRequest { deadline_ms: Some(60_000), ..ask("/read/x") };
     let (_, long) = subject.sent(patient);
     assert_eq!(long.deadline.as_millis(), subject.now + 5_000);
 }
@@ -275,7 +275,8 @@
     second.put(entry("b", "v1"));
     second.put(entry("a", "v1"));
     for affinity in 1..40_u64 {
-        let shared = RouteAsk { affinity: affinity.wrapping_mul(0x9e37_79b9), ..ask("/chat/x") };
+        let shared =
+            CallerRequest { affinity: affinity.wrapping_mul(0x9e37_79b9), ..ask("/chat/x") };
         let (ticket, here) = first.sent(shared.clone());
         first.feed(RouteEvent::CallerLeft(ticket));
         let (ticket, there) = second.sent(shared);
@@ -304,7 +305,7 @@
     spec.routes[2].sizes = ["small", "middle", "large"].map(str::to_owned).to_vec();
     subject.read_plan(Some(spec));
     subject.put(entry("a", "v1"));
-    let any = RouteAsk { any_model: true, ..ask("/chat/x") };
+    let any = CallerRequest { any_model: true, ..ask("/chat/x") };
     let (ticket, first) = subject.sent(any.clone());
     assert_eq!(first.model.as_deref(), Some("small"));
     let unsure = AnswerHead { confidence: Some(5), ..head(200) };
@@ -324,7 +325,7 @@
     spec.routes[2].sizes = ["small", "large"].map(str::to_owned).to_vec();
     subject.read_plan(Some(spec));
     subject.put(entry("a", "v1"));
-    let any = RouteAsk { any_model: true, ..ask("/chat/x") };
+    let any = CallerRequest { any_model: true, ..ask("/chat/x") };
     let half_sure = AnswerHead { confidence: Some(40), ..head(200) };
     let (ticket, _) = subject.sent(any.clone());
     assert!(order_in(&subject.feed(RouteEvent::HeadCame(ticket, half_sure))).is_some());
@@ -458,7 +459,7 @@
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
-    let (_, order) = subject.sent(RouteAsk { affinity: 9, ..ask("/chat/x") });
+    let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     assert!(order.inputs.affine);
     let (_, order) = subject.sent(ask("/chat/x"));
     assert!(!order.inputs.affine);
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -23,7 +23,7 @@
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::event::{RefusalReason, RouteAsk, RouteEffect, RouteEvent};
+use ravenspoke_core::route::event::{CallerRequest, RefusalReason, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
@@ -90,7 +90,7 @@
 
 /// Version that a session's request is answered by.
 fn version_of(subject: &mut TestBox, session: u64) -> String {
-    let (ticket, order) = subject.sent(RouteAsk { session, ..ask("/file/x") });
+    let (ticket, order) = subject.sent(CallerRequest { session, ..ask("/file/x") });
     subject.feed(RouteEvent::HeadCame(ticket, head(200)));
     subject.feed(RouteEvent::Finished(ticket));
     order.version
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -1,6 +1,6 @@
 //! New versions: whose sessions they get, the verdict, and who writes it.
 
-use ravenspoke_core::route::event::{AttemptFailure, RouteAsk, RouteEffect, RouteEvent};
+use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::tally::{TrialFault, TrialTally, VersionTally};
@@ -37,7 +37,7 @@
 
 /// Version that serves a session's request, which ends with `status`.
 fn serve(subject: &mut TestBox, session: u64, status: u16) -> String {
-    let request = RouteAsk { session, ..ask("/file/x") };
+    let request = CallerRequest { session, ..ask("/file/x") };
     let (ticket, order) = subject.sent(request);
     let status = if order.version == "v2" { status } else { 200 };
     subject.feed(RouteEvent::HeadCame(ticket, head(status)));
@@ -123,7 +123,7 @@
     pass(&mut subject, 5_500);
     let served = serve_until_bad(&mut subject);
     let version = |subject: &mut TestBox, session: &u64| {
-        let (ticket, order) = subject.sent(RouteAsk { session: *session, ..ask("/file/x") });
+        let (ticket, order) = subject.sent(CallerRequest { session: *session, ..ask("/file/x") });
         subject.feed(RouteEvent::CallerLeft(ticket));
         order.version
     };
@@ -159,7 +159,7 @@
     pass(&mut subject, 5_500);
     let versions = |subject: &mut TestBox| {
         let asked = |number| {
-            let request = RouteAsk { session: session(number), ..ask("/file/x") };
+            let request = CallerRequest { session: session(number), ..ask("/file/x") };
             let (ticket, order) = subject.sent(request);
             subject.feed(RouteEvent::CallerLeft(ticket));
             order.version
@@ -171,7 +171,8 @@
     assert_eq!(versions(&mut subject), before);
     // The old version fails as well from now on, so that the new one is no worse.
     for number in 1_000..1_400 {
-        let (ticket, order) = subject.sent(RouteAsk { session: session(number), ..ask("/file/x") });
+        let (ticket, order) =
+            subject.sent(CallerRequest { session: session(number), ..ask("/file/x") });
         let status = if order.version == "v1" { 500 } else { 200 };
         subject.feed(RouteEvent::HeadCame(ticket, head(status)));
         subject.feed(RouteEvent::Finished(ticket));
@@ -186,7 +187,7 @@
     for number in 1..40 {
         let mut subject = box_on_trial();
         pass(&mut subject, 4_900);
-        let request = RouteAsk { session: session(number), ..ask("/chat/x") };
+        let request = CallerRequest { session: session(number), ..ask("/chat/x") };
         let (ticket, first) = subject.sent(request);
         assert_eq!(first.version, "v1");
         assert_eq!(
@@ -207,7 +208,7 @@
     pass(&mut subject, 5_500);
     let moved = (1..).map(session).find(|key| serve(&mut subject, *key, 200) == "v2");
     let session = moved.expect("a session that is moved");
-    let (ticket, _) = subject.sent(RouteAsk { session, ..ask("/chat/x") });
+    let (ticket, _) = subject.sent(CallerRequest { session, ..ask("/chat/x") });
     subject.feed(RouteEvent::HeadCame(ticket, head(200)));
     subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::RolledBack)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
@@ -386,7 +387,8 @@
 fn break_answers(subject: &mut TestBox, count: usize) {
     let mut broken = 0;
     for number in 1.. {
-        let (ticket, order) = subject.sent(RouteAsk { session: session(number), ..ask("/file/x") });
+        let (ticket, order) =
+            subject.sent(CallerRequest { session: session(number), ..ask("/file/x") });
         if order.version == "v2" {
             subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
             broken += 1;
