--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::bundle::BundleSpec;
 use ravenspoke_core::effect::BoxEffect;
 use ravenspoke_core::event::{
-    AttemptEnd, BoxEvent, EventStamp, RequestAsk, RequestTarget, RequestTicket,
+    AttemptEnd, BoxEvent, EventStamp, RequestDetails, RequestTarget, RequestTicket,
 };
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::replica::{ListedReplica, LoadReport};
@@ -115,7 +115,7 @@
 
 /// The arrival of a request.
 pub fn arrival(number: u64) -> BoxEvent {
-    BoxEvent::RequestArrived(RequestAsk {
+    BoxEvent::RequestArrived(RequestDetails {
         ticket: RequestTicket(number),
         id: u128::from(number),
         key_hash: caller_key(),
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -13,7 +13,7 @@
 use ravenspoke_core::appender::LogStream;
 use ravenspoke_core::attempt::RunState;
 use ravenspoke_core::effect::{AttemptOrder, BoxEffect};
-use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestAsk, RequestTarget, RequestTicket};
+use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestDetails, RequestTarget, RequestTicket};
 use ravenspoke_core::ids::RequestKey;
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::replica::{ListedReplica, LoadReport};
@@ -225,7 +225,7 @@
             let ticket = RequestTicket(index as u64 * 8 + u64::from(self.fates[index].tries));
             fleet.feed(
                 home,
-                BoxEvent::RequestArrived(RequestAsk {
+                BoxEvent::RequestArrived(RequestDetails {
                     ticket,
                     id: u128::from(ticket.0),
                     key_hash: caller_hash(&format!("account-{}", request.account)),
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -9,7 +9,7 @@
 use ravenspoke_core::bills::BillFold;
 use ravenspoke_core::bundle::BundleSpec;
 use ravenspoke_core::effect::BoxEffect;
-use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestAsk, RequestTarget, RequestTicket};
+use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestDetails, RequestTarget, RequestTicket};
 use ravenspoke_core::ids::RequestKey;
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::reason::ReasonCode;
@@ -79,7 +79,7 @@
 }
 
 pub fn ask(ticket: u64, key: &str, target: RequestTarget, caller_key: Option<&str>) -> BoxEvent {
-    BoxEvent::RequestArrived(RequestAsk {
+    BoxEvent::RequestArrived(RequestDetails {
         ticket: RequestTicket(ticket),
         id: u128::from(ticket),
         key_hash: caller_hash(key),
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::appender::LogStream;
 use ravenspoke_core::bundle::BundleSpec;
 use ravenspoke_core::effect::BoxEffect;
-use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestAsk, RequestTarget, RequestTicket};
+use ravenspoke_core::event::{AttemptEnd, BoxEvent, RequestDetails, RequestTarget, RequestTicket};
 use ravenspoke_core::ids::RequestKey;
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::replica::LoadReport;
@@ -154,7 +154,7 @@
     }
 
     fn ask(&mut self, ticket: u64, index: usize, target: RequestTarget, key: Option<String>) {
-        let ask = RequestAsk {
+        let ask = RequestDetails {
             ticket: RequestTicket(ticket),
             id: u128::from(ticket),
             key_hash: caller_hash("key"),
--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use ravenspoke_core::event::{BoxEvent, RequestAsk, RequestTarget};
+use ravenspoke_core::event::{BoxEvent, RequestDetails, RequestTarget};
 use ravenspoke_core::rollout::CLASS_COUNT;
 use rocket::data::{ByteUnit, Data, ToByteUnit};
 use rocket::http::{Method, Status};
@@ -190,7 +190,7 @@
     let (ticket, steps) = driver.open_request();
     let (head, answer) = oneshot::channel();
     let task = RequestExchange::new(tools.clone(), ticket, id, call, head);
-    driver.feed(BoxEvent::RequestArrived(RequestAsk {
+    driver.feed(BoxEvent::RequestArrived(RequestDetails {
         ticket,
         id,
         key_hash: headers.key_hash,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -51,7 +51,7 @@
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RequestAsk {
+pub struct RequestDetails {
     /// Number given by the box.
     pub ticket: RequestTicket,
     /// Request id, unique over all boxes.
@@ -135,7 +135,7 @@
         report: LoadReport,
     },
     /// A caller's request arrived.
-    RequestArrived(RequestAsk),
+    RequestArrived(RequestDetails),
     /// The box is about to write the request to the replica that it was given.
     SendBegins(RequestKey),
     /// The first token came.
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -5,7 +5,7 @@
 use crate::cascade::{CascadePlan, RungView};
 use crate::claims::{check_key, KeyError};
 use crate::effect::BoxEffect;
-use crate::event::{EventStamp, RequestAsk, RequestTarget};
+use crate::event::{EventStamp, RequestDetails, RequestTarget};
 use crate::freshness::FreshState;
 use crate::ids::{AccountKey, RequestKey};
 use crate::message::{ClaimRecord, RecordBody};
@@ -25,7 +25,7 @@
     pub(super) fn on_request(
         &mut self,
         stamp: EventStamp,
-        ask: RequestAsk,
+        ask: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) {
         self.counts.arrived += 1;
@@ -45,7 +45,7 @@
     fn admit(
         &mut self,
         stamp: EventStamp,
-        ask: RequestAsk,
+        ask: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) -> Result<(), RequestRefusal> {
         self.check_box(stamp)?;
