--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -2,7 +2,7 @@
 
 use super::event::TrialInputs;
 use super::pace::ServicePace;
-use super::pick::{BackendAsk, BackendPick, VersionWish};
+use super::pick::{BackendPick, BackendQuery, VersionWish};
 use super::placement::PromptWork;
 use super::request::RouteRequest;
 use super::trial::{TrialState, VersionTrial};
@@ -40,7 +40,7 @@
             };
             version_wish(trial, on_trial)
         });
-        let ask = BackendAsk {
+        let ask = BackendQuery {
             service: &request.service,
             version,
             work: self.prompt_work(request, size),
@@ -54,7 +54,8 @@
         };
         let wished = self.backends.pick(&ask);
         // A wish that nobody fits gives way, but never to a version that is bad.
-        let fallback = || self.backends.pick(&BackendAsk { version: fallback_wish(trial), ..ask });
+        let fallback =
+            || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..ask });
         let pick = wished.or_else(fallback)?;
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -19,7 +19,7 @@
 
 /// Which replicas a pick may take.
 #[derive(Clone, Copy, Debug)]
-pub struct BackendAsk<'a> {
+pub struct BackendQuery<'a> {
     /// Service.
     pub service: &'a str,
     /// Version wanted, if one is.
@@ -87,7 +87,7 @@
 
 impl BackendTable {
     /// Picks a replica; `None` if there is none that may be used.
-    pub fn pick(&self, ask: &BackendAsk) -> Option<BackendPick> {
+    pub fn pick(&self, ask: &BackendQuery) -> Option<BackendPick> {
         let keys = self.by_service.get(ask.service)?;
         let fits = |key: &&ReplicaKey| {
             let row = &self.rows[**key];
@@ -146,7 +146,7 @@
     }
 
     /// The lightest of some replicas drawn by chance; the box's own zone counts for something.
-    fn lightest(&self, pool: &[ReplicaKey], ask: &BackendAsk) -> Option<ReplicaKey> {
+    fn lightest(&self, pool: &[ReplicaKey], ask: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let far = if row.entry.zone == ask.zone { 0.0 } else { ZONE_MARGIN };
@@ -163,7 +163,7 @@
     fn cheapest(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendAsk,
+        ask: &BackendQuery,
         work: &PromptWork,
     ) -> Option<(ReplicaKey, ReplicaView)> {
         let holder = self.holder(pool, ask, work);
@@ -189,7 +189,7 @@
     fn holder(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendAsk,
+        ask: &BackendQuery,
         work: &PromptWork,
     ) -> Option<ReplicaKey> {
         if work.shared == 0 {
