--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -2,7 +2,7 @@
 
 use super::event::TrialInputs;
 use super::pace::ServicePace;
-use super::pick::{BackendPick, BackendQuery, VersionWish};
+use super::pick::{BackendPick, BackendQuery, VersionFilter};
 use super::placement::PromptWork;
 use super::request::RouteRequest;
 use super::trial::{TrialState, VersionTrial};
@@ -29,7 +29,7 @@
         let trial = self.trials.get(&request.service);
         let store_away = self.store_away(stamp.now);
         let share = trial.map_or(0.0, |trial| trial.share(stamp.now, store_away));
-        let version = trial.map_or(VersionWish::Any, |trial| {
+        let version = trial.map_or(VersionFilter::Any, |trial| {
             // While it is open which version stays, an answer goes on with the one that began it.
             let open =
                 trial.state == TrialState::Running && !trial.passed_over(stamp.now, store_away);
@@ -86,18 +86,18 @@
 }
 
 /// Which versions a new attempt is to go to: the one on trial, or the others.
-fn version_wish(trial: &VersionTrial, on_trial: bool) -> VersionWish<'_> {
+fn version_wish(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
     let version = trial.order.version.as_str();
     if on_trial {
-        VersionWish::Only(version)
+        VersionFilter::Only(version)
     } else {
-        VersionWish::Not(version)
+        VersionFilter::Not(version)
     }
 }
 
-fn fallback_wish(trial: Option<&VersionTrial>) -> VersionWish<'_> {
+fn fallback_wish(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
     match trial {
-        Some(trial) if trial.finds_bad() => VersionWish::Not(&trial.order.version),
-        _ => VersionWish::Any,
+        Some(trial) if trial.finds_bad() => VersionFilter::Not(&trial.order.version),
+        _ => VersionFilter::Any,
     }
 }
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -23,7 +23,7 @@
     /// Service.
     pub service: &'a str,
     /// Version wanted, if one is.
-    pub version: VersionWish<'a>,
+    pub version: VersionFilter<'a>,
     /// What reading its prompt takes, for a request with one.
     pub work: Option<PromptWork>,
     /// Availability zone of the box.
@@ -44,7 +44,7 @@
 
 /// Versions that a pick may take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionWish<'a> {
+pub enum VersionFilter<'a> {
     /// Any.
     Any,
     /// This one alone.
@@ -53,12 +53,12 @@
     Not(&'a str),
 }
 
-impl VersionWish<'_> {
+impl VersionFilter<'_> {
     fn takes(self, version: &str) -> bool {
         match self {
-            VersionWish::Any => true,
-            VersionWish::Only(wanted) => version == wanted,
-            VersionWish::Not(unwanted) => version != unwanted,
+            VersionFilter::Any => true,
+            VersionFilter::Only(wanted) => version == wanted,
+            VersionFilter::Not(unwanted) => version != unwanted,
         }
     }
 }
