--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -66,7 +66,7 @@
 
 /// What of a change is news.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendNews {
+pub enum ChangeKind {
     /// Nothing.
     None,
     /// There is a replica, or an address or version, that was not known.
@@ -265,7 +265,7 @@
         change: &BackendChange,
         now: BoxTime,
         lapse_at: Option<BoxTime>,
-    ) -> BackendNews {
+    ) -> ChangeKind {
         let known = self.ids.get(&change.id).map(|key| self.rows[*key].at);
         let known = known.or_else(|| self.gone.position(&change.id));
         // A listing did not show it, so that it was gone by then.
@@ -273,10 +273,10 @@
         // What may come back is settled by the same change, from a box that takes it for gone.
         let settled = lapse_at.is_none() && change.entry.is_none() && self.lapses(&change.id);
         if known.is_some_and(|at| at > change.at || (at == change.at && !settled)) {
-            return change.entry.as_ref().map_or(BackendNews::None, |entry| self.take_mark(entry));
+            return change.entry.as_ref().map_or(ChangeKind::None, |entry| self.take_mark(entry));
         }
         match &change.entry {
-            Some(entry) if self.gone.has_left(entry, change.at) => BackendNews::None,
+            Some(entry) if self.gone.has_left(entry, change.at) => ChangeKind::None,
             Some(entry) => self.put(entry.clone(), change.at, now),
             None => self.take_gone(&change.id, change.at, lapse_at),
         }
@@ -295,7 +295,7 @@
         listed: Vec<BackendChange>,
         now: BoxTime,
         lapse_at: Option<BoxTime>,
-    ) -> Vec<(BackendChange, BackendNews)> {
+    ) -> Vec<(BackendChange, ChangeKind)> {
         let shown: HashSet<&str> = listed.iter().map(|row| row.id.as_str()).collect();
         let missing = self.ids.keys().filter(|id| !shown.contains(id.as_str()));
         // The listing shows all changes before `end`; one at `end` is later.
@@ -308,12 +308,12 @@
         taken
     }
 
-    fn put(&mut self, entry: BackendEntry, at: TopicPosition, now: BoxTime) -> BackendNews {
+    fn put(&mut self, entry: BackendEntry, at: TopicPosition, now: BoxTime) -> ChangeKind {
         let Some(key) = self.ids.get(&entry.id).copied() else {
             self.gone.forget(&entry.id);
             let leaving = entry.leaving;
             self.insert(entry, at, now);
-            return if leaving { BackendNews::Leaving } else { BackendNews::Changed };
+            return if leaving { ChangeKind::Leaving } else { ChangeKind::Changed };
         };
         if is_other_life(&self.rows[key].entry, &entry) {
             return self.put_other_life(key, entry, at, now);
@@ -331,9 +331,9 @@
         self.lapsing.remove(&key);
         self.note_change(key, at);
         match (news, changed) {
-            (true, _) => BackendNews::Leaving,
-            (false, true) => BackendNews::Changed,
-            (false, false) => BackendNews::None,
+            (true, _) => ChangeKind::Leaving,
+            (false, true) => ChangeKind::Changed,
+            (false, false) => ChangeKind::None,
         }
     }
 
@@ -345,7 +345,7 @@
         entry: BackendEntry,
         at: TopicPosition,
         now: BoxTime,
-    ) -> BackendNews {
+    ) -> ChangeKind {
         self.remove(former);
         self.put(entry, at, now)
     }
@@ -400,20 +400,20 @@
         keys.insert(keys.partition_point(before), key);
     }
 
-    fn take_gone(&mut self, id: &str, at: TopicPosition, lapse_at: Option<BoxTime>) -> BackendNews {
+    fn take_gone(&mut self, id: &str, at: TopicPosition, lapse_at: Option<BoxTime>) -> ChangeKind {
         let Some(key) = self.ids.get(id).copied() else {
             self.gone.note(id, at, None);
-            return BackendNews::None;
+            return ChangeKind::None;
         };
         self.note_change(key, at);
         let row = &mut self.rows[key];
         if let Some(lapse_at) = lapse_at.filter(|_| !row.entry.leaving) {
             row.lapses_at.get_or_insert(lapse_at);
             self.lapsing.insert(key);
-            return BackendNews::None;
+            return ChangeKind::None;
         }
         self.remove(key);
-        BackendNews::Leaving
+        ChangeKind::Leaving
     }
 
     fn remove(&mut self, key: ReplicaKey) {
--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -3,7 +3,7 @@
 //! The store may be away as a replica says so, and other boxes have no request there: who got the answer marks the
 //! replica's entry, and tells all others, as it does with what the store tells.
 
-use super::backend::{BackendChange, BackendEntry, BackendNews, BackendTable};
+use super::backend::{BackendChange, BackendEntry, BackendTable, ChangeKind};
 use super::event::{AnswerHead, RouteEffect};
 use super::RouteState;
 use crate::event::EventStamp;
@@ -19,12 +19,12 @@
 
     /// Takes a leaving mark from an entry that is not later than the one known. Within one life of a replica it is never
     /// taken back, so the order does not matter.
-    pub(super) fn take_mark(&mut self, entry: &BackendEntry) -> BackendNews {
+    pub(super) fn take_mark(&mut self, entry: &BackendEntry) -> ChangeKind {
         let key = self.ids.get(&entry.id).copied().filter(|_| entry.leaving);
         let same_life = |key: &ReplicaKey| self.rows[*key].entry.born == entry.born;
         match key.filter(same_life).and_then(|key| self.mark_leaving(key)) {
-            Some(_) => BackendNews::Leaving,
-            None => BackendNews::None,
+            Some(_) => ChangeKind::Leaving,
+            None => ChangeKind::None,
         }
     }
 }
@@ -43,6 +43,6 @@
         }
         let Some(change) = self.backends.mark_leaving(key) else { return };
         out.push(RouteEffect::LeavingSaid(change.id.clone()));
-        self.tell(stamp, change, BackendNews::Leaving, out);
+        self.tell(stamp, change, ChangeKind::Leaving, out);
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -71,7 +71,7 @@
 use crate::time::BoxTime;
 
 use asks::AskState;
-use backend::{BackendChange, BackendNews, BackendTable};
+use backend::{BackendChange, BackendTable, ChangeKind};
 use budget::{BudgetBounds, SendBudget};
 use entries::EntryPosition;
 use evacuation::{EvacuatedZones, ZoneOrder};
@@ -318,7 +318,7 @@
 
     fn on_tick(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         for change in self.backends.drop_lapsed(stamp.now) {
-            self.tell(stamp, change, BackendNews::Leaving, out);
+            self.tell(stamp, change, ChangeKind::Leaving, out);
         }
         let evacuations = self.evacuated.drop_unseen(stamp.now);
         self.move_evacuations(stamp, evacuations, out);
@@ -404,7 +404,7 @@
     ) {
         for change in changes {
             let news = self.backends.take(&change, stamp.now, lapse_at);
-            if news == BackendNews::Leaving || source == BackendSource::Store {
+            if news == ChangeKind::Leaving || source == BackendSource::Store {
                 self.tell(stamp, change, news, out);
             }
         }
@@ -420,7 +420,7 @@
     ) {
         let all = self.backends.take_all(end, listed, stamp.now, lapse_at);
         // Who lists learns late what others know already, but for what leaves.
-        for (change, news) in all.into_iter().filter(|row| row.1 == BackendNews::Leaving) {
+        for (change, news) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
             self.tell(stamp, change, news, out);
         }
     }
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use super::backend::{BackendChange, BackendNews};
+use super::backend::{BackendChange, ChangeKind};
 use super::budget::SendCount;
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
@@ -49,13 +49,13 @@
         &mut self,
         stamp: EventStamp,
         change: BackendChange,
-        news: BackendNews,
+        news: ChangeKind,
         out: &mut Vec<RouteEffect>,
     ) {
-        if news == BackendNews::None {
+        if news == ChangeKind::None {
             return;
         }
-        if news == BackendNews::Leaving {
+        if news == ChangeKind::Leaving {
             out.push(RouteEffect::BackendLeaving(change.id.clone()));
         }
         self.rounds.changes.retain(|(_, other)| other.id != change.id);
