--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -1,7 +1,7 @@
 //! The head of an answer came: it is passed on, or another replica or a larger model is asked.
 
 use super::budget::SendCause;
-use super::deeds::BackendDeed;
+use super::deeds::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
 use super::pace::ServicePace;
 use super::sizes::{self, SizeOpinion};
@@ -28,8 +28,11 @@
         self.learn_rest(stamp, attempt.replica, head);
         self.learn_leaving(stamp, attempt.replica, head, out);
         if head.not_run || head.other_replica {
-            let deed =
-                if head.other_replica { BackendDeed::Unreachable } else { BackendDeed::Neither };
+            let deed = if head.other_replica {
+                BackendOutcome::Unreachable
+            } else {
+                BackendOutcome::Neither
+            };
             self.end_attempt(stamp, ticket, deed);
             self.try_again(stamp, ticket, RefusalReason::Full, out);
             return;
@@ -59,7 +62,7 @@
             return;
         }
         if !head.proven || (failed && relayed) {
-            self.end_attempt(stamp, ticket, BackendDeed::Failed);
+            self.end_attempt(stamp, ticket, BackendOutcome::Failed);
             self.give_up(stamp, ticket, RefusalReason::Failed, out);
             return;
         }
@@ -71,7 +74,7 @@
                 request.relayed_on_trial = request.attempt.is_some_and(|attempt| attempt.on_trial);
             }
             request.relayed = true;
-            request.deed = if failed { BackendDeed::Failed } else { BackendDeed::Served };
+            request.deed = if failed { BackendOutcome::Failed } else { BackendOutcome::Served };
         }
         out.push(RouteEffect::Relay(ticket));
     }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::deeds::BackendDeed;
+use super::deeds::BackendOutcome;
 use super::event::{CallerRequest, PromptSize, RefusalReason, RouteEffect};
 use super::plan::{KeyHolder, RouteSpec};
 use super::refuse::refusal;
@@ -71,7 +71,7 @@
             may_have_run: false,
             relayed: false,
             relayed_on_trial: false,
-            deed: BackendDeed::Served,
+            deed: BackendOutcome::Served,
             attempt: None,
             retry_after_ms: None,
             route: route.clone(),
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -4,7 +4,7 @@
 use super::admission::{latest_return, turned_away};
 use super::budget::SendCause;
 use super::choice::AttemptChoice;
-use super::deeds::{BackendDeed, DOWN_TELL_MS};
+use super::deeds::{BackendOutcome, DOWN_TELL_MS};
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
 use super::pick::BackendPick;
 use super::placement::urgency;
@@ -223,8 +223,8 @@
             return false;
         };
         let deed = match cause {
-            SendCause::LargerModel => BackendDeed::Served,
-            SendCause::Failure | SendCause::Silence => BackendDeed::Failed,
+            SendCause::LargerModel => BackendOutcome::Served,
+            SendCause::Failure | SendCause::Silence => BackendOutcome::Failed,
         };
         self.end_attempt(stamp, ticket, deed);
         self.assign(stamp, ticket, choice, out);
@@ -286,13 +286,13 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        deed: BackendDeed,
+        deed: BackendOutcome,
     ) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         if let Some(attempt) = request.attempt.take() {
             self.backends.left(attempt.replica, attempt.began);
             self.backends.ended(attempt.replica, deed, stamp.now);
-            if deed == BackendDeed::Unreachable {
+            if deed == BackendOutcome::Unreachable {
                 self.settle_ends(stamp.now);
                 self.cool_unreached(attempt.replica);
                 self.rounds.next_note =
@@ -333,8 +333,8 @@
     ) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let unwritten = match failure {
-            AttemptFailure::NeverSent => Some(BackendDeed::Unreachable),
-            AttemptFailure::Withdrawn => Some(BackendDeed::Neither),
+            AttemptFailure::NeverSent => Some(BackendOutcome::Unreachable),
+            AttemptFailure::Withdrawn => Some(BackendOutcome::Neither),
             AttemptFailure::Broken | AttemptFailure::Silent => None,
         };
         if let Some(deed) = unwritten {
@@ -351,7 +351,7 @@
             self.note_broken(stamp, ticket);
         }
         self.tally_lost(stamp, ticket);
-        self.end_attempt(stamp, ticket, BackendDeed::Failed);
+        self.end_attempt(stamp, ticket, BackendOutcome::Failed);
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.route.kind.repeatable() {
             self.try_again(stamp, ticket, RefusalReason::Failed, out);
@@ -361,8 +361,9 @@
     }
 
     pub(super) fn on_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        let deed = self.requests.get(&ticket).map_or(BackendDeed::Neither, |request| request.deed);
-        if deed == BackendDeed::Served {
+        let deed =
+            self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.deed);
+        if deed == BackendOutcome::Served {
             self.clear_content(stamp, ticket);
         }
         self.end_attempt(stamp, ticket, deed);
@@ -370,7 +371,7 @@
     }
 
     pub(super) fn on_caller_left(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        self.end_attempt(stamp, ticket, BackendDeed::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
         self.requests.remove(&ticket);
     }
 
@@ -385,7 +386,7 @@
         if !request.relayed {
             self.tally_lost(stamp, ticket);
         }
-        self.end_attempt(stamp, ticket, BackendDeed::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
         self.give_up(stamp, ticket, RefusalReason::TimeUp, out);
     }
 }
--- a/crates/core/src/route/deeds.rs
+++ b/crates/core/src/route/deeds.rs
@@ -56,7 +56,7 @@
 
 /// How well a replica did on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendDeed {
+pub enum BackendOutcome {
     /// It answered.
     Served,
     /// It failed, or broke off.
@@ -79,7 +79,7 @@
 
 impl BackendTable {
     /// Notes that a request has ended, and how well the replica did.
-    pub fn ended(&mut self, key: ReplicaKey, deed: BackendDeed, now: BoxTime) {
+    pub fn ended(&mut self, key: ReplicaKey, deed: BackendOutcome, now: BoxTime) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.outstanding = row.outstanding.saturating_sub(1);
         // It is part of what the replica reported, or was sent since; some replicas never report.
@@ -89,16 +89,16 @@
             row.since_report = row.since_report.saturating_sub(1);
         }
         match deed {
-            BackendDeed::Served => {
+            BackendOutcome::Served => {
                 row.failures = 0;
                 row.passes = 0;
             }
-            BackendDeed::Failed => row.failures += 1,
-            BackendDeed::Unreachable => {
+            BackendOutcome::Failed => row.failures += 1,
+            BackendOutcome::Unreachable => {
                 row.down_at = Some(now);
                 row.failures += PASS_OVER_FAILURES;
             }
-            BackendDeed::Neither => {}
+            BackendOutcome::Neither => {}
         }
         if row.failures >= PASS_OVER_FAILURES {
             row.pass_over(now);
