--- a/crates/core/src/route/asks.rs
+++ b/crates/core/src/route/asks.rs
@@ -4,7 +4,7 @@
 
 /// The asks of a box, and their answers.
 #[derive(Debug, Default)]
-pub(super) struct AskState {
+pub(super) struct SyncState {
     /// When the next ask is due.
     pub(super) next_ask: BoxTime,
     /// When the last ask was sent, if no answer has come.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -70,7 +70,7 @@
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-use asks::AskState;
+use asks::SyncState;
 use backend::{BackendChange, BackendTable, ChangeKind};
 use budget::{BudgetBounds, SendBudget};
 use entries::EntryPosition;
@@ -178,7 +178,7 @@
     /// Its part in reading the store for all.
     reading: StoreReading,
     /// What it asks of other boxes.
-    asks: AskState,
+    asks: SyncState,
     /// Its notes to other boxes.
     rounds: NoteRounds,
     /// Its part in what one box does for all.
@@ -212,7 +212,7 @@
             entries: EntryPosition::default(),
             start: None,
             reading: StoreReading::default(),
-            asks: AskState::default(),
+            asks: SyncState::default(),
             rounds: NoteRounds::default(),
             leader: LeaderState::default(),
             stopping_since: None,
