--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -79,7 +79,7 @@
 use fatal::FatalContents;
 use fresh::{FreshBounds, PlanFreshness};
 use leader::{LeaderBounds, LeaderState};
-use news::NoteRounds;
+use news::GossipRounds;
 use pace::ServicePace;
 use peers::{BoxCapacity, OwnStanding, PeerTable};
 use plan::{RoutePlan, RouteTable};
@@ -180,7 +180,7 @@
     /// What it asks of other boxes.
     asks: SyncState,
     /// Its notes to other boxes.
-    rounds: NoteRounds,
+    rounds: GossipRounds,
     /// Its part in what one box does for all.
     leader: LeaderState,
     /// Since when it stops.
@@ -213,7 +213,7 @@
             start: None,
             reading: StoreReading::default(),
             asks: SyncState::default(),
-            rounds: NoteRounds::default(),
+            rounds: GossipRounds::default(),
             leader: LeaderState::default(),
             stopping_since: None,
         }
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -25,7 +25,7 @@
 
 /// The notes of a box, and the news that they carry.
 #[derive(Debug, Default)]
-pub(super) struct NoteRounds {
+pub(super) struct GossipRounds {
     /// Number of the last note.
     pub(super) note_number: u64,
     /// When the next round is due.
