--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -87,7 +87,7 @@
 use region::ZoneRegions;
 use request::RouteRequest;
 use sizes::SizeLifts;
-use start::BoxStart;
+use start::StartupState;
 use trial::VersionTrial;
 
 pub use dump::RouteDump;
@@ -174,7 +174,7 @@
     /// How far the replicas' entries are known.
     entries: EntryPosition,
     /// How this box was started; `None` before the first event.
-    start: Option<BoxStart>,
+    start: Option<StartupState>,
     /// Its part in reading the store for all.
     reading: StoreReading,
     /// What it asks of other boxes.
@@ -223,7 +223,7 @@
     pub fn apply(&mut self, stamp: EventStamp, event: RouteEvent) -> Vec<RouteEffect> {
         let mut effects = Vec::new();
         let out = &mut effects;
-        self.start.get_or_insert_with(|| BoxStart::new(stamp, self.settings.is_seed));
+        self.start.get_or_insert_with(|| StartupState::new(stamp, self.settings.is_seed));
         match event {
             RouteEvent::Tick => self.on_tick(stamp, out),
             RouteEvent::PlanRead { asked_at, read_to, plan } => {
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -11,7 +11,7 @@
 use super::peers::{
     self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
-use super::start::BoxStart;
+use super::start::StartupState;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
 use crate::time::BoxTime;
@@ -205,7 +205,7 @@
         let starts = self.starts();
         let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
         let start = self.start.as_mut().filter(|_| starts);
-        let pause_ms = start.map_or(peers::ASK_EVERY_MS, BoxStart::note_ask);
+        let pause_ms = start.map_or(peers::ASK_EVERY_MS, StartupState::note_ask);
         if starts && many_know {
             pause_ms.min(peers::ASK_AGAIN_MS)
         } else {
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -4,7 +4,7 @@
 //! store, must neither wait for ever for the others nor storm the store with them.
 
 use super::event::RouteEffect;
-use super::start::BoxStart;
+use super::start::StartupState;
 use super::{peers, RouteState};
 use crate::time::BoxTime;
 
@@ -85,7 +85,7 @@
 
     /// Whether a box that was started and told nothing reads the store. Where many start together, those that come first
     /// do and tell the others; who hears of one that reads, or knows all, waits to be told.
-    fn is_own_turn(&self, start: BoxStart, now: BoxTime) -> bool {
+    fn is_own_turn(&self, start: StartupState, now: BoxTime) -> bool {
         if start.reads || now < start.read_at {
             return start.reads;
         }
--- a/crates/core/src/route/start.rs
+++ b/crates/core/src/route/start.rs
@@ -17,7 +17,7 @@
 
 /// How a box was started.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct BoxStart {
+pub(super) struct StartupState {
     /// When.
     pub(super) at: BoxTime,
     /// From when on it reads the store itself.
@@ -33,7 +33,7 @@
     asks: u32,
 }
 
-impl BoxStart {
+impl StartupState {
     /// A start now of a box that the others are told to ask, or of any other.
     pub(super) fn new(stamp: EventStamp, is_seed: bool) -> Self {
         let wait_ms = if is_seed {
