--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -83,7 +83,7 @@
 use pace::ServicePace;
 use peers::{BoxCapacity, OwnStanding, PeerTable};
 use plan::{RoutePlan, RouteTable};
-use readers::StoreReading;
+use readers::ReaderState;
 use region::ZoneRegions;
 use request::RouteRequest;
 use sizes::SizeLifts;
@@ -176,7 +176,7 @@
     /// How this box was started; `None` before the first event.
     start: Option<StartupState>,
     /// Its part in reading the store for all.
-    reading: StoreReading,
+    reading: ReaderState,
     /// What it asks of other boxes.
     asks: SyncState,
     /// Its notes to other boxes.
@@ -211,7 +211,7 @@
             orders_era: 0,
             entries: EntryPosition::default(),
             start: None,
-            reading: StoreReading::default(),
+            reading: ReaderState::default(),
             asks: SyncState::default(),
             rounds: GossipRounds::default(),
             leader: LeaderState::default(),
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -26,7 +26,7 @@
 
 /// A box's part in reading the store for all.
 #[derive(Debug, Default)]
-pub(super) struct StoreReading {
+pub(super) struct ReaderState {
     /// When a call to the store last failed, if none succeeded since.
     pub(super) cut_at: Option<BoxTime>,
     /// From when on it reads for the others, if it is one of the readers.
