--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -81,7 +81,7 @@
 use leader::{LeaderBounds, LeaderState};
 use news::GossipRounds;
 use pace::ServicePace;
-use peers::{BoxCapacity, OwnStanding, PeerTable};
+use peers::{BoxCapacity, LocalPeer, PeerTable};
 use plan::{RoutePlan, RouteTable};
 use readers::ReaderState;
 use region::ZoneRegions;
@@ -486,11 +486,11 @@
     }
 
     /// This box among the candidates for a duty.
-    fn standing(&self, now: BoxTime) -> OwnStanding<'_> {
+    fn standing(&self, now: BoxTime) -> LocalPeer<'_> {
         let serves = self.open(now) || self.reads_for_others(now);
         let (cut, open_since) = (self.is_cut(now), self.reading.open_since);
         let strong = self.settings.capacity.is_strong();
-        OwnStanding { name: &self.settings.name, serves, cut, strong, open_since }
+        LocalPeer { name: &self.settings.name, serves, cut, strong, open_since }
     }
 
     /// Requests in hand.
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -35,7 +35,7 @@
 
 /// This box among the candidates for a duty.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnStanding<'a> {
+pub struct LocalPeer<'a> {
     /// Its name.
     pub name: &'a str,
     /// Whether callers may be sent to it, or it reads the store for the others.
@@ -48,7 +48,7 @@
     pub open_since: Option<BoxTime>,
 }
 
-impl OwnStanding<'_> {
+impl LocalPeer<'_> {
     /// Whether another box serves or reads, or may do so by now.
     fn may_serve(&self, other: &PeerState) -> bool {
         other.card.serves() || self.open_since.is_some_and(|since| other.heard_at < since)
@@ -67,12 +67,12 @@
 }
 
 impl CandidateKey {
-    fn of_own(me: &OwnStanding) -> Self {
+    fn of_own(me: &LocalPeer) -> Self {
         let hash = xxh3_64(me.name.as_bytes());
         Self { cut: me.cut, idle: !me.serves, weak: !me.strong, hash }
     }
 
-    fn of_other(me: &OwnStanding, name: &str, other: &PeerState) -> Self {
+    fn of_other(me: &LocalPeer, name: &str, other: &PeerState) -> Self {
         let (idle, hash) = (!me.may_serve(other), xxh3_64(name.as_bytes()));
         Self { cut: other.card.cut, idle, weak: !other.card.strong, hash }
     }
@@ -83,7 +83,7 @@
 
 impl PeerTable {
     /// Boxes that may have duties, this one included, in their order.
-    fn candidates(&self, me: &OwnStanding, now: BoxTime) -> Vec<Candidate<'_>> {
+    fn candidates(&self, me: &LocalPeer, now: BoxTime) -> Vec<Candidate<'_>> {
         let key = |name: &str, row: &PeerState| CandidateKey::of_other(me, name, row);
         let others = self.living(now).map(|(name, row)| (key(name, row), Some(name.as_str())));
         let mut all: Vec<Candidate> = others.chain([(CandidateKey::of_own(me), None)]).collect();
@@ -104,7 +104,7 @@
     }
 
     /// Whether this box is one of the readers, and where the others of them hear notes.
-    pub fn readers(&self, me: &OwnStanding, now: BoxTime) -> (bool, Vec<String>) {
+    pub fn readers(&self, me: &LocalPeer, now: BoxTime) -> (bool, Vec<String>) {
         let mut all = self.candidates(me, now);
         all.truncate(self.reader_count(now));
         let own = all.iter().any(|(_, name)| name.is_none());
@@ -113,7 +113,7 @@
     }
 
     /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
-    pub fn leads(&self, me: &OwnStanding, now: BoxTime) -> Vec<PeerSummary> {
+    pub fn leads(&self, me: &LocalPeer, now: BoxTime) -> Vec<PeerSummary> {
         if self.all_are_told() {
             return Vec::new();
         }
@@ -134,7 +134,7 @@
     }
 
     /// How many boxes come before this one in a duty that one box has.
-    pub fn rank(&self, me: &OwnStanding, now: BoxTime) -> usize {
+    pub fn rank(&self, me: &LocalPeer, now: BoxTime) -> usize {
         let own = CandidateKey::of_own(me);
         let before =
             |(name, row): &(&String, &PeerState)| CandidateKey::of_other(me, name, row) < own;
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -15,7 +15,7 @@
 
 use serde::Serialize;
 
-pub use duties::{BoxCapacity, OwnStanding};
+pub use duties::{BoxCapacity, LocalPeer};
 pub use table::{PeerState, PeerTable};
 
 use super::backend::BackendChange;
