--- a/crates/core/src/route/fatal/mod.rs
+++ b/crates/core/src/route/fatal/mod.rs
@@ -110,11 +110,11 @@
 
 /// Contents under which replicas ended lately, by their hashes.
 #[derive(Debug, Default)]
-pub(super) struct FatalContents {
+pub(super) struct PoisonContents {
     rows: HashMap<u64, ContentRecord>,
 }
 
-impl FatalContents {
+impl PoisonContents {
     /// The record of a content, where there may have to be room for it.
     fn row(&mut self, content: u64) -> &mut ContentRecord {
         if self.rows.len() >= CONTENT_LIMIT && !self.rows.contains_key(&content) {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -76,7 +76,7 @@
 use entries::EntryPosition;
 use evacuation::{EvacuatedZones, ZoneOrder};
 use event::{RouteEffect, RouteEvent};
-use fatal::FatalContents;
+use fatal::PoisonContents;
 use fresh::{FreshBounds, PlanFreshness};
 use leader::{LeaderBounds, LeaderState};
 use news::GossipRounds;
@@ -150,7 +150,7 @@
     /// Availability zones whose replicas get nothing.
     evacuated: EvacuatedZones,
     /// What replicas ended under.
-    fatal: FatalContents,
+    fatal: PoisonContents,
     peers: PeerTable,
     trials: BTreeMap<String, VersionTrial>,
     /// When a verdict became due or was last sent to the store, by service.
@@ -196,7 +196,7 @@
             table: RouteTable::default(),
             fresh: PlanFreshness::default(),
             evacuated: EvacuatedZones::default(),
-            fatal: FatalContents::default(),
+            fatal: PoisonContents::default(),
             peers: PeerTable::default(),
             trials: BTreeMap::new(),
             verdict_at: BTreeMap::new(),
