--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -11,7 +11,7 @@
 
 use super::backlog::ReplicaBacklog;
 use super::deeds::LostAnswer;
-use super::gone::GoneReplicas;
+use super::gone::ReplicaTombstones;
 use super::held::HeldParts;
 use super::leader::scale::ZoneStock;
 use super::limit::ReplicaLimit;
@@ -161,7 +161,7 @@
     by_change: BTreeMap<TopicPosition, BTreeSet<ReplicaKey>>,
     /// Those whose entries vanished while the store was unsound.
     lapsing: BTreeSet<ReplicaKey>,
-    gone: GoneReplicas,
+    gone: ReplicaTombstones,
     /// Position up to which the last whole listing showed all.
     listed_to: TopicPosition,
     /// Whether a replica is cold in which this box's part was not worked out yet.
--- a/crates/core/src/route/gone.rs
+++ b/crates/core/src/route/gone.rs
@@ -20,7 +20,7 @@
 
 /// Replicas that are gone, by id.
 #[derive(Debug, Default)]
-pub(super) struct GoneReplicas {
+pub(super) struct ReplicaTombstones {
     rows: HashMap<String, GoneReplica>,
     /// In the order in which they went.
     by_change: BTreeSet<(TopicPosition, String)>,
@@ -28,7 +28,7 @@
     kept_from: TopicPosition,
 }
 
-impl GoneReplicas {
+impl ReplicaTombstones {
     /// The position at which a replica was gone, if it is known to be.
     pub(super) fn position(&self, id: &str) -> Option<TopicPosition> {
         self.rows.get(id).map(|row| row.at)
