--- a/crates/core/src/route/gone.rs
+++ b/crates/core/src/route/gone.rs
@@ -11,7 +11,7 @@
 
 /// A replica that is gone.
 #[derive(Debug)]
-struct GoneReplica {
+struct ReplicaTombstone {
     /// Position of that in the store.
     at: TopicPosition,
     /// Its last entry, if it had said that it leaves.
@@ -21,7 +21,7 @@
 /// Replicas that are gone, by id.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaTombstones {
-    rows: HashMap<String, GoneReplica>,
+    rows: HashMap<String, ReplicaTombstone>,
     /// In the order in which they went.
     by_change: BTreeSet<(TopicPosition, String)>,
     /// Position from which on none was forgotten.
@@ -52,7 +52,7 @@
         }
         self.forget(id);
         self.by_change.insert((at, id.to_owned()));
-        self.rows.insert(id.to_owned(), GoneReplica { at, left });
+        self.rows.insert(id.to_owned(), ReplicaTombstone { at, left });
     }
 
     /// Forgets one that is there again.
