--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -12,7 +12,7 @@
 use super::backlog::ReplicaBacklog;
 use super::deeds::LostAnswer;
 use super::gone::ReplicaTombstones;
-use super::held::HeldParts;
+use super::held::PrefixCache;
 use super::leader::scale::ZoneStock;
 use super::limit::ReplicaLimit;
 use super::sender::SenderPart;
@@ -118,7 +118,7 @@
     pub backlog: ReplicaBacklog,
     /// Prompts' shared parts that it holds.
     #[serde(skip)]
-    pub(super) held: HeldParts,
+    pub(super) held: PrefixCache,
     /// Answers that it left out lately, the oldest first.
     #[serde(skip)]
     pub lost: Vec<LostAnswer>,
@@ -388,7 +388,7 @@
             down_at: None,
             lapses_at: None,
             backlog: ReplicaBacklog::default(),
-            held: HeldParts::default(),
+            held: PrefixCache::default(),
             lost: Vec::new(),
             entry,
         });
--- a/crates/core/src/route/held.rs
+++ b/crates/core/src/route/held.rs
@@ -13,9 +13,9 @@
 
 /// Shared parts held by one replica, by [`super::placement::PromptWork::shared`].
 #[derive(Clone, Debug, Default)]
-pub struct HeldParts(HashMap<u64, BoxTime>);
+pub struct PrefixCache(HashMap<u64, BoxTime>);
 
-impl HeldParts {
+impl PrefixCache {
     /// Whether they are held.
     pub fn holds(&self, shared: u64, now: BoxTime) -> bool {
         self.0.get(&shared).is_some_and(|at| now.millis_since(*at) < HELD_MS)
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -9,7 +9,7 @@
 use ravenspoke_core::route::event::{
     AnswerHead, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
-use ravenspoke_core::route::held::{HeldParts, HELD_MS};
+use ravenspoke_core::route::held::{PrefixCache, HELD_MS};
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::pace::{LearntPace, LearntTime, ServicePace};
 use ravenspoke_core::route::placement::{
@@ -259,7 +259,7 @@
 
 #[test]
 fn held_parts_are_forgotten_after_a_while() {
-    let mut held = HeldParts::default();
+    let mut held = PrefixCache::default();
     held.note(7, BoxTime::from_millis(1_000));
     assert!(held.holds(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
     assert!(!held.holds(7, BoxTime::from_millis(1_000 + HELD_MS)));
