--- a/crates/core/src/route/rest.rs
+++ b/crates/core/src/route/rest.rs
@@ -34,7 +34,7 @@
 }
 
 /// Replicas of a service of which none takes more for now, for their rests and limits.
-pub(super) struct HeldBackService {
+pub(super) struct ThrottledService {
     /// From when on this box may send to one of them; `None` if that is not known.
     pub(super) next_at: Option<BoxTime>,
 }
@@ -48,12 +48,12 @@
     }
 
     /// Whether all replicas of a service that may be used at all take no more for now.
-    pub(super) fn all_held_back(&self, service: &str, now: BoxTime) -> Option<HeldBackService> {
+    pub(super) fn all_held_back(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
         let keys = self.by_service.get(service)?;
         let rows = || keys.iter().map(|key| &self.rows[*key]).filter(|row| row.usable(now));
         let held_back = rows().count() > 0 && rows().all(|row| !row.takes_more(now));
         let next_at = rows().filter_map(|row| row.next_at(now)).min();
-        held_back.then_some(HeldBackService { next_at })
+        held_back.then_some(ThrottledService { next_at })
     }
 }
 
