--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -86,7 +86,7 @@
 use readers::ReaderState;
 use region::ZoneRegions;
 use request::RouteRequest;
-use sizes::SizeLifts;
+use sizes::ConfidenceGains;
 use start::StartupState;
 use trial::VersionTrial;
 
@@ -159,7 +159,7 @@
     mark_at: BTreeMap<String, BoxTime>,
     budgets: HashMap<String, SendBudget>,
     /// How much surer larger models are, by service.
-    lifts: HashMap<String, SizeLifts>,
+    lifts: HashMap<String, ConfidenceGains>,
     /// Paces of the models, by service.
     paces: HashMap<String, ServicePace>,
     requests: HashMap<RequestTicket, RouteRequest>,
--- a/crates/core/src/route/sizes.rs
+++ b/crates/core/src/route/sizes.rs
@@ -49,9 +49,9 @@
 
 /// How much surer each model is than the smallest of its answers to the same requests.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct SizeLifts(Vec<f64>);
+pub struct ConfidenceGains(Vec<f64>);
 
-impl SizeLifts {
+impl ConfidenceGains {
     /// Learns from two opinions of answers to one request. Opinions at the ends of the scale are cut off
     /// there and say nothing of the distance.
     pub fn learn(&mut self, smaller: SizeOpinion, larger: SizeOpinion) {
@@ -77,7 +77,7 @@
 pub fn next_size(
     count: usize,
     opinion: SizeOpinion,
-    lifts: &SizeLifts,
+    lifts: &ConfidenceGains,
     part_of: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let last = count.checked_sub(1).filter(|last| opinion.size < *last)?;
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -6,7 +6,7 @@
 };
 
 use ravenspoke_core::route::sizes::{
-    next_size, sure_enough, SizeLifts, SizeOpinion, AT_ONCE, NEUTRAL,
+    next_size, sure_enough, ConfidenceGains, SizeOpinion, AT_ONCE, NEUTRAL,
 };
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_middle_model_is_asked_where_the_largest_is_far_off_and_it_is_expected_to_do() {
-    let mut lifts = SizeLifts::default();
+    let mut lifts = ConfidenceGains::default();
     for _ in 0..200 {
         lifts.learn(opinion(0, 30), opinion(1, 45));
     }
@@ -127,7 +127,7 @@
 
 #[test]
 fn opinions_at_the_ends_of_the_scale_teach_nothing() {
-    let mut lifts = SizeLifts::default();
+    let mut lifts = ConfidenceGains::default();
     let before = lifts.expected(1, 10);
     for _ in 0..100 {
         lifts.learn(opinion(0, 0), opinion(1, 90));
