--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -4,7 +4,7 @@
 use super::deeds::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
 use super::pace::ServicePace;
-use super::sizes::{self, SizeOpinion};
+use super::sizes::{self, ModelConfidence};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
@@ -92,7 +92,7 @@
         let Some(sure) = head.confidence else { return false };
         // The replica did nothing wrong, and it may hold the prompt's shared parts.
         let tried = request.tried.pop();
-        let next = self.next_size(stamp, ticket, SizeOpinion { size, sure });
+        let next = self.next_size(stamp, ticket, ModelConfidence { size, sure });
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(next) = next else {
             request.tried.extend(tried);
@@ -114,7 +114,7 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        opinion: SizeOpinion,
+        opinion: ModelConfidence,
     ) -> Option<usize> {
         let request = self.requests.get_mut(&ticket)?;
         let lifts = self.lifts.entry(request.service.clone()).or_default();
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -3,7 +3,7 @@
 use super::deeds::BackendOutcome;
 use super::event::PromptSize;
 use super::plan::RouteSpec;
-use super::sizes::SizeOpinion;
+use super::sizes::ModelConfidence;
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
@@ -27,7 +27,7 @@
     /// Row of `route.sizes` that answers, where the router chooses.
     pub(super) size: Option<usize>,
     /// What its model thought of the last answer that was dropped or kept.
-    pub(super) opinion: Option<SizeOpinion>,
+    pub(super) opinion: Option<ModelConfidence>,
     pub(super) arrived: BoxTime,
     pub(super) deadline: BoxTime,
     pub(super) tried: Vec<ReplicaKey>,
--- a/crates/core/src/route/sizes.rs
+++ b/crates/core/src/route/sizes.rs
@@ -40,7 +40,7 @@
 
 /// An opinion of the model in row `size` of its own answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SizeOpinion {
+pub struct ModelConfidence {
     /// Row among the route's models.
     pub size: usize,
     /// How sure it is, 0 to 100.
@@ -54,8 +54,8 @@
 impl ConfidenceGains {
     /// Learns from two opinions of answers to one request. Opinions at the ends of the scale are cut off
     /// there and say nothing of the distance.
-    pub fn learn(&mut self, smaller: SizeOpinion, larger: SizeOpinion) {
-        let cut = |opinion: SizeOpinion| opinion.sure == 0 || opinion.sure >= 100;
+    pub fn learn(&mut self, smaller: ModelConfidence, larger: ModelConfidence) {
+        let cut = |opinion: ModelConfidence| opinion.sure == 0 || opinion.sure >= 100;
         if smaller.size >= larger.size || cut(smaller) || cut(larger) {
             return;
         }
@@ -76,7 +76,7 @@
 /// after which an answer of a model would begin.
 pub fn next_size(
     count: usize,
-    opinion: SizeOpinion,
+    opinion: ModelConfidence,
     lifts: &ConfidenceGains,
     part_of: impl Fn(usize) -> f64,
 ) -> Option<usize> {
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -6,7 +6,7 @@
 };
 
 use ravenspoke_core::route::sizes::{
-    next_size, sure_enough, ConfidenceGains, SizeOpinion, AT_ONCE, NEUTRAL,
+    next_size, sure_enough, ConfidenceGains, ModelConfidence, AT_ONCE, NEUTRAL,
 };
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
@@ -105,8 +105,8 @@
     assert_eq!(sure_enough(7.0), 0.0);
 }
 
-fn opinion(size: usize, sure: u8) -> SizeOpinion {
-    SizeOpinion { size, sure }
+fn opinion(size: usize, sure: u8) -> ModelConfidence {
+    ModelConfidence { size, sure }
 }
 
 #[test]
