--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -3,7 +3,7 @@
 use super::budget::SendCause;
 use super::deeds::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
-use super::pace::ServicePace;
+use super::pace::ServiceLatency;
 use super::sizes::{self, ModelConfidence};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
@@ -21,7 +21,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(attempt) = request.attempt else { return };
         if let Some(load) = head.load {
-            let mean_ms = self.paces.get(&request.service).map_or(0.0, ServicePace::mean_ms);
+            let mean_ms = self.paces.get(&request.service).map_or(0.0, ServiceLatency::mean_ms);
             self.backends.reported(attempt.replica, load, mean_ms, stamp.now);
         }
         self.learn_limit(stamp, attempt.replica, head, out);
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,7 +1,7 @@
 //! Which replica a request's next attempt would go to: the version of its trial, and what its prompt takes.
 
 use super::event::TrialInputs;
-use super::pace::ServicePace;
+use super::pace::ServiceLatency;
 use super::pick::{BackendPick, BackendQuery, VersionFilter};
 use super::placement::PromptWork;
 use super::request::RouteRequest;
@@ -72,7 +72,7 @@
         size: Option<usize>,
     ) -> Option<PromptWork> {
         let prompt = request.prompt?;
-        let unknown = ServicePace::default();
+        let unknown = ServiceLatency::default();
         let pace = self.paces.get(&request.service).unwrap_or(&unknown);
         let size = size.unwrap_or(0);
         let shared = if request.affinity == 0 { 0 } else { mix(request.affinity ^ size as u64) };
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -80,7 +80,7 @@
 use fresh::{FreshBounds, PlanFreshness};
 use leader::{LeaderBounds, LeaderState};
 use news::GossipRounds;
-use pace::ServicePace;
+use pace::ServiceLatency;
 use peers::{BoxCapacity, LocalPeer, PeerTable};
 use plan::{RoutePlan, RouteTable};
 use readers::ReaderState;
@@ -161,7 +161,7 @@
     /// How much surer larger models are, by service.
     lifts: HashMap<String, ConfidenceGains>,
     /// Paces of the models, by service.
-    paces: HashMap<String, ServicePace>,
+    paces: HashMap<String, ServiceLatency>,
     requests: HashMap<RequestTicket, RouteRequest>,
     /// Until then entries that vanish may come back: the store was away.
     lapse_at: Option<BoxTime>,
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -7,7 +7,7 @@
 use super::budget::SendCount;
 use super::entries::EntryAnswer;
 use super::event::RouteEffect;
-use super::pace::{LatencyUpdate, ServicePace};
+use super::pace::{LatencyUpdate, ServiceLatency};
 use super::peers::{
     self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
@@ -262,7 +262,7 @@
         self.move_evacuations(stamp, evacuations, out);
         self.hear_entries(stamp, note, out);
         let paces = &self.paces;
-        let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServicePace::mean_ms);
+        let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
         for told in &note.loads {
             self.backends.hear_load(told, &mean_ms, stamp.now);
         }
--- a/crates/core/src/route/pace.rs
+++ b/crates/core/src/route/pace.rs
@@ -129,13 +129,13 @@
 
 /// Paces of a service's models.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct ServicePace {
+pub struct ServiceLatency {
     /// By row among the route's models; the first also where callers name their own.
     models: Vec<ModelPace>,
     mean_ms: f64,
 }
 
-impl ServicePace {
+impl ServiceLatency {
     /// Time to read `tokens` with the model in row `size`, in milliseconds.
     pub fn read_ms(&self, size: usize, tokens: f64) -> f64 {
         self.model(size).token_ms.value * tokens
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -11,7 +11,7 @@
 };
 use ravenspoke_core::route::held::{PrefixCache, HELD_MS};
 use ravenspoke_core::route::loads::BackendLoad;
-use ravenspoke_core::route::pace::{LearntPace, LearntTime, ServicePace};
+use ravenspoke_core::route::pace::{LearntPace, LearntTime, ServiceLatency};
 use ravenspoke_core::route::placement::{
     PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
 };
@@ -241,7 +241,7 @@
 
 #[test]
 fn the_pace_of_each_model_is_learnt_whatever_a_few_answers_say() {
-    let mut pace = ServicePace::default();
+    let mut pace = ServiceLatency::default();
     for round in 0..400 {
         // One answer in five was held up for two seconds.
         let held_up = if round % 5 == 0 { 2_000.0 } else { 0.0 };
@@ -307,8 +307,8 @@
 }
 
 /// A pace of which `answers` answers have told that a token takes `token_ms`.
-fn learnt(token_ms: f64, answers: usize) -> ServicePace {
-    let mut pace = ServicePace::default();
+fn learnt(token_ms: f64, answers: usize) -> ServiceLatency {
+    let mut pace = ServiceLatency::default();
     for _ in 0..answers {
         pace.learn(0, 10_000.0, 20.0 + 10_000.0 * token_ms);
     }
@@ -318,7 +318,7 @@
 #[test]
 fn a_box_that_has_seen_no_answer_takes_the_pace_that_others_have_learnt() {
     let known = learnt(0.2, 100);
-    let mut started = ServicePace::default();
+    let mut started = ServiceLatency::default();
 
     started.hear(&known.told());
 
