--- a/crates/core/src/route/pace.rs
+++ b/crates/core/src/route/pace.rs
@@ -54,7 +54,7 @@
 
 /// What a box tells of the pace of one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LearntPace {
+pub struct ModelLatency {
     /// Time to read a token.
     pub token: LearntTime,
     /// Time to begin an answer without its prompt.
@@ -67,7 +67,7 @@
     /// Service.
     pub service: String,
     /// By row among the route's models.
-    pub models: Vec<LearntPace>,
+    pub models: Vec<ModelLatency>,
 }
 
 /// A running quantile, by steps towards each value.
@@ -159,8 +159,8 @@
     }
 
     /// What is told to other boxes.
-    pub fn told(&self) -> Vec<LearntPace> {
-        let told = |pace: &ModelPace| LearntPace {
+    pub fn told(&self) -> Vec<ModelLatency> {
+        let told = |pace: &ModelPace| ModelLatency {
             token: pace.token_ms.told(),
             begin: pace.begin_ms.told(),
         };
@@ -168,7 +168,7 @@
     }
 
     /// Takes what another box has learnt of models that this one knows of.
-    pub fn hear(&mut self, models: &[LearntPace]) {
+    pub fn hear(&mut self, models: &[ModelLatency]) {
         let count = models.len().min(MODELS_HEARD);
         if self.models.len() < count {
             self.models.resize(count, ModelPace::default());
