--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
-use ravenspoke_core::route::pace::{LatencyUpdate, LearntTime, ModelLatency};
+use ravenspoke_core::route::pace::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
 use super::position::{read_position, WirePosition};
@@ -98,7 +98,7 @@
 }
 
 pub(super) fn read_pace(wire: WirePace) -> LatencyUpdate {
-    let time = |ms, answers| LearntTime { ms: f64::from(ms), answers: f64::from(answers) };
+    let time = |ms, answers| LatencyEstimate { ms: f64::from(ms), answers: f64::from(answers) };
     let models = wire.models.into_iter().map(|pace| ModelLatency {
         token: time(pace.token_ms, pace.token_answers),
         begin: time(pace.begin_ms, pace.begin_answers),
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -9,7 +9,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::entries::{EntryQuery, ListingPage, CHANGES_TOLD};
-use ravenspoke_core::route::pace::{LatencyUpdate, LearntTime, ModelLatency};
+use ravenspoke_core::route::pace::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::peers::{
     BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, PeerSummary, PlanPosition, SyncRequest,
 };
@@ -65,8 +65,8 @@
 }
 
 fn pace(token_ms: f64) -> ModelLatency {
-    let token = LearntTime { ms: token_ms, answers: 12.0 };
-    ModelLatency { token, begin: LearntTime { ms: 32.0, answers: 30.0 } }
+    let token = LatencyEstimate { ms: token_ms, answers: 12.0 };
+    ModelLatency { token, begin: LatencyEstimate { ms: 32.0, answers: 30.0 } }
 }
 
 fn answer() -> GossipMessage {
--- a/crates/core/src/route/pace.rs
+++ b/crates/core/src/route/pace.rs
@@ -45,7 +45,7 @@
 
 /// What a box tells of a quantile that it learnt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct LearntTime {
+pub struct LatencyEstimate {
     /// The time, in milliseconds.
     pub ms: f64,
     /// Answers behind it, up to those after which it is known.
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelLatency {
     /// Time to read a token.
-    pub token: LearntTime,
+    pub token: LatencyEstimate,
     /// Time to begin an answer without its prompt.
-    pub begin: LearntTime,
+    pub begin: LatencyEstimate,
 }
 
 /// What a box tells of the paces of a service's models.
@@ -90,12 +90,12 @@
         self.value *= (2.0 * step).exp();
     }
 
-    fn told(&self) -> LearntTime {
-        LearntTime { ms: self.value, answers: self.seen.min(KNOWN_ANSWERS) }
+    fn told(&self) -> LatencyEstimate {
+        LatencyEstimate { ms: self.value, answers: self.seen.min(KNOWN_ANSWERS) }
     }
 
     /// Comes nearer to what another box has learnt, by how much each of them has seen.
-    fn hear(&mut self, other: LearntTime) {
+    fn hear(&mut self, other: LatencyEstimate) {
         let sound = other.ms.is_finite() && other.ms > 0.0 && other.answers.is_finite();
         if !sound || other.answers < 1.0 {
             return;
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -11,7 +11,7 @@
 };
 use ravenspoke_core::route::held::{PrefixCache, HELD_MS};
 use ravenspoke_core::route::loads::BackendLoad;
-use ravenspoke_core::route::pace::{LearntTime, ModelLatency, ServiceLatency};
+use ravenspoke_core::route::pace::{LatencyEstimate, ModelLatency, ServiceLatency};
 use ravenspoke_core::route::placement::{
     PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
 };
@@ -362,7 +362,7 @@
     let mut known = learnt(0.2, 100);
     let before = known.read_ms(0, 10_000.0);
     for ms in [0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let time = LearntTime { ms, answers: 30.0 };
+        let time = LatencyEstimate { ms, answers: 30.0 };
         known.hear(&[ModelLatency { token: time, begin: time }]);
     }
     assert_eq!(known.read_ms(0, 10_000.0), before);
