--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -3,7 +3,7 @@
 use prost::{Enumeration, Message};
 use ravenspoke_core::route::peers::TrialUpdate;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
-use ravenspoke_core::route::tally::{TrialTally, VersionTally};
+use ravenspoke_core::route::tally::{TrialTally, VersionStats};
 use ravenspoke_core::route::trial::{TrialState, TrialVerdict};
 
 #[derive(Clone, PartialEq, Message)]
@@ -97,7 +97,7 @@
     state: u32,
 }
 
-fn write_tally(tally: &VersionTally) -> WireTally {
+fn write_tally(tally: &VersionStats) -> WireTally {
     WireTally {
         runs: tally.runs as f32,
         bad: tally.bad as f32,
@@ -107,9 +107,9 @@
     }
 }
 
-fn read_tally(tally: Option<WireTally>) -> VersionTally {
+fn read_tally(tally: Option<WireTally>) -> VersionStats {
     let tally = tally.unwrap_or_default();
-    VersionTally {
+    VersionStats {
         runs: f64::from(tally.runs),
         bad: f64::from(tally.bad),
         timed: f64::from(tally.timed),
--- a/crates/core/src/route/tally.rs
+++ b/crates/core/src/route/tally.rs
@@ -26,7 +26,7 @@
 
 /// Counts of the answers of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct VersionTally {
+pub struct VersionStats {
     /// Answers, failed ones included.
     pub runs: f64,
     /// Failures.
@@ -39,7 +39,7 @@
     pub log_square: f64,
 }
 
-impl VersionTally {
+impl VersionStats {
     /// Adds an answer: whether it failed, and how long it took if that says something.
     pub fn add(&mut self, bad: bool, took_ms: Option<f64>) {
         self.runs += 1.0;
@@ -53,7 +53,7 @@
     }
 
     /// Adds another tally.
-    pub fn join(&mut self, other: &VersionTally) {
+    pub fn join(&mut self, other: &VersionStats) {
         self.runs += other.runs;
         self.bad += other.bad;
         self.timed += other.timed;
@@ -79,9 +79,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TrialTally {
     /// The version on trial.
-    pub fresh: VersionTally,
+    pub fresh: VersionStats,
     /// The others.
-    pub base: VersionTally,
+    pub base: VersionStats,
 }
 
 /// How a version does worse than the others.
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -3,7 +3,7 @@
 use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
-use ravenspoke_core::route::tally::{TrialFault, TrialTally, VersionTally};
+use ravenspoke_core::route::tally::{TrialFault, TrialTally, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, TRIAL_SHARE};
 use ravenspoke_core::time::BoxTime;
 
@@ -343,7 +343,7 @@
 /// Runs and failures of the version on trial and of the others, as this box saw them.
 fn tallied(subject: &TestBox) -> [(f64, f64); 2] {
     let dump = subject.state.dump(Default::default());
-    let sum = |side: fn(&TrialTally) -> &VersionTally| {
+    let sum = |side: fn(&TrialTally) -> &VersionStats| {
         let rows = dump.trials[0].own.values().map(side);
         rows.fold((0.0, 0.0), |sum, row| (sum.0 + row.runs, sum.1 + row.bad))
     };
@@ -453,8 +453,8 @@
 }
 
 /// A tally of `quick` answers of 100 ms and `slow` ones that take six times as long.
-fn timed(quick: u32, slow: u32) -> VersionTally {
-    let mut tally = VersionTally::default();
+fn timed(quick: u32, slow: u32) -> VersionStats {
+    let mut tally = VersionStats::default();
     (0..quick).for_each(|_| tally.add(false, Some(100.0)));
     (0..slow).for_each(|_| tally.add(false, Some(600.0)));
     tally
