--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -3,7 +3,7 @@
 use prost::{Enumeration, Message};
 use ravenspoke_core::route::peers::TrialUpdate;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
-use ravenspoke_core::route::tally::{TrialTally, VersionStats};
+use ravenspoke_core::route::tally::{TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialState, TrialVerdict};
 
 #[derive(Clone, PartialEq, Message)]
@@ -119,7 +119,7 @@
 }
 
 pub(super) fn write_trial(trial: &TrialUpdate) -> WireTrial {
-    let route = |(route, tally): (&String, &TrialTally)| WireRoute {
+    let route = |(route, tally): (&String, &TrialStats)| WireRoute {
         route: route.clone(),
         fresh: Some(write_tally(&tally.fresh)),
         base: Some(write_tally(&tally.base)),
@@ -153,7 +153,7 @@
         carries_at_ms: marked.carries_at_ms,
     };
     let route = |row: WireRoute| {
-        let tally = TrialTally { fresh: read_tally(row.fresh), base: read_tally(row.base) };
+        let tally = TrialStats { fresh: read_tally(row.fresh), base: read_tally(row.base) };
         (row.route, tally)
     };
     TrialUpdate {
--- a/crates/core/src/route/tally.rs
+++ b/crates/core/src/route/tally.rs
@@ -77,7 +77,7 @@
 
 /// Tallies of one route: the version on trial beside the others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct TrialTally {
+pub struct TrialStats {
     /// The version on trial.
     pub fresh: VersionStats,
     /// The others.
@@ -101,10 +101,10 @@
     /// What it does worse.
     pub fault: TrialFault,
     /// The answers that show it.
-    pub tally: TrialTally,
+    pub tally: TrialStats,
 }
 
-impl TrialTally {
+impl TrialStats {
     /// What the version on trial does worse than chance explains, if anything.
     pub fn fault(&self) -> Option<TrialFault> {
         if self.fails_more() {
@@ -143,4 +143,4 @@
 }
 
 /// Tallies by route name.
-pub type RouteTallies = BTreeMap<String, TrialTally>;
+pub type RouteTallies = BTreeMap<String, TrialStats>;
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::progress::{TrialMark, TrialPhase, TrialProgress};
-use super::tally::{RouteTallies, TrialFinding, TrialTally};
+use super::tally::{RouteTallies, TrialFinding, TrialStats};
 use crate::replica::mix;
 use crate::time::BoxTime;
 
@@ -185,7 +185,7 @@
 
     /// Answers of the version so far, on all boxes, and failures among them.
     pub fn answers(&self) -> (f64, f64) {
-        let add = |sum: (f64, f64), tally: &TrialTally| {
+        let add = |sum: (f64, f64), tally: &TrialStats| {
             (sum.0 + tally.fresh.runs, sum.1 + tally.fresh.bad)
         };
         self.evidence().values().fold((0.0, 0.0), add)
@@ -194,7 +194,7 @@
     /// What speaks against the version, on all routes together or on any.
     pub fn finding(&self) -> Option<TrialFinding> {
         let evidence = self.evidence();
-        let mut all = TrialTally::default();
+        let mut all = TrialStats::default();
         for tally in evidence.values() {
             // Times of different routes don't compare; failures do.
             all.fresh.runs += tally.fresh.runs;
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -29,7 +29,7 @@
 };
 use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
-use ravenspoke_core::route::tally::{TrialTally, VersionStats};
+use ravenspoke_core::route::tally::{TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
 use ravenspoke_core::time::BoxTime;
 
@@ -324,7 +324,7 @@
 /// Answers that a box tells of, none of them failed.
 fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let fresh = VersionStats { runs, ..VersionStats::default() };
-    let tally = TrialTally { fresh, ..TrialTally::default() };
+    let tally = TrialStats { fresh, ..TrialStats::default() };
     let trial = TrialUpdate {
         service: "pool".to_owned(),
         version: "v2".to_owned(),
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -3,7 +3,7 @@
 use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
-use ravenspoke_core::route::tally::{TrialFault, TrialTally, VersionStats};
+use ravenspoke_core::route::tally::{TrialFault, TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, TRIAL_SHARE};
 use ravenspoke_core::time::BoxTime;
 
@@ -343,7 +343,7 @@
 /// Runs and failures of the version on trial and of the others, as this box saw them.
 fn tallied(subject: &TestBox) -> [(f64, f64); 2] {
     let dump = subject.state.dump(Default::default());
-    let sum = |side: fn(&TrialTally) -> &VersionStats| {
+    let sum = |side: fn(&TrialStats) -> &VersionStats| {
         let rows = dump.trials[0].own.values().map(side);
         rows.fold((0.0, 0.0), |sum, row| (sum.0 + row.runs, sum.1 + row.bad))
     };
@@ -462,7 +462,7 @@
 
 #[test]
 fn a_few_slow_answers_of_a_version_prove_nothing_and_many_do() {
-    let judged = |quick, slow| TrialTally { fresh: timed(quick, slow), base: timed(52, 0) }.fault();
+    let judged = |quick, slow| TrialStats { fresh: timed(quick, slow), base: timed(52, 0) }.fault();
     assert_eq!(judged(9, 5), None, "five of fourteen: its caches may be cold");
     assert_eq!(judged(27, 15), Some(TrialFault::Slower), "the same share of three times as many");
 }
