--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -28,7 +28,7 @@
 use super::loads::LoadUpdate;
 use super::pace::LatencyUpdate;
 use super::progress::TrialProgress;
-use super::tally::RouteTallies;
+use super::tally::RouteStats;
 use super::trial::TrialVerdict;
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
@@ -148,7 +148,7 @@
     /// The last mark in the store that the sender knows of.
     pub marked: TrialProgress,
     /// What the sender saw.
-    pub tallies: RouteTallies,
+    pub tallies: RouteStats,
 }
 
 /// What a box says of its further sends to a service in a window.
--- a/crates/core/src/route/tally.rs
+++ b/crates/core/src/route/tally.rs
@@ -143,4 +143,4 @@
 }
 
 /// Tallies by route name.
-pub type RouteTallies = BTreeMap<String, TrialStats>;
+pub type RouteStats = BTreeMap<String, TrialStats>;
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::progress::{TrialMark, TrialPhase, TrialProgress};
-use super::tally::{RouteTallies, TrialFinding, TrialStats};
+use super::tally::{RouteStats, TrialFinding, TrialStats};
 use crate::replica::mix;
 use crate::time::BoxTime;
 
@@ -121,9 +121,9 @@
     /// Versions whose orders this one's has replaced.
     pub replaced: Vec<String>,
     /// What this box saw.
-    pub own: RouteTallies,
+    pub own: RouteStats,
     /// What the others saw, by box name.
-    pub peers: BTreeMap<String, RouteTallies>,
+    pub peers: BTreeMap<String, RouteStats>,
     /// The share that was logged last.
     pub logged_share: f64,
 }
@@ -144,7 +144,7 @@
             mark_unread: false,
             marked: TrialProgress::default(),
             replaced: Vec::new(),
-            own: RouteTallies::new(),
+            own: RouteStats::new(),
             peers: BTreeMap::new(),
             logged_share: 0.0,
         }
@@ -173,7 +173,7 @@
     }
 
     /// The evidence of all boxes, by route.
-    pub fn evidence(&self) -> RouteTallies {
+    pub fn evidence(&self) -> RouteStats {
         let mut all = self.own.clone();
         for (route, tally) in self.peers.values().flatten() {
             let row = all.entry(route.clone()).or_default();
