--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -12,7 +12,7 @@
 use ravenspoke_core::route::leader::LeaderOrder;
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
-use ravenspoke_core::route::progress::TrialMark;
+use ravenspoke_core::route::progress::TrialCheckpoint;
 use ravenspoke_core::route::trial::TrialVerdict;
 use ravenspoke_core::route::RouteState;
 use ravenspoke_core::time::{BoxTime, WallTime};
@@ -95,7 +95,7 @@
     /// Verdicts for the store.
     pub verdicts: UnboundedSender<TrialVerdict>,
     /// Marks of trials for the store.
-    pub marks: UnboundedSender<TrialMark>,
+    pub marks: UnboundedSender<TrialCheckpoint>,
     /// What this box is to do for all.
     pub lead: UnboundedSender<LeaderOrder>,
 }
--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -5,7 +5,7 @@
 use ravenspoke_adapter::records::{read_mark, write_mark, MARK_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::progress::TrialMark;
+use ravenspoke_core::route::progress::TrialCheckpoint;
 use ravenspoke_core::time::BoxTime;
 use tokio::sync::mpsc::UnboundedReceiver;
 
@@ -44,7 +44,7 @@
 pub async fn write_marks(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
-    mut due: UnboundedReceiver<TrialMark>,
+    mut due: UnboundedReceiver<TrialCheckpoint>,
 ) {
     let mut follower = TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true);
     while let Some(mark) = due.recv().await {
@@ -64,7 +64,7 @@
     driver: &GatewayDriver,
     asked_at: BoxTime,
     records: &[KeyedRecord],
-) -> Vec<TrialMark> {
+) -> Vec<TrialCheckpoint> {
     let mut marks = Vec::new();
     for record in records {
         let Some(value) = &record.value else { continue };
@@ -78,7 +78,7 @@
 }
 
 /// Whether a mark that stands leaves nothing to write.
-fn tells_more(standing: &TrialMark, wanted: &TrialMark) -> bool {
+fn tells_more(standing: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
     let same = standing.service == wanted.service && standing.version == wanted.version;
     let (phase, age) = (standing.progress.phase, standing.progress.age_ms);
     let later = phase > wanted.progress.phase;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -12,7 +12,7 @@
 use ravenspoke_config::gateway::GatewaySettings;
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::leader::LeaderOrder;
-use ravenspoke_core::route::progress::TrialMark;
+use ravenspoke_core::route::progress::TrialCheckpoint;
 use ravenspoke_core::route::trial::TrialVerdict;
 use ravenspoke_core::route::{RouteSettings, RouteState, STOP_TAKE_MS};
 use ravenspoke_core::time::BoxTime;
@@ -146,7 +146,7 @@
     notes: Receiver<PeerDatagram>,
     answers: UnboundedReceiver<PeerDatagram>,
     verdicts: UnboundedReceiver<TrialVerdict>,
-    marks: UnboundedReceiver<TrialMark>,
+    marks: UnboundedReceiver<TrialCheckpoint>,
 }
 
 /// Starts the tasks of what one box does for all, where the platform has any of it.
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -10,7 +10,7 @@
 use super::peers::{GossipMessage, PlanPosition, SyncRequest};
 use super::placement::PlacementUpdate;
 use super::plan::{RouteKind, RoutePlan};
-use super::progress::TrialMark;
+use super::progress::TrialCheckpoint;
 use super::tally::TrialFinding;
 use super::trial::{TrialOrder, TrialState, TrialVerdict};
 use crate::event::RequestTicket;
@@ -140,10 +140,10 @@
         /// When the store was asked for them.
         asked_at: BoxTime,
         /// The marks.
-        marks: Vec<TrialMark>,
+        marks: Vec<TrialCheckpoint>,
     },
     /// A mark of this box was taken by the store.
-    MarkTaken(TrialMark),
+    MarkTaken(TrialCheckpoint),
     /// Changes to the replicas' entries were read.
     BackendsChanged(Vec<BackendChange>),
     /// Entries of replicas were replaced by something that names none; the changes say that they are gone.
@@ -387,7 +387,7 @@
     /// Write a verdict to the store, unless it has one.
     WriteVerdict(TrialVerdict),
     /// Mark in the store how far a trial has come, unless it knows of more.
-    WriteMark(TrialMark),
+    WriteMark(TrialCheckpoint),
     /// A plan came into force.
     PlanInForce {
         /// Its version.
--- a/crates/core/src/route/progress.rs
+++ b/crates/core/src/route/progress.rs
@@ -50,7 +50,7 @@
 
 /// Progress of a trial as it stands in the store, where it outlives every process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct TrialMark {
+pub struct TrialCheckpoint {
     /// Service.
     pub service: String,
     /// Version on trial.
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::progress::{TrialMark, TrialPhase, TrialProgress};
+use super::progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use super::tally::{RouteStats, TrialFinding, TrialStats};
 use crate::replica::mix;
 use crate::time::BoxTime;
@@ -235,14 +235,14 @@
     }
 
     /// The mark that is due now. A version that was found bad needs none: its verdict is due.
-    pub fn mark_due(&self, now: BoxTime) -> Option<TrialMark> {
+    pub fn mark_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
         let progress = self.progress(now);
         let step = (self.order.duration_ms as f64 * MARK_PART) as u64;
         let further = progress.phase > self.marked.phase
             || progress.settles_more(self.marked)
             || progress.age_ms >= self.marked.age_ms.saturating_add(step);
         let under_way = self.state == TrialState::Running && self.bad_since.is_none();
-        (under_way && further).then(|| TrialMark {
+        (under_way && further).then(|| TrialCheckpoint {
             service: self.order.service.clone(),
             version: self.order.version.clone(),
             progress,
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -4,7 +4,7 @@
 
 use super::event::RouteEffect;
 use super::peers::GossipMessage;
-use super::progress::TrialMark;
+use super::progress::TrialCheckpoint;
 use super::trial::{TrialOrder, TrialState, TrialVerdict, VersionTrial};
 use super::RouteState;
 use crate::event::EventStamp;
@@ -69,7 +69,12 @@
     }
 
     /// Takes the store's marks of all trials, as of `asked_at`.
-    pub(super) fn on_marks(&mut self, stamp: EventStamp, asked_at: BoxTime, marks: Vec<TrialMark>) {
+    pub(super) fn on_marks(
+        &mut self,
+        stamp: EventStamp,
+        asked_at: BoxTime,
+        marks: Vec<TrialCheckpoint>,
+    ) {
         for mark in marks {
             self.take_mark(stamp, &mark);
         }
@@ -78,7 +83,7 @@
     }
 
     /// Takes a mark that stands in the store.
-    pub(super) fn take_mark(&mut self, stamp: EventStamp, mark: &TrialMark) {
+    pub(super) fn take_mark(&mut self, stamp: EventStamp, mark: &TrialCheckpoint) {
         let Some(trial) = self.trials.get_mut(&mark.service) else { return };
         if trial.order.version == mark.version {
             trial.learn(mark.progress, stamp.now);
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -27,7 +27,7 @@
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
-use ravenspoke_core::route::progress::{TrialMark, TrialPhase, TrialProgress};
+use ravenspoke_core::route::progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
 use ravenspoke_core::route::tally::{TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
@@ -182,9 +182,9 @@
 }
 
 /// A mark of the trial of these tests.
-fn mark(phase: TrialPhase, age_ms: u64) -> TrialMark {
+fn mark(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
     let progress = TrialProgress { phase, age_ms, ..TrialProgress::default() };
-    TrialMark { service: "pool".to_owned(), version: "v2".to_owned(), progress }
+    TrialCheckpoint { service: "pool".to_owned(), version: "v2".to_owned(), progress }
 }
 
 #[test]
