--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -61,7 +61,7 @@
 
 /// Replicas of a service that a zone is to have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct ZoneWish {
+pub struct ZoneTarget {
     /// Usual ones.
     pub usual: u32,
     /// Ones that may be taken away.
@@ -69,17 +69,17 @@
 }
 
 /// What a zone of this size is to have.
-pub fn wish(plan: &ScalePlan, size: u32, stock: ZoneStock) -> ZoneWish {
+pub fn wish(plan: &ScalePlan, size: u32, stock: ZoneStock) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.has_cheaper() {
-        return ZoneWish { usual: size, spot: 0 };
+        return ZoneTarget { usual: size, spot: 0 };
     }
     let kept = ((f64::from(size) * USUAL_SHARE).ceil() as u32).clamp(1, size);
     let wanted = size - kept;
     let usual = (size - wanted.min(stock.spot)).max(kept);
     // Both kinds count toward the limit while one replaces the other.
     let room = plan.max - usual.max(stock.usual).min(plan.max);
-    ZoneWish { usual, spot: wanted.min(room.max(stock.spot)) }
+    ZoneTarget { usual, spot: wanted.min(room.max(stock.spot)) }
 }
 
 /// An order to the platform: how many replicas of a kind a zone is to have.
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -4,7 +4,7 @@
 
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::leader::lease::{LeaderPart, LeaseAnswer};
-use ravenspoke_core::route::leader::scale::{wish, ScalePlan, ZoneStock, ZoneWish};
+use ravenspoke_core::route::leader::scale::{wish, ScalePlan, ZoneStock, ZoneTarget};
 use ravenspoke_core::route::leader::usage::{
     RoundStep, UsageBounds, UsageReport, UsageResponse, UsageRound,
 };
@@ -61,10 +61,10 @@
 #[test]
 fn cheap_replicas_replace_usual_ones_only_as_they_serve() {
     let stock = |usual, spot| ZoneStock { usual, spot };
-    assert_eq!(wish(&PLAN, 20, stock(20, 0)), ZoneWish { usual: 20, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(20, 9)), ZoneWish { usual: 11, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(3, 17)), ZoneWish { usual: 3, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(3, 0)), ZoneWish { usual: 20, spot: 17 }, "taken away");
+    assert_eq!(wish(&PLAN, 20, stock(20, 0)), ZoneTarget { usual: 20, spot: 17 });
+    assert_eq!(wish(&PLAN, 20, stock(20, 9)), ZoneTarget { usual: 11, spot: 17 });
+    assert_eq!(wish(&PLAN, 20, stock(3, 17)), ZoneTarget { usual: 3, spot: 17 });
+    assert_eq!(wish(&PLAN, 20, stock(3, 0)), ZoneTarget { usual: 20, spot: 17 }, "taken away");
 }
 
 #[test]
@@ -86,7 +86,7 @@
 fn without_cheap_replicas_the_size_stays_as_it_was() {
     let usual_only = ScalePlan { spot_price: None, ..PLAN };
     let stock = ZoneStock { usual: 12, spot: 0 };
-    assert_eq!(wish(&usual_only, 20, stock), ZoneWish { usual: 20, spot: 0 });
+    assert_eq!(wish(&usual_only, 20, stock), ZoneTarget { usual: 20, spot: 0 });
 }
 
 #[test]
