--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -13,7 +13,7 @@
 use super::deeds::LostAnswer;
 use super::gone::ReplicaTombstones;
 use super::held::PrefixCache;
-use super::leader::scale::ZoneStock;
+use super::leader::scale::ZoneCount;
 use super::limit::ReplicaLimit;
 use super::sender::SenderPart;
 use super::warm_up::{WarmUpPlan, UNSEEN_MS};
@@ -209,8 +209,8 @@
     }
 
     /// Replicas of a service by availability zone, those that leave left out.
-    pub(super) fn stocks(&self, service: &str, now: BoxTime) -> BTreeMap<String, ZoneStock> {
-        let mut stocks: BTreeMap<String, ZoneStock> = BTreeMap::new();
+    pub(super) fn stocks(&self, service: &str, now: BoxTime) -> BTreeMap<String, ZoneCount> {
+        let mut stocks: BTreeMap<String, ZoneCount> = BTreeMap::new();
         let keys = self.by_service.get(service).into_iter().flatten();
         for row in keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)) {
             let stock = stocks.entry(row.entry.zone.clone()).or_default();
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -52,7 +52,7 @@
 
 /// Replicas of a service that a zone has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ZoneStock {
+pub struct ZoneCount {
     /// Usual ones that don't leave.
     pub usual: u32,
     /// Those among the ones that may be taken away which serve: they don't leave, and are no longer cold.
@@ -69,7 +69,7 @@
 }
 
 /// What a zone of this size is to have.
-pub fn wish(plan: &ScalePlan, size: u32, stock: ZoneStock) -> ZoneTarget {
+pub fn wish(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.has_cheaper() {
         return ZoneTarget { usual: size, spot: 0 };
@@ -164,7 +164,7 @@
 
 impl ServiceSize {
     /// The sizes of zones that have these replicas.
-    pub fn found(service: &str, stocks: &BTreeMap<String, ZoneStock>) -> Self {
+    pub fn found(service: &str, stocks: &BTreeMap<String, ZoneCount>) -> Self {
         let zones = stocks.iter().map(|(zone, stock)| (zone.clone(), stock.usual + stock.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
     }
