--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -105,7 +105,7 @@
 
 /// The report under way.
 #[derive(Clone, Debug)]
-struct OpenReport {
+struct PendingReport {
     report: UsageReport,
     /// Whether it stands in the store.
     kept: bool,
@@ -142,7 +142,7 @@
     /// The last window that was reported.
     reported_to: Option<u64>,
     round: Option<UsageRound>,
-    open: Option<OpenReport>,
+    open: Option<PendingReport>,
     /// The record that is being written.
     writing: Option<OpenWrite>,
     /// Number of the next one.
@@ -263,7 +263,7 @@
                 LeaderRecord::Usage(report) => {
                     self.leader.reported_to = Some(report.window);
                     let next_at = BoxTime::default();
-                    self.leader.open = Some(OpenReport { report, kept: true, next_at });
+                    self.leader.open = Some(PendingReport { report, kept: true, next_at });
                 }
                 LeaderRecord::Size(size) => {
                     self.leader.sizes.insert(size.service.clone(), KnownSize { size, kept: true });
@@ -397,7 +397,7 @@
                 self.leader.round = None;
                 self.leader.reported_to = Some(next);
                 let next_at = BoxTime::default();
-                self.leader.open = Some(OpenReport { report, kept: false, next_at });
+                self.leader.open = Some(PendingReport { report, kept: false, next_at });
             }
         }
     }
