--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -123,7 +123,7 @@
 
 /// A record that is being written.
 #[derive(Clone, Debug)]
-struct OpenWrite {
+struct PendingWrite {
     kept: NumberedRecord,
     /// Not sent again before this.
     next_at: BoxTime,
@@ -144,7 +144,7 @@
     round: Option<UsageRound>,
     open: Option<PendingReport>,
     /// The record that is being written.
-    writing: Option<OpenWrite>,
+    writing: Option<PendingWrite>,
     /// Number of the next one.
     next_number: u64,
     /// Sizes by service.
@@ -165,7 +165,7 @@
     /// has it, so that it can't come behind a later one.
     fn write(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
         let number = self.next_number;
-        let writing = self.writing.get_or_insert_with(|| OpenWrite {
+        let writing = self.writing.get_or_insert_with(|| PendingWrite {
             kept: NumberedRecord { number, record: record.clone() },
             next_at: now,
         });
