--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -216,7 +216,7 @@
 
 /// A heartbeat; the receiver answers it with a [`BeatReply`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PeerBeat {
+pub struct PeerHeartbeat {
     /// The sender's clock when it sent this, in microseconds; only the sender reads it.
     #[prost(uint64, tag = "1")]
     pub stamp: u64,
@@ -235,7 +235,7 @@
     pub halted: Vec<String>,
 }
 
-/// The answer to a [`PeerBeat`].
+/// The answer to a [`PeerHeartbeat`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BeatReply {
     /// The stamp of the beat that this answers.
@@ -285,7 +285,7 @@
 pub enum PeerBody {
     /// A heartbeat.
     #[prost(message, tag = "3")]
-    Beat(PeerBeat),
+    Beat(PeerHeartbeat),
     /// The answer to a heartbeat.
     #[prost(message, tag = "4")]
     Reply(BeatReply),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -8,7 +8,7 @@
 use crate::ids::ReplicaKey;
 use crate::membership::ListedBox;
 use crate::message::{
-    BeatReply, BillNumbers, BundleWanted, LeavingMark, PeerBeat, PeerBody, PeerMessage,
+    BeatReply, BillNumbers, BundleWanted, LeavingMark, PeerBody, PeerHeartbeat, PeerMessage,
     PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
@@ -111,7 +111,7 @@
         let named = &self.index.spec.rollouts;
         let halted =
             self.rollouts.iter().filter(|(name, row)| row.halted && named.contains_key(*name));
-        let beat = PeerBeat {
+        let beat = PeerHeartbeat {
             stamp: stamp.now.as_micros(),
             sequence: self.fold.sequence(),
             leaving: self.stopping_since.is_some(),
@@ -204,7 +204,7 @@
         &mut self,
         stamp: EventStamp,
         from: &str,
-        beat: &PeerBeat,
+        beat: &PeerHeartbeat,
         out: &mut Vec<BoxEffect>,
     ) {
         if beat.leaving {
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -3,7 +3,7 @@
 
 use crate::effect::BoxEffect;
 use crate::event::EventStamp;
-use crate::message::{PeerBeat, PeerBody};
+use crate::message::{PeerBody, PeerHeartbeat};
 use crate::time::BoxTime;
 
 use super::BoxState;
@@ -23,11 +23,11 @@
         let me = self.settings.name.clone();
         self.members.mark_leaving(&me);
         let sequence = self.fold.sequence();
-        let beat = PeerBeat {
+        let beat = PeerHeartbeat {
             stamp: stamp.now.as_micros(),
             sequence,
             leaving: true,
-            ..PeerBeat::default()
+            ..PeerHeartbeat::default()
         };
         for row in self.members.peers().take(TOLD_DIRECTLY) {
             out.push(BoxEffect::SendPeer(row.listed.name.clone(), PeerBody::Beat(beat.clone())));
--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -2,12 +2,12 @@
 
 use bytes::BytesMut;
 use proptest::prelude::*;
-use ravenspoke_core::message::{PeerBeat, PeerBody, PeerMessage};
+use ravenspoke_core::message::{PeerBody, PeerHeartbeat, PeerMessage};
 use ravenspoke_peer::{FrameError, PeerCodec, PeerHello, FRAME_LIMIT};
 use tokio_util::codec::{Decoder, Encoder};
 
 fn beat(stamp: u64, name: &str) -> PeerMessage {
-    let beat = PeerBeat { stamp, sequence: 7, ..PeerBeat::default() };
+    let beat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
     PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Beat(beat)) }
 }
 
