--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -214,7 +214,7 @@
     pub proved: bool,
 }
 
-/// A heartbeat; the receiver answers it with a [`BeatReply`].
+/// A heartbeat; the receiver answers it with a [`HeartbeatReply`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PeerHeartbeat {
     /// The sender's clock when it sent this, in microseconds; only the sender reads it.
@@ -237,7 +237,7 @@
 
 /// The answer to a [`PeerHeartbeat`].
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// The stamp of the beat that this answers.
     #[prost(uint64, tag = "1")]
     pub echo: u64,
@@ -288,7 +288,7 @@
     Beat(PeerHeartbeat),
     /// The answer to a heartbeat.
     #[prost(message, tag = "4")]
-    Reply(BeatReply),
+    Reply(HeartbeatReply),
     /// The bundle in force, from a box that knows of a lower one.
     #[prost(message, tag = "5")]
     Bundle(BundleRecord),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -8,7 +8,7 @@
 use crate::ids::ReplicaKey;
 use crate::membership::ListedBox;
 use crate::message::{
-    BeatReply, BillNumbers, BundleWanted, LeavingMark, PeerBody, PeerHeartbeat, PeerMessage,
+    BillNumbers, BundleWanted, HeartbeatReply, LeavingMark, PeerBody, PeerHeartbeat, PeerMessage,
     PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
@@ -220,7 +220,7 @@
             let verdict = VerdictRecord { version: version.clone(), halted: true, step: 0 };
             self.take_verdict(&verdict, out);
         }
-        let reply = BeatReply {
+        let reply = HeartbeatReply {
             echo: beat.stamp,
             log_age_ms: self.fresh.age_ms(stamp.now),
             sequence: self.fold.sequence(),
@@ -234,7 +234,7 @@
         &mut self,
         from: &str,
         incarnation: u64,
-        reply: &BeatReply,
+        reply: &HeartbeatReply,
         out: &mut Vec<BoxEffect>,
     ) {
         let asked_at = BoxTime::from_micros(reply.echo);
