--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -154,7 +154,7 @@
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
         driver.feed(RouteEvent::EvacuationsTold(note.evacuation.clone()));
         if let Some(taken) = take_operator(driver, note.known.read_to, records) {
-            driver.feed(RouteEvent::PlanTold { as_of, known: note.known, plan: taken.plan });
+            driver.feed(RouteEvent::PlanReceived { as_of, known: note.known, plan: taken.plan });
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -107,7 +107,7 @@
         plan: Option<RoutePlan>,
     },
     /// Another box told the plan that it knows; `None` if it has no other.
-    PlanTold {
+    PlanReceived {
         /// As of when that was all there was.
         as_of: BoxTime,
         /// How far that box knows the operator's records.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -229,7 +229,7 @@
             RouteEvent::PlanRead { asked_at, read_to, plan } => {
                 self.on_plan_read(stamp, asked_at, read_to, plan, out);
             }
-            RouteEvent::PlanTold { as_of, known, plan } => {
+            RouteEvent::PlanReceived { as_of, known, plan } => {
                 self.on_plan_told(stamp, as_of, known, plan, out);
             }
             RouteEvent::EvacuationsRead(read) => {
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -507,7 +507,7 @@
         let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
         if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
             let plan = Some(plan(note.known.version)).filter(|plan| plan.version > known.version);
-            self.feed(to, RouteEvent::PlanTold { as_of, known: note.known, plan });
+            self.feed(to, RouteEvent::PlanReceived { as_of, known: note.known, plan });
         }
     }
 
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -115,7 +115,7 @@
     let as_of = BoxTime::from_millis(subject.now - 2_000);
     let known = PlanPosition { version: 9, read_to: at(20) };
 
-    subject.feed(RouteEvent::PlanTold { as_of, known, plan: Some(plan(9)) });
+    subject.feed(RouteEvent::PlanReceived { as_of, known, plan: Some(plan(9)) });
     read_plan_at(&mut subject, restored(4), None);
 
     assert_eq!(subject.state.plan().version, 9);
@@ -129,7 +129,7 @@
     let as_of = BoxTime::from_millis(subject.now);
     let known = PlanPosition { version: 1, read_to: restored(6) };
 
-    subject.feed(RouteEvent::PlanTold { as_of, known, plan: None });
+    subject.feed(RouteEvent::PlanReceived { as_of, known, plan: None });
 
     assert_eq!(plan_age_ms(&subject), Some(0));
     assert_eq!(subject.state.read_to(), restored(6));
@@ -141,7 +141,7 @@
     let as_of = BoxTime::from_millis(subject.now);
     let known = PlanPosition { version: 2, read_to: at(6) };
 
-    subject.feed(RouteEvent::PlanTold { as_of, known, plan: None });
+    subject.feed(RouteEvent::PlanReceived { as_of, known, plan: None });
 
     assert_eq!(subject.state.plan().version, 1);
     assert!(subject.state.read_to() < at(6));
