--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -152,7 +152,7 @@
     let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
     if follows && note.known > known {
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
-        driver.feed(RouteEvent::EvacuationsTold(note.evacuation.clone()));
+        driver.feed(RouteEvent::EvacuationsReceived(note.evacuation.clone()));
         if let Some(taken) = take_operator(driver, note.known.read_to, records) {
             driver.feed(RouteEvent::PlanReceived { as_of, known: note.known, plan: taken.plan });
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -118,7 +118,7 @@
     /// Orders to evacuate availability zones were read, or that there are no others.
     EvacuationsRead(EvacuationRead),
     /// Another box told, beside the plan, which zones are under evacuation.
-    EvacuationsTold(EvacuationDigest),
+    EvacuationsReceived(EvacuationDigest),
     /// Orders to bring versions in were read.
     OrdersRead {
         /// Position behind the last record that was read.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -236,7 +236,7 @@
                 let news = self.evacuated.take_read(read, stamp.now);
                 self.move_evacuations(stamp, news, out);
             }
-            RouteEvent::EvacuationsTold(word) => {
+            RouteEvent::EvacuationsReceived(word) => {
                 let news = self.evacuated.hear(&word, stamp.now);
                 self.move_evacuations(stamp, news, out);
             }
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -136,7 +136,7 @@
     read_orders(&mut subject, None, 4, &[("east", true)]);
     let told = |known_to, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
-        RouteEvent::EvacuationsTold(EvacuationDigest { known_to: at(known_to), zones })
+        RouteEvent::EvacuationsReceived(EvacuationDigest { known_to: at(known_to), zones })
     };
 
     subject.feed(told(3, &[]));
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -181,7 +181,7 @@
     read_zones(&mut subject, None, restored(5), &[]);
     let word = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
 
-    subject.feed(RouteEvent::EvacuationsTold(word));
+    subject.feed(RouteEvent::EvacuationsReceived(word));
 
     assert_eq!(zones(&subject), ["east"]);
 }
