--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -85,7 +85,7 @@
             standing.iter().any(|other| goes_before(other, &verdict))
         });
         if taken.await {
-            driver.feed(RouteEvent::VerdictTaken(verdict));
+            driver.feed(RouteEvent::VerdictStored(verdict));
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -134,7 +134,7 @@
         verdicts: Vec<TrialVerdict>,
     },
     /// A verdict of this box was taken by the store.
-    VerdictTaken(TrialVerdict),
+    VerdictStored(TrialVerdict),
     /// All marks of trials under way were read.
     MarksRead {
         /// When the store was asked for them.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -246,7 +246,7 @@
             RouteEvent::VerdictsRead { asked_at, verdicts } => {
                 self.on_verdicts(asked_at, verdicts, out);
             }
-            RouteEvent::VerdictTaken(verdict) => self.take_verdict(verdict, true, out),
+            RouteEvent::VerdictStored(verdict) => self.take_verdict(verdict, true, out),
             RouteEvent::MarksRead { asked_at, marks } => self.on_marks(stamp, asked_at, marks),
             RouteEvent::MarkTaken(mark) => {
                 self.take_mark(stamp, &mark);
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -267,7 +267,7 @@
 fn a_verdict_that_the_store_lost_stands_and_is_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::Done)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), None);
 
     subject.feed(RouteEvent::EraNamed(2));
@@ -277,7 +277,7 @@
 
     assert_eq!(state_of_trial(&subject), TrialState::Done);
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::Done)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.now += 5_000;
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), None, "once is enough");
 }
@@ -286,7 +286,7 @@
 fn word_of_a_former_era_that_a_verdict_stands_does_not_keep_it_from_being_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::Done)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.feed(RouteEvent::EraNamed(2));
     let verdicts = vec![verdict(TrialState::Done)];
     let note = GossipMessage {
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -110,7 +110,7 @@
         subject.feed(RouteEvent::CallerLeft(ticket));
         if let Some(state) = due(&effects) {
             assert_eq!(state, TrialState::RolledBack);
-            subject.feed(RouteEvent::VerdictTaken(verdict(state)));
+            subject.feed(RouteEvent::VerdictStored(verdict(state)));
         }
     }
     assert!(exposed < 30, "{exposed} of 399 met the bad version");
@@ -134,7 +134,7 @@
 
     assert_eq!(due(&pass(&mut subject, 1_000)), Some(TrialState::RolledBack));
     assert!(on_new(&mut subject) > 0);
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::RolledBack)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::RolledBack)));
 
     assert_eq!(on_new(&mut subject), 0);
 }
@@ -210,7 +210,7 @@
     let session = moved.expect("a session that is moved");
     let (ticket, _) = subject.sent(CallerRequest { session, ..ask("/chat/x") });
     subject.feed(RouteEvent::HeadCame(ticket, head(200)));
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::RolledBack)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::RolledBack)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     let next = order_in(&subject.feed(failed)).expect("another replica goes on");
     assert_eq!(next.version, "v1");
@@ -219,7 +219,7 @@
 #[test]
 fn an_answer_of_a_version_that_was_taken_over_is_gone_on_with_by_it() {
     let mut subject = box_on_trial();
-    subject.feed(RouteEvent::VerdictTaken(verdict(TrialState::Done)));
+    subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     let (ticket, first) = subject.sent(ask("/chat/x"));
     assert_eq!(first.version, "v2");
     subject.feed(RouteEvent::HeadCame(ticket, head(200)));
