--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -136,7 +136,7 @@
     /// A verdict of this box was taken by the store.
     VerdictStored(TrialVerdict),
     /// All marks of trials under way were read.
-    MarksRead {
+    CheckpointsRead {
         /// When the store was asked for them.
         asked_at: BoxTime,
         /// The marks.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -247,7 +247,9 @@
                 self.on_verdicts(asked_at, verdicts, out);
             }
             RouteEvent::VerdictStored(verdict) => self.take_verdict(verdict, true, out),
-            RouteEvent::MarksRead { asked_at, marks } => self.on_marks(stamp, asked_at, marks),
+            RouteEvent::CheckpointsRead { asked_at, marks } => {
+                self.on_marks(stamp, asked_at, marks)
+            }
             RouteEvent::MarkTaken(mark) => {
                 self.take_mark(stamp, &mark);
                 self.rounds.next_note = BoxTime::default();
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -216,7 +216,7 @@
 
     let asked_at = BoxTime::from_millis(subject.now);
     let marks = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
-    subject.feed(RouteEvent::MarksRead { asked_at, marks });
+    subject.feed(RouteEvent::CheckpointsRead { asked_at, marks });
 
     assert!(subject.state.knows_site());
     let mut veteran = box_that_ran_through(SHARED_AT_MS);
