--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -55,7 +55,7 @@
             standing.iter().any(|other| tells_more(other, &mark))
         });
         if taken.await {
-            driver.feed(RouteEvent::MarkTaken(mark));
+            driver.feed(RouteEvent::CheckpointStored(mark));
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -143,7 +143,7 @@
         marks: Vec<TrialCheckpoint>,
     },
     /// A mark of this box was taken by the store.
-    MarkTaken(TrialCheckpoint),
+    CheckpointStored(TrialCheckpoint),
     /// Changes to the replicas' entries were read.
     BackendsChanged(Vec<BackendChange>),
     /// Entries of replicas were replaced by something that names none; the changes say that they are gone.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -250,7 +250,7 @@
             RouteEvent::CheckpointsRead { asked_at, marks } => {
                 self.on_marks(stamp, asked_at, marks)
             }
-            RouteEvent::MarkTaken(mark) => {
+            RouteEvent::CheckpointStored(mark) => {
                 self.take_mark(stamp, &mark);
                 self.rounds.next_note = BoxTime::default();
             }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -158,7 +158,7 @@
     }
     let mut settled = mark(TrialPhase::Shared, SHARED_AT_MS);
     settled.progress.carries_at_ms = Some(CARRIED_AT_MS);
-    fleet.feed(count / 2, RouteEvent::MarkTaken(settled));
+    fleet.feed(count / 2, RouteEvent::CheckpointStored(settled));
 
     fleet.until_all(2 * CARRY_LEAD_MS, |state| {
         state.dump(BoxTime::default()).trials.iter().all(|trial| trial.carries_at_ms.is_some())
@@ -195,7 +195,7 @@
         subject.now += 200;
         subject.read_plan(None);
         if let Some(progress) = mark_in(&subject.feed(RouteEvent::Tick)) {
-            subject.feed(RouteEvent::MarkTaken(mark(progress.phase, progress.age_ms)));
+            subject.feed(RouteEvent::CheckpointStored(mark(progress.phase, progress.age_ms)));
             marks.push((progress.phase, progress.age_ms));
         }
     }
