--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -130,7 +130,7 @@
         None => RouteEvent::BackendsChanged(changes),
     });
     if !spoilt.is_empty() {
-        driver.feed(RouteEvent::BackendsSpoilt(spoilt));
+        driver.feed(RouteEvent::BackendsInvalidated(spoilt));
     }
 }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -147,7 +147,7 @@
     /// Changes to the replicas' entries were read.
     BackendsChanged(Vec<BackendChange>),
     /// Entries of replicas were replaced by something that names none; the changes say that they are gone.
-    BackendsSpoilt(Vec<BackendChange>),
+    BackendsInvalidated(Vec<BackendChange>),
     /// All entries of the replicas were read.
     BackendsListed {
         /// Where the store's entries ended when the listing was made.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -256,7 +256,7 @@
             }
             RouteEvent::BackendsChanged(changes) => self.on_backends(stamp, changes, out),
             // Unlike an entry that vanished while the store was away, it does not come back by itself.
-            RouteEvent::BackendsSpoilt(changes) => {
+            RouteEvent::BackendsInvalidated(changes) => {
                 self.take_backends(stamp, changes, BackendSource::Store, None, out);
             }
             RouteEvent::BackendsListed { end, listed } => {
--- a/crates/core/tests/route/lives.rs
+++ b/crates/core/tests/route/lives.rs
@@ -96,7 +96,7 @@
     subject.feed(RouteEvent::StoreBack);
 
     let spoilt = BackendChange { id: "a".to_owned(), at: at(subject.offset + 1), entry: None };
-    subject.feed(RouteEvent::BackendsSpoilt(vec![spoilt]));
+    subject.feed(RouteEvent::BackendsInvalidated(vec![spoilt]));
 
     assert_eq!(leaves(&subject), None);
 }
