--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -268,7 +268,7 @@
         }
         let era = self.era();
         if std::mem::replace(&mut self.era, era) != era {
-            self.driver.feed(RouteEvent::EraNamed(era));
+            self.driver.feed(RouteEvent::EraObserved(era));
         }
     }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -164,7 +164,7 @@
     },
     /// The store named its era, another one than in the last answer. It rises each time that the store comes back from an
     /// older copy of its data.
-    EraNamed(u64),
+    EraObserved(u64),
     /// A call to the store failed.
     StoreFailed,
     /// The store answers again.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -267,7 +267,7 @@
                 self.entries.note_read(to, Some(as_of));
                 self.read_on(stamp.now);
             }
-            RouteEvent::EraNamed(era) => self.note_era(era, stamp.now, out),
+            RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
             RouteEvent::StoreFailed | RouteEvent::StoreBack => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
                 self.reading.cut_at = failed.then_some(stamp.now);
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -424,7 +424,7 @@
             self.feed(to, RouteEvent::StoreBack);
         }
         if std::mem::replace(&mut self.boxes[to].era, self.era) < self.era {
-            self.feed(to, RouteEvent::EraNamed(self.era));
+            self.feed(to, RouteEvent::EraObserved(self.era));
         }
     }
 
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -59,7 +59,7 @@
 
 /// A listing after the store came back from a copy.
 fn list_restored(subject: &mut TestBox, listed: &[BackendEntry]) {
-    subject.feed(RouteEvent::EraNamed(2));
+    subject.feed(RouteEvent::EraObserved(2));
     let end = restored(listed.len() as u64);
     let rows = listed.iter().enumerate();
     let listed = rows
@@ -270,7 +270,7 @@
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), None);
 
-    subject.feed(RouteEvent::EraNamed(2));
+    subject.feed(RouteEvent::EraObserved(2));
     let asked_at = BoxTime::from_millis(subject.now);
     let verdicts = vec![verdict(TrialState::Running)];
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts });
@@ -287,7 +287,7 @@
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
-    subject.feed(RouteEvent::EraNamed(2));
+    subject.feed(RouteEvent::EraObserved(2));
     let verdicts = vec![verdict(TrialState::Done)];
     let note = GossipMessage {
         name: "box-2".to_owned(),
@@ -482,11 +482,11 @@
 #[test]
 fn a_box_says_once_that_the_store_came_back_from_a_copy_and_not_as_it_first_hears_of_an_era() {
     let mut subject = new_box("box-1");
-    assert!(subject.feed(RouteEvent::EraNamed(1)).is_empty());
+    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty());
 
-    let effects = subject.feed(RouteEvent::EraNamed(2));
+    let effects = subject.feed(RouteEvent::EraObserved(2));
 
     assert_eq!(effects, [RouteEffect::StoreRestored { era: 2, former: 1 }]);
-    assert!(subject.feed(RouteEvent::EraNamed(2)).is_empty());
-    assert!(subject.feed(RouteEvent::EraNamed(1)).is_empty(), "an answer of before");
+    assert!(subject.feed(RouteEvent::EraObserved(2)).is_empty());
+    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty(), "an answer of before");
 }
