--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -257,7 +257,7 @@
         self.note_era();
         if let Some(at) = self.lost_at.take() {
             observe::note_store_regained(self.topic, self.driver.clock().since(at));
-            self.driver.feed(RouteEvent::StoreBack);
+            self.driver.feed(RouteEvent::StoreRecovered);
         }
     }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -168,7 +168,7 @@
     /// A call to the store failed.
     StoreFailed,
     /// The store answers again.
-    StoreBack,
+    StoreRecovered,
     /// Another box's note came.
     PeerHeard(Box<GossipMessage>),
     /// Another box has placed a long prompt.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -268,7 +268,7 @@
                 self.read_on(stamp.now);
             }
             RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
-            RouteEvent::StoreFailed | RouteEvent::StoreBack => {
+            RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
                 self.reading.cut_at = failed.then_some(stamp.now);
                 self.lapse_at = Some(stamp.now.plus_millis(LAPSE_MS));
--- a/crates/core/tests/route/lives.rs
+++ b/crates/core/tests/route/lives.rs
@@ -93,7 +93,7 @@
 fn an_entry_that_names_no_replica_ends_the_use_of_what_it_replaced_though_the_store_was_away() {
     let mut subject = box_with_one_life();
     subject.feed(RouteEvent::StoreFailed);
-    subject.feed(RouteEvent::StoreBack);
+    subject.feed(RouteEvent::StoreRecovered);
 
     let spoilt = BackendChange { id: "a".to_owned(), at: at(subject.offset + 1), entry: None };
     subject.feed(RouteEvent::BackendsInvalidated(vec![spoilt]));
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -293,7 +293,7 @@
     other.put(entry("b", "v1"));
     cut.feed(RouteEvent::StoreFailed);
     cut.now += 5_000;
-    cut.feed(RouteEvent::StoreBack);
+    cut.feed(RouteEvent::StoreRecovered);
     cut.now += 150;
     other.now = cut.now;
     cut.read_plan(None);
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -421,7 +421,7 @@
 
     fn regain(&mut self, to: usize) {
         if std::mem::take(&mut self.boxes[to].retry_ms) > 0 {
-            self.feed(to, RouteEvent::StoreBack);
+            self.feed(to, RouteEvent::StoreRecovered);
         }
         if std::mem::replace(&mut self.boxes[to].era, self.era) < self.era {
             self.feed(to, RouteEvent::EraObserved(self.era));
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -28,7 +28,7 @@
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::Tick);
     assert!(!subject.state.is_reader(clock(&subject)));
-    subject.feed(RouteEvent::StoreBack);
+    subject.feed(RouteEvent::StoreRecovered);
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -242,7 +242,7 @@
     let mut subject = ready_box();
     subject.feed(RouteEvent::StoreFailed);
     subject.drop_entry("a");
-    subject.feed(RouteEvent::StoreBack);
+    subject.feed(RouteEvent::StoreRecovered);
     subject.drop_entry("b");
     subject.now += 2_100;
     subject.feed(RouteEvent::Tick);
