--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -242,7 +242,7 @@
                 RouteEffect::Refuse(..) | RouteEffect::BreakOff(..) => step = RouterStep::Refuse,
                 RouteEffect::SendNotes(to, note) => {
                     for target in self.heard_by(&to) {
-                        let event = RouteEvent::PeerHeard(Box::new((*note).clone()));
+                        let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -43,7 +43,7 @@
                     if let Some(records) = records {
                         take_told(&driver, &note, &records);
                     }
-                    driver.feed(RouteEvent::PeerHeard(note));
+                    driver.feed(RouteEvent::GossipReceived(note));
                 }
                 Ok(HeardDatagram::UsageRequest(ask)) => driver.feed(RouteEvent::UsageAsked(ask)),
                 Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageTold(note)),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -170,7 +170,7 @@
     /// The store answers again.
     StoreRecovered,
     /// Another box's note came.
-    PeerHeard(Box<GossipMessage>),
+    GossipReceived(Box<GossipMessage>),
     /// Another box has placed a long prompt.
     PlacementHeard(PlacementUpdate),
     /// Another box asks how fresh this one's knowledge is.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -273,7 +273,7 @@
                 self.reading.cut_at = failed.then_some(stamp.now);
                 self.lapse_at = Some(stamp.now.plus_millis(LAPSE_MS));
             }
-            RouteEvent::PeerHeard(note) => self.on_note(stamp, &note, out),
+            RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
             RouteEvent::PlacementHeard(told) => self.backends.hear_placement(&told, stamp.now),
             RouteEvent::PeerAsked(ask) => self.on_ask(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, word } => {
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -179,7 +179,7 @@
                     let to = name.parse().expect("a number");
                     self.plan_step(
                         later,
-                        Step::Hear(to, Box::new(RouteEvent::PeerHeard(note.clone()))),
+                        Step::Hear(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
                     );
                 }
             }
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -160,7 +160,7 @@
     let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
 
     let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
-    subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
     let (_, order) = subject.sent(ask("/file/x"));
     assert_eq!(order.replica_id, "r-west");
 }
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -238,7 +238,7 @@
         contents,
         ..GossipMessage::default()
     };
-    RouteEvent::PeerHeard(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(note))
 }
 
 #[test]
@@ -290,7 +290,7 @@
         ends,
         ..GossipMessage::default()
     };
-    RouteEvent::PeerHeard(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(note))
 }
 
 #[test]
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -427,7 +427,7 @@
             match effect {
                 RouteEffect::SendNotes(to, note) => {
                     for target in to {
-                        self.send(&target, RouteEvent::PeerHeard(note.clone()));
+                        self.send(&target, RouteEvent::GossipReceived(note.clone()));
                     }
                 }
                 RouteEffect::AskUsage(to, ask) => {
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -18,7 +18,7 @@
         changes,
         ..GossipMessage::default()
     };
-    RouteEvent::PeerHeard(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(note))
 }
 
 /// A box whose replica `a` has just said that it leaves, and the note that follows.
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -145,7 +145,7 @@
         limits,
         ..GossipMessage::default()
     };
-    RouteEvent::PeerHeard(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(note))
 }
 
 /// Requests of twenty that go to replica `a`.
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -19,7 +19,7 @@
 }
 
 fn note_of_loads(loads: Vec<LoadUpdate>) -> RouteEvent {
-    RouteEvent::PeerHeard(Box::new(GossipMessage {
+    RouteEvent::GossipReceived(Box::new(GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
         loads,
@@ -89,7 +89,7 @@
         (0..12).map(|_| one()).collect()
     };
     let mut subject = ready_box();
-    subject.feed(RouteEvent::PeerHeard(Box::new(note.clone())));
+    subject.feed(RouteEvent::GossipReceived(Box::new(note.clone())));
     assert!(!chosen(&mut subject).contains(&order.replica_id));
 
     let mut witness = ready_box();
@@ -104,6 +104,6 @@
         witness.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(load), ..head(200) }));
         witness.feed(RouteEvent::Finished(ticket));
     }
-    witness.feed(RouteEvent::PeerHeard(Box::new(note)));
+    witness.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(chosen(&mut witness).contains(&order.replica_id), "it has told its load since");
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -20,7 +20,7 @@
     from.now += 500;
     to.now = from.now;
     let note = note_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
-    to.feed(RouteEvent::PeerHeard(Box::new(note)))
+    to.feed(RouteEvent::GossipReceived(Box::new(note)))
 }
 
 /// Another box that knows a replica and no plan.
@@ -59,7 +59,7 @@
     second.read_plan(Some(plan(1)));
     tell(&mut second, &mut first);
     let note = note_in(&second.feed(RouteEvent::StopAsked)).expect("it tells at once");
-    first.feed(RouteEvent::PeerHeard(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
 
@@ -96,8 +96,8 @@
     second.now += 500;
     let early = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
     let late = note_in(&second.feed(RouteEvent::StopAsked)).expect("a note");
-    first.feed(RouteEvent::PeerHeard(Box::new(late)));
-    first.feed(RouteEvent::PeerHeard(Box::new(early)));
+    first.feed(RouteEvent::GossipReceived(Box::new(late)));
+    first.feed(RouteEvent::GossipReceived(Box::new(early)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
 
@@ -160,7 +160,7 @@
     asker.now += 2_000;
     let note = answer(&mut reader, &asker);
     asker.now += 700;
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(age(&asker), Some(1_000), "700 ms under way and 300 ms old when it was given");
 }
 
@@ -170,7 +170,7 @@
     reader.read_plan(Some(plan(2)));
     asker.now += 2_000;
     let note = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(age(&asker), Some(2_000));
 }
 
@@ -181,7 +181,7 @@
     reader.read_plan(Some(plan(1)));
     asker.now += 2_000;
     let note = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(age(&asker), Some(2_000));
 }
 
@@ -193,10 +193,10 @@
     let mut other_life = answer(&mut reader, &asker);
     other_life.echo = other_life.echo.map(|echo| SyncRequest { incarnation: 2, ..echo });
     let old = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::PeerHeard(Box::new(other_life)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(other_life)));
     assert_eq!(age(&asker), Some(500));
     asker.now += 3_100;
-    asker.feed(RouteEvent::PeerHeard(Box::new(old)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(old)));
     assert_eq!(age(&asker), Some(3_600));
 }
 
@@ -221,11 +221,11 @@
     second.put(entry("d", "v1"));
     let note = note_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
     first.feed(RouteEvent::PeersNamed(vec!["box-3:90".to_owned()]));
-    first.feed(RouteEvent::PeerHeard(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(note)));
     let note = note_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
-    third.feed(RouteEvent::PeerHeard(Box::new(note)));
+    third.feed(RouteEvent::GossipReceived(Box::new(note)));
     let note = answer(&mut first, &third);
-    third.feed(RouteEvent::PeerHeard(Box::new(note)));
+    third.feed(RouteEvent::GossipReceived(Box::new(note)));
     let known: Vec<String> =
         third.state.backends().rows().map(|(_, row)| row.entry.id.clone()).collect();
     assert!(known.contains(&"d".to_owned()) && !known.contains(&"c".to_owned()), "{known:?}");
@@ -245,7 +245,7 @@
             })
             .collect();
         for note in notes {
-            subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+            subject.feed(RouteEvent::GossipReceived(Box::new(note)));
         }
     }
     for subject in &mut boxes {
@@ -279,7 +279,7 @@
     started.read_plan(Some(plan(1)));
     assert!(!started.state.open(BoxTime::from_millis(started.now)), "it could serve nobody");
     let note = answer(&mut reader, &started);
-    let effects = started.feed(RouteEvent::PeerHeard(Box::new(note)));
+    let effects = started.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(effects, [RouteEffect::TakeCallers], "what it asked for is no news to others");
     assert!(started.state.open(BoxTime::from_millis(started.now)));
     started.sent(ask("/read/x"));
@@ -367,7 +367,7 @@
         read_to: note.known.read_to,
         plan: Some(plan(1)),
     });
-    started.feed(RouteEvent::PeerHeard(Box::new(note)));
+    started.feed(RouteEvent::GossipReceived(Box::new(note)));
     started.now = latest - 1;
     started.feed(RouteEvent::Tick);
     assert!(!started.state.must_read(clock(&started)));
@@ -388,14 +388,14 @@
 #[test]
 fn an_answer_holds_what_differs_and_nothing_else() {
     let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     assert!(uses(&asker, "a") && uses(&asker, "b"), "the first answer is a listing");
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
     let note = answer(&mut reader, &asker);
     let told: Vec<&str> = note.changes.iter().map(|change| change.id.as_str()).collect();
     assert_eq!(told, ["a", "c"]);
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(!uses(&asker, "a") && uses(&asker, "b") && uses(&asker, "c"));
     assert!(answer(&mut reader, &asker).changes.is_empty());
 }
@@ -403,13 +403,13 @@
 #[test]
 fn a_lost_answer_is_made_good_by_the_next() {
     let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     reader.drop_entry("a");
     let lost = answer(&mut reader, &asker);
     reader.put(entry("c", "v1"));
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     assert!(!uses(&asker, "a") && uses(&asker, "c"));
-    asker.feed(RouteEvent::PeerHeard(Box::new(lost)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(lost)));
     assert!(uses(&asker, "c"), "one that comes late takes nothing back");
 }
 
@@ -420,13 +420,13 @@
     for number in 0..2 * CHANGES_TOLD + 7 {
         reader.put(entry(&format!("r{number}"), "v1"));
     }
-    let mut effects = asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    let mut effects = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     let mut pages = 1;
     while let Some(ask) = ask_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
         let note = note_in(&reader.feed(RouteEvent::PeerAsked(ask))).expect("an answer");
         assert!(note.changes.len() <= CHANGES_TOLD);
-        effects = asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+        effects = asker.feed(RouteEvent::GossipReceived(Box::new(note)));
         pages += 1;
     }
     assert_eq!(pages, 3);
@@ -449,7 +449,7 @@
     }
     asker.feed(RouteEvent::Tick);
 
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
 
     assert!(!lists(&asker), "the first page came, and the second is asked for");
     asker.now += LISTING_MS;
@@ -467,7 +467,7 @@
     reader.feed(RouteEvent::EntriesRead { as_of: clock(&reader), to: end });
     let note = answer(&mut reader, &asker);
     assert!(note.entries.page.is_some(), "it does not know what went before it listed");
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(!uses(&asker, "a") && uses(&asker, "b"));
     assert_eq!(asker.state.entries_to(), Some(end));
 }
@@ -479,12 +479,12 @@
     reader.drop_entry("a");
     let note = answer(&mut reader, &asker);
     assert_eq!(note.entries.age_ms, None, "not all is settled");
-    asker.feed(RouteEvent::PeerHeard(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(uses(&asker, "a"));
     reader.now += LAPSE_MS;
     asker.now = reader.now;
     reader.feed(RouteEvent::Tick);
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     assert!(!uses(&asker, "a") && uses(&asker, "b"));
 }
 
@@ -498,9 +498,9 @@
     let leads = vec![lead];
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, leads, ..GossipMessage::default() };
-    first.feed(RouteEvent::PeerHeard(Box::new(other)));
+    first.feed(RouteEvent::GossipReceived(Box::new(other)));
     assert!(named(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
-    first.feed(RouteEvent::PeerHeard(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(!uses(&first, "a"), "what it says itself is taken");
 }
 
@@ -522,20 +522,20 @@
         leads: vec![lead],
         ..GossipMessage::default()
     };
-    first.feed(RouteEvent::PeerHeard(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
 
 #[test]
 fn who_is_told_nothing_further_while_an_entry_may_come_back_does_not_ask_on_at_once() {
     let (mut reader, mut asker) = (second_ready_box(), ready_box());
-    asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
 
-    let first = asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
-    let second = asker.feed(RouteEvent::PeerHeard(Box::new(answer(&mut reader, &asker))));
+    let first = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    let second = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
 
     assert!(ask_in(&first).is_none() || ask_in(&second).is_none());
     assert!(ask_in(&second).is_none(), "it was told the same again");
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -283,7 +283,7 @@
                         self.told_entries += entries as u64;
                         let bytes = NOTE_BYTES + TOLD_BYTES * note.changes.len() as u64;
                         let way = self.link_way(to, bytes);
-                        self.send(&target, way, RouteEvent::PeerHeard(note.clone()));
+                        self.send(&target, way, RouteEvent::GossipReceived(note.clone()));
                     }
                 }
                 RouteEffect::SendAsk(target, ask) => {
@@ -390,7 +390,7 @@
                 self.push(self.now + 60_000, to, Step::LookForBoxes);
             }
             Step::Hear(event) => {
-                if let RouteEvent::PeerHeard(note) = &*event {
+                if let RouteEvent::GossipReceived(note) = &*event {
                     self.take_records(to, note);
                 }
                 let asked = matches!(*event, RouteEvent::PeerAsked(_));
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -13,7 +13,7 @@
         let card = PeerInfo { note_address: format!("{name}:90"), open, ..PeerInfo::default() };
         let note =
             GossipMessage { name: name.to_owned(), number: 1, card, ..GossipMessage::default() };
-        subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+        subject.feed(RouteEvent::GossipReceived(Box::new(note)));
     }
 }
 
@@ -70,7 +70,7 @@
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
     let note = answer(&mut reader, subject);
-    subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 }
 
 // In a fleet of 91 boxes 40 ran requests by a plan that had been replaced, and refused others, for 20 s. The new plan was
@@ -119,7 +119,7 @@
     let mut note = answer(&mut reader, &subject);
     note.entries.page = Some(ListingPage { end: at(9), next: None, gone_from: at(9) });
 
-    let effects = subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+    let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 
     assert!(!subject.state.must_read(clock(&subject)), "the next answer may hold it");
     assert!(ask_in(&effects).is_some());
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -208,7 +208,7 @@
         let RouteEffect::SendNotes(targets, note) = effect else { return };
         for target in targets.iter().filter_map(|target| number_of(target)) {
             if !self.frozen.contains(&target) {
-                self.feed(target, RouteEvent::PeerHeard(note.clone()));
+                self.feed(target, RouteEvent::GossipReceived(note.clone()));
             }
         }
     }
@@ -232,7 +232,7 @@
             let down = down[other].clone();
             let note =
                 GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
-            self.feed(number, RouteEvent::PeerHeard(Box::new(note)));
+            self.feed(number, RouteEvent::GossipReceived(Box::new(note)));
         }
     }
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -100,7 +100,7 @@
 fn parted_sessions(age_ms: u64) -> Vec<u64> {
     let mut veteran = box_that_ran_through(age_ms);
     let mut starter = started_box("box-2");
-    starter.feed(RouteEvent::PeerHeard(Box::new(told_by(&mut veteran))));
+    starter.feed(RouteEvent::GossipReceived(Box::new(told_by(&mut veteran))));
     veteran.read_plan(None);
     let parted = |number: &u64| {
         let key = session(*number);
@@ -133,7 +133,7 @@
     for step in 1..=15 {
         notes.extend(note_in(&veteran.feed(RouteEvent::Tick)));
         if step == 5 {
-            let told = notes.drain(..).map(|note| RouteEvent::PeerHeard(Box::new(note)));
+            let told = notes.drain(..).map(|note| RouteEvent::GossipReceived(Box::new(note)));
             told.for_each(|event| drop(starter.feed(event)));
         }
         let versions = [&mut veteran, &mut starter].map(|subject| {
@@ -312,7 +312,7 @@
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::PeerHeard(Box::new(news)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(news)));
 
     let now = BoxTime::from_millis(subject.now);
     assert!(!subject.state.takes_callers(now) && !subject.state.open(now), "others may be there");
@@ -345,7 +345,7 @@
     let mut subject = started_box("box-1");
     subject.now += CARRIED_AT_MS - CARRY_LEAD_MS;
     subject.read_plan(None);
-    subject.feed(RouteEvent::PeerHeard(Box::new(told_answers("box-2", 1, 30.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 1, 30.0))));
     subject.feed(RouteEvent::Tick);
     subject.now += CARRY_LEAD_MS;
     subject.read_plan(None);
@@ -356,7 +356,7 @@
     };
     assert_eq!(carried(&mut subject), 14, "it is proven by what the other box saw");
 
-    subject.feed(RouteEvent::PeerHeard(Box::new(told_answers("box-2", 2, 0.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 2, 0.0))));
     subject.feed(RouteEvent::Tick);
 
     assert_eq!(carried(&mut subject), 14, "no session is moved back");
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -297,7 +297,7 @@
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::PeerHeard(Box::new(note)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
 }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -299,12 +299,18 @@
 #[test]
 fn the_next_box_writes_a_verdict_that_the_first_did_not() {
     let mut subject = ready_box();
-    subject.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
-        name: "box-3".to_owned(),
-        number: 1,
-        card: PeerInfo { note_address: "box-3:90".to_owned(), open: true, ..PeerInfo::default() },
-        ..Default::default()
-    })));
+    subject.feed(RouteEvent::GossipReceived(Box::new(
+        ravenspoke_core::route::peers::GossipMessage {
+            name: "box-3".to_owned(),
+            number: 1,
+            card: PeerInfo {
+                note_address: "box-3:90".to_owned(),
+                open: true,
+                ..PeerInfo::default()
+            },
+            ..Default::default()
+        },
+    )));
     subject.give_order(order());
     assert_eq!(due(&subject.feed(RouteEvent::Tick)), None, "box-3 goes first");
     subject.now += 600;
@@ -321,22 +327,24 @@
     let dump = seen_bad.state.dump(Default::default());
     let tallies = dump.trials[0].own.clone();
     let mut other = box_on_trial();
-    other.feed(RouteEvent::PeerHeard(Box::new(ravenspoke_core::route::peers::GossipMessage {
-        name: "box-9".to_owned(),
-        number: 1,
-        trials: vec![ravenspoke_core::route::peers::TrialUpdate {
-            service: "pool".to_owned(),
-            version: "v2".to_owned(),
-            progress: TrialProgress {
-                phase: TrialPhase::Shared,
-                age_ms: 5_500,
-                ..Default::default()
-            },
-            marked: TrialProgress::default(),
-            tallies,
-        }],
-        ..Default::default()
-    })));
+    other.feed(RouteEvent::GossipReceived(Box::new(
+        ravenspoke_core::route::peers::GossipMessage {
+            name: "box-9".to_owned(),
+            number: 1,
+            trials: vec![ravenspoke_core::route::peers::TrialUpdate {
+                service: "pool".to_owned(),
+                version: "v2".to_owned(),
+                progress: TrialProgress {
+                    phase: TrialPhase::Shared,
+                    age_ms: 5_500,
+                    ..Default::default()
+                },
+                marked: TrialProgress::default(),
+                tallies,
+            }],
+            ..Default::default()
+        },
+    )));
     assert_eq!(due(&other.feed(RouteEvent::Tick)), Some(TrialState::RolledBack));
 }
 
