--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -248,7 +248,7 @@
                 }
                 RouteEffect::TellPlacement(to, told) => {
                     for target in self.heard_by(&to) {
-                        drop(self.boxes[target].apply(stamp, RouteEvent::PlacementHeard(told)));
+                        drop(self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(told)));
                     }
                 }
                 _ => {}
--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -37,7 +37,7 @@
                 // Who asked asks another box.
                 Ok(HeardDatagram::Ask(_)) => driver.tally.count_dropped(DatagramKind::Answer),
                 Ok(HeardDatagram::Placement(placement)) => {
-                    driver.feed(RouteEvent::PlacementHeard(placement));
+                    driver.feed(RouteEvent::PlacementReceived(placement));
                 }
                 Ok(HeardDatagram::Note(note, records)) => {
                     if let Some(records) = records {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -172,7 +172,7 @@
     /// Another box's note came.
     GossipReceived(Box<GossipMessage>),
     /// Another box has placed a long prompt.
-    PlacementHeard(PlacementUpdate),
+    PlacementReceived(PlacementUpdate),
     /// Another box asks how fresh this one's knowledge is.
     PeerAsked(SyncRequest),
     /// The store answered an ask for the lease of what one box does for all.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -274,7 +274,7 @@
                 self.lapse_at = Some(stamp.now.plus_millis(LAPSE_MS));
             }
             RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
-            RouteEvent::PlacementHeard(told) => self.backends.hear_placement(&told, stamp.now),
+            RouteEvent::PlacementReceived(told) => self.backends.hear_placement(&told, stamp.now),
             RouteEvent::PeerAsked(ask) => self.on_ask(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, word } => {
                 self.on_lease(stamp, asked_at, word, out);
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -99,13 +99,13 @@
     let (ticket, first) = subject.sent(prompt(9, 10_000, 500));
     answer(&mut subject, ticket, 1_050);
     // 300 ms of work there are less than the second that the parts take.
-    subject.feed(RouteEvent::PlacementHeard(told(&first.replica_id, 300)));
+    subject.feed(RouteEvent::PlacementReceived(told(&first.replica_id, 300)));
     let (ticket, held) = subject.sent(prompt(9, 10_000, 500));
     assert_eq!(held.replica_id, first.replica_id);
     assert!(held.inputs.affine);
     subject.feed(RouteEvent::CallerLeft(ticket));
     // Four seconds of work are more.
-    subject.feed(RouteEvent::PlacementHeard(told(&first.replica_id, 4_000)));
+    subject.feed(RouteEvent::PlacementReceived(told(&first.replica_id, 4_000)));
     let (_, spilled) = subject.sent(prompt(9, 10_000, 500));
     assert_ne!(spilled.replica_id, first.replica_id);
 }
@@ -138,7 +138,7 @@
     // The other box had a reason to have them read elsewhere.
     let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
     let told = PlacementUpdate { replica: backend_hash(&placed), ..told };
-    subject.feed(RouteEvent::PlacementHeard(told));
+    subject.feed(RouteEvent::PlacementReceived(told));
     subject.now += 2_000;
     subject.read_plan(None);
     let (_, order) = subject.sent(prompt(9, 10_000, 500));
@@ -184,7 +184,7 @@
 fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
     let mut subject = taught_box(1, 0.1);
     subject.put(engine("i-west", "west"));
-    subject.feed(RouteEvent::PlacementHeard(told("i-0", waiting_ms)));
+    subject.feed(RouteEvent::PlacementReceived(told("i-0", waiting_ms)));
     subject.sent(prompt).1.replica_id
 }
 
