--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -32,7 +32,7 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
                 Ok(HeardDatagram::Ask(ask)) if driver.answers.has_room() => {
-                    driver.feed(RouteEvent::PeerAsked(ask));
+                    driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
                 Ok(HeardDatagram::Ask(_)) => driver.tally.count_dropped(DatagramKind::Answer),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -174,7 +174,7 @@
     /// Another box has placed a long prompt.
     PlacementReceived(PlacementUpdate),
     /// Another box asks how fresh this one's knowledge is.
-    PeerAsked(SyncRequest),
+    SyncRequested(SyncRequest),
     /// The store answered an ask for the lease of what one box does for all.
     LeaseAnswered {
         /// When it was asked.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -275,7 +275,7 @@
             }
             RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.hear_placement(&told, stamp.now),
-            RouteEvent::PeerAsked(ask) => self.on_ask(stamp, ask, out),
+            RouteEvent::SyncRequested(ask) => self.on_ask(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, word } => {
                 self.on_lease(stamp, asked_at, word, out);
             }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -144,7 +144,7 @@
             has_rows: asker.state.backends().rows().next().is_some(),
         },
     };
-    note_in(&reader.feed(RouteEvent::PeerAsked(ask))).expect("an answer")
+    note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer")
 }
 
 fn age(subject: &TestBox) -> Option<u64> {
@@ -360,7 +360,7 @@
 fn a_box_that_was_told_everything_when_it_started_calls_the_store_for_nothing() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
     let ask = ask_in(&started.feed(RouteEvent::Tick)).expect("it asks");
-    let note = note_in(&reader.feed(RouteEvent::PeerAsked(ask))).expect("an answer");
+    let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
     let as_of = started.state.word_as_of(&note, clock(&started)).expect("a word");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
@@ -424,7 +424,7 @@
     let mut pages = 1;
     while let Some(ask) = ask_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
-        let note = note_in(&reader.feed(RouteEvent::PeerAsked(ask))).expect("an answer");
+        let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
         assert!(note.changes.len() <= CHANGES_TOLD);
         effects = asker.feed(RouteEvent::GossipReceived(Box::new(note)));
         pages += 1;
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -287,7 +287,7 @@
                     }
                 }
                 RouteEffect::SendAsk(target, ask) => {
-                    self.send(&target, 0, RouteEvent::PeerAsked(ask));
+                    self.send(&target, 0, RouteEvent::SyncRequested(ask));
                 }
                 _ => {}
             }
@@ -393,7 +393,7 @@
                 if let RouteEvent::GossipReceived(note) = &*event {
                     self.take_records(to, note);
                 }
-                let asked = matches!(*event, RouteEvent::PeerAsked(_));
+                let asked = matches!(*event, RouteEvent::SyncRequested(_));
                 if asked && self.link_way(to, 0) > ANSWER_WAIT_MS {
                     return;
                 }
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -196,7 +196,7 @@
                 continue;
             };
             let asked = number_of(&target).filter(|asked| !self.frozen.contains(asked));
-            let answers = asked.map(|asked| self.feed(asked, RouteEvent::PeerAsked(ask)));
+            let answers = asked.map(|asked| self.feed(asked, RouteEvent::SyncRequested(ask)));
             for answer in answers.unwrap_or_default() {
                 self.deliver(answer);
             }
