--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -144,7 +144,7 @@
         self.driver.tally.count_call(LEADER_TOPIC, StoreCall::List);
         let listing = self.store.newest(LEADER_TOPIC).await?;
         let left = listing.records.iter().filter_map(read_left).collect();
-        self.driver.feed(RouteEvent::LeadTaken { token, next, left });
+        self.driver.feed(RouteEvent::LeaderRecordsRead { token, next, left });
         Ok(())
     }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -183,7 +183,7 @@
         word: LeaseAnswer,
     },
     /// What former holders of the lease left was read, and they can write no more.
-    LeadTaken {
+    LeaderRecordsRead {
         /// This box's token.
         token: u64,
         /// Number of the next record under it.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -279,7 +279,9 @@
             RouteEvent::LeaseAnswered { asked_at, word } => {
                 self.on_lease(stamp, asked_at, word, out);
             }
-            RouteEvent::LeadTaken { token, next, left } => self.on_taken_over(token, next, left),
+            RouteEvent::LeaderRecordsRead { token, next, left } => {
+                self.on_taken_over(token, next, left)
+            }
             RouteEvent::RecordKept { token, number } => self.on_record_kept(token, number),
             RouteEvent::LeadUnsure { token } => self.on_lead_unsure(token),
             RouteEvent::LeaderCalled(call, outcome) => self.on_leader_call(stamp, &call, outcome),
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -477,7 +477,7 @@
                 }
                 let left = self.store.records.values().cloned().collect();
                 let next = self.store.next;
-                let event = RouteEvent::LeadTaken { token: order.token, next, left };
+                let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
                 self.post(self.now + 3, Parcel::Event(number, life, event));
             }
             LeaderStep::Keep(NumberedRecord { number: count, record }) => {
