--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -156,7 +156,7 @@
         let (key, value) = write_leader(&kept.record);
         let record = KeyedRecord::new(key, Some(value));
         match self.store.append_in_epoch(LEADER_TOPIC, epoch, Some(&record)).await {
-            Ok(()) => self.driver.feed(RouteEvent::RecordKept { token, number }),
+            Ok(()) => self.driver.feed(RouteEvent::RecordStored { token, number }),
             Err(error @ StoreError::OutOfSequence { .. }) => {
                 self.driver.feed(RouteEvent::LeadUnsure { token });
                 return Err(error);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -192,7 +192,7 @@
         left: Vec<LeaderRecord>,
     },
     /// A record of this box for the next holder stands in the store.
-    RecordKept {
+    RecordStored {
         /// The token that it was written under.
         token: u64,
         /// Its number.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -282,7 +282,7 @@
             RouteEvent::LeaderRecordsRead { token, next, left } => {
                 self.on_taken_over(token, next, left)
             }
-            RouteEvent::RecordKept { token, number } => self.on_record_kept(token, number),
+            RouteEvent::RecordStored { token, number } => self.on_record_kept(token, number),
             RouteEvent::LeadUnsure { token } => self.on_lead_unsure(token),
             RouteEvent::LeaderCalled(call, outcome) => self.on_leader_call(stamp, &call, outcome),
             RouteEvent::UsageAsked(ask) => self.on_usage_asked(&ask, out),
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -485,7 +485,7 @@
                     return;
                 }
                 let token = order.token;
-                let kept = RouteEvent::RecordKept { token, number: count };
+                let kept = RouteEvent::RecordStored { token, number: count };
                 self.post(self.now + 3, Parcel::Event(number, life, kept));
                 if count < self.store.next {
                     return;
