--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -158,7 +158,7 @@
         match self.store.append_in_epoch(LEADER_TOPIC, epoch, Some(&record)).await {
             Ok(()) => self.driver.feed(RouteEvent::RecordStored { token, number }),
             Err(error @ StoreError::OutOfSequence { .. }) => {
-                self.driver.feed(RouteEvent::LeadUnsure { token });
+                self.driver.feed(RouteEvent::RecordConflict { token });
                 return Err(error);
             }
             Err(error) => return Err(error),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -199,7 +199,7 @@
         number: u64,
     },
     /// The store expects a record of another number under this token.
-    LeadUnsure {
+    RecordConflict {
         /// The token.
         token: u64,
     },
