--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -172,7 +172,7 @@
             CallOutcome::Unknown
         });
         observe::note_lead_called(call, order.token, outcome);
-        self.driver.feed(RouteEvent::LeaderCalled(call.clone(), outcome));
+        self.driver.feed(RouteEvent::LeaderCallEnded(call.clone(), outcome));
     }
 }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -204,7 +204,7 @@
         token: u64,
     },
     /// A call of this box as the holder has ended.
-    LeaderCalled(LeaderCall, CallOutcome),
+    LeaderCallEnded(LeaderCall, CallOutcome),
     /// The holder asks for this box's counts of usage.
     UsageAsked(UsageRequest),
     /// Another box told its counts.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -284,7 +284,9 @@
             }
             RouteEvent::RecordStored { token, number } => self.on_record_kept(token, number),
             RouteEvent::RecordConflict { token } => self.on_lead_unsure(token),
-            RouteEvent::LeaderCalled(call, outcome) => self.on_leader_call(stamp, &call, outcome),
+            RouteEvent::LeaderCallEnded(call, outcome) => {
+                self.on_leader_call(stamp, &call, outcome)
+            }
             RouteEvent::UsageAsked(ask) => self.on_usage_asked(&ask, out),
             RouteEvent::UsageTold(note) => self.on_usage_told(&note),
             RouteEvent::PeersNamed(addresses) => {
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -501,7 +501,7 @@
                 let outcome = self.platform_call(number, order.token, &call);
                 self.post(
                     self.now + 3,
-                    Parcel::Event(number, life, RouteEvent::LeaderCalled(call, outcome)),
+                    Parcel::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
                 );
             }
         }
