--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -45,7 +45,9 @@
                     }
                     driver.feed(RouteEvent::GossipReceived(note));
                 }
-                Ok(HeardDatagram::UsageRequest(ask)) => driver.feed(RouteEvent::UsageAsked(ask)),
+                Ok(HeardDatagram::UsageRequest(ask)) => {
+                    driver.feed(RouteEvent::UsageRequested(ask))
+                }
                 Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageTold(note)),
                 Ok(HeardDatagram::Empty) => observe::note_bad_note("it is empty"),
                 Err(error) => observe::note_bad_note(&error.to_string()),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -206,7 +206,7 @@
     /// A call of this box as the holder has ended.
     LeaderCallEnded(LeaderCall, CallOutcome),
     /// The holder asks for this box's counts of usage.
-    UsageAsked(UsageRequest),
+    UsageRequested(UsageRequest),
     /// Another box told its counts.
     UsageTold(UsageResponse),
     /// Addresses where other boxes may be.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -287,7 +287,7 @@
             RouteEvent::LeaderCallEnded(call, outcome) => {
                 self.on_leader_call(stamp, &call, outcome)
             }
-            RouteEvent::UsageAsked(ask) => self.on_usage_asked(&ask, out),
+            RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
             RouteEvent::UsageTold(note) => self.on_usage_told(&note),
             RouteEvent::PeersNamed(addresses) => {
                 self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -432,7 +432,7 @@
                 }
                 RouteEffect::AskUsage(to, ask) => {
                     for target in to {
-                        self.send(&target, RouteEvent::UsageAsked(ask.clone()));
+                        self.send(&target, RouteEvent::UsageRequested(ask.clone()));
                     }
                 }
                 RouteEffect::TellUsage(to, note) => self.send(&to, RouteEvent::UsageTold(note)),
