--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -48,7 +48,7 @@
                 Ok(HeardDatagram::UsageRequest(ask)) => {
                     driver.feed(RouteEvent::UsageRequested(ask))
                 }
-                Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageTold(note)),
+                Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
                 Ok(HeardDatagram::Empty) => observe::note_bad_note("it is empty"),
                 Err(error) => observe::note_bad_note(&error.to_string()),
             },
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -208,7 +208,7 @@
     /// The holder asks for this box's counts of usage.
     UsageRequested(UsageRequest),
     /// Another box told its counts.
-    UsageTold(UsageResponse),
+    UsageReceived(UsageResponse),
     /// Addresses where other boxes may be.
     PeersNamed(Vec<String>),
     /// A caller's request arrived.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -288,7 +288,7 @@
                 self.on_leader_call(stamp, &call, outcome)
             }
             RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
-            RouteEvent::UsageTold(note) => self.on_usage_told(&note),
+            RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
             RouteEvent::PeersNamed(addresses) => {
                 self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
             }
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -435,7 +435,7 @@
                         self.send(&target, RouteEvent::UsageRequested(ask.clone()));
                     }
                 }
-                RouteEffect::TellUsage(to, note) => self.send(&to, RouteEvent::UsageTold(note)),
+                RouteEffect::TellUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
                 RouteEffect::Lead(order) if BoxTime::from_millis(self.now) < order.until => {
                     self.launch(number, life, order);
                 }
