--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -336,7 +336,7 @@
     let changes = site.engines.iter().enumerate().map(change).collect();
     drop(state.apply(stamp, RouteEvent::BackendsChanged(changes)));
     let others = (0..site.boxes.len()).map(|other| format!("{other}:90")).collect();
-    drop(state.apply(stamp, RouteEvent::PeersNamed(others)));
+    drop(state.apply(stamp, RouteEvent::PeersDiscovered(others)));
     state
 }
 
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -166,7 +166,7 @@
         let values = news.records.into_iter().filter_map(|row| row.value);
         let addresses: Vec<String> =
             values.map(|value| String::from_utf8_lossy(&value).into_owned()).collect();
-        driver.feed(RouteEvent::PeersNamed(addresses));
+        driver.feed(RouteEvent::PeersDiscovered(addresses));
         follower.wait_for_era(told, Duration::from_millis(BOX_EVERY_MS)).await;
     }
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -186,7 +186,7 @@
         settings.notes.to_string(),
     ));
     let seeds = settings.seeds.iter().map(SocketAddr::to_string).collect();
-    driver.feed(RouteEvent::PeersNamed(seeds));
+    driver.feed(RouteEvent::PeersDiscovered(seeds));
 }
 
 /// The entry that callers connect to, and what is done with their connections.
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -210,7 +210,7 @@
     /// Another box told its counts.
     UsageReceived(UsageResponse),
     /// Addresses where other boxes may be.
-    PeersNamed(Vec<String>),
+    PeersDiscovered(Vec<String>),
     /// A caller's request arrived.
     Arrived(RequestTicket, CallerRequest),
     /// The head of a replica's answer came.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -289,7 +289,7 @@
             }
             RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
             RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
-            RouteEvent::PeersNamed(addresses) => {
+            RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
             }
             RouteEvent::Arrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -108,7 +108,7 @@
         };
         let addresses: Vec<String> = (0..boxes).map(|number| format!("box-{number}:90")).collect();
         for number in 0..boxes {
-            fleet.feed(number, RouteEvent::PeersNamed(addresses.clone()));
+            fleet.feed(number, RouteEvent::PeersDiscovered(addresses.clone()));
             fleet.put(number);
             let first = fleet.now + fleet.below(200);
             fleet.plan_step(first, Step::Tick(number));
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -156,7 +156,7 @@
     let mut teller = zoned_box();
     let mut subject = zoned_box();
     read_orders(&mut teller, None, 7, &[("east", true), ("north", true)]);
-    teller.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
+    teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
 
     let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -224,7 +224,7 @@
             tickets: 0,
         };
         let others = (0..self.size).map(|other| format!("box-{other}:90")).collect();
-        drop(fresh.state.apply(stamp(self.now, 3), RouteEvent::PeersNamed(others)));
+        drop(fresh.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
         let listed = self.entries();
         let end = at(self.offset + 1);
         drop(fresh.state.apply(stamp(self.now, 2), RouteEvent::BackendsListed { end, listed }));
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -73,7 +73,7 @@
 #[test]
 fn a_replica_that_one_box_can_not_reach_is_passed_over_by_others_unless_it_has_answered_since() {
     let mut teller = ready_box();
-    teller.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
+    teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let (ticket, order) = teller.sent(ask("/read/x"));
     teller.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     teller.now += DOWN_TELL_MS;
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -16,7 +16,7 @@
 /// Lets `from` tell `to` what it knows.
 pub fn tell(from: &mut TestBox, to: &mut TestBox) -> Vec<RouteEffect> {
     let address = to.state.dump(BoxTime::default()).name.to_owned() + ":90";
-    from.feed(RouteEvent::PeersNamed(vec![address]));
+    from.feed(RouteEvent::PeersDiscovered(vec![address]));
     from.now += 500;
     to.now = from.now;
     let note = note_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
@@ -92,7 +92,7 @@
 fn an_old_note_changes_nothing() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
-    second.feed(RouteEvent::PeersNamed(vec!["box-1:90".to_owned()]));
+    second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.now += 500;
     let early = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
     let late = note_in(&second.feed(RouteEvent::StopAsked)).expect("a note");
@@ -214,13 +214,13 @@
 fn what_leaves_is_told_on_by_who_heard_it_and_the_rest_to_who_asks() {
     let (mut first, mut second, mut third) = (ready_box(), new_box("box-2"), new_box("box-3"));
     third.read_plan(Some(plan(1)));
-    second.feed(RouteEvent::PeersNamed(vec!["box-1:90".to_owned()]));
+    second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.offset = 10;
     second.put(entry("c", "v1"));
     second.drop_entry("c");
     second.put(entry("d", "v1"));
     let note = note_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
-    first.feed(RouteEvent::PeersNamed(vec!["box-3:90".to_owned()]));
+    first.feed(RouteEvent::PeersDiscovered(vec!["box-3:90".to_owned()]));
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
     let note = note_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
     third.feed(RouteEvent::GossipReceived(Box::new(note)));
@@ -328,7 +328,7 @@
 /// A box that has just started, and when it reads the store at the latest if nobody tells it anything.
 fn started_box() -> (TestBox, u64) {
     let mut started = new_box("box-2");
-    started.feed(RouteEvent::PeersNamed(vec!["box-1:90".to_owned()]));
+    started.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     let latest = started.now + START_WAIT_MS + START_SPREAD_MS;
     (started, latest)
 }
@@ -491,7 +491,7 @@
 #[test]
 fn a_note_that_comes_after_word_of_its_sender_is_still_taken() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
-    second.feed(RouteEvent::PeersNamed(vec!["box-1:90".to_owned()]));
+    second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
     let note = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
     let lead = PeerSummary { name: "box-2".to_owned(), card: note.card.clone(), age_ms: 0 };
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -222,7 +222,7 @@
     /// Starts a box's tasks.
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
-        self.push(at, number, Step::Hear(Box::new(RouteEvent::PeersNamed(seeds))));
+        self.push(at, number, Step::Hear(Box::new(RouteEvent::PeersDiscovered(seeds))));
         for step in [Step::Tick, Step::LookForPlan, Step::LookForEntries, Step::LookForBoxes] {
             self.push(at + 1, number, step);
         }
@@ -386,7 +386,7 @@
                 self.push(self.now + 1, to, Step::LookForEntries);
             }
             Step::BoxesRead => {
-                self.feed(to, RouteEvent::PeersNamed(self.listed.clone()));
+                self.feed(to, RouteEvent::PeersDiscovered(self.listed.clone()));
                 self.push(self.now + 60_000, to, Step::LookForBoxes);
             }
             Step::Hear(event) => {
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -171,7 +171,7 @@
 
     fn begin(&mut self, number: usize) {
         let others = [1, 2].map(|step| format!("box-{}:90", (number + step) % self.boxes.len()));
-        self.feed(number, RouteEvent::PeersNamed(others.to_vec()));
+        self.feed(number, RouteEvent::PeersDiscovered(others.to_vec()));
         self.pass_word(number);
         self.read_plan(number);
         for change in self.entries.clone() {
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -476,7 +476,7 @@
         subject.put(entry(id, "v1"));
     }
     let addresses = (0..others).map(|number| format!("other-{number}:90")).collect();
-    subject.feed(RouteEvent::PeersNamed(addresses));
+    subject.feed(RouteEvent::PeersDiscovered(addresses));
     let fails = |_: &usize| {
         let (ticket, _) = subject.sent(ask("/read/x"));
         let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -83,7 +83,7 @@
 
 /// The note that a box sends next.
 fn told_by(subject: &mut TestBox) -> GossipMessage {
-    subject.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
+    subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
     note_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
 }
@@ -125,7 +125,7 @@
         subject.read_plan(None);
     }
     (1..200).for_each(|number| drop(version_of(&mut veteran, session(number))));
-    veteran.feed(RouteEvent::PeersNamed(vec!["box-2:90".to_owned()]));
+    veteran.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let on_old = |number: &u64| version_of(&mut starter, session(*number)) == "v1";
     let kept: Vec<u64> = (1..20).filter(on_old).collect();
 
