--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -81,7 +81,7 @@
         any_model: true,
         ..CallerRequest::default()
     };
-    RouteEvent::Arrived(RequestTicket(number), ask)
+    RouteEvent::RequestArrived(RequestTicket(number), ask)
 }
 
 criterion_group!(benches, decision, placement);
--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -117,7 +117,7 @@
                 any_model: true,
                 ..CallerRequest::default()
             };
-            let event = RouteEvent::Arrived(RequestTicket(row as u64), ask);
+            let event = RouteEvent::RequestArrived(RequestTicket(row as u64), ask);
             return self.feed(request.asked_box, row, event, scene.now_us);
         }
         let site = scene.site;
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -146,7 +146,7 @@
     let driver = tools.driver.clone();
     let name = RequestName { ticket: driver.next_ticket(), id: ask.id.clone() };
     let mut guard = RequestGuard { driver, name, began: Instant::now(), ended: false };
-    let mut step = guard.feed(RouteEvent::Arrived(guard.name.ticket, ask));
+    let mut step = guard.feed(RouteEvent::RequestArrived(guard.name.ticket, ask));
     let caller =
         BufferedRequest { method: head.method, uri: head.uri, headers: head.headers, body };
     loop {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -212,7 +212,7 @@
     /// Addresses where other boxes may be.
     PeersDiscovered(Vec<String>),
     /// A caller's request arrived.
-    Arrived(RequestTicket, CallerRequest),
+    RequestArrived(RequestTicket, CallerRequest),
     /// The head of a replica's answer came.
     HeadCame(RequestTicket, AnswerHead),
     /// Nothing came for as long as the order says: another replica may be asked, or the attempt is
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -292,7 +292,7 @@
             RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
             }
-            RouteEvent::Arrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
+            RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
             RouteEvent::HeadCame(ticket, head) => self.on_head(stamp, ticket, head, out),
             RouteEvent::Paused(ticket) => self.on_paused(stamp, ticket, out),
             RouteEvent::AttemptFailed(ticket, failure) => {
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -223,7 +223,7 @@
                 self.count.asked += 1;
                 let number = self.below(self.boxes.len() as u64) as usize;
                 let ticket = RequestTicket(self.planned.len() as u64);
-                self.feed(number, RouteEvent::Arrived(ticket, ask("/file/x")));
+                self.feed(number, RouteEvent::RequestArrived(ticket, ask("/file/x")));
             }
             Step::Reach(place) => self.reach(place),
             Step::Done(place) => {
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -193,7 +193,7 @@
     pub fn arrive(&mut self, ask: CallerRequest) -> (RequestTicket, Vec<RouteEffect>) {
         self.tickets += 1;
         let ticket = RequestTicket(self.tickets);
-        (ticket, self.feed(RouteEvent::Arrived(ticket, ask)))
+        (ticket, self.feed(RouteEvent::RequestArrived(ticket, ask)))
     }
 
     /// A request that was sent, with its order.
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -398,7 +398,7 @@
         let ticket = ravenspoke_core::event::RequestTicket(self.boxes[number].tickets);
         let now = stamp(self.now, 11);
         let state = &mut self.boxes[number].state;
-        let sent = state.apply(now, RouteEvent::Arrived(ticket, ask("/read/x")));
+        let sent = state.apply(now, RouteEvent::RequestArrived(ticket, ask("/read/x")));
         if order_in(&sent).is_some() {
             drop(state.apply(now, RouteEvent::HeadCame(ticket, head(200))));
             drop(state.apply(now, RouteEvent::Finished(ticket)));
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -365,7 +365,7 @@
             content: if fatal { FATAL_CONTENT } else { session(ticket) },
             ..ask("/chat/x")
         };
-        let effects = self.feed(number, RouteEvent::Arrived(RequestTicket(ticket), request));
+        let effects = self.feed(number, RouteEvent::RequestArrived(RequestTicket(ticket), request));
         self.place(number, ticket, fatal, crate::fixture::order_in(&effects));
     }
 
