--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -150,7 +150,7 @@
                 other_replica: false,
                 proven: true,
             };
-            let event = RouteEvent::HeadCame(RequestTicket(row as u64), head);
+            let event = RouteEvent::HeadReceived(RequestTicket(row as u64), head);
             return self.feed(request.asked_box, row, event, scene.now_us);
         }
         let known = self.rows.get(&row).copied().unwrap_or_default();
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -157,7 +157,7 @@
         };
         match attempt(&tools, &caller, &mut guard, &order, None).await {
             AttemptOutcome::Answer(answer) => {
-                step = guard.feed(RouteEvent::HeadCame(guard.name.ticket, answer.decoded));
+                step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, answer.decoded));
                 if matches!(step, Some(RequestStep::Relay)) {
                     return Ok(pass_on(tools, caller, guard, order, *answer));
                 }
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -141,7 +141,7 @@
                 attempt(&self.tools, &self.caller, &mut self.guard, &self.order, last.as_deref());
             match outcome.await {
                 AttemptOutcome::Answer(answer) => {
-                    step = self.guard.feed(RouteEvent::HeadCame(ticket, answer.decoded));
+                    step = self.guard.feed(RouteEvent::HeadReceived(ticket, answer.decoded));
                     if !matches!(step, Some(RequestStep::Relay)) {
                         continue;
                     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -214,7 +214,7 @@
     /// A caller's request arrived.
     RequestArrived(RequestTicket, CallerRequest),
     /// The head of a replica's answer came.
-    HeadCame(RequestTicket, AnswerHead),
+    HeadReceived(RequestTicket, AnswerHead),
     /// Nothing came for as long as the order says: another replica may be asked, or the attempt is
     /// waited for further. Silence alone never ends a request.
     Paused(RequestTicket),
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -293,7 +293,7 @@
                 self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
             }
             RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
-            RouteEvent::HeadCame(ticket, head) => self.on_head(stamp, ticket, head, out),
+            RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
             RouteEvent::Paused(ticket) => self.on_paused(stamp, ticket, out),
             RouteEvent::AttemptFailed(ticket, failure) => {
                 self.on_failed(stamp, ticket, failure, out);
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -52,7 +52,7 @@
     let emptied = if lost == "east" { "north" } else { "east" };
     read_orders(&mut subject, None, 2, &[(emptied, true)]);
 
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let resumed = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     let next = order_in(&resumed).expect("it is resumed").replica_id;
     assert!(next != format!("r-{emptied}") && next != first.replica_id, "{next}");
@@ -68,7 +68,7 @@
     let zone = order.replica_id.trim_start_matches("r-").to_owned();
 
     let effects = read_orders(&mut subject, None, 2, &[(&zone, true)]);
-    let answered = subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    let answered = subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
 
     let moved = effects.iter().any(|effect| {
         matches!(effect, RouteEffect::EvacuationMoved { order, in_hand: 1, .. } if order.evacuated)
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -173,7 +173,7 @@
     let mut subject = box_of_six();
     end_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::Finished(ticket));
     end_under(&mut subject, "three");
     subject.sent(asking("four"));
@@ -219,7 +219,7 @@
     loop {
         let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
         let answer = ravenspoke_core::route::event::AnswerHead { load: Some(load), ..head(200) };
-        subject.feed(RouteEvent::HeadCame(ticket, answer));
+        subject.feed(RouteEvent::HeadReceived(ticket, answer));
         subject.feed(RouteEvent::Finished(ticket));
         if other.replica_id == order.replica_id {
             return;
@@ -259,7 +259,7 @@
     let mut subject = box_of_six();
     end_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(told(Vec::new()));
     subject.feed(RouteEvent::Finished(ticket));
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -400,7 +400,7 @@
         let state = &mut self.boxes[number].state;
         let sent = state.apply(now, RouteEvent::RequestArrived(ticket, ask("/read/x")));
         if order_in(&sent).is_some() {
-            drop(state.apply(now, RouteEvent::HeadCame(ticket, head(200))));
+            drop(state.apply(now, RouteEvent::HeadReceived(ticket, head(200))));
             drop(state.apply(now, RouteEvent::Finished(ticket)));
             *self.truth.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
         }
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -29,7 +29,7 @@
         let (ticket, order) = subject.sent(ask("/read/x"));
         let leaving = order.replica_id == "a";
         let effects =
-            subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { leaving, ..head(200) }));
+            subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { leaving, ..head(200) }));
         if leaving {
             let said =
                 |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingSaid(id) if id == "a");
@@ -86,6 +86,6 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     let answer = AnswerHead { leaving: true, other_replica: true, ..head(421) };
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, answer));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, answer));
     assert!(!effects.iter().any(|effect| matches!(effect, RouteEffect::LeavingSaid(_))));
 }
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -125,7 +125,7 @@
         let (ticket, order) = subject.sent(ask("/read/x"));
         let answer = AnswerHead { limit_per_s, ..head(200) };
         let came = if order.replica_id == "a" { answer } else { head(200) };
-        subject.feed(RouteEvent::HeadCame(ticket, came));
+        subject.feed(RouteEvent::HeadReceived(ticket, came));
         subject.feed(RouteEvent::Finished(ticket));
         if order.replica_id == "a" {
             return;
@@ -193,7 +193,7 @@
     };
     assert_eq!(order.replica_id, "a");
     let full = AnswerHead { not_run: true, proven: false, ..head(503) };
-    subject.feed(RouteEvent::HeadCame(ticket, full));
+    subject.feed(RouteEvent::HeadReceived(ticket, full));
     assert!(sent_to_a(&mut subject) <= 1);
 }
 
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -43,7 +43,7 @@
     let full = holder(&mut subject, 9);
     let (ticket, _) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     let idle = BackendLoad { running: 0, waiting: 0, slots: 4 };
-    subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(idle), ..head(200) }));
+    subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.feed(RouteEvent::Finished(ticket));
     subject.now += 100;
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
@@ -60,7 +60,7 @@
     let (ticket, order) = subject.sent(ask("/chat/x"));
     assert_eq!(order.replica_id, "b");
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
-    subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(idle), ..head(200) }));
+    subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
     assert_eq!(note.loads, [LoadUpdate { age_ms: 800, ..load }]);
@@ -101,7 +101,8 @@
     {
         let (ticket, _) = witness.sent(ask("/read/x"));
         let load = BackendLoad { running: 1, waiting: 0, slots: 4 };
-        witness.feed(RouteEvent::HeadCame(ticket, AnswerHead { load: Some(load), ..head(200) }));
+        witness
+            .feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(load), ..head(200) }));
         witness.feed(RouteEvent::Finished(ticket));
     }
     witness.feed(RouteEvent::GossipReceived(Box::new(note)));
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -27,7 +27,7 @@
 fn asked_of_the_large_model(subject: &mut TestBox) -> RequestTicket {
     let (ticket, _) = subject.sent(CallerRequest { any_model: true, ..ask("/chat/x") });
     let unsure = AnswerHead { confidence: Some(3), ..head(200) };
-    let order = order_in(&subject.feed(RouteEvent::HeadCame(ticket, unsure)));
+    let order = order_in(&subject.feed(RouteEvent::HeadReceived(ticket, unsure)));
     assert_eq!(order.expect("a larger model").model.as_deref(), Some("large"));
     ticket
 }
@@ -44,7 +44,7 @@
         let last = order_in(&subject.feed(event)).expect("a last attempt");
         assert_eq!((last.number, last.model.as_deref()), (3, Some("small")));
         let unsure = AnswerHead { confidence: Some(3), ..head(200) };
-        let effects = subject.feed(RouteEvent::HeadCame(ticket, unsure));
+        let effects = subject.feed(RouteEvent::HeadReceived(ticket, unsure));
         assert_eq!(effects, [RouteEffect::Relay(ticket)], "there is nothing better");
     }
 }
@@ -54,7 +54,7 @@
     let mut subject = box_with_models(20);
     let ticket = asked_of_the_large_model(&mut subject);
     let sure = AnswerHead { confidence: Some(90), ..head(200) };
-    subject.feed(RouteEvent::HeadCame(ticket, sure));
+    subject.feed(RouteEvent::HeadReceived(ticket, sure));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(order_in(&effects).expect("a last attempt").model.as_deref(), Some("large"));
 }
@@ -73,12 +73,12 @@
             CallerRequest { any_model: true, prompt, affinity: 100 + number, ..ask("/chat/x") };
         let (ticket, _) = subject.sent(ask);
         let unsure = AnswerHead { confidence: Some(3), ..head(200) };
-        let effects = subject.feed(RouteEvent::HeadCame(ticket, unsure));
+        let effects = subject.feed(RouteEvent::HeadReceived(ticket, unsure));
         asked += usize::from(order_in(&effects).is_some());
         subject.now += gap_ms.min(LARGE_MODEL_MS);
         if gap_ms > LARGE_MODEL_MS {
             let sure = AnswerHead { confidence: Some(90), ..head(200) };
-            subject.feed(RouteEvent::HeadCame(ticket, sure));
+            subject.feed(RouteEvent::HeadReceived(ticket, sure));
             subject.feed(RouteEvent::Finished(ticket));
             subject.now += gap_ms - LARGE_MODEL_MS;
         }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -56,7 +56,7 @@
 /// Answers a request `after_ms` later, and ends it.
 fn answer(subject: &mut TestBox, ticket: RequestTicket, after_ms: u64) {
     subject.now += after_ms;
-    subject.feed(RouteEvent::HeadCame(ticket, quiet_head()));
+    subject.feed(RouteEvent::HeadReceived(ticket, quiet_head()));
     subject.feed(RouteEvent::Finished(ticket));
 }
 
@@ -208,7 +208,7 @@
     let mut subject = box_with_engines(2);
     let (ticket, small) = subject.sent(CallerRequest { any_model: true, ..prompt(9, 100, 100) });
     let unsure = AnswerHead { confidence: Some(3), ..quiet_head() };
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, unsure));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, unsure));
     let large: SendOrder = order_in(&effects).expect("a larger model is asked");
     assert!(small.urgency < large.urgency, "{:?} {:?}", small.urgency, large.urgency);
     let (_, plain) = subject.sent(ask("/read/x"));
--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -38,7 +38,7 @@
     let mut subject = subject(bound_plan(&["coast"], &[]));
     for _ in 0..20 {
         let (ticket, first) = subject.sent(ask("/chat/x"));
-        subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+        subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
         let broken = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
         let next = order_in(&broken).expect("it is resumed");
         let mut used = [first.replica_id, next.replica_id];
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -335,7 +335,7 @@
                     self.named_at[replica].get_or_insert(self.now);
                 }
                 let answer = AnswerHead { load: Some(load), limit_per_s, ..head(200) };
-                self.feed(number, RouteEvent::HeadCame(RequestTicket(ticket), answer));
+                self.feed(number, RouteEvent::HeadReceived(RequestTicket(ticket), answer));
             }
             Step::End(number, ticket, replica) if self.runs(number, ticket, replica) => {
                 self.running[replica].retain(|row| (row.0, row.1) != (number, ticket));
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -30,7 +30,7 @@
     let mut subject = ready_box();
     let (ticket, first) = subject.sent(ask("/file/x"));
     let full = AnswerHead { not_run: true, ..head(503) };
-    let second = order_in(&subject.feed(RouteEvent::HeadCame(ticket, full))).expect("another");
+    let second = order_in(&subject.feed(RouteEvent::HeadReceived(ticket, full))).expect("another");
     assert_ne!(first.replica_id, second.replica_id);
     assert_eq!(second.number, 2);
 }
@@ -40,8 +40,9 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let full = AnswerHead { not_run: true, ..head(503) };
-    subject.feed(RouteEvent::HeadCame(ticket, full));
-    let refusal = refusal_in(&subject.feed(RouteEvent::HeadCame(ticket, full))).expect("refused");
+    subject.feed(RouteEvent::HeadReceived(ticket, full));
+    let refusal =
+        refusal_in(&subject.feed(RouteEvent::HeadReceived(ticket, full))).expect("refused");
     assert!(is_refused(refusal, 503, RefusalReason::Full));
     assert!(refusal.retry_after_ms.is_some());
 }
@@ -52,7 +53,8 @@
     let (ticket, _) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     let full = AnswerHead { not_run: true, ..head(503) };
-    let refusal = refusal_in(&subject.feed(RouteEvent::HeadCame(ticket, full))).expect("refused");
+    let refusal =
+        refusal_in(&subject.feed(RouteEvent::HeadReceived(ticket, full))).expect("refused");
     assert_eq!(refusal.status, 502);
 }
 
@@ -98,7 +100,7 @@
         let mut subject = ready_box();
         for _ in 0..60 {
             let (ticket, _) = subject.sent(ask("/read/x"));
-            subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+            subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
             subject.feed(RouteEvent::CallerLeft(ticket));
         }
         let none = BudgetBounds { ratio: 0.0, slack: 0.0, window_ms: 10_000 };
@@ -110,7 +112,7 @@
         assert_ne!(first.replica_id, second.replica_id);
 
         let (ticket, _) = subject.sent(ask("/read/x"));
-        let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+        let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
         assert_eq!(effects, [RouteEffect::Relay(ticket)], "what arrived is not sent again");
     }
 }
@@ -119,12 +121,12 @@
 fn a_failed_answer_is_asked_again_where_that_is_allowed_and_else_passed_on() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
-    assert!(order_in(&subject.feed(RouteEvent::HeadCame(ticket, head(500)))).is_some());
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+    assert!(order_in(&subject.feed(RouteEvent::HeadReceived(ticket, head(500)))).is_some());
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
     assert_eq!(effects, [RouteEffect::Relay(ticket)], "the replica's own failure is the answer");
 
     let (ticket, _) = subject.sent(ask("/file/x"));
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
     assert_eq!(effects, [RouteEffect::Relay(ticket)]);
 }
 
@@ -133,7 +135,7 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let unproven = AnswerHead { proven: false, ..head(200) };
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, unproven));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, unproven));
     assert_eq!(refusal_in(&effects).expect("given up").status, 502);
 }
 
@@ -159,7 +161,7 @@
     }
     let (ticket, _) = subject.sent(ask("/chat/x"));
     assert!(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
     assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
     assert!(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
@@ -176,10 +178,10 @@
 fn a_broken_stream_is_taken_up_elsewhere_and_a_failure_is_never_joined_to_it() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/chat/x"));
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert!(order_in(&effects).is_some());
-    let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
     assert_eq!(effects, [RouteEffect::BreakOff(ticket, RefusalReason::Failed)]);
 }
 
@@ -192,7 +194,7 @@
     subject.put(entry("a", "v1"));
     subject.put(entry("b", "v1"));
     let (ticket, _) = subject.sent(ask("/chat/x"));
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(effects, [RouteEffect::BreakOff(ticket, RefusalReason::Failed)]);
 }
@@ -259,7 +261,7 @@
     let mut subject = ready_box();
     let (ticket, first) = subject.sent(ask("/read/x"));
     let load = Some(BackendLoad { running: 4, waiting: 2, slots: 4 });
-    subject.feed(RouteEvent::HeadCame(ticket, AnswerHead { load, ..head(200) }));
+    subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load, ..head(200) }));
     subject.feed(RouteEvent::Finished(ticket));
     for _ in 0..3 {
         let (_, order) = subject.sent(ask("/read/x"));
@@ -309,13 +311,16 @@
     let (ticket, first) = subject.sent(any.clone());
     assert_eq!(first.model.as_deref(), Some("small"));
     let unsure = AnswerHead { confidence: Some(5), ..head(200) };
-    let second = order_in(&subject.feed(RouteEvent::HeadCame(ticket, unsure))).expect("larger");
+    let second = order_in(&subject.feed(RouteEvent::HeadReceived(ticket, unsure))).expect("larger");
     assert_eq!(second.model.as_deref(), Some("large"));
-    assert_eq!(subject.feed(RouteEvent::HeadCame(ticket, unsure)), [RouteEffect::Relay(ticket)]);
+    assert_eq!(
+        subject.feed(RouteEvent::HeadReceived(ticket, unsure)),
+        [RouteEffect::Relay(ticket)]
+    );
 
     let (ticket, _) = subject.sent(any);
     let sure = AnswerHead { confidence: Some(95), ..head(200) };
-    assert_eq!(subject.feed(RouteEvent::HeadCame(ticket, sure)), [RouteEffect::Relay(ticket)]);
+    assert_eq!(subject.feed(RouteEvent::HeadReceived(ticket, sure)), [RouteEffect::Relay(ticket)]);
 }
 
 #[test]
@@ -328,18 +333,23 @@
     let any = CallerRequest { any_model: true, ..ask("/chat/x") };
     let half_sure = AnswerHead { confidence: Some(40), ..head(200) };
     let (ticket, _) = subject.sent(any.clone());
-    assert!(order_in(&subject.feed(RouteEvent::HeadCame(ticket, half_sure))).is_some());
+    assert!(order_in(&subject.feed(RouteEvent::HeadReceived(ticket, half_sure))).is_some());
     subject.feed(RouteEvent::CallerLeft(ticket));
     for _ in 0..60 {
         let (ticket, _) = subject.sent(any.clone());
         subject.now += 900;
         subject.read_plan(None);
-        subject
-            .feed(RouteEvent::HeadCame(ticket, AnswerHead { confidence: Some(90), ..head(200) }));
+        subject.feed(RouteEvent::HeadReceived(
+            ticket,
+            AnswerHead { confidence: Some(90), ..head(200) },
+        ));
         subject.feed(RouteEvent::Finished(ticket));
     }
     let (ticket, _) = subject.sent(any);
-    assert_eq!(subject.feed(RouteEvent::HeadCame(ticket, half_sure)), [RouteEffect::Relay(ticket)]);
+    assert_eq!(
+        subject.feed(RouteEvent::HeadReceived(ticket, half_sure)),
+        [RouteEffect::Relay(ticket)]
+    );
 }
 
 #[test]
@@ -373,7 +383,7 @@
     subject.feed(RouteEvent::CallerLeft(ticket));
     assert_eq!(subject.state.in_hand(), 0);
     assert!(subject.state.backends().rows().all(|(_, row)| row.outstanding == 0));
-    assert_eq!(subject.feed(RouteEvent::HeadCame(ticket, head(200))), []);
+    assert_eq!(subject.feed(RouteEvent::HeadReceived(ticket, head(200))), []);
 }
 
 #[test]
@@ -412,7 +422,7 @@
     let mut subject = ready_box();
     for _ in 0..100 {
         let (ticket, _) = subject.sent(ask("/read/x"));
-        subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+        subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
         subject.feed(RouteEvent::Finished(ticket));
         subject.now += 20;
         subject.read_plan(None);
@@ -479,7 +489,7 @@
     subject.feed(RouteEvent::PeersDiscovered(addresses));
     let fails = |_: &usize| {
         let (ticket, _) = subject.sent(ask("/read/x"));
-        let effects = subject.feed(RouteEvent::HeadCame(ticket, head(500)));
+        let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
         subject.feed(RouteEvent::CallerLeft(ticket));
         order_in(&effects).is_some()
     };
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -91,7 +91,7 @@
 /// Version that a session's request is answered by.
 fn version_of(subject: &mut TestBox, session: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { session, ..ask("/file/x") });
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::Finished(ticket));
     order.version
 }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -40,7 +40,7 @@
     let request = CallerRequest { session, ..ask("/file/x") };
     let (ticket, order) = subject.sent(request);
     let status = if order.version == "v2" { status } else { 200 };
-    subject.feed(RouteEvent::HeadCame(ticket, head(status)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(status)));
     subject.feed(RouteEvent::Finished(ticket));
     order.version
 }
@@ -174,7 +174,7 @@
         let (ticket, order) =
             subject.sent(CallerRequest { session: session(number), ..ask("/file/x") });
         let status = if order.version == "v1" { 500 } else { 200 };
-        subject.feed(RouteEvent::HeadCame(ticket, head(status)));
+        subject.feed(RouteEvent::HeadReceived(ticket, head(status)));
         subject.feed(RouteEvent::Finished(ticket));
     }
     assert!(!is_bad(&subject));
@@ -191,7 +191,7 @@
         let (ticket, first) = subject.sent(request);
         assert_eq!(first.version, "v1");
         assert_eq!(
-            subject.feed(RouteEvent::HeadCame(ticket, head(200))),
+            subject.feed(RouteEvent::HeadReceived(ticket, head(200))),
             [RouteEffect::Relay(ticket)]
         );
         // The second half begins: a fifth of the sessions goes to the new version.
@@ -209,7 +209,7 @@
     let moved = (1..).map(session).find(|key| serve(&mut subject, *key, 200) == "v2");
     let session = moved.expect("a session that is moved");
     let (ticket, _) = subject.sent(CallerRequest { session, ..ask("/chat/x") });
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::RolledBack)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     let next = order_in(&subject.feed(failed)).expect("another replica goes on");
@@ -222,7 +222,7 @@
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     let (ticket, first) = subject.sent(ask("/chat/x"));
     assert_eq!(first.version, "v2");
-    subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+    subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     let next = order_in(&subject.feed(failed)).expect("another replica goes on");
     assert_eq!(next.version, "v2", "the old replicas are about to end");
@@ -401,7 +401,7 @@
             subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
             broken += 1;
         } else {
-            subject.feed(RouteEvent::HeadCame(ticket, head(200)));
+            subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
             subject.feed(RouteEvent::Finished(ticket));
         }
         if broken == count {
