--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -192,7 +192,7 @@
     pub fn paused(&mut self, row: usize, asked_box: usize, now_us: u64) -> RouterStep {
         match self.policy {
             PromptPolicy::Ravenspoke => {
-                let event = RouteEvent::Paused(RequestTicket(row as u64));
+                let event = RouteEvent::AttemptStalled(RequestTicket(row as u64));
                 self.feed(asked_box, row, event, now_us)
             }
             _ => RouterStep::Wait,
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -208,7 +208,7 @@
             None => {}
         }
         // Silence alone ends nothing: the reducer names another replica, or the wait goes on.
-        if let Some(step) = guard.feed(RouteEvent::Paused(guard.name.ticket)) {
+        if let Some(step) = guard.feed(RouteEvent::AttemptStalled(guard.name.ticket)) {
             let why = "no head in time";
             observe::note_attempt_failed(&guard.name, AttemptFailure::Silent, why, began.elapsed());
             return AttemptOutcome::Ended(Some(step));
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -86,7 +86,7 @@
                 }
                 StreamPiece::Broken(why) => why,
                 StreamPiece::Paused => {
-                    let step = self.guard.feed(RouteEvent::Paused(self.guard.name.ticket));
+                    let step = self.guard.feed(RouteEvent::AttemptStalled(self.guard.name.ticket));
                     if step.is_none() {
                         continue;
                     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -217,7 +217,7 @@
     HeadReceived(RequestTicket, AnswerHead),
     /// Nothing came for as long as the order says: another replica may be asked, or the attempt is
     /// waited for further. Silence alone never ends a request.
-    Paused(RequestTicket),
+    AttemptStalled(RequestTicket),
     /// The attempt failed.
     AttemptFailed(RequestTicket, AttemptFailure),
     /// The whole answer was passed on.
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -39,7 +39,7 @@
         let ticket = asked_of_the_large_model(&mut subject);
         let event = match broken {
             true => RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken),
-            false => RouteEvent::Paused(ticket),
+            false => RouteEvent::AttemptStalled(ticket),
         };
         let last = order_in(&subject.feed(event)).expect("a last attempt");
         assert_eq!((last.number, last.model.as_deref()), (3, Some("small")));
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -145,9 +145,9 @@
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
     let (ticket, _) = subject.sent(ask("/chat/x"));
-    assert_eq!(subject.feed(RouteEvent::Paused(ticket)), [], "there is no other replica");
+    assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), [], "there is no other replica");
     subject.put(entry("b", "v1"));
-    assert!(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
+    assert!(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
 }
 
 #[test]
@@ -160,18 +160,18 @@
         subject.feed(RouteEvent::Finished(ticket));
     }
     let (ticket, _) = subject.sent(ask("/chat/x"));
-    assert!(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
+    assert!(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-    assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
-    assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
-    assert!(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
+    assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
+    assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
+    assert!(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
 }
 
 #[test]
 fn silence_sends_no_call_again_that_may_run_once() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
-    assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
+    assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
 }
 
 #[test]
@@ -436,7 +436,8 @@
     let mut sent_again = 0;
     for _ in 0..200 {
         let (ticket, _) = subject.sent(ask("/chat/x"));
-        sent_again += usize::from(order_in(&subject.feed(RouteEvent::Paused(ticket))).is_some());
+        sent_again +=
+            usize::from(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
         subject.feed(RouteEvent::CallerLeft(ticket));
     }
     assert!((5..=10).contains(&sent_again), "{sent_again}");
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -375,7 +375,7 @@
         subject.drop_entry(id);
     }
     for _ in 0..4 {
-        assert_eq!(subject.feed(RouteEvent::Paused(ticket)), []);
+        assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
     }
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     pass(&mut subject, 5_000);
