--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -202,7 +202,7 @@
     /// An answer is whole.
     pub fn finished(&mut self, row: usize, asked_box: usize, now_us: u64) {
         if self.policy == PromptPolicy::Ravenspoke {
-            let event = RouteEvent::Finished(RequestTicket(row as u64));
+            let event = RouteEvent::ResponseFinished(RequestTicket(row as u64));
             self.feed(asked_box, row, event, now_us);
         }
     }
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -60,7 +60,7 @@
 
     /// Notes that the whole answer was passed on.
     pub fn finish(&mut self, status: u16) {
-        self.feed(RouteEvent::Finished(self.name.ticket));
+        self.feed(RouteEvent::ResponseFinished(self.name.ticket));
         self.ended = true;
         observe::note_finished(&self.name, status, self.began.elapsed());
     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -221,7 +221,7 @@
     /// The attempt failed.
     AttemptFailed(RequestTicket, AttemptFailure),
     /// The whole answer was passed on.
-    Finished(RequestTicket),
+    ResponseFinished(RequestTicket),
     /// The time of the request is up.
     TimeUp(RequestTicket),
     /// The caller went away.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -298,7 +298,7 @@
             RouteEvent::AttemptFailed(ticket, failure) => {
                 self.on_failed(stamp, ticket, failure, out);
             }
-            RouteEvent::Finished(ticket) => self.on_finished(stamp, ticket),
+            RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
             RouteEvent::TimeUp(ticket) => self.on_time_up(stamp, ticket, out),
             RouteEvent::CallerLeft(ticket) => self.on_caller_left(stamp, ticket),
             RouteEvent::StopAsked => {
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -236,7 +236,7 @@
             Step::Head(place, answer) => {
                 let ticket = RequestTicket(place.ticket);
                 self.feed(place.number, RouteEvent::HeadReceived(ticket, answer));
-                self.feed(place.number, RouteEvent::Finished(ticket));
+                self.feed(place.number, RouteEvent::ResponseFinished(ticket));
                 let late = self.now - place.began > TARGET_MS;
                 self.count.late += usize::from(late && !answer.not_run);
             }
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -174,7 +174,7 @@
     end_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     end_under(&mut subject, "three");
     subject.sent(asking("four"));
 }
@@ -220,7 +220,7 @@
         let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
         let answer = ravenspoke_core::route::event::AnswerHead { load: Some(load), ..head(200) };
         subject.feed(RouteEvent::HeadReceived(ticket, answer));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
         if other.replica_id == order.replica_id {
             return;
         }
@@ -261,7 +261,7 @@
     let (ticket, _) = subject.sent(asking("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(told(Vec::new()));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
     let word = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
     assert_eq!(note.contents, vec![word]);
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -401,7 +401,7 @@
         let sent = state.apply(now, RouteEvent::RequestArrived(ticket, ask("/read/x")));
         if order_in(&sent).is_some() {
             drop(state.apply(now, RouteEvent::HeadReceived(ticket, head(200))));
-            drop(state.apply(now, RouteEvent::Finished(ticket)));
+            drop(state.apply(now, RouteEvent::ResponseFinished(ticket)));
             *self.truth.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
         }
     }
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -126,7 +126,7 @@
         let answer = AnswerHead { limit_per_s, ..head(200) };
         let came = if order.replica_id == "a" { answer } else { head(200) };
         subject.feed(RouteEvent::HeadReceived(ticket, came));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
         if order.replica_id == "a" {
             return;
         }
@@ -154,7 +154,7 @@
     for _ in 0..20 {
         let (ticket, order) = subject.sent(ask("/read/x"));
         sent += usize::from(order.replica_id == "a");
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     sent
 }
@@ -189,7 +189,7 @@
         if order.replica_id == "a" {
             break (ticket, order);
         }
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     };
     assert_eq!(order.replica_id, "a");
     let full = AnswerHead { not_run: true, proven: false, ..head(503) };
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -44,7 +44,7 @@
     let (ticket, _) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     let idle = BackendLoad { running: 0, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     subject.now += 100;
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
     subject.feed(note_of_loads(vec![load]));
@@ -103,7 +103,7 @@
         let load = BackendLoad { running: 1, waiting: 0, slots: 4 };
         witness
             .feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(load), ..head(200) }));
-        witness.feed(RouteEvent::Finished(ticket));
+        witness.feed(RouteEvent::ResponseFinished(ticket));
     }
     witness.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(chosen(&mut witness).contains(&order.replica_id), "it has told its load since");
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -79,7 +79,7 @@
         if gap_ms > LARGE_MODEL_MS {
             let sure = AnswerHead { confidence: Some(90), ..head(200) };
             subject.feed(RouteEvent::HeadReceived(ticket, sure));
-            subject.feed(RouteEvent::Finished(ticket));
+            subject.feed(RouteEvent::ResponseFinished(ticket));
             subject.now += gap_ms - LARGE_MODEL_MS;
         }
         subject.read_plan(None);
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -57,7 +57,7 @@
 fn answer(subject: &mut TestBox, ticket: RequestTicket, after_ms: u64) {
     subject.now += after_ms;
     subject.feed(RouteEvent::HeadReceived(ticket, quiet_head()));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
 }
 
 /// A box that learnt that its engines read a token in `token_ms`.
--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -73,7 +73,7 @@
     for _ in 0..60 {
         let (ticket, order) = subject.sent(ask("/read/x"));
         used.insert(order.replica_id);
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     assert_eq!(used.len(), 4);
 }
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -340,7 +340,7 @@
             Step::End(number, ticket, replica) if self.runs(number, ticket, replica) => {
                 self.running[replica].retain(|row| (row.0, row.1) != (number, ticket));
                 self.in_hand[replica] -= 1;
-                self.feed(number, RouteEvent::Finished(RequestTicket(ticket)));
+                self.feed(number, RouteEvent::ResponseFinished(RequestTicket(ticket)));
             }
             Step::Head(..) | Step::End(..) => {}
             Step::Crash(replica) => self.crash(replica),
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -157,7 +157,7 @@
     // Silence has a twentieth of the traffic: two sends need forty requests.
     for _ in 0..40 {
         let (ticket, _) = subject.sent(ask("/read/x"));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     let (ticket, _) = subject.sent(ask("/chat/x"));
     assert!(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
@@ -262,7 +262,7 @@
     let (ticket, first) = subject.sent(ask("/read/x"));
     let load = Some(BackendLoad { running: 4, waiting: 2, slots: 4 });
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load, ..head(200) }));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     for _ in 0..3 {
         let (_, order) = subject.sent(ask("/read/x"));
         assert_ne!(order.replica_id, first.replica_id);
@@ -296,7 +296,7 @@
     for _ in 0..6 {
         let (ticket, order) = subject.sent(ask("/read/x"));
         assert_ne!(order.replica_id, first.replica_id);
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
 }
 
@@ -343,7 +343,7 @@
             ticket,
             AnswerHead { confidence: Some(90), ..head(200) },
         ));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     let (ticket, _) = subject.sent(any);
     assert_eq!(
@@ -423,7 +423,7 @@
     for _ in 0..100 {
         let (ticket, _) = subject.sent(ask("/read/x"));
         subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
         subject.now += 20;
         subject.read_plan(None);
     }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -92,7 +92,7 @@
 fn version_of(subject: &mut TestBox, session: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { session, ..ask("/file/x") });
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     order.version
 }
 
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -41,7 +41,7 @@
     let (ticket, order) = subject.sent(request);
     let status = if order.version == "v2" { status } else { 200 };
     subject.feed(RouteEvent::HeadReceived(ticket, head(status)));
-    subject.feed(RouteEvent::Finished(ticket));
+    subject.feed(RouteEvent::ResponseFinished(ticket));
     order.version
 }
 
@@ -175,7 +175,7 @@
             subject.sent(CallerRequest { session: session(number), ..ask("/file/x") });
         let status = if order.version == "v1" { 500 } else { 200 };
         subject.feed(RouteEvent::HeadReceived(ticket, head(status)));
-        subject.feed(RouteEvent::Finished(ticket));
+        subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     assert!(!is_bad(&subject));
     assert_eq!(due(&pass(&mut subject, 200)), None);
@@ -402,7 +402,7 @@
             broken += 1;
         } else {
             subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-            subject.feed(RouteEvent::Finished(ticket));
+            subject.feed(RouteEvent::ResponseFinished(ticket));
         }
         if broken == count {
             return;
