--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -203,7 +203,9 @@
             }
             Some(Err(failed)) => break failed,
             None if left <= patience => {
-                return AttemptOutcome::Ended(guard.feed(RouteEvent::TimeUp(guard.name.ticket)));
+                return AttemptOutcome::Ended(
+                    guard.feed(RouteEvent::DeadlinePassed(guard.name.ticket)),
+                );
             }
             None => {}
         }
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -95,7 +95,7 @@
                     continue;
                 }
                 StreamPiece::TimeUp => {
-                    self.guard.feed(RouteEvent::TimeUp(self.guard.name.ticket));
+                    self.guard.feed(RouteEvent::DeadlinePassed(self.guard.name.ticket));
                     return Err(BrokenAnswer("the time is up"));
                 }
             };
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -223,7 +223,7 @@
     /// The whole answer was passed on.
     ResponseFinished(RequestTicket),
     /// The time of the request is up.
-    TimeUp(RequestTicket),
+    DeadlinePassed(RequestTicket),
     /// The caller went away.
     CallerLeft(RequestTicket),
     /// The operator asks for a planned stop.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -299,7 +299,7 @@
                 self.on_failed(stamp, ticket, failure, out);
             }
             RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
-            RouteEvent::TimeUp(ticket) => self.on_time_up(stamp, ticket, out),
+            RouteEvent::DeadlinePassed(ticket) => self.on_time_up(stamp, ticket, out),
             RouteEvent::CallerLeft(ticket) => self.on_caller_left(stamp, ticket),
             RouteEvent::StopAsked => {
                 self.stopping_since.get_or_insert(stamp.now);
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -386,7 +386,7 @@
 fn an_attempt_whose_time_is_up_before_a_head_counts_against_its_version() {
     let mut subject = box_on_trial();
     let (ticket, _) = subject.sent(ask("/file/x"));
-    subject.feed(RouteEvent::TimeUp(ticket));
+    subject.feed(RouteEvent::DeadlinePassed(ticket));
     pass(&mut subject, 5_000);
     assert_eq!(tallied(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
