--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -55,7 +55,7 @@
                 let started = Instant::now();
                 drop(state.apply(prompt_stamp(number), arrival));
                 spent += started.elapsed();
-                let left = RouteEvent::CallerLeft(RequestTicket(number));
+                let left = RouteEvent::CallerDisconnected(RequestTicket(number));
                 drop(state.apply(prompt_stamp(number), left));
             }
             spent
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -70,7 +70,7 @@
     fn drop(&mut self) {
         if !self.ended {
             observe::note_caller_left(&self.name, self.began.elapsed());
-            self.feed(RouteEvent::CallerLeft(self.name.ticket));
+            self.feed(RouteEvent::CallerDisconnected(self.name.ticket));
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -225,7 +225,7 @@
     /// The time of the request is up.
     DeadlinePassed(RequestTicket),
     /// The caller went away.
-    CallerLeft(RequestTicket),
+    CallerDisconnected(RequestTicket),
     /// The operator asks for a planned stop.
     StopAsked,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -300,7 +300,7 @@
             }
             RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
             RouteEvent::DeadlinePassed(ticket) => self.on_time_up(stamp, ticket, out),
-            RouteEvent::CallerLeft(ticket) => self.on_caller_left(stamp, ticket),
+            RouteEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket),
             RouteEvent::StopAsked => {
                 self.stopping_since.get_or_insert(stamp.now);
                 self.rounds.next_note = BoxTime::default();
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -138,7 +138,7 @@
 /// The attempt under way breaks, and its caller leaves.
 fn break_and_leave(subject: &mut TestBox, ticket: RequestTicket) {
     break_off(subject, ticket);
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
 }
 
 /// Nothing is heard of any replica for a while.
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -12,7 +12,7 @@
 /// The replica that holds the parts of `affinity`, as this box sends a first request for them.
 fn holder(subject: &mut TestBox, affinity: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { affinity, ..ask("/chat/x") });
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
     subject.now += 60_000;
     subject.read_plan(None);
     order.replica_id
@@ -83,7 +83,7 @@
     let chosen = |subject: &mut TestBox| -> Vec<String> {
         let mut one = || {
             let (ticket, order) = subject.sent(ask("/read/x"));
-            subject.feed(RouteEvent::CallerLeft(ticket));
+            subject.feed(RouteEvent::CallerDisconnected(ticket));
             order.replica_id
         };
         (0..12).map(|_| one()).collect()
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -103,7 +103,7 @@
     let (ticket, held) = subject.sent(prompt(9, 10_000, 500));
     assert_eq!(held.replica_id, first.replica_id);
     assert!(held.inputs.affine);
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
     // Four seconds of work are more.
     subject.feed(RouteEvent::PlacementReceived(told(&first.replica_id, 4_000)));
     let (_, spilled) = subject.sent(prompt(9, 10_000, 500));
@@ -153,7 +153,7 @@
         // Each box has had other requests, and draws other lots.
         for _ in 0..number {
             let (ticket, _) = subject.sent(ask("/read/x"));
-            subject.feed(RouteEvent::CallerLeft(ticket));
+            subject.feed(RouteEvent::CallerDisconnected(ticket));
         }
         for affinity in 1..20 {
             let (ticket, order) = subject.sent(prompt(affinity, 10_000, 500));
@@ -177,7 +177,7 @@
         let (_, order) = subject.sent(prompt(affinity, 0, 3_000));
         assert_ne!(order.replica_id, slow.replica_id);
     }
-    subject.feed(RouteEvent::CallerLeft(late));
+    subject.feed(RouteEvent::CallerDisconnected(late));
 }
 
 /// Zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of work in its own zone.
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -101,7 +101,7 @@
         for _ in 0..60 {
             let (ticket, _) = subject.sent(ask("/read/x"));
             subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
-            subject.feed(RouteEvent::CallerLeft(ticket));
+            subject.feed(RouteEvent::CallerDisconnected(ticket));
         }
         let none = BudgetBounds { ratio: 0.0, slack: 0.0, window_ms: 10_000 };
         subject.state.set_bounds(FreshBounds { revoke_ms: None, apply_ms: 2_000 }, none);
@@ -280,9 +280,9 @@
         let shared =
             CallerRequest { affinity: affinity.wrapping_mul(0x9e37_79b9), ..ask("/chat/x") };
         let (ticket, here) = first.sent(shared.clone());
-        first.feed(RouteEvent::CallerLeft(ticket));
+        first.feed(RouteEvent::CallerDisconnected(ticket));
         let (ticket, there) = second.sent(shared);
-        second.feed(RouteEvent::CallerLeft(ticket));
+        second.feed(RouteEvent::CallerDisconnected(ticket));
         assert_eq!(here.replica_id, there.replica_id);
     }
 }
@@ -292,7 +292,7 @@
     let mut subject = ready_box();
     let (ticket, first) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
     for _ in 0..6 {
         let (ticket, order) = subject.sent(ask("/read/x"));
         assert_ne!(order.replica_id, first.replica_id);
@@ -334,7 +334,7 @@
     let half_sure = AnswerHead { confidence: Some(40), ..head(200) };
     let (ticket, _) = subject.sent(any.clone());
     assert!(order_in(&subject.feed(RouteEvent::HeadReceived(ticket, half_sure))).is_some());
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
     for _ in 0..60 {
         let (ticket, _) = subject.sent(any.clone());
         subject.now += 900;
@@ -380,7 +380,7 @@
 fn a_caller_that_left_leaves_nothing_behind() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
-    subject.feed(RouteEvent::CallerLeft(ticket));
+    subject.feed(RouteEvent::CallerDisconnected(ticket));
     assert_eq!(subject.state.in_hand(), 0);
     assert!(subject.state.backends().rows().all(|(_, row)| row.outstanding == 0));
     assert_eq!(subject.feed(RouteEvent::HeadReceived(ticket, head(200))), []);
@@ -393,7 +393,7 @@
         let (ticket, _) = subject.sent(ask("/read/x"));
         let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
         assert!(order_in(&effects).is_some());
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
     }
 }
 
@@ -404,7 +404,7 @@
         let (ticket, _) = subject.sent(ask("/read/x"));
         let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
         sent_again += usize::from(order_in(&effects).is_some());
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
     }
     sent_again
 }
@@ -438,7 +438,7 @@
         let (ticket, _) = subject.sent(ask("/chat/x"));
         sent_again +=
             usize::from(order_in(&subject.feed(RouteEvent::AttemptStalled(ticket))).is_some());
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
     }
     assert!((5..=10).contains(&sent_again), "{sent_again}");
 }
@@ -491,7 +491,7 @@
     let fails = |_: &usize| {
         let (ticket, _) = subject.sent(ask("/read/x"));
         let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
         order_in(&effects).is_some()
     };
     (0..60).filter(fails).count()
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -107,7 +107,7 @@
         exposed += usize::from(serve(&mut subject, session(number), status) == "v2");
         // The store takes a verdict at once.
         let (ticket, effects) = subject.arrive(ask("/file/x"));
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
         if let Some(state) = due(&effects) {
             assert_eq!(state, TrialState::RolledBack);
             subject.feed(RouteEvent::VerdictStored(verdict(state)));
@@ -124,7 +124,7 @@
     let served = serve_until_bad(&mut subject);
     let version = |subject: &mut TestBox, session: &u64| {
         let (ticket, order) = subject.sent(CallerRequest { session: *session, ..ask("/file/x") });
-        subject.feed(RouteEvent::CallerLeft(ticket));
+        subject.feed(RouteEvent::CallerDisconnected(ticket));
         order.version
     };
     let on_new = |subject: &mut TestBox| {
@@ -161,7 +161,7 @@
         let asked = |number| {
             let request = CallerRequest { session: session(number), ..ask("/file/x") };
             let (ticket, order) = subject.sent(request);
-            subject.feed(RouteEvent::CallerLeft(ticket));
+            subject.feed(RouteEvent::CallerDisconnected(ticket));
             order.version
         };
         (1..100).map(asked).collect::<Vec<String>>()
