--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -276,7 +276,7 @@
     store: StoreClient,
     mut entry: GatewayEntry,
 ) {
-    driver.feed(RouteEvent::StopAsked);
+    driver.feed(RouteEvent::StopRequested);
     entry.stop();
     tokio::join!(
         async {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -227,7 +227,7 @@
     /// The caller went away.
     CallerDisconnected(RequestTicket),
     /// The operator asks for a planned stop.
-    StopAsked,
+    StopRequested,
 }
 
 /// Why a request ends without a replica's answer.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -301,7 +301,7 @@
             RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
             RouteEvent::DeadlinePassed(ticket) => self.on_time_up(stamp, ticket, out),
             RouteEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket),
-            RouteEvent::StopAsked => {
+            RouteEvent::StopRequested => {
                 self.stopping_since.get_or_insert(stamp.now);
                 self.rounds.next_note = BoxTime::default();
                 out.push(RouteEffect::StopBegun);
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -58,7 +58,7 @@
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     tell(&mut second, &mut first);
-    let note = note_in(&second.feed(RouteEvent::StopAsked)).expect("it tells at once");
+    let note = note_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
@@ -95,7 +95,7 @@
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.now += 500;
     let early = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let late = note_in(&second.feed(RouteEvent::StopAsked)).expect("a note");
+    let late = note_in(&second.feed(RouteEvent::StopRequested)).expect("a note");
     first.feed(RouteEvent::GossipReceived(Box::new(late)));
     first.feed(RouteEvent::GossipReceived(Box::new(early)));
     assert_eq!(named(&first), ["box-1:80"]);
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -366,7 +366,7 @@
 #[test]
 fn a_stopping_box_takes_requests_only_while_it_can_still_serve_them() {
     let mut subject = ready_box();
-    subject.feed(RouteEvent::StopAsked);
+    subject.feed(RouteEvent::StopRequested);
     assert!(!subject.state.ready(ravenspoke_core::time::BoxTime::from_millis(subject.now)));
     subject.now += STOP_TAKE_MS - 1;
     subject.read_plan(None);
