--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -239,7 +239,9 @@
                     };
                 }
                 RouteEffect::Relay(_) => step = RouterStep::Relay,
-                RouteEffect::Refuse(..) | RouteEffect::BreakOff(..) => step = RouterStep::Refuse,
+                RouteEffect::Refuse(..) | RouteEffect::AbortResponse(..) => {
+                    step = RouterStep::Refuse
+                }
                 RouteEffect::SendNotes(to, note) => {
                     for target in self.heard_by(&to) {
                         let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -202,7 +202,7 @@
                 RouteEffect::Send(_, order) => step = Some(RequestStep::Send(Box::new(order))),
                 RouteEffect::Relay(_) => step = Some(RequestStep::Relay),
                 RouteEffect::Refuse(_, refusal, _) => step = Some(RequestStep::Refuse(refusal)),
-                RouteEffect::BreakOff(_, reason) => step = Some(RequestStep::BreakOff(reason)),
+                RouteEffect::AbortResponse(_, reason) => step = Some(RequestStep::BreakOff(reason)),
                 other => self.hand_on(other),
             }
         }
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -36,7 +36,7 @@
                 plan_age_ms = inputs.plan_age_ms,
             );
         }
-        RouteEffect::BreakOff(_, reason) => {
+        RouteEffect::AbortResponse(_, reason) => {
             counter!("ravenspoke_broken_off_total").increment(1);
             warn!(event = 703, name = "answer_broken_off", id, reason = reason.slug());
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -377,7 +377,7 @@
     /// End the request with a refusal.
     Refuse(RequestTicket, RouteRefusal, DecisionInputs),
     /// Break the answer off: the caller has a part of it, and the rest can't be had.
-    BreakOff(RequestTicket, RefusalReason),
+    AbortResponse(RequestTicket, RefusalReason),
     /// Tell other boxes.
     SendNotes(Vec<String>, Box<GossipMessage>),
     /// Tell other boxes of a long prompt that was placed.
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -23,7 +23,7 @@
     ) {
         let Some(request) = self.requests.remove(&ticket) else { return };
         if request.relayed {
-            out.push(RouteEffect::BreakOff(ticket, reason));
+            out.push(RouteEffect::AbortResponse(ticket, reason));
             return;
         }
         let mut refusal = refusal(reason, request.may_have_run);
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -182,7 +182,7 @@
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert!(order_in(&effects).is_some());
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
-    assert_eq!(effects, [RouteEffect::BreakOff(ticket, RefusalReason::Failed)]);
+    assert_eq!(effects, [RouteEffect::AbortResponse(ticket, RefusalReason::Failed)]);
 }
 
 #[test]
@@ -196,7 +196,7 @@
     let (ticket, _) = subject.sent(ask("/chat/x"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    assert_eq!(effects, [RouteEffect::BreakOff(ticket, RefusalReason::Failed)]);
+    assert_eq!(effects, [RouteEffect::AbortResponse(ticket, RefusalReason::Failed)]);
 }
 
 #[test]
