--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -242,7 +242,7 @@
                 RouteEffect::Refuse(..) | RouteEffect::AbortResponse(..) => {
                     step = RouterStep::Refuse
                 }
-                RouteEffect::SendNotes(to, note) => {
+                RouteEffect::SendGossip(to, note) => {
                     for target in self.heard_by(&to) {
                         let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
                         drop(self.boxes[target].apply(stamp, event));
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -226,7 +226,7 @@
         observe::note_effect(&effect);
         match effect {
             // The receivers live as long as the process.
-            RouteEffect::SendNotes(to, note) => self.queue(PeerDatagram::Note(to, note)),
+            RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Note(to, note)),
             RouteEffect::TellPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -379,7 +379,7 @@
     /// Break the answer off: the caller has a part of it, and the rest can't be had.
     AbortResponse(RequestTicket, RefusalReason),
     /// Tell other boxes.
-    SendNotes(Vec<String>, Box<GossipMessage>),
+    SendGossip(Vec<String>, Box<GossipMessage>),
     /// Tell other boxes of a long prompt that was placed.
     TellPlacement(Vec<String>, PlacementUpdate),
     /// Ask a reader.
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -75,7 +75,7 @@
         let targets = self.peers.note_targets(&self.settings.zone, stamp.dice);
         if !targets.is_empty() {
             let note = self.note(stamp, NoteKind::Round);
-            out.push(RouteEffect::SendNotes(targets, Box::new(note)));
+            out.push(RouteEffect::SendGossip(targets, Box::new(note)));
         }
     }
 
@@ -239,7 +239,7 @@
         note.contents = self.answered_contents(note.number, stamp.now);
         note.entries = EntryCoverage { known_to, age_ms, page };
         note.echo = Some(ask);
-        out.push(RouteEffect::SendNotes(to, Box::new(note)));
+        out.push(RouteEffect::SendGossip(to, Box::new(note)));
     }
 
     pub(super) fn on_note(
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -173,7 +173,7 @@
     fn act(&mut self, number: usize, effect: RouteEffect) {
         let later = self.now + WAY_MS;
         match effect {
-            RouteEffect::SendNotes(targets, note) => {
+            RouteEffect::SendGossip(targets, note) => {
                 for target in targets {
                     let name = target.trim_end_matches(":90").trim_start_matches("box-");
                     let to = name.parse().expect("a number");
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -224,7 +224,7 @@
 
 pub fn note_in(effects: &[RouteEffect]) -> Option<GossipMessage> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::SendNotes(_, note) => Some((**note).clone()),
+        RouteEffect::SendGossip(_, note) => Some((**note).clone()),
         _ => None,
     })
 }
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -425,7 +425,7 @@
         let life = self.boxes[number].life;
         for effect in effects {
             match effect {
-                RouteEffect::SendNotes(to, note) => {
+                RouteEffect::SendGossip(to, note) => {
                     for target in to {
                         self.send(&target, RouteEvent::GossipReceived(note.clone()));
                     }
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -275,7 +275,7 @@
             self.boxes[to].state.apply(EventStamp { now, wall: WallTime(0), dice }, event);
         for effect in effects {
             match effect {
-                RouteEffect::SendNotes(targets, note) => {
+                RouteEffect::SendGossip(targets, note) => {
                     for target in targets {
                         let far = number_of(&target) % ZONES != to % ZONES;
                         self.notes[usize::from(far)] += u64::from(note.echo.is_none());
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -205,7 +205,7 @@
 
     /// A note goes to its targets.
     fn deliver(&mut self, effect: RouteEffect) {
-        let RouteEffect::SendNotes(targets, note) = effect else { return };
+        let RouteEffect::SendGossip(targets, note) = effect else { return };
         for target in targets.iter().filter_map(|target| number_of(target)) {
             if !self.frozen.contains(&target) {
                 self.feed(target, RouteEvent::GossipReceived(note.clone()));
