--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -248,7 +248,7 @@
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
-                RouteEffect::TellPlacement(to, told) => {
+                RouteEffect::SendPlacement(to, told) => {
                     for target in self.heard_by(&to) {
                         drop(self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(told)));
                     }
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -227,7 +227,7 @@
         match effect {
             // The receivers live as long as the process.
             RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Note(to, note)),
-            RouteEffect::TellPlacement(to, placement) => {
+            RouteEffect::SendPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
             RouteEffect::SendAsk(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -381,7 +381,7 @@
     /// Tell other boxes.
     SendGossip(Vec<String>, Box<GossipMessage>),
     /// Tell other boxes of a long prompt that was placed.
-    TellPlacement(Vec<String>, PlacementUpdate),
+    SendPlacement(Vec<String>, PlacementUpdate),
     /// Ask a reader.
     SendAsk(String, SyncRequest),
     /// Write a verdict to the store, unless it has one.
--- a/crates/core/src/route/learn.rs
+++ b/crates/core/src/route/learn.rs
@@ -29,7 +29,7 @@
             let Some(row) = self.backends.get(pick.key) else { return };
             let replica = row.id_hash;
             let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
-            out.push(RouteEffect::TellPlacement(
+            out.push(RouteEffect::SendPlacement(
                 self.peers.note_targets(&self.settings.zone, stamp.dice),
                 note,
             ));
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -43,7 +43,7 @@
 
 fn told_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::TellPlacement(_, told) => Some(*told),
+        RouteEffect::SendPlacement(_, told) => Some(*told),
         _ => None,
     })
 }
