--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -230,7 +230,7 @@
             RouteEffect::SendPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
-            RouteEffect::SendAsk(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
+            RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
             RouteEffect::WriteMark(mark) => drop(self.sinks.marks.send(mark)),
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -383,7 +383,7 @@
     /// Tell other boxes of a long prompt that was placed.
     SendPlacement(Vec<String>, PlacementUpdate),
     /// Ask a reader.
-    SendAsk(String, SyncRequest),
+    SendSyncRequest(String, SyncRequest),
     /// Write a verdict to the store, unless it has one.
     WriteVerdict(TrialVerdict),
     /// Mark in the store how far a trial has come, unless it knows of more.
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -197,7 +197,7 @@
         let pause_ms = self.ask_pause_ms(stamp.now);
         self.asks.next_ask = stamp.now.plus_millis(pause_ms);
         self.asks.unanswered_at = Some(stamp.now);
-        out.push(RouteEffect::SendAsk(reader, self.ask(stamp)));
+        out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
     }
 
     /// Time until the next ask, in milliseconds.
@@ -314,14 +314,20 @@
             self.entries.take_changes(asked.entries, known_to, as_of);
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
-                out.push(RouteEffect::SendAsk(note.card.note_address.clone(), self.ask(stamp)));
+                out.push(RouteEffect::SendSyncRequest(
+                    note.card.note_address.clone(),
+                    self.ask(stamp),
+                ));
             }
             return;
         };
         match self.entries.take_page(asked.entries, page, &changes, as_of, stamp.now) {
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
-                out.push(RouteEffect::SendAsk(note.card.note_address.clone(), self.ask(stamp)));
+                out.push(RouteEffect::SendSyncRequest(
+                    note.card.note_address.clone(),
+                    self.ask(stamp),
+                ));
             }
             None => {}
         }
@@ -343,7 +349,10 @@
             self.asks.told_too_little |= answers && note.entries.page.is_none();
             if stamp.now >= self.asks.next_behind_ask && !self.asks.told_too_little {
                 self.asks.next_behind_ask = stamp.now.plus_millis(peers::ASK_AGAIN_MS);
-                out.push(RouteEffect::SendAsk(note.card.note_address.clone(), self.ask(stamp)));
+                out.push(RouteEffect::SendSyncRequest(
+                    note.card.note_address.clone(),
+                    self.ask(stamp),
+                ));
             }
             return;
         }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -122,8 +122,7 @@
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(2)));
     let effects = tell(&mut second, &mut first);
-    let asked =
-        |effect: &RouteEffect| matches!(effect, RouteEffect::SendAsk(to, _) if to == "box-2:90");
+    let asked = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(to, _) if to == "box-2:90");
     assert!(effects.iter().any(asked), "it asks who told it");
     let now = |subject: &TestBox| BoxTime::from_millis(subject.now);
     assert!(!first.state.must_read(now(&first)) || first.state.is_reader(now(&first)));
@@ -339,7 +338,7 @@
 
 pub fn ask_in(effects: &[RouteEffect]) -> Option<SyncRequest> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::SendAsk(_, ask) => Some(ask.clone()),
+        RouteEffect::SendSyncRequest(_, ask) => Some(ask.clone()),
         _ => None,
     })
 }
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -286,7 +286,7 @@
                         self.send(&target, way, RouteEvent::GossipReceived(note.clone()));
                     }
                 }
-                RouteEffect::SendAsk(target, ask) => {
+                RouteEffect::SendSyncRequest(target, ask) => {
                     self.send(&target, 0, RouteEvent::SyncRequested(ask));
                 }
                 _ => {}
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -104,7 +104,7 @@
 
     assert!(subject.state.must_read(clock(&subject)));
     let effects = tell(&mut reader, &mut subject);
-    let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendAsk(..));
+    let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
     assert!(!effects.iter().any(asks));
     subject.read_plan(Some(plan(2)));
     assert!(!subject.state.must_read(clock(&subject)));
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -191,7 +191,7 @@
     /// What a box says now goes to whom it chose, and answers come back.
     fn pass_word(&mut self, number: usize) {
         for effect in self.feed(number, RouteEvent::Tick) {
-            let RouteEffect::SendAsk(target, ask) = effect else {
+            let RouteEffect::SendSyncRequest(target, ask) = effect else {
                 self.deliver(effect);
                 continue;
             };
