--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -232,7 +232,7 @@
             }
             RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
-            RouteEffect::WriteMark(mark) => drop(self.sinks.marks.send(mark)),
+            RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.marks.send(mark)),
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
             RouteEffect::Lead(order) => drop(self.sinks.lead.send(order)),
             RouteEffect::AskUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -209,7 +209,7 @@
                 times_slower = tally.times_slower(),
             );
         }
-        RouteEffect::WriteMark(mark) => {
+        RouteEffect::WriteCheckpoint(mark) => {
             let (service, version) = (&mark.service, &mark.version);
             let (phase, age_ms) = (mark.progress.phase, mark.progress.age_ms);
             info!(event = 717, name = "mark_due", service, version, ?phase, age_ms);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -387,7 +387,7 @@
     /// Write a verdict to the store, unless it has one.
     WriteVerdict(TrialVerdict),
     /// Mark in the store how far a trial has come, unless it knows of more.
-    WriteMark(TrialCheckpoint),
+    WriteCheckpoint(TrialCheckpoint),
     /// A plan came into force.
     PlanInForce {
         /// Its version.
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -183,7 +183,7 @@
             match trial.mark_due(stamp.now) {
                 None => drop(self.mark_at.remove(service)),
                 Some(mark) if takes_turn(&mut self.mark_at, service, rank, stamp.now) => {
-                    out.push(RouteEffect::WriteMark(mark));
+                    out.push(RouteEffect::WriteCheckpoint(mark));
                 }
                 Some(_) => {}
             }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -176,7 +176,7 @@
 /// What the store would be given of a trial's progress.
 fn mark_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::WriteMark(mark) => Some(mark.progress),
+        RouteEffect::WriteCheckpoint(mark) => Some(mark.progress),
         _ => None,
     })
 }
