--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -139,7 +139,7 @@
             gauge!("ravenspoke_plan_version").set(*version as f64);
             info!(event = 710, name = "plan_in_force", version, routes, age_ms);
         }
-        RouteEffect::ReaderMoved { reads, cut, plan_age_ms } => {
+        RouteEffect::ReaderChanged { reads, cut, plan_age_ms } => {
             gauge!("ravenspoke_reader").set(f64::from(u8::from(*reads)));
             info!(event = 738, name = "reader_moved", reads, cut, plan_age_ms);
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -398,7 +398,7 @@
         age_ms: u64,
     },
     /// This box has become one of the readers, or is none any more.
-    ReaderMoved {
+    ReaderChanged {
         /// Whether it reads for the others.
         reads: bool,
         /// Whether it can't reach the store.
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -184,6 +184,6 @@
         }
         self.reading.told_reader = reads;
         let (cut, plan_age_ms) = (self.is_cut(now), self.fresh.age_ms(now));
-        out.push(RouteEffect::ReaderMoved { reads, cut, plan_age_ms });
+        out.push(RouteEffect::ReaderChanged { reads, cut, plan_age_ms });
     }
 }
