--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -153,7 +153,7 @@
         RouteEffect::BackendLeaving(replica) => {
             info!(event = 712, name = "backend_leaving", replica);
         }
-        RouteEffect::EvacuationMoved { order, known_to, in_hand } => {
+        RouteEffect::EvacuationChanged { order, known_to, in_hand } => {
             let zone = order.zone.clone();
             let evacuated = order.evacuated;
             gauge!("ravenspoke_zone_evacuated", "zone" => zone.clone())
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -421,7 +421,7 @@
         former: u64,
     },
     /// An availability zone is under evacuation from now on, or no longer.
-    EvacuationMoved {
+    EvacuationChanged {
         /// The order.
         order: ZoneOrder,
         /// Position up to which the operator's records show it.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -358,7 +358,7 @@
             if !order.evacuated {
                 self.take_for_cold(stamp.now, &order.zone);
             }
-            out.push(RouteEffect::EvacuationMoved { order, known_to, in_hand });
+            out.push(RouteEffect::EvacuationChanged { order, known_to, in_hand });
             // Told with the next tick: until they know, other boxes send there.
             self.rounds.next_note = BoxTime::default();
         }
