--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -160,7 +160,7 @@
                 .set(f64::from(u8::from(evacuated)));
             info!(event = 739, name = "evacuation_moved", zone, evacuated, %known_to, in_hand);
         }
-        RouteEffect::FatalMet { content, account, ends, age_ms } => {
+        RouteEffect::PoisonRefused { content, account, ends, age_ms } => {
             counter!("ravenspoke_fatal_contents_total").increment(1);
             let content = format!("{content:016x}");
             warn!(event = 742, name = "request_fatal", content, account, ends, age_ms);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -430,7 +430,7 @@
         in_hand: usize,
     },
     /// A request asks for what crashes replicas.
-    FatalMet {
+    PoisonRefused {
         /// Hash of what it asks for.
         content: u64,
         /// Its client account.
--- a/crates/core/src/route/fatal/mod.rs
+++ b/crates/core/src/route/fatal/mod.rs
@@ -322,6 +322,6 @@
         let account = request.account.clone();
         let Some(row) = self.fatal.first_met(content) else { return };
         let (ends, age_ms) = (row.count(stamp.now), row.fatal_age_ms(stamp.now));
-        out.push(RouteEffect::FatalMet { content, account, ends, age_ms });
+        out.push(RouteEffect::PoisonRefused { content, account, ends, age_ms });
     }
 }
