--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -165,7 +165,7 @@
             let content = format!("{content:016x}");
             warn!(event = 742, name = "request_fatal", content, account, ends, age_ms);
         }
-        RouteEffect::LeavingSaid(replica) => {
+        RouteEffect::LeavingReported(replica) => {
             counter!("ravenspoke_leaving_said_total").increment(1);
             info!(event = 743, name = "leaving_said", replica);
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -441,7 +441,7 @@
         age_ms: Option<u64>,
     },
     /// The replica of this id said in an answer that it leaves.
-    LeavingSaid(String),
+    LeavingReported(String),
     /// A replica named a limit, or names one no more.
     LimitMoved {
         /// Its id.
--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -42,7 +42,7 @@
             return;
         }
         let Some(change) = self.backends.mark_leaving(key) else { return };
-        out.push(RouteEffect::LeavingSaid(change.id.clone()));
+        out.push(RouteEffect::LeavingReported(change.id.clone()));
         self.tell(stamp, change, ChangeKind::Leaving, out);
     }
 }
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -31,8 +31,7 @@
         let effects =
             subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { leaving, ..head(200) }));
         if leaving {
-            let said =
-                |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingSaid(id) if id == "a");
+            let said = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
             assert!(effects.iter().any(said));
             let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
             return (subject, note);
@@ -87,5 +86,5 @@
     let (ticket, _) = subject.sent(ask("/read/x"));
     let answer = AnswerHead { leaving: true, other_replica: true, ..head(421) };
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, answer));
-    assert!(!effects.iter().any(|effect| matches!(effect, RouteEffect::LeavingSaid(_))));
+    assert!(!effects.iter().any(|effect| matches!(effect, RouteEffect::LeavingReported(_))));
 }
