--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -169,7 +169,7 @@
             counter!("ravenspoke_leaving_said_total").increment(1);
             info!(event = 743, name = "leaving_said", replica);
         }
-        RouteEffect::LimitMoved { replica, per_s, own_per_s } => {
+        RouteEffect::LimitChanged { replica, per_s, own_per_s } => {
             counter!("ravenspoke_limits_moved_total").increment(1);
             info!(event = 741, name = "limit_moved", replica, per_s, own_per_s);
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -443,7 +443,7 @@
     /// The replica of this id said in an answer that it leaves.
     LeavingReported(String),
     /// A replica named a limit, or names one no more.
-    LimitMoved {
+    LimitChanged {
         /// Its id.
         replica: String,
         /// Requests a second from all boxes together; `None` without a limit.
--- a/crates/core/src/route/limit.rs
+++ b/crates/core/src/route/limit.rs
@@ -194,7 +194,7 @@
         self.backends.share_limit(key, &fleet);
         let Some(row) = self.backends.get(key) else { return };
         let (replica, own_per_s) = (row.entry.id.clone(), row.limit.part.own_per_s());
-        out.push(RouteEffect::LimitMoved { replica, per_s, own_per_s });
+        out.push(RouteEffect::LimitChanged { replica, per_s, own_per_s });
     }
 
     /// Works this box's parts in limits out anew.
