--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -173,7 +173,7 @@
             counter!("ravenspoke_limits_moved_total").increment(1);
             info!(event = 741, name = "limit_moved", replica, per_s, own_per_s);
         }
-        RouteEffect::TrialMoved { service, version, state, runs, bad } => {
+        RouteEffect::TrialStateChanged { service, version, state, runs, bad } => {
             info!(event = 713, name = "trial_moved", service, version, ?state, runs, bad);
         }
         RouteEffect::TrialShareMoved { service, version, share, age_ms, runs, bad } => {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -452,7 +452,7 @@
         own_per_s: f64,
     },
     /// A trial changed its state.
-    TrialMoved {
+    TrialStateChanged {
         /// Service.
         service: String,
         /// Version on trial.
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -243,7 +243,7 @@
 
 fn moved(trial: &VersionTrial) -> RouteEffect {
     let (runs, bad) = trial.answers();
-    RouteEffect::TrialMoved {
+    RouteEffect::TrialStateChanged {
         service: trial.order.service.clone(),
         version: trial.order.version.clone(),
         state: trial.state,
