--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -193,7 +193,7 @@
             let (service, version, state) = (&verdict.service, &verdict.version, verdict.state);
             info!(event = 714, name = "verdict_due", service, version, ?state);
         }
-        RouteEffect::VersionCondemned { service, version, finding } => {
+        RouteEffect::VersionRejected { service, version, finding } => {
             let (route, tally) = (finding.route.as_deref().unwrap_or("all"), &finding.tally);
             warn!(
                 event = 718,
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -465,7 +465,7 @@
         bad: f64,
     },
     /// This box found a version on trial bad; it gets a verdict.
-    VersionCondemned {
+    VersionRejected {
         /// Service.
         service: String,
         /// Version on trial.
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -221,7 +221,7 @@
 pub(super) fn advance(trial: &mut VersionTrial, now: BoxTime, out: &mut Vec<RouteEffect>) {
     if let Some(finding) = trial.advance(now) {
         let (service, version) = (trial.order.service.clone(), trial.order.version.clone());
-        out.push(RouteEffect::VersionCondemned { service, version, finding });
+        out.push(RouteEffect::VersionRejected { service, version, finding });
     }
 }
 
