--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -176,7 +176,7 @@
         RouteEffect::TrialStateChanged { service, version, state, runs, bad } => {
             info!(event = 713, name = "trial_moved", service, version, ?state, runs, bad);
         }
-        RouteEffect::TrialShareMoved { service, version, share, age_ms, runs, bad } => {
+        RouteEffect::TrialShareChanged { service, version, share, age_ms, runs, bad } => {
             gauge!("ravenspoke_trial_share", "service" => service.clone()).set(*share);
             info!(
                 event = 716,
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -474,7 +474,7 @@
         finding: TrialFinding,
     },
     /// The share of the sessions that a version on trial gets here has changed.
-    TrialShareMoved {
+    TrialShareChanged {
         /// Service.
         service: String,
         /// Version on trial.
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -205,7 +205,7 @@
             }
             trial.logged_share = share;
             let (runs, bad) = trial.answers();
-            out.push(RouteEffect::TrialShareMoved {
+            out.push(RouteEffect::TrialShareChanged {
                 service: trial.order.service.clone(),
                 version: trial.order.version.clone(),
                 share,
