--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -214,7 +214,7 @@
             let (phase, age_ms) = (mark.progress.phase, mark.progress.age_ms);
             info!(event = 717, name = "mark_due", service, version, ?phase, age_ms);
         }
-        RouteEffect::LeaderMoved(part) => {
+        RouteEffect::LeaderPartChanged(part) => {
             info!(event = 748, name = "leader_moved", ?part);
         }
         RouteEffect::ReplicasOrdered { subject, wanted } => {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -489,7 +489,7 @@
         bad: f64,
     },
     /// This box's part in what one box does for all has changed.
-    LeaderMoved(LeaderPart),
+    LeaderPartChanged(LeaderPart),
     /// Do this as the holder of the lease.
     Lead(LeaderOrder),
     /// Replicas are ordered.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -217,7 +217,7 @@
             self.leader.begin(lease.token());
         }
         if std::mem::discriminant(&former) != std::mem::discriminant(&part) {
-            out.push(RouteEffect::LeaderMoved(part));
+            out.push(RouteEffect::LeaderPartChanged(part));
         }
     }
 
