--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -234,7 +234,7 @@
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
             RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.marks.send(mark)),
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
-            RouteEffect::Lead(order) => drop(self.sinks.lead.send(order)),
+            RouteEffect::RunLeaderStep(order) => drop(self.sinks.lead.send(order)),
             RouteEffect::AskUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::TellUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
             _ => {}
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -491,7 +491,7 @@
     /// This box's part in what one box does for all has changed.
     LeaderPartChanged(LeaderPart),
     /// Do this as the holder of the lease.
-    Lead(LeaderOrder),
+    RunLeaderStep(LeaderOrder),
     /// Replicas are ordered.
     ReplicasOrdered {
         /// Of which service, where and of which kind.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -341,7 +341,7 @@
             self.leader.asked_at = Some(stamp.now);
             steps.push(LeaderStep::TakeOver);
         }
-        let order = |step| RouteEffect::Lead(LeaderOrder { token, until, step });
+        let order = |step| RouteEffect::RunLeaderStep(LeaderOrder { token, until, step });
         out.extend(steps.into_iter().map(order));
     }
 
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -179,7 +179,7 @@
 /// Reports that effects send.
 fn sent_reports(effects: &[RouteEffect]) -> Vec<UsageReport> {
     let report = |effect: &RouteEffect| match effect {
-        RouteEffect::Lead(order) => match &order.step {
+        RouteEffect::RunLeaderStep(order) => match &order.step {
             LeaderStep::Call(LeaderCall::Report(report)) => Some(report.clone()),
             _ => None,
         },
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -436,7 +436,9 @@
                     }
                 }
                 RouteEffect::TellUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
-                RouteEffect::Lead(order) if BoxTime::from_millis(self.now) < order.until => {
+                RouteEffect::RunLeaderStep(order)
+                    if BoxTime::from_millis(self.now) < order.until =>
+                {
                     self.launch(number, life, order);
                 }
                 _ => {}
