--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -217,7 +217,7 @@
         RouteEffect::LeaderPartChanged(part) => {
             info!(event = 748, name = "leader_moved", ?part);
         }
-        RouteEffect::ReplicasOrdered { subject, wanted } => {
+        RouteEffect::ReplicasRequested { subject, wanted } => {
             let ScaleSubject { service, zone, spot } = subject;
             info!(event = 749, name = "replicas_ordered", service, zone, spot, wanted);
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -493,7 +493,7 @@
     /// Do this as the holder of the lease.
     RunLeaderStep(LeaderOrder),
     /// Replicas are ordered.
-    ReplicasOrdered {
+    ReplicasRequested {
         /// Of which service, where and of which kind.
         subject: ScaleSubject,
         /// How many there are to be.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -437,7 +437,10 @@
                     let (service, zone) = (service.clone(), zone.to_owned());
                     let subject = ScaleSubject { service, zone, spot };
                     if self.leader.orders.is_due(&subject, wanted, standing, stamp.now) {
-                        out.push(RouteEffect::ReplicasOrdered { subject: subject.clone(), wanted });
+                        out.push(RouteEffect::ReplicasRequested {
+                            subject: subject.clone(),
+                            wanted,
+                        });
                         steps.push(LeaderStep::Call(LeaderCall::Scale(subject, wanted)));
                     }
                 }
