--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -221,7 +221,7 @@
             let ScaleSubject { service, zone, spot } = subject;
             info!(event = 749, name = "replicas_ordered", service, zone, spot, wanted);
         }
-        RouteEffect::ScaleUnsound { service, min, max } => {
+        RouteEffect::ScaleBoundsInvalid { service, min, max } => {
             warn!(event = 753, name = "scale_unsound", service, min, max);
         }
         RouteEffect::StopBegun => info!(event = 715, name = "stop_begun"),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -500,7 +500,7 @@
         wanted: u32,
     },
     /// The bounds of a service's replicas leave room for none: they are not ordered.
-    ScaleUnsound {
+    ScaleBoundsInvalid {
         /// Service.
         service: String,
         /// At least so many in each zone.
--- a/crates/core/src/route/known.rs
+++ b/crates/core/src/route/known.rs
@@ -81,7 +81,7 @@
         for (service, plan) in &plan.services {
             if let Some(plan) = plan.scale.as_ref().filter(|plan| !plan.is_sound()) {
                 let (service, (min, max)) = (service.clone(), (plan.min, plan.max));
-                out.push(RouteEffect::ScaleUnsound { service, min, max });
+                out.push(RouteEffect::ScaleBoundsInvalid { service, min, max });
             }
         }
         self.table = RouteTable::build(plan);
