--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -235,7 +235,7 @@
             RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.marks.send(mark)),
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.lead.send(order)),
-            RouteEffect::AskUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
+            RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::TellUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
             _ => {}
         }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -509,7 +509,7 @@
         max: u32,
     },
     /// Ask other boxes for their counts of usage.
-    AskUsage(Vec<String>, UsageRequest),
+    RequestUsage(Vec<String>, UsageRequest),
     /// Tell the holder this box's counts.
     TellUsage(String, UsageResponse),
     /// The planned stop has begun.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -391,7 +391,10 @@
             RoundStep::Wait => {}
             RoundStep::Ask(boxes) => {
                 let note_address = self.settings.note_address.clone();
-                out.push(RouteEffect::AskUsage(boxes, UsageRequest { window: next, note_address }));
+                out.push(RouteEffect::RequestUsage(
+                    boxes,
+                    UsageRequest { window: next, note_address },
+                ));
             }
             RoundStep::Report(report) => {
                 self.leader.round = None;
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -430,7 +430,7 @@
                         self.send(&target, RouteEvent::GossipReceived(note.clone()));
                     }
                 }
-                RouteEffect::AskUsage(to, ask) => {
+                RouteEffect::RequestUsage(to, ask) => {
                     for target in to {
                         self.send(&target, RouteEvent::UsageRequested(ask.clone()));
                     }
