--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -236,7 +236,7 @@
             RouteEffect::TakeCallers => self.callers_due.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.lead.send(order)),
             RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
-            RouteEffect::TellUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
+            RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
             _ => {}
         }
     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -511,7 +511,7 @@
     /// Ask other boxes for their counts of usage.
     RequestUsage(Vec<String>, UsageRequest),
     /// Tell the holder this box's counts.
-    TellUsage(String, UsageResponse),
+    SendUsage(String, UsageResponse),
     /// The planned stop has begun.
     StopBegun,
     /// Callers are served from now on.
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -237,7 +237,7 @@
     pub(super) fn on_usage_asked(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
         let note = UsageResponse { note_address: self.settings.note_address.clone(), usage };
-        out.push(RouteEffect::TellUsage(ask.note_address.clone(), note));
+        out.push(RouteEffect::SendUsage(ask.note_address.clone(), note));
     }
 
     /// Takes another box's counts.
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -435,7 +435,7 @@
                         self.send(&target, RouteEvent::UsageRequested(ask.clone()));
                     }
                 }
-                RouteEffect::TellUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
+                RouteEffect::SendUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
                 RouteEffect::RunLeaderStep(order)
                     if BoxTime::from_millis(self.now) < order.until =>
                 {
