--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -233,7 +233,7 @@
             RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
             RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.marks.send(mark)),
-            RouteEffect::TakeCallers => self.callers_due.notify_one(),
+            RouteEffect::AcceptCallers => self.callers_due.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.lead.send(order)),
             RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -515,5 +515,5 @@
     /// The planned stop has begun.
     StopBegun,
     /// Callers are served from now on.
-    TakeCallers,
+    AcceptCallers,
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -318,7 +318,7 @@
         let start = self.start.as_mut().filter(|start| due && !start.entry_opened);
         if let Some(start) = start {
             start.entry_opened = true;
-            out.push(RouteEffect::TakeCallers);
+            out.push(RouteEffect::AcceptCallers);
         }
     }
 
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -279,7 +279,7 @@
     assert!(!started.state.open(BoxTime::from_millis(started.now)), "it could serve nobody");
     let note = answer(&mut reader, &started);
     let effects = started.feed(RouteEvent::GossipReceived(Box::new(note)));
-    assert_eq!(effects, [RouteEffect::TakeCallers], "what it asked for is no news to others");
+    assert_eq!(effects, [RouteEffect::AcceptCallers], "what it asked for is no news to others");
     assert!(started.state.open(BoxTime::from_millis(started.now)));
     started.sent(ask("/read/x"));
 }
