--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -90,14 +90,14 @@
             if sure {
                 reason
             } else {
-                RefusalReason::Stale
+                RefusalReason::PlanStale
             }
         };
         let route = self.table.find(&ask.host, &ask.path);
         let route = route.ok_or_else(|| deny(RefusalReason::NoRoute))?;
         let keyed = self.table.asks_for_keys() && !route.anonymous;
         if keyed && !self.fresh.honours_keys(stamp.now, bounds) {
-            return Err(RefusalReason::Stale);
+            return Err(RefusalReason::PlanStale);
         }
         let holder = ask.key.as_deref().and_then(|key| self.table.holder(key));
         if keyed && holder.is_none() {
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -236,7 +236,7 @@
     /// No plan is known yet.
     NoPlan,
     /// What the box knows is too old to honour keys.
-    Stale,
+    PlanStale,
     /// No route takes the request.
     NoRoute,
     /// The key is missing or unknown.
@@ -268,7 +268,7 @@
     pub fn slug(self) -> &'static str {
         match self {
             RefusalReason::NoPlan => "no_plan",
-            RefusalReason::Stale => "plan_stale",
+            RefusalReason::PlanStale => "plan_stale",
             RefusalReason::NoRoute => "no_route",
             RefusalReason::UnknownKey => "unknown_key",
             RefusalReason::NoReplica => "no_replica",
--- a/crates/core/tests/route/plan.rs
+++ b/crates/core/tests/route/plan.rs
@@ -45,7 +45,7 @@
     let mut subject = ready_box();
     subject.now += 2_100;
     let nowhere = subject.refused(ask("/nowhere/x"));
-    assert!(is_refused(nowhere, 503, RefusalReason::Stale), "{nowhere:?}");
+    assert!(is_refused(nowhere, 503, RefusalReason::PlanStale), "{nowhere:?}");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     subject.sent(ask("/read/x"));
     subject.now += 200;
     let refusal = subject.refused(ask("/read/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::Stale), "{refusal:?}");
+    assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
     subject.read_plan(None);
     subject.sent(ask("/read/x"));
 }
@@ -77,7 +77,7 @@
     subject.read_plan(Some(plan(2)));
     subject.now += 1_000;
     let refusal = subject.refused(ask("/read/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::Stale), "{refusal:?}");
+    assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
 }
 
 #[test]
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -389,5 +389,5 @@
 
     // 4.7 s old: a key that the plan holds may have been taken away by now.
     let refusal = starter.refused(ask("/file/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::Stale), "{refusal:?}");
+    assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
 }
