--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -55,7 +55,7 @@
                 RefusalReason::Evacuated | RefusalReason::NoRegion => {
                     self.return_late(stamp, ticket);
                 }
-                RefusalReason::HeldBack => self.return_in_turn(stamp, ticket),
+                RefusalReason::ReplicasLimited => self.return_in_turn(stamp, ticket),
                 _ => {}
             }
             self.give_up(stamp, ticket, reason, out);
@@ -97,7 +97,7 @@
             return Some(RefusalReason::Evacuated);
         }
         let held_back = self.backends.all_held_back(service, stamp.now);
-        held_back.map(|_| RefusalReason::HeldBack)
+        held_back.map(|_| RefusalReason::ReplicasLimited)
     }
 
     /// Whether a request that was not sent yet has no time left for what waits where it would begin soonest.
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -248,7 +248,7 @@
     /// No replica is in a region in which the request may be served.
     NoRegion,
     /// All replicas rest, or name limits that leave no room for it on this box.
-    HeldBack,
+    ReplicasLimited,
     /// Every replica that was asked said that it is full.
     Full,
     /// It would not begin before its deadline on any replica.
@@ -274,7 +274,7 @@
             RefusalReason::NoReplica => "no_replica",
             RefusalReason::Evacuated => "zones_evacuated",
             RefusalReason::NoRegion => "no_replica_in_region",
-            RefusalReason::HeldBack => "replicas_limited",
+            RefusalReason::ReplicasLimited => "replicas_limited",
             RefusalReason::Full => "replicas_full",
             RefusalReason::NoTime => "no_time",
             RefusalReason::Fatal => "crashes_replicas",
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -58,7 +58,7 @@
         | RefusalReason::Failed => (503, Some(FULL_RETRY_MS)),
         RefusalReason::NoReplica => (503, Some(FULL_RETRY_MS)),
         // These last for seconds at least; the request's own time says how long its caller may wait.
-        RefusalReason::Evacuated | RefusalReason::HeldBack | RefusalReason::NoRegion => {
+        RefusalReason::Evacuated | RefusalReason::ReplicasLimited | RefusalReason::NoRegion => {
             (503, Some(FULL_RETRY_MS))
         }
         RefusalReason::NoPlan | RefusalReason::PlanStale | RefusalReason::Stopping => {
--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -214,7 +214,7 @@
     subject.put(entry("a", "v1"));
     name_limit(&mut subject, Some(1.0));
     let refusal = subject.refused(ask("/file/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::HeldBack));
+    assert!(is_refused(refusal, 503, RefusalReason::ReplicasLimited));
     assert!(refusal.retry_after_ms.is_some_and(|after| (1..=1_000).contains(&after)));
 }
 
--- a/crates/core/tests/route/rests.rs
+++ b/crates/core/tests/route/rests.rs
@@ -78,10 +78,10 @@
     let (ticket, _) = subject.sent(ask("/file/x"));
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, turning_away(700)));
     let first = refusal_in(&effects).expect("the request that was turned away is refused");
-    assert!(is_refused(first, 503, RefusalReason::HeldBack));
+    assert!(is_refused(first, 503, RefusalReason::ReplicasLimited));
     subject.now += 200;
     let refusal = subject.refused(ask("/file/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::HeldBack));
+    assert!(is_refused(refusal, 503, RefusalReason::ReplicasLimited));
     assert_eq!(refusal.retry_after_ms, Some(500));
 }
 
