--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -62,7 +62,7 @@
             return;
         };
         if self.turns_away(stamp, ticket, &choice.pick) {
-            self.give_up(stamp, ticket, RefusalReason::NoTime, out);
+            self.give_up(stamp, ticket, RefusalReason::DeadlineTooShort, out);
             return;
         }
         self.assign(stamp, ticket, choice, out);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -252,7 +252,7 @@
     /// Every replica that was asked said that it is full.
     Full,
     /// It would not begin before its deadline on any replica.
-    NoTime,
+    DeadlineTooShort,
     /// Replicas end when they work on what it asks for.
     Fatal,
     /// It may have run, and no further attempt is allowed.
@@ -276,7 +276,7 @@
             RefusalReason::NoRegion => "no_replica_in_region",
             RefusalReason::ReplicasLimited => "replicas_limited",
             RefusalReason::Full => "replicas_full",
-            RefusalReason::NoTime => "no_time",
+            RefusalReason::DeadlineTooShort => "no_time",
             RefusalReason::Fatal => "crashes_replicas",
             RefusalReason::Failed => "replica_failed",
             RefusalReason::TimeUp => "time_up",
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -53,7 +53,7 @@
         RefusalReason::Fatal => (502, None),
         _ if may_have_run => (502, None),
         RefusalReason::Full
-        | RefusalReason::NoTime
+        | RefusalReason::DeadlineTooShort
         | RefusalReason::TimeUp
         | RefusalReason::Failed => (503, Some(FULL_RETRY_MS)),
         RefusalReason::NoReplica => (503, Some(FULL_RETRY_MS)),
