--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -254,7 +254,7 @@
     /// It would not begin before its deadline on any replica.
     DeadlineTooShort,
     /// Replicas end when they work on what it asks for.
-    Fatal,
+    CrashesReplicas,
     /// It may have run, and no further attempt is allowed.
     Failed,
     /// The time is up.
@@ -277,7 +277,7 @@
             RefusalReason::ReplicasLimited => "replicas_limited",
             RefusalReason::Full => "replicas_full",
             RefusalReason::DeadlineTooShort => "no_time",
-            RefusalReason::Fatal => "crashes_replicas",
+            RefusalReason::CrashesReplicas => "crashes_replicas",
             RefusalReason::Failed => "replica_failed",
             RefusalReason::TimeUp => "time_up",
             RefusalReason::Stopping => "box_stopping",
--- a/crates/core/src/route/fatal/mod.rs
+++ b/crates/core/src/route/fatal/mod.rs
@@ -310,7 +310,7 @@
         let fatal = self.is_fatal(stamp, ticket);
         if fatal {
             self.log_fatal(stamp, ticket, out);
-            self.give_up(stamp, ticket, RefusalReason::Fatal, out);
+            self.give_up(stamp, ticket, RefusalReason::CrashesReplicas, out);
         }
         fatal
     }
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -50,7 +50,7 @@
         RefusalReason::UnknownKey => (401, None),
         RefusalReason::TimeUp if may_have_run => (504, None),
         // What it asks for has run, if under other requests, and coming back does not help.
-        RefusalReason::Fatal => (502, None),
+        RefusalReason::CrashesReplicas => (502, None),
         _ if may_have_run => (502, None),
         RefusalReason::Full
         | RefusalReason::DeadlineTooShort
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -153,7 +153,7 @@
     end_under(&mut subject, "one");
     end_under(&mut subject, "two");
     let refusal = subject.refused(asking("three"));
-    assert!(is_refused(refusal, 502, RefusalReason::Fatal));
+    assert!(is_refused(refusal, 502, RefusalReason::CrashesReplicas));
     assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
     let other = CallerRequest { content: CONTENT + 1, ..asking("four") };
     subject.sent(other);
@@ -246,7 +246,7 @@
     let mut subject = box_of_six();
     let fatal = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
     subject.feed(told_content(1, fatal));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
     subject.feed(told_content(2, answered));
     subject.sent(asking("two"));
@@ -276,9 +276,9 @@
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     let (ticket, _) = subject.sent(asking("three"));
     assert!(break_off(&mut subject, ticket).is_none(), "no second replica for it");
-    assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::CrashesReplicas));
     hear_nothing(&mut subject);
-    assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
 }
 
 fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
@@ -303,7 +303,7 @@
         age_ms: 500 * number,
     };
     subject.feed(told((0..FATAL_ENDS as u64).map(end).collect()));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     subject.now += FATAL_BINDS_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     subject.sent(asking("two"));
@@ -333,7 +333,7 @@
         break_and_leave(&mut subject, ticket);
     }
     hear_nothing(&mut subject);
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
 }
 
 /// A request that is given to a certain replica; those before it stay in hand elsewhere.
@@ -358,7 +358,7 @@
         subject.feed(RouteEvent::Tick);
     }
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::Fatal));
+    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
 }
 
 #[test]
