--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -38,7 +38,7 @@
         let since = self.stopping_since;
         let late = |since| stamp.now.millis_since(since) >= STOP_TAKE_MS || !self.entry_opened();
         if since.is_some_and(late) {
-            return Err(RefusalReason::Stopping);
+            return Err(RefusalReason::BoxStopping);
         }
         if !self.has_plan() {
             return Err(RefusalReason::NoPlan);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -260,7 +260,7 @@
     /// The time is up.
     TimeUp,
     /// The box stops, and could no longer serve it before it is killed.
-    Stopping,
+    BoxStopping,
 }
 
 impl RefusalReason {
@@ -280,7 +280,7 @@
             RefusalReason::CrashesReplicas => "crashes_replicas",
             RefusalReason::Failed => "replica_failed",
             RefusalReason::TimeUp => "time_up",
-            RefusalReason::Stopping => "box_stopping",
+            RefusalReason::BoxStopping => "box_stopping",
         }
     }
 }
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -61,7 +61,7 @@
         RefusalReason::Evacuated | RefusalReason::ReplicasLimited | RefusalReason::NoRegion => {
             (503, Some(FULL_RETRY_MS))
         }
-        RefusalReason::NoPlan | RefusalReason::PlanStale | RefusalReason::Stopping => {
+        RefusalReason::NoPlan | RefusalReason::PlanStale | RefusalReason::BoxStopping => {
             (503, Some(ELSEWHERE_RETRY_MS))
         }
     };
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -373,7 +373,7 @@
     subject.sent(ask("/read/x"));
     subject.now += 1;
     let refusal = subject.refused(ask("/read/x"));
-    assert!(is_refused(refusal, 503, RefusalReason::Stopping), "{refusal:?}");
+    assert!(is_refused(refusal, 503, RefusalReason::BoxStopping), "{refusal:?}");
 }
 
 #[test]
