--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -387,7 +387,7 @@
             self.tally_lost(stamp, ticket);
         }
         self.end_attempt(stamp, ticket, BackendOutcome::Neither);
-        self.give_up(stamp, ticket, RefusalReason::TimeUp, out);
+        self.give_up(stamp, ticket, RefusalReason::DeadlinePassed, out);
     }
 }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -258,7 +258,7 @@
     /// It may have run, and no further attempt is allowed.
     Failed,
     /// The time is up.
-    TimeUp,
+    DeadlinePassed,
     /// The box stops, and could no longer serve it before it is killed.
     BoxStopping,
 }
@@ -279,7 +279,7 @@
             RefusalReason::DeadlineTooShort => "no_time",
             RefusalReason::CrashesReplicas => "crashes_replicas",
             RefusalReason::Failed => "replica_failed",
-            RefusalReason::TimeUp => "time_up",
+            RefusalReason::DeadlinePassed => "time_up",
             RefusalReason::BoxStopping => "box_stopping",
         }
     }
--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -48,13 +48,13 @@
     let (status, retry_after_ms) = match reason {
         RefusalReason::NoRoute => (404, None),
         RefusalReason::UnknownKey => (401, None),
-        RefusalReason::TimeUp if may_have_run => (504, None),
+        RefusalReason::DeadlinePassed if may_have_run => (504, None),
         // What it asks for has run, if under other requests, and coming back does not help.
         RefusalReason::CrashesReplicas => (502, None),
         _ if may_have_run => (502, None),
         RefusalReason::Full
         | RefusalReason::DeadlineTooShort
-        | RefusalReason::TimeUp
+        | RefusalReason::DeadlinePassed
         | RefusalReason::Failed => (503, Some(FULL_RETRY_MS)),
         RefusalReason::NoReplica => (503, Some(FULL_RETRY_MS)),
         // These last for seconds at least; the request's own time says how long its caller may wait.
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -214,7 +214,7 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let refusal = refusal_in(&subject.feed(RouteEvent::DeadlinePassed(ticket))).expect("given up");
-    assert!(is_refused(refusal, 504, RefusalReason::TimeUp));
+    assert!(is_refused(refusal, 504, RefusalReason::DeadlinePassed));
 }
 
 #[test]
