--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -128,7 +128,7 @@
         }
         let done = match &order.step {
             LeaderStep::TakeOver => self.take_over(order.token).await,
-            LeaderStep::Keep(kept) => self.keep(order.token, kept).await,
+            LeaderStep::WriteRecord(kept) => self.keep(order.token, kept).await,
             LeaderStep::Call(call) => return self.call(&order, call).await,
         };
         if let Err(error) = done {
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -98,7 +98,7 @@
     /// Bar former holders from writing, and read what they left.
     TakeOver,
     /// Write this for the next holder.
-    Keep(NumberedRecord),
+    WriteRecord(NumberedRecord),
     /// Make this call.
     Call(LeaderCall),
 }
@@ -173,7 +173,7 @@
             return None;
         }
         writing.next_at = now.plus_millis(SEND_AGAIN_MS);
-        Some(LeaderStep::Keep(writing.kept.clone()))
+        Some(LeaderStep::WriteRecord(writing.kept.clone()))
     }
 }
 
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -482,7 +482,7 @@
                 let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
                 self.post(self.now + 3, Parcel::Event(number, life, event));
             }
-            LeaderStep::Keep(NumberedRecord { number: count, record }) => {
+            LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
                     return;
                 }
