--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -363,7 +363,7 @@
             self.fates[request].good = Some(good);
         }
         if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
-            fleet.feed(home, BoxEvent::Judged(key, rating));
+            fleet.feed(home, BoxEvent::HeldAnswerRated(key, rating));
             return;
         }
         self.learn(request, model, rating);
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -183,7 +183,7 @@
             if good { "good" } else { "bad" }
         ));
         let (index, key) = self.keys[&ticket];
-        self.fleet.feed(index, BoxEvent::Judged(key, Some(good)));
+        self.fleet.feed(index, BoxEvent::HeldAnswerRated(key, Some(good)));
         self.tell();
     }
 
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -155,7 +155,7 @@
                 }
                 RequestStep::Judge(key) => {
                     let good = self.rate().await;
-                    self.tools.driver.feed(BoxEvent::Judged(key, good));
+                    self.tools.driver.feed(BoxEvent::HeldAnswerRated(key, good));
                 }
                 RequestStep::Rate => self.rate_later(),
                 RequestStep::Finish(reasons) => {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -143,7 +143,7 @@
     /// An attempt ended.
     AttemptEnded(RequestKey, AttemptEnd),
     /// An answer that waited for its rating was rated; `None` if no rating could be had.
-    Judged(RequestKey, Option<bool>),
+    HeldAnswerRated(RequestKey, Option<bool>),
     /// An answer that had already left was rated.
     Rated {
         /// Version that gave it.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -251,7 +251,7 @@
             BoxEvent::SendBegins(key) => self.on_send_begins(stamp, key, out),
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
-            BoxEvent::Judged(key, good) => self.on_judged(stamp, key, good, out),
+            BoxEvent::HeldAnswerRated(key, good) => self.on_judged(stamp, key, good, out),
             BoxEvent::Rated { version, class, good } => {
                 self.on_rated(stamp, &version, class, good, out);
             }
