--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -107,7 +107,10 @@
     for number in 0..400 {
         for (version, good) in [("m0-1", number % 4 > 0), ("m1-1", true)] {
             let (version, class) = (version.to_owned(), (number % 3) as u8);
-            state.apply(stamp(0), BoxEvent::Rated { version, class, good: Some(good) });
+            state.apply(
+                stamp(0),
+                BoxEvent::ReleasedAnswerRated { version, class, good: Some(good) },
+            );
         }
     }
     state
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -379,7 +379,7 @@
             let version = if new_version { "small-2" } else { ["small-1", "large-1"][model] };
             let class = self.requests[request].class;
             let version = version.to_owned();
-            fleet.feed(home, BoxEvent::Rated { version, class, good: rating });
+            fleet.feed(home, BoxEvent::ReleasedAnswerRated { version, class, good: rating });
             return;
         }
         self.learn(request, model, rating);
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -336,7 +336,7 @@
                 .is_some_and(|text| text.starts_with(&version))
             {
                 story.say("> the rating service: bad");
-                story.fleet.feed(index, BoxEvent::Rated { version, class: 0, good });
+                story.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
                 story.wait(10);
             }
             ticket += 1;
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -477,7 +477,7 @@
         let (question, text) = (self.question(), self.text.clone());
         tokio::spawn(async move {
             let good = tools.rating.rate(&version, class, &question, &text).await.ok();
-            tools.driver.feed(BoxEvent::Rated { version, class, good });
+            tools.driver.feed(BoxEvent::ReleasedAnswerRated { version, class, good });
         });
     }
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -145,7 +145,7 @@
     /// An answer that waited for its rating was rated; `None` if no rating could be had.
     HeldAnswerRated(RequestKey, Option<bool>),
     /// An answer that had already left was rated.
-    Rated {
+    ReleasedAnswerRated {
         /// Version that gave it.
         version: String,
         /// Request class.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -252,7 +252,7 @@
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
             BoxEvent::HeldAnswerRated(key, good) => self.on_judged(stamp, key, good, out),
-            BoxEvent::Rated { version, class, good } => {
+            BoxEvent::ReleasedAnswerRated { version, class, good } => {
                 self.on_rated(stamp, &version, class, good, out);
             }
             BoxEvent::CallerLeft(ticket) => self.on_caller_left(stamp, ticket, out),
