--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -139,7 +139,7 @@
     for effect in effects {
         if let BoxEffect::Assign(_, key, _) = effect {
             attempts += 1;
-            state.apply(stamp(number), BoxEvent::SendBegins(key));
+            state.apply(stamp(number), BoxEvent::SendStarting(key));
             let end = AttemptEnd::Answered { tokens: 100, status: 200, body: Vec::new() };
             state.apply(stamp(number), BoxEvent::AttemptEnded(key, end));
             state.apply(stamp(number), BoxEvent::AppendDone(LogStream::Bills));
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -464,7 +464,7 @@
             BoxEffect::Assign(ticket, key, order) => {
                 self.fates[index(ticket)].order = Some(order);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.feed(home, BoxEvent::SendBegins(key));
+                    fleet.feed(home, BoxEvent::SendStarting(key));
                 }
                 self.fates[index(ticket)].home = home;
                 self.keys.insert(index(ticket), key);
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -149,7 +149,7 @@
                 if let Some(token) = order.session_token {
                     self.tokens.insert(ticket.0, token);
                 }
-                fleet.feed(index, BoxEvent::SendBegins(key));
+                fleet.feed(index, BoxEvent::SendStarting(key));
             }
             BoxEffect::Send(ticket) => {
                 *self.ran.entry(ticket.0).or_default() += 1;
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -199,7 +199,7 @@
                     self.say(&format!("  box-{index}: {words}"));
                 }
                 if let BoxEffect::Assign(_, key, _) = effect {
-                    self.fleet.feed(index, BoxEvent::SendBegins(key));
+                    self.fleet.feed(index, BoxEvent::SendStarting(key));
                 }
             }
         }
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -143,7 +143,7 @@
                         self.session_token = assigned.session_token.clone();
                     }
                     order = Some(assigned);
-                    self.tools.driver.feed(BoxEvent::SendBegins(key));
+                    self.tools.driver.feed(BoxEvent::SendStarting(key));
                 }
                 RequestStep::Send => {
                     let (Some(key), Some(order)) = (self.key, order.take()) else { continue };
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -48,7 +48,7 @@
 /// An effect.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BoxEffect {
-    /// Prepare this attempt, then report [`crate::event::BoxEvent::SendBegins`].
+    /// Prepare this attempt, then report [`crate::event::BoxEvent::SendStarting`].
     Assign(RequestTicket, RequestKey, AttemptOrder),
     /// The write may begin now.
     Send(RequestTicket),
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -137,7 +137,7 @@
     /// A caller's request arrived.
     RequestArrived(RequestDetails),
     /// The box is about to write the request to the replica that it was given.
-    SendBegins(RequestKey),
+    SendStarting(RequestKey),
     /// The first token came.
     FirstToken(RequestKey),
     /// An attempt ended.
