--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -470,7 +470,7 @@
                 self.keys.insert(index(ticket), key);
             }
             BoxEffect::Send(ticket) => self.send(home, index(ticket)),
-            BoxEffect::Judge(ticket, _) => {
+            BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
                 self.at(self.now_us + RATING_US, Due::Judged(job));
             }
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -222,7 +222,9 @@
                 format!("request {} attempt {attempt}: {version}{held}{resumed}", ticket.0)
             }
             BoxEffect::Send(ticket) => format!("request {} is written", ticket.0),
-            BoxEffect::Judge(ticket, _) => format!("request {} goes to be rated", ticket.0),
+            BoxEffect::RateHeldAnswer(ticket, _) => {
+                format!("request {} goes to be rated", ticket.0)
+            }
             BoxEffect::Finish(ticket, reasons) => {
                 let slugs: Vec<&str> = reasons.iter().map(|reason| reason.slug()).collect();
                 let slugs = slugs.join(", ");
--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -140,7 +140,7 @@
                 self.step(ticket, RequestStep::Assign(key, order));
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
-            BoxEffect::Judge(ticket, key) => self.step(ticket, RequestStep::Judge(key)),
+            BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::Judge(key)),
             BoxEffect::Rate(ticket) => self.step(ticket, RequestStep::Rate),
             BoxEffect::Finish(ticket, reasons) => self.step(ticket, RequestStep::Finish(reasons)),
             BoxEffect::Refuse(ticket, refusal) => self.step(ticket, RequestStep::Refuse(refusal)),
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -126,7 +126,7 @@
         }
         BoxEffect::SendPeer(..) => counter!("ravenspoke_peer_messages_total").increment(1),
         BoxEffect::Assign(..)
-        | BoxEffect::Judge(..)
+        | BoxEffect::RateHeldAnswer(..)
         | BoxEffect::Rate(_)
         | BoxEffect::Replay(..)
         | BoxEffect::ReadBundles
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -53,7 +53,7 @@
     /// The write may begin now.
     Send(RequestTicket),
     /// Rate the held answer before it is released.
-    Judge(RequestTicket, RequestKey),
+    RateHeldAnswer(RequestTicket, RequestKey),
     /// Rate the answer, which has left or will leave unrated.
     Rate(RequestTicket),
     /// The end of the answer may leave: the request is billed.
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -37,7 +37,7 @@
         request.tokens += tokens;
         if request.gated {
             request.stage = RequestStage::Judging(attempt);
-            out.push(BoxEffect::Judge(request.ticket, key));
+            out.push(BoxEffect::RateHeldAnswer(request.ticket, key));
             return;
         }
         if let Some((claim, nonce)) = request.claim.clone() {
