--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -474,7 +474,7 @@
                 let job = self.last_job(index(ticket));
                 self.at(self.now_us + RATING_US, Due::Judged(job));
             }
-            BoxEffect::Rate(ticket) => {
+            BoxEffect::RateReleasedAnswer(ticket) => {
                 let job = self.last_job(index(ticket));
                 self.at(self.now_us + RATING_US, Due::Rated(job));
             }
--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -141,7 +141,7 @@
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
             BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::Judge(key)),
-            BoxEffect::Rate(ticket) => self.step(ticket, RequestStep::Rate),
+            BoxEffect::RateReleasedAnswer(ticket) => self.step(ticket, RequestStep::Rate),
             BoxEffect::Finish(ticket, reasons) => self.step(ticket, RequestStep::Finish(reasons)),
             BoxEffect::Refuse(ticket, refusal) => self.step(ticket, RequestStep::Refuse(refusal)),
             BoxEffect::Replay(ticket, outcome) => self.step(ticket, RequestStep::Replay(outcome)),
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -127,7 +127,7 @@
         BoxEffect::SendPeer(..) => counter!("ravenspoke_peer_messages_total").increment(1),
         BoxEffect::Assign(..)
         | BoxEffect::RateHeldAnswer(..)
-        | BoxEffect::Rate(_)
+        | BoxEffect::RateReleasedAnswer(_)
         | BoxEffect::Replay(..)
         | BoxEffect::ReadBundles
         | BoxEffect::MayExit => {}
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -55,7 +55,7 @@
     /// Rate the held answer before it is released.
     RateHeldAnswer(RequestTicket, RequestKey),
     /// Rate the answer, which has left or will leave unrated.
-    Rate(RequestTicket),
+    RateReleasedAnswer(RequestTicket),
     /// The end of the answer may leave: the request is billed.
     Finish(RequestTicket, Vec<ReasonCode>),
     /// The request ends without a whole answer.
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -46,7 +46,7 @@
             self.push_record(LogStream::Claims, RecordBody::Outcome(outcome));
         }
         if self.wants_rating(stamp, key) {
-            out.push(BoxEffect::Rate(self.requests[key].ticket));
+            out.push(BoxEffect::RateReleasedAnswer(self.requests[key].ticket));
         }
         self.bill(stamp, key, out);
     }
