--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -137,7 +137,7 @@
 pub fn end(state: &mut BoxState, number: u64, effects: Vec<BoxEffect>) -> u32 {
     let mut attempts = 0;
     for effect in effects {
-        if let BoxEffect::Assign(_, key, _) = effect {
+        if let BoxEffect::PrepareAttempt(_, key, _) = effect {
             attempts += 1;
             state.apply(stamp(number), BoxEvent::SendStarting(key));
             let end = AttemptEnd::Answered { tokens: 100, status: 200, body: Vec::new() };
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -461,7 +461,7 @@
     fn effect(&mut self, home: usize, effect: BoxEffect) {
         let index = |ticket: RequestTicket| (ticket.0 / 8) as usize;
         match effect {
-            BoxEffect::Assign(ticket, key, order) => {
+            BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.fates[index(ticket)].order = Some(order);
                 if let Some(fleet) = &mut self.fleet {
                     fleet.feed(home, BoxEvent::SendStarting(key));
--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -313,7 +313,7 @@
         }
     }
     for (_, effect) in &fleet.effects {
-        if let BoxEffect::Assign(_, _, order) = effect {
+        if let BoxEffect::PrepareAttempt(_, _, order) = effect {
             used.push(order.replica.clone());
         }
     }
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -143,7 +143,7 @@
 
     pub fn step(&mut self, fleet: &mut VirtualFleet, index: usize, effect: BoxEffect) {
         match effect {
-            BoxEffect::Assign(ticket, key, order) => {
+            BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.keys.insert((index, ticket.0), key);
                 self.versions.entry(ticket.0).or_default().push(order.version);
                 if let Some(token) = order.session_token {
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -198,7 +198,7 @@
                 if let Some(words) = self.words(index, &effect) {
                     self.say(&format!("  box-{index}: {words}"));
                 }
-                if let BoxEffect::Assign(_, key, _) = effect {
+                if let BoxEffect::PrepareAttempt(_, key, _) = effect {
                     self.fleet.feed(index, BoxEvent::SendStarting(key));
                 }
             }
@@ -207,7 +207,7 @@
 
     fn words(&mut self, index: usize, effect: &BoxEffect) -> Option<String> {
         Some(match effect {
-            BoxEffect::Assign(ticket, key, order) => {
+            BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.keys.insert(ticket.0, (index, *key));
                 if order.session_token.is_some() {
                     self.token.clone_from(&order.session_token);
--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -136,7 +136,7 @@
     fn hand_on(&self, effect: BoxEffect) {
         observe::note_effect(&effect);
         match effect {
-            BoxEffect::Assign(ticket, key, order) => {
+            BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.step(ticket, RequestStep::Assign(key, order));
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -125,7 +125,7 @@
                 .increment(batch.len() as u64);
         }
         BoxEffect::SendPeer(..) => counter!("ravenspoke_peer_messages_total").increment(1),
-        BoxEffect::Assign(..)
+        BoxEffect::PrepareAttempt(..)
         | BoxEffect::RateHeldAnswer(..)
         | BoxEffect::RateReleasedAnswer(_)
         | BoxEffect::Replay(..)
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum BoxEffect {
     /// Prepare this attempt, then report [`crate::event::BoxEvent::SendStarting`].
-    Assign(RequestTicket, RequestKey, AttemptOrder),
+    PrepareAttempt(RequestTicket, RequestKey, AttemptOrder),
     /// The write may begin now.
     Send(RequestTicket),
     /// Rate the held answer before it is released.
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -188,7 +188,7 @@
             send_before,
             session_token,
         };
-        out.push(BoxEffect::Assign(request.ticket, key, order));
+        out.push(BoxEffect::PrepareAttempt(request.ticket, key, order));
     }
 
     /// A write must begin before the freshness lease lapses, unless the log is down for all.
