--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -244,7 +244,7 @@
             BoxEffect::BundleRejected(_) => "a bundle is rejected".to_owned(),
             BoxEffect::RolloutHalted(version) => format!("the roll-out of {version} is halted"),
             BoxEffect::ReplicaLeaving(replica) => format!("{replica} is leaving"),
-            BoxEffect::OwnerVanished { owner, bills } => {
+            BoxEffect::OwnerLost { owner, bills } => {
                 format!("{owner} vanished; {bills} bills are written for it")
             }
             BoxEffect::Unwitnessed(_) => "a bill has too few witnesses".to_owned(),
--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -156,7 +156,7 @@
             | BoxEffect::RolloutHalted(_)
             | BoxEffect::RolloutStep(..)
             | BoxEffect::ReplicaLeaving(_)
-            | BoxEffect::OwnerVanished { .. }
+            | BoxEffect::OwnerLost { .. }
             | BoxEffect::Unwitnessed(_) => {}
         }
     }
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -110,7 +110,7 @@
         BoxEffect::ReplicaLeaving(replica) => {
             info!(event = 310, name = "replica_leaving", replica);
         }
-        BoxEffect::OwnerVanished { owner, bills } => {
+        BoxEffect::OwnerLost { owner, bills } => {
             warn!(event = 401, name = "bills_taken_over", owner, bills);
         }
         BoxEffect::Unwitnessed(bill) => {
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -87,7 +87,7 @@
     /// A replica leaves.
     ReplicaLeaving(String),
     /// A witness appends bills for an owner that vanished.
-    OwnerVanished {
+    OwnerLost {
         /// Name of the owner.
         owner: String,
         /// Bills appended for it.
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -292,7 +292,7 @@
                 continue;
             }
             let bills = self.ledger.take_held(&owner);
-            out.push(BoxEffect::OwnerVanished { owner: name.clone(), bills: bills.len() });
+            out.push(BoxEffect::OwnerLost { owner: name.clone(), bills: bills.len() });
             for bill in bills {
                 self.push_record(LogStream::Bills, RecordBody::Bill(bill));
             }
