--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -340,7 +340,7 @@
     let mut may_exit = false;
     for _ in 0..500 {
         fleet.run_ms(20);
-        may_exit |= fleet.take_effects().contains(&(0, BoxEffect::MayExit));
+        may_exit |= fleet.take_effects().contains(&(0, BoxEffect::ExitAllowed));
     }
 
     let finished = callers.seen.values().filter(|seen| **seen == Seen::Finished).count();
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -248,7 +248,7 @@
                 format!("{owner} vanished; {bills} bills are written for it")
             }
             BoxEffect::Unwitnessed(_) => "a bill has too few witnesses".to_owned(),
-            BoxEffect::MayExit => "nothing is owed any more".to_owned(),
+            BoxEffect::ExitAllowed => "nothing is owed any more".to_owned(),
             BoxEffect::RolloutStep(version, step) => format!("{version} reached step {step}"),
             _ => return None,
         })
--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -150,7 +150,7 @@
             BoxEffect::SendPeer(name, body) => drop(self.sinks.peers.send((name, body))),
             BoxEffect::Order(order) => drop(self.sinks.orders.send(order)),
             BoxEffect::ReadBundles => self.read_bundles.notify_one(),
-            BoxEffect::MayExit => self.may_exit.notify_one(),
+            BoxEffect::ExitAllowed => self.may_exit.notify_one(),
             BoxEffect::BundleInForce { .. }
             | BoxEffect::BundleRejected(_)
             | BoxEffect::RolloutHalted(_)
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -130,6 +130,6 @@
         | BoxEffect::RateReleasedAnswer(_)
         | BoxEffect::Replay(..)
         | BoxEffect::ReadBundles
-        | BoxEffect::MayExit => {}
+        | BoxEffect::ExitAllowed => {}
     }
 }
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -96,5 +96,5 @@
     /// An answer left with fewer witnesses than it should have.
     Unwitnessed(BillRecord),
     /// The box may exit: nothing is owed any more.
-    MayExit,
+    ExitAllowed,
 }
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -49,7 +49,7 @@
         let grace = self.settings.entry_keep_ms + BILL_GRACE_MS;
         let witnessed = self.ledger.all_witnessed();
         if !owed || (witnessed && stamp.now.millis_since(since) >= grace) {
-            out.push(BoxEffect::MayExit);
+            out.push(BoxEffect::ExitAllowed);
         }
     }
 
