--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -207,7 +207,7 @@
     fn caller_left(&mut self) {
         self.head = None;
         self.body = None;
-        self.tools.driver.feed(BoxEvent::CallerLeft(self.ticket));
+        self.tools.driver.feed(BoxEvent::CallerDisconnected(self.ticket));
     }
 
     fn request(&self, order: &AttemptOrder) -> reqwest::RequestBuilder {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -154,7 +154,7 @@
         good: Option<bool>,
     },
     /// The caller went away.
-    CallerLeft(RequestTicket),
+    CallerDisconnected(RequestTicket),
     /// The operator asks for a planned stop.
     StopAsked,
 }
