--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -328,7 +328,7 @@
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
-    fleet.feed(0, BoxEvent::StopAsked);
+    fleet.feed(0, BoxEvent::StopRequested);
     fleet.run_ms(100);
     let now = fleet.box_time(1);
     let entries = fleet.boxes[1].state.members().entries(None, 1, now);
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -412,7 +412,7 @@
     story.publish("another bundle 2, on the same base", &second);
     story.wait(200);
     story.say("> an operator stops box-0");
-    story.fleet.feed(0, BoxEvent::StopAsked);
+    story.fleet.feed(0, BoxEvent::StopRequested);
     story.chat(1, 0, "assist-small", 0);
     story.whole(1);
     for _ in 0..1_200 {
--- a/crates/box/src/operator.rs
+++ b/crates/box/src/operator.rs
@@ -84,6 +84,6 @@
 #[post("/stop")]
 fn stop(_access: OperatorAccess, driver: &State<Arc<BoxDriver>>) -> Status {
     tracing::info!(event = 102, name = "box_stopping");
-    driver.feed(BoxEvent::StopAsked);
+    driver.feed(BoxEvent::StopRequested);
     Status::Accepted
 }
--- a/crates/box/src/process.rs
+++ b/crates/box/src/process.rs
@@ -191,7 +191,7 @@
         _ = interrupt.recv() => {}
     }
     tracing::info!(event = 102, name = "box_stopping");
-    driver.feed(BoxEvent::StopAsked);
+    driver.feed(BoxEvent::StopRequested);
 }
 
 fn box_settings(settings: &ProcessSettings, incarnation: u64) -> BoxSettings {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -156,5 +156,5 @@
     /// The caller went away.
     CallerDisconnected(RequestTicket),
     /// The operator asks for a planned stop.
-    StopAsked,
+    StopRequested,
 }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -256,7 +256,7 @@
                 self.on_rated(stamp, &version, class, good, out);
             }
             BoxEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket, out),
-            BoxEvent::StopAsked => self.on_stop_asked(stamp, out),
+            BoxEvent::StopRequested => self.on_stop_asked(stamp, out),
         }
         effects
     }
