--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -47,7 +47,7 @@
 /// One caller.
 pub struct SoakCaller {
     number: usize,
-    dice: StdRng,
+    rng: StdRng,
     http: Client,
     boxes: Vec<IpAddr>,
     named: Vec<IpAddr>,
@@ -58,9 +58,9 @@
 impl SoakCaller {
     /// A caller that knows the boxes it may ask for addresses.
     pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, witness: Arc<SoakWitness>) -> Self {
-        let dice = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
+        let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(GIVE_UP).no_proxy().build().expect("a client");
-        Self { number, dice, http, boxes, named: Vec::new(), asked_at: None, witness }
+        Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, witness }
     }
 
     /// Asks until told to stop.
@@ -70,7 +70,7 @@
             count += 1;
             self.look_up().await;
             self.ask(count).await;
-            let pause = Duration::from_millis(self.dice.gen_range(1..PAUSE_MS));
+            let pause = Duration::from_millis(self.rng.gen_range(1..PAUSE_MS));
             tokio::time::sleep(pause).await;
         }
     }
@@ -80,7 +80,7 @@
         if self.asked_at.is_some_and(|at| at.elapsed() < KEEP_FOR) && !self.named.is_empty() {
             return;
         }
-        let asked = self.boxes[self.dice.gen_range(0..self.boxes.len())];
+        let asked = self.boxes[self.rng.gen_range(0..self.boxes.len())];
         if let Some(named) = resolve(&self.http, asked).await {
             self.named = named;
             self.asked_at = Some(Instant::now());
@@ -92,15 +92,15 @@
         if self.named.is_empty() {
             return;
         }
-        let place = self.dice.gen_range(0..self.named.len());
+        let place = self.rng.gen_range(0..self.named.len());
         let to = self.named[place];
-        let kind = match self.dice.gen_range(0..10) {
+        let kind = match self.rng.gen_range(0..10) {
             0..=3 => AskKind::File,
             4..=6 => AskKind::Read,
             _ => AskKind::Chat,
         };
-        let second_key = self.dice.gen_bool(0.3);
-        let session = self.dice.gen_range(0..SESSIONS);
+        let second_key = self.rng.gen_bool(0.3);
+        let session = self.rng.gen_range(0..SESSIONS);
         let id = format!("c{}-{count}", self.number);
         let sent_at = Instant::now();
         let (end, sockets) =
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -137,23 +137,23 @@
 
 /// The faults of a seed, in the order of their beginnings.
 pub fn draw_faults(seed: u64) -> Vec<TimedFault> {
-    let mut dice = StdRng::seed_from_u64(seed);
-    let count = dice.gen_range(FAULTS.0..=FAULTS.1);
-    let mut faults: Vec<TimedFault> = (0..count).map(|_| draw(&mut dice)).collect();
-    faults.extend((0..REPLICA_FAULTS).map(|_| draw_replica_fault(&mut dice)));
+    let mut rng = StdRng::seed_from_u64(seed);
+    let count = rng.gen_range(FAULTS.0..=FAULTS.1);
+    let mut faults: Vec<TimedFault> = (0..count).map(|_| draw(&mut rng)).collect();
+    faults.extend((0..REPLICA_FAULTS).map(|_| draw_replica_fault(&mut rng)));
     // Drawn last: what a seed that once failed draws before it stays the same.
-    if dice.gen_bool(ALL_KILLED_PART) {
-        faults.push(TimedFault { fault: SoakFault::BoxesKilled, ..draw(&mut dice) });
+    if rng.gen_bool(ALL_KILLED_PART) {
+        faults.push(TimedFault { fault: SoakFault::BoxesKilled, ..draw(&mut rng) });
     }
-    if dice.gen_bool(ZONE_EMPTIED_PART) {
-        let length = Duration::from_millis(dice.gen_range(ZONE_EMPTIED_MS.0..ZONE_EMPTIED_MS.1));
-        faults.push(TimedFault { fault: SoakFault::ZoneEmptied, length, ..draw(&mut dice) });
+    if rng.gen_bool(ZONE_EMPTIED_PART) {
+        let length = Duration::from_millis(rng.gen_range(ZONE_EMPTIED_MS.0..ZONE_EMPTIED_MS.1));
+        faults.push(TimedFault { fault: SoakFault::ZoneEmptied, length, ..draw(&mut rng) });
     }
-    if dice.gen_bool(ZONE_EMPTIED_PART) {
-        faults.push(TimedFault { fault: SoakFault::ReplicaCold, ..draw(&mut dice) });
+    if rng.gen_bool(ZONE_EMPTIED_PART) {
+        faults.push(TimedFault { fault: SoakFault::ReplicaCold, ..draw(&mut rng) });
     }
-    if dice.gen_bool(RESTORED_PART) {
-        faults.push(TimedFault { fault: SoakFault::StoreRestored, ..draw(&mut dice) });
+    if rng.gen_bool(RESTORED_PART) {
+        faults.push(TimedFault { fault: SoakFault::StoreRestored, ..draw(&mut rng) });
     }
     // A box at a time is down, or paused: callers have two others.
     let mut down_until = Duration::ZERO;
@@ -171,59 +171,59 @@
 
 /// A series of stops and kills of any boxes, which may meet a box that has just started, and nothing else.
 pub fn draw_series(seed: u64) -> Vec<TimedFault> {
-    let mut dice = StdRng::seed_from_u64(seed);
-    (0..SERIES).map(|number| draw_outage_of_box(&mut dice, number)).collect()
+    let mut rng = StdRng::seed_from_u64(seed);
+    (0..SERIES).map(|number| draw_outage_of_box(&mut rng, number)).collect()
 }
 
-fn draw_outage_of_box(dice: &mut StdRng, number: u32) -> TimedFault {
-    let subject = dice.gen_range(0..BOXES);
-    let stops = dice.gen_bool(0.5);
+fn draw_outage_of_box(rng: &mut StdRng, number: u32) -> TimedFault {
+    let subject = rng.gen_range(0..BOXES);
+    let stops = rng.gen_bool(0.5);
     let fault = if stops { SoakFault::BoxStopped(subject) } else { SoakFault::BoxKilled(subject) };
-    let length = Duration::from_millis(dice.gen_range(SERIES_AWAY_MS.0..SERIES_AWAY_MS.1));
+    let length = Duration::from_millis(rng.gen_range(SERIES_AWAY_MS.0..SERIES_AWAY_MS.1));
     let at = Duration::from_millis(FIRST_AT_MS) + SERIES_EVERY * number;
     TimedFault { at, length, fault }
 }
 
-fn draw(dice: &mut StdRng) -> TimedFault {
-    let at = Duration::from_millis(dice.gen_range(FIRST_AT_MS..FAULTS_FOR.as_millis() as u64));
-    let fault = draw_fault(dice);
+fn draw(rng: &mut StdRng) -> TimedFault {
+    let at = Duration::from_millis(rng.gen_range(FIRST_AT_MS..FAULTS_FOR.as_millis() as u64));
+    let fault = draw_fault(rng);
     let store = matches!(fault, SoakFault::Store(..) | SoakFault::StorePath(..));
     let longest = if store { LONGEST_STORE_MS } else { LONGEST_MS };
-    TimedFault { at, length: Duration::from_millis(dice.gen_range(SHORTEST_MS..longest)), fault }
+    TimedFault { at, length: Duration::from_millis(rng.gen_range(SHORTEST_MS..longest)), fault }
 }
 
-fn draw_replica_fault(dice: &mut StdRng) -> TimedFault {
-    let fault = SoakFault::Replica(dice.gen_range(0..REPLICAS), draw_mode(dice));
-    TimedFault { fault, ..draw(dice) }
+fn draw_replica_fault(rng: &mut StdRng) -> TimedFault {
+    let fault = SoakFault::Replica(rng.gen_range(0..REPLICAS), draw_mode(rng));
+    TimedFault { fault, ..draw(rng) }
 }
 
-fn draw_fault(dice: &mut StdRng) -> SoakFault {
-    let (subject, replica) = (dice.gen_range(0..BOXES), dice.gen_range(0..REPLICAS));
-    match dice.gen_range(0..16) {
+fn draw_fault(rng: &mut StdRng) -> SoakFault {
+    let (subject, replica) = (rng.gen_range(0..BOXES), rng.gen_range(0..REPLICAS));
+    match rng.gen_range(0..16) {
         0 => SoakFault::BoxKilled(subject),
         1 | 2 => SoakFault::BoxStopped(subject),
         3 => SoakFault::BoxPaused(subject),
         4 => SoakFault::BoxTold(subject),
-        5 => SoakFault::Store(draw_outage(dice), None),
-        6 => SoakFault::Store(draw_outage(dice), Some(subject)),
+        5 => SoakFault::Store(draw_outage(rng), None),
+        6 => SoakFault::Store(draw_outage(rng), Some(subject)),
         7 => SoakFault::StoreSlow,
         8 => SoakFault::StoreLoses,
         9 => SoakFault::StoreCompacts,
-        10 => SoakFault::StorePath(subject, draw_path(dice)),
-        11 => SoakFault::ReplicaPath(replica, draw_path(dice)),
+        10 => SoakFault::StorePath(subject, draw_path(rng)),
+        11 => SoakFault::ReplicaPath(replica, draw_path(rng)),
         12 => SoakFault::ReplicaLeaves,
         13 => SoakFault::KeyTaken,
         14 => SoakFault::PlanChanged,
-        _ => SoakFault::Replica(replica, draw_mode(dice)),
+        _ => SoakFault::Replica(replica, draw_mode(rng)),
     }
 }
 
-fn draw_outage(dice: &mut StdRng) -> StoreOutage {
+fn draw_outage(rng: &mut StdRng) -> StoreOutage {
     let outages = [StoreOutage::Busy, StoreOutage::Silent, StoreOutage::Reset];
-    outages[dice.gen_range(0..outages.len())]
+    outages[rng.gen_range(0..outages.len())]
 }
 
-fn draw_path(dice: &mut StdRng) -> ProxyFault {
+fn draw_path(rng: &mut StdRng) -> ProxyFault {
     let faults = [
         ProxyFault::Delayed(PATH_DELAY),
         ProxyFault::Reset,
@@ -231,10 +231,10 @@
         ProxyFault::CutBack,
         ProxyFault::Silent,
     ];
-    faults[dice.gen_range(0..faults.len())]
+    faults[rng.gen_range(0..faults.len())]
 }
 
-fn draw_mode(dice: &mut StdRng) -> ReplicaMode {
+fn draw_mode(rng: &mut StdRng) -> ReplicaMode {
     let modes = [
         ReplicaMode::Full,
         ReplicaMode::Failing,
@@ -246,5 +246,5 @@
         ReplicaMode::CutAt(MIDDLE_EVENT),
         ReplicaMode::PauseAt(MIDDLE_EVENT),
     ];
-    modes[dice.gen_range(0..modes.len())]
+    modes[rng.gen_range(0..modes.len())]
 }
