--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -67,7 +67,7 @@
 const PLACEMENT_REPLICAS: usize = 140;
 
 fn prompt_stamp(number: u64) -> EventStamp {
-    EventStamp { now: BoxTime::from_millis(100), wall: WallTime(0), dice: number * 0x9e37_79b9 }
+    EventStamp { now: BoxTime::from_millis(100), wall: WallTime(0), random: number * 0x9e37_79b9 }
 }
 
 fn prompt_arrival(number: u64) -> RouteEvent {
--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -57,7 +57,7 @@
         request: &BenchRequest,
         costs: [f64; 2],
         target: f64,
-        dice: u64,
+        random: u64,
     ) -> ModelChoice {
         let plain = |model| ModelChoice { model, gated: false };
         match self.kind {
@@ -72,7 +72,7 @@
                     RungView { model: "small", cost: costs[0] },
                     RungView { model: "large", cost: costs[1] },
                 ];
-                let plan = self.quality.plan("assist", &rungs, target, request.class, dice);
+                let plan = self.quality.plan("assist", &rungs, target, request.class, random);
                 ModelChoice { model: plan.rung, gated: plan.gated }
             }
         }
@@ -85,11 +85,11 @@
         reported: &[u32],
         now: &[u32],
         prefix: u64,
-        dice: u64,
+        random: u64,
     ) -> usize {
         self.turn += 1;
         let least = |loads: &[u32]| {
-            let start = dice as usize % pool.len();
+            let start = random as usize % pool.len();
             let order = (0..pool.len()).map(|step| pool[(start + step) % pool.len()]);
             order.min_by_key(|engine| loads[*engine]).unwrap_or(pool[0])
         };
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -70,7 +70,7 @@
 pub fn stamp(number: u64) -> EventStamp {
     // Ten microseconds a request: the reducer is never asked to catch up with idle time.
     let now = BoxTime::from_micros(5_000_000 + number * 10);
-    EventStamp { now, wall: WallTime(1), dice: number.wrapping_mul(0x9E37_79B9_7F4A_7C15) }
+    EventStamp { now, wall: WallTime(1), random: number.wrapping_mul(0x9E37_79B9_7F4A_7C15) }
 }
 
 /// A box of this size with a bundle in force and every replica's load reported.
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -213,7 +213,7 @@
         let stamp = EventStamp {
             now: self.box_time(index),
             wall: WallTime(WALL_START_MS + self.now_us / 1_000),
-            dice: self.rng.gen(),
+            random: self.rng.gen(),
         };
         for effect in self.boxes[index].state.apply(stamp, event) {
             self.carry_out(index, effect);
--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -84,7 +84,7 @@
     rows: HashMap<usize, BaselineRow>,
     /// Last reports by engine.
     reported: Vec<u32>,
-    dice: u64,
+    random: u64,
 }
 
 impl PromptRouter {
@@ -97,7 +97,7 @@
             _ => Vec::new(),
         };
         let reported = vec![0; site.engines.len()];
-        Self { policy, boxes, rows: HashMap::new(), reported, dice: 1 }
+        Self { policy, boxes, rows: HashMap::new(), reported, random: 1 }
     }
 
     /// A request arrives.
@@ -220,11 +220,11 @@
 
     /// Feeds a box, hands on what it tells others, and gives what is to be done with request `row`.
     fn feed(&mut self, number: usize, row: usize, event: RouteEvent, now_us: u64) -> RouterStep {
-        self.dice = self.dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let stamp = EventStamp {
             now: BoxTime::from_micros(now_us),
             wall: WallTime(0),
-            dice: self.dice ^ (self.dice >> 29),
+            random: self.random ^ (self.random >> 29),
         };
         let mut step = RouterStep::Wait;
         for effect in self.boxes[number].apply(stamp, event) {
@@ -313,7 +313,7 @@
         regions: BTreeMap::new(),
     });
     let now = BoxTime::default();
-    let stamp = EventStamp { now, wall: WallTime(0), dice: row as u64 };
+    let stamp = EventStamp { now, wall: WallTime(0), random: row as u64 };
     let plan = Some(plan(site));
     drop(state.apply(
         stamp,
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -241,9 +241,9 @@
             );
             return;
         }
-        let dice = self.rng.gen();
+        let random = self.rng.gen();
         let Some(router) = &mut self.baseline else { return };
-        let choice = router.model(&request, COST, TARGET, dice);
+        let choice = router.model(&request, COST, TARGET, random);
         let canary = router.kind == BaselineKind::FixedCanary
             && choice.model == 0
             && self.plan.bad != BadKind::None
@@ -262,9 +262,9 @@
             .iter()
             .map(|engine| engine.running + engine.waiting.len() as u32)
             .collect();
-        let (prefix, dice) = (self.requests[index].prefix, self.rng.gen());
+        let (prefix, random) = (self.requests[index].prefix, self.rng.gen());
         let Some(router) = &mut self.baseline else { return };
-        let engine = router.replica(&pool, &self.seen_loads, &now, prefix, dice);
+        let engine = router.replica(&pool, &self.seen_loads, &now, prefix, random);
         self.submit(index, engine, model, gated, new_version, None);
     }
 
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -177,7 +177,7 @@
     fn stamp(&self) -> EventStamp {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let wall = WallTime(u64::try_from(wall.as_millis()).unwrap_or(u64::MAX));
-        EventStamp { now: self.now(), wall, dice: rand::random() }
+        EventStamp { now: self.now(), wall, random: rand::random() }
     }
 
     fn apply(&self, event: RouteEvent) -> Vec<RouteEffect> {
--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -175,14 +175,14 @@
         self.counts.is_empty()
     }
 
-    /// Plans a request of `class` for the cascade called `name`; `dice` decides shares.
+    /// Plans a request of `class` for the cascade called `name`; `random` decides shares.
     pub fn plan(
         &mut self,
         name: &str,
         rungs: &[RungView<'_>],
         target: f64,
         class: u8,
-        dice: u64,
+        random: u64,
     ) -> CascadePlan {
         let last = rungs.len().saturating_sub(1);
         let class = usize::from(class).min(CLASS_COUNT - 1);
@@ -197,12 +197,12 @@
                 false => CascadePlan { rung: 0, gated: true, reason: ReasonCode::CascadeGated },
             };
         }
-        if !self.rating_down() && dice % 256 < EXPLORE_SHARE {
+        if !self.rating_down() && random % 256 < EXPLORE_SHARE {
             return CascadePlan { rung: 0, gated: false, reason: ReasonCode::CascadeExplore };
         }
         let (rung, share) = self.spend(rungs, target, &mix, class);
         // The low bits decided on exploration.
-        let drawn = (dice >> 16) as f64 / (1u64 << 48) as f64;
+        let drawn = (random >> 16) as f64 / (1u64 << 48) as f64;
         if rung < last && drawn < share {
             return CascadePlan { rung, gated: false, reason: ReasonCode::CascadeCheap };
         }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -15,7 +15,7 @@
     /// Wall-clock time.
     pub wall: WallTime,
     /// A random number; the only source of chance.
-    pub dice: u64,
+    pub random: u64,
 }
 
 /// Number that the box gives a request before the reducer has a key for it.
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -174,9 +174,9 @@
     }
 
     /// When a refused caller should come back, in milliseconds: when the queue of now is drained,
-    /// up to half as long again by `dice`, so that callers do not return together.
-    pub fn retry_after_ms(&self, dice: u64) -> u64 {
+    /// up to half as long again by `random`, so that callers do not return together.
+    pub fn retry_after_ms(&self, random: u64) -> u64 {
         let drained = (self.gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
-        (drained * (1.0 + (dice % 512) as f64 / 1_024.0)) as u64
+        (drained * (1.0 + (random % 512) as f64 / 1_024.0)) as u64
     }
 }
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -123,7 +123,7 @@
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
     /// A random number.
-    pub dice: u64,
+    pub random: u64,
     /// The time.
     pub now: BoxTime,
     /// Replica to avoid, because it failed this request.
@@ -316,7 +316,7 @@
         if let Some(key) = self.affine(pool, ask.prefix, sharers) {
             return PickOutcome::Picked(key, PickWay::Affinity);
         }
-        let key = self.less_loaded(&open, ask.dice);
+        let key = self.less_loaded(&open, ask.random);
         PickOutcome::Picked(key, if floor { PickWay::AllEjected } else { PickWay::TwoChoices })
     }
 
@@ -349,10 +349,10 @@
         (row.load() <= bound && self.has_room(preferred, sharers)).then_some(preferred)
     }
 
-    fn less_loaded(&self, open: &[ReplicaKey], dice: u64) -> ReplicaKey {
+    fn less_loaded(&self, open: &[ReplicaKey], random: u64) -> ReplicaKey {
         let count = open.len() as u64;
-        let first = (dice % count) as usize;
-        let second = (first as u64 + 1 + (dice >> 32) % count.saturating_sub(1).max(1)) % count;
+        let first = (random % count) as usize;
+        let second = (first as u64 + 1 + (random >> 32) % count.saturating_sub(1).max(1)) % count;
         let (a, b) = (open[first], open[second as usize]);
         if self.rows[b].load() < self.rows[a].load() {
             b
--- a/crates/core/src/route/admission.rs
+++ b/crates/core/src/route/admission.rs
@@ -20,20 +20,20 @@
 /// When a request that would begin after `expected_ms` is to come back, in milliseconds; `None` if it is
 /// taken, since it begins within the `left_ms` that its caller waits. A caller that comes back then finds
 /// work for less than `target_ms` if nothing more comes.
-pub fn turned_away(expected_ms: f64, left_ms: u64, target_ms: u64, dice: u64) -> Option<u64> {
+pub fn turned_away(expected_ms: f64, left_ms: u64, target_ms: u64, random: u64) -> Option<u64> {
     let left = left_ms as f64;
     if expected_ms < left {
         return None;
     }
     let drained_ms = (expected_ms - target_ms as f64).max(0.0);
-    let chance = (mix(dice) % 1_000) as f64 / 1_000.0;
+    let chance = (mix(random) % 1_000) as f64 / 1_000.0;
     let spread_ms = drained_ms * (1.0 + SPREAD * chance);
-    Some((spread_ms as u64).min(latest_return(left_ms, dice)))
+    Some((spread_ms as u64).min(latest_return(left_ms, random)))
 }
 
 /// When a caller who waits for `left_ms` is to come back at the latest, in milliseconds, so that it still honours that; spread,
 /// since those that are refused together would else come back together.
-pub fn latest_return(left_ms: u64, dice: u64) -> u64 {
-    let chance = (mix(dice) % 1_000) as f64 / 1_000.0;
+pub fn latest_return(left_ms: u64, random: u64) -> u64 {
+    let chance = (mix(random) % 1_000) as f64 / 1_000.0;
     (left_ms as f64 * HONOURED_PART * (1.0 - SPREAD * chance)) as u64
 }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -46,7 +46,7 @@
         let (route, holder) = self.find_route(stamp, ask)?;
         let allowed = ask.deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
         let left = allowed.saturating_sub(ask.waited_ms);
-        let service = pick_target(route, stamp.dice).ok_or(RefusalReason::NoReplica)?;
+        let service = pick_target(route, stamp.random).ok_or(RefusalReason::NoReplica)?;
         let chooses = ask.any_model && !route.sizes.is_empty();
         let of_account = holder.map_or(&[][..], |holder| &holder.regions);
         let zones = allowed_zones(&self.settings.regions, &[&route.regions, of_account]);
@@ -125,9 +125,9 @@
 }
 
 /// A service of the route, by the weights of its targets.
-fn pick_target(route: &RouteSpec, dice: u64) -> Option<String> {
+fn pick_target(route: &RouteSpec, random: u64) -> Option<String> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
-    let mut left = mix(dice ^ 0x7370) % total.max(1);
+    let mut left = mix(random ^ 0x7370) % total.max(1);
     for target in &route.targets {
         let weight = u64::from(target.weight);
         if left < weight {
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -72,7 +72,7 @@
     fn return_late(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let left_ms = request.deadline.millis_since(stamp.now);
-        request.retry_after_ms = Some(latest_return(left_ms, stamp.dice));
+        request.retry_after_ms = Some(latest_return(left_ms, stamp.random));
     }
 
     /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
@@ -108,7 +108,7 @@
         }
         let left_ms = request.deadline.millis_since(stamp.now);
         let target_ms = request.route.target_ms;
-        let after = turned_away(pick.expected_ms, left_ms, target_ms, stamp.dice);
+        let after = turned_away(pick.expected_ms, left_ms, target_ms, stamp.random);
         request.retry_after_ms = after;
         after.is_some()
     }
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -36,7 +36,7 @@
             let on_trial = if request.relayed && open {
                 request.relayed_on_trial
             } else {
-                trial.lot(request.session, stamp.dice) < share
+                trial.lot(request.session, stamp.random) < share
             };
             version_wish(trial, on_trial)
         });
@@ -49,7 +49,7 @@
             zones: request.zones.as_deref(),
             bounds_cold: self.bounds_cold(&request.service),
             tried: &request.tried,
-            dice: stamp.dice,
+            random: stamp.random,
             now: stamp.now,
         };
         let wished = self.backends.pick(&ask);
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -72,7 +72,7 @@
         self.peers.forget(stamp.now);
         let told = |at: BoxTime| stamp.now.millis_since(at) < TELL_MS;
         self.rounds.changes.retain(|(at, _)| told(*at));
-        let targets = self.peers.note_targets(&self.settings.zone, stamp.dice);
+        let targets = self.peers.note_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
             let note = self.note(stamp, NoteKind::Round);
             out.push(RouteEffect::SendGossip(targets, Box::new(note)));
@@ -84,7 +84,7 @@
         let number = self.rounds.note_number;
         let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
             let leads = self.peers.leads(&self.standing(stamp.now), stamp.now);
-            (self.peers.some_addresses(stamp.dice), leads, self.told_paces())
+            (self.peers.some_addresses(stamp.random), leads, self.told_paces())
         } else {
             Default::default()
         };
@@ -189,10 +189,10 @@
             self.asks.unanswered_at = None;
             return;
         }
-        let first = stamp.dice.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
+        let first = stamp.random.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
         let reader = readers.get(first).filter(|_| !self.starts()).cloned();
-        let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.dice);
-        let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.dice));
+        let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
+        let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
         let pause_ms = self.ask_pause_ms(stamp.now);
         self.asks.next_ask = stamp.now.plus_millis(pause_ms);
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -117,14 +117,14 @@
 
     /// Addresses for the next round of notes of a box in `zone`: all if they are few, else some by chance, of
     /// these most in the same availability zone. Who was only heard of may be anywhere.
-    pub fn note_targets(&self, zone: &str, dice: u64) -> Vec<String> {
+    pub fn note_targets(&self, zone: &str, random: u64) -> Vec<String> {
         let near = |row: &&PeerState| row.card.zone == zone;
         let known = |row: &PeerState| row.card.note_address.clone();
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
         let far = self.rows.values().filter(|row| !near(row)).map(known);
         let mut others: Vec<String> = far.chain(self.hearsay.keys().cloned()).collect();
         if targets.len() + others.len() > NOTE_FANOUT {
-            let order = |address: &String| xxh3_64_with_seed(address.as_bytes(), dice);
+            let order = |address: &String| xxh3_64_with_seed(address.as_bytes(), random);
             targets.sort_by_cached_key(order);
             others.sort_by_cached_key(order);
             targets.truncate(NOTE_NEAR.max(NOTE_FANOUT.saturating_sub(others.len())));
@@ -163,25 +163,25 @@
     }
 
     /// An open box, by chance, of an availability zone if it has any: what a box that knows nothing asks first.
-    pub fn any_open(&self, zone: &str, now: BoxTime, dice: u64) -> Option<String> {
+    pub fn any_open(&self, zone: &str, now: BoxTime, random: u64) -> Option<String> {
         let (near, far): (Vec<&PeerState>, Vec<&PeerState>) =
             self.open_rows(now).partition(|row| row.card.zone == zone);
         let rows = if near.is_empty() { far } else { near };
-        let index = dice.checked_rem(rows.len() as u64)?;
+        let index = random.checked_rem(rows.len() as u64)?;
         rows.get(index as usize).map(|row| row.card.note_address.clone())
     }
 
     /// An address that may have a box, by chance: what a box asks that knows nobody yet.
-    pub fn any_address(&self, dice: u64) -> Option<String> {
+    pub fn any_address(&self, random: u64) -> Option<String> {
         let known = self.rows.values().map(|row| &row.card.note_address);
         let all: Vec<&String> = known.chain(self.hearsay.keys()).collect();
-        let index = dice.checked_rem(all.len() as u64)?;
+        let index = random.checked_rem(all.len() as u64)?;
         all.get(index as usize).map(|address| (*address).clone())
     }
 
     /// Addresses of a few other boxes, by chance.
-    pub fn some_addresses(&self, dice: u64) -> Vec<String> {
-        let first = (dice % self.rows.len().max(1) as u64) as usize;
+    pub fn some_addresses(&self, random: u64) -> Vec<String> {
+        let first = (random % self.rows.len().max(1) as u64) as usize;
         let rows = self.rows.values().chain(self.rows.values()).skip(first);
         let some = rows.take(TOLD_OF.min(self.rows.len()));
         some.map(|row| row.card.note_address.clone()).collect()
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -37,7 +37,7 @@
     /// Replicas that this request has been sent to.
     pub tried: &'a [ReplicaKey],
     /// A random number.
-    pub dice: u64,
+    pub random: u64,
     /// The time.
     pub now: BoxTime,
 }
@@ -152,7 +152,7 @@
             let far = if row.entry.zone == ask.zone { 0.0 } else { ZONE_MARGIN };
             row.load(ask.now) + far
         };
-        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ ask.dice);
+        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ ask.random);
         let mut drawn = pool.to_vec();
         drawn.sort_by_key(order);
         drawn.truncate(DRAWN);
@@ -176,7 +176,7 @@
             (*key, view)
         };
         let weigh = |(key, view): (ReplicaKey, ReplicaView)| {
-            let order = mix(self.rows[key].id_hash ^ ask.dice);
+            let order = mix(self.rows[key].id_hash ^ ask.random);
             (view.cost_ms(work), order, key, view)
         };
         let rows = pool.iter().map(view).map(weigh);
--- a/crates/core/src/route/start.rs
+++ b/crates/core/src/route/start.rs
@@ -37,9 +37,9 @@
     /// A start now of a box that the others are told to ask, or of any other.
     pub(super) fn new(stamp: EventStamp, is_seed: bool) -> Self {
         let wait_ms = if is_seed {
-            stamp.dice % START_SEED_MS
+            stamp.random % START_SEED_MS
         } else {
-            START_WAIT_MS + stamp.dice % START_SPREAD_MS
+            START_WAIT_MS + stamp.random % START_SPREAD_MS
         };
         let read_at = stamp.now.plus_millis(wait_ms);
         Self {
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -143,7 +143,7 @@
         }
         if let Some(cascade) = spec.cascades.get(name) {
             let cascade = cascade.clone();
-            let plan = self.plan_cascade(name, &cascade, *class, next_dice(stamp.dice));
+            let plan = self.plan_cascade(name, &cascade, *class, next_dice(stamp.random));
             request.rung = plan.rung;
             request.gated = plan.gated;
             request.reasons.push(plan.reason);
@@ -156,13 +156,13 @@
         name: &str,
         cascade: &CascadeSpec,
         class: u8,
-        dice: u64,
+        random: u64,
     ) -> CascadePlan {
         let models = &self.index.spec.models;
         let view = |model: &'_ String| models.get(model).map_or(0.0, |row| row.cost_per_1k);
         let rungs: Vec<RungView<'_>> =
             cascade.rungs.iter().map(|model| RungView { model, cost: view(model) }).collect();
-        self.quality.plan(name, &rungs, cascade.target, class, dice)
+        self.quality.plan(name, &rungs, cascade.target, class, random)
     }
 
     fn admit_service(
@@ -208,7 +208,7 @@
             let refusal = Attempt::first().refuse(ReasonCode::LogDown).retry_after(LOG_WAIT_MS);
             return Err(refusal);
         }
-        let nonce = next_dice(stamp.dice ^ self.settings.incarnation);
+        let nonce = next_dice(stamp.random ^ self.settings.incarnation);
         request.claim = Some((key.clone(), nonce));
         request.deadline = stamp.now.plus_millis(self.settings.claim_ms);
         request.stage = RequestStage::Claiming(Attempt::first());
@@ -285,8 +285,8 @@
     }
 
     /// When a caller refused by this queue should come back.
-    pub(super) fn come_back_ms(queue: Option<&FairQueue>, dice: u64) -> u64 {
-        queue.map_or(BUNDLE_WAIT_MS, |queue| queue.retry_after_ms(dice))
+    pub(super) fn come_back_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
+        queue.map_or(BUNDLE_WAIT_MS, |queue| queue.retry_after_ms(random))
     }
 }
 
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -103,7 +103,7 @@
             self.note_exposed(version);
             return Ok((version, ReasonCode::SessionVersion));
         }
-        if let Some(version) = self.rollout_version(model, account, next_dice(stamp.dice ^ 1)) {
+        if let Some(version) = self.rollout_version(model, account, next_dice(stamp.random ^ 1)) {
             self.note_exposed(version);
             return Ok((version, ReasonCode::RolloutShare));
         }
@@ -147,8 +147,8 @@
             (RequestTarget::Service { name, .. }, _) => (self.replicas.service_subset(name), 0),
             _ => return PickOutcome::NoReplica,
         };
-        let dice = next_dice(stamp.dice ^ 2);
-        self.replicas.pick(keys, PickAsk { prefix, dice, now: stamp.now, avoid: request.avoid })
+        let random = next_dice(stamp.random ^ 2);
+        self.replicas.pick(keys, PickAsk { prefix, random, now: stamp.now, avoid: request.avoid })
     }
 
     fn assign(
@@ -206,7 +206,7 @@
             return None;
         }
         let claims = SessionClaims {
-            session: next_dice(stamp.dice ^ 3),
+            session: next_dice(stamp.random ^ 3),
             account: self.names.accounts.name(request.account).to_owned(),
             pins: request.pins.clone(),
         };
@@ -231,7 +231,7 @@
         let weight = self.weight(account);
         let queue = self.queues.entry(name).or_default();
         if let Err(refusal) = queue.push(account, weight, key, deadline, stamp.now) {
-            let come_back = Self::come_back_ms(Some(queue), next_dice(stamp.dice ^ 4));
+            let come_back = Self::come_back_ms(Some(queue), next_dice(stamp.random ^ 4));
             let reason = match refusal {
                 QueueRefusal::Full => ReasonCode::QueueFull,
                 QueueRefusal::Late => ReasonCode::QueueLate,
@@ -258,15 +258,15 @@
     ) {
         let Some(mut queue) = self.queues.remove(name) else { return };
         for (count, key) in queue.expire(stamp.now).into_iter().enumerate() {
-            let dice = next_dice(stamp.dice ^ (count as u64 + 5));
-            let come_back = Self::come_back_ms(Some(&queue), dice);
+            let random = next_dice(stamp.random ^ (count as u64 + 5));
+            let come_back = Self::come_back_ms(Some(&queue), random);
             self.refuse_waiting(key, ReasonCode::QueueLate, come_back, out);
         }
-        let mut dice = stamp.dice;
+        let mut random = stamp.random;
         while self.queue_has_room(name, stamp) {
             let Some(key) = queue.pop(stamp.now) else { break };
-            dice = next_dice(dice);
-            if !self.place(EventStamp { dice, ..stamp }, key, true, out) {
+            random = next_dice(random);
+            if !self.place(EventStamp { random, ..stamp }, key, true, out) {
                 self.put_back(stamp, &mut queue, key);
                 break;
             }
@@ -279,7 +279,7 @@
             QueueName::Version(version) => self.replicas.subset(*version),
             QueueName::Service(service) => self.replicas.service_subset(service),
         };
-        let ask = PickAsk { prefix: 0, dice: stamp.dice, now: stamp.now, avoid: None };
+        let ask = PickAsk { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
         // With no replica at all, what waits is placed too, so that it is refused at once.
         !matches!(self.replicas.pick(keys, ask), PickOutcome::Full)
     }
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -21,12 +21,12 @@
         self.index.spec.rollouts.get_key_value(name).map(|(name, _)| name.as_str())
     }
 
-    /// The version under roll-out that a new session of `model` should use, by share and dice.
+    /// The version under roll-out that a new session of `model` should use, by share and random.
     pub(super) fn rollout_version(
         &self,
         model: &str,
         account: AccountKey,
-        dice: u64,
+        random: u64,
     ) -> Option<VersionKey> {
         let spec = &self.index.spec;
         let (name, rollout) = spec
@@ -37,7 +37,7 @@
         let fresh = RolloutState::default();
         let state = self.rollouts.get(name).unwrap_or(&fresh);
         let share = state.share(rollout, self.members.rank(name));
-        let chosen = dice % 100 < u64::from(share);
+        let chosen = random % 100 < u64::from(share);
         let has_replica = !self.replicas.subset(version).is_empty();
         (chosen && has_replica && self.check_version(account, version, false).is_ok())
             .then_some(version)
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -71,7 +71,7 @@
         let Some(version) = request.version else { return false };
         self.under_rollout(version).is_some()
             || request.reasons.contains(&ReasonCode::CascadeExplore)
-            || next_dice(stamp.dice ^ 6) % 256 < self.settings.rate_share
+            || next_dice(stamp.random ^ 6) % 256 < self.settings.rate_share
     }
 
     /// A held answer was rated: release it, or let the next rung answer.
@@ -168,7 +168,7 @@
     /// Chooses the boxes that bills go to until the next heartbeat.
     pub(super) fn choose_witnesses(&mut self, stamp: EventStamp) {
         let zone = &self.settings.zone;
-        self.witnesses = self.members.witnesses(stamp.dice, zone, stamp.now, &[]);
+        self.witnesses = self.members.witnesses(stamp.random, zone, stamp.now, &[]);
         self.witnesses.truncate(WITNESS_COUNT);
     }
 
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -108,8 +108,8 @@
     (table, version)
 }
 
-fn ask(dice: u64, prefix: u64) -> PickAsk {
-    PickAsk { prefix, dice, now: BoxTime::from_millis(10), avoid: None }
+fn ask(random: u64, prefix: u64) -> PickAsk {
+    PickAsk { prefix, random, now: BoxTime::from_millis(10), avoid: None }
 }
 
 #[test]
@@ -117,8 +117,8 @@
     let (mut table, version) = table(2);
     let mut picks = std::collections::BTreeMap::new();
 
-    for dice in 0..8 {
-        let PickOutcome::Picked(key, _) = table.pick(table.subset(version), ask(dice, 0)) else {
+    for random in 0..8 {
+        let PickOutcome::Picked(key, _) = table.pick(table.subset(version), ask(random, 0)) else {
             panic!("there is room")
         };
         table.assigned(key, BoxTime::from_millis(10));
@@ -139,9 +139,9 @@
     };
 
     fail(&mut table, keys[0]);
-    let picked = |table: &ReplicaTable, dice| table.pick(table.subset(version), ask(dice, 0));
-    let avoided = (0..64).all(|dice| {
-        !matches!(picked(&table, dice * 0x1_0000_0001), PickOutcome::Picked(key, _) if key == keys[0])
+    let picked = |table: &ReplicaTable, random| table.pick(table.subset(version), ask(random, 0));
+    let avoided = (0..64).all(|random| {
+        !matches!(picked(&table, random * 0x1_0000_0001), PickOutcome::Picked(key, _) if key == keys[0])
     });
     assert!(avoided);
 
@@ -154,14 +154,15 @@
 #[test]
 fn a_prefix_stays_with_its_replica_until_that_one_is_loaded() {
     let (mut table, version) = table(4);
-    let pick = |table: &ReplicaTable, dice| match table.pick(table.subset(version), ask(dice, 77)) {
-        PickOutcome::Picked(key, way) => (key, way),
-        other => panic!("{other:?}"),
-    };
+    let pick =
+        |table: &ReplicaTable, random| match table.pick(table.subset(version), ask(random, 77)) {
+            PickOutcome::Picked(key, way) => (key, way),
+            other => panic!("{other:?}"),
+        };
 
     let (home, way) = pick(&table, 1);
     assert_eq!(way, PickWay::Affinity);
-    assert!((0..20).all(|dice| pick(&table, dice).0 == home));
+    assert!((0..20).all(|random| pick(&table, random).0 == home));
     for _ in 0..4 {
         table.assigned(home, BoxTime::from_millis(10));
     }
@@ -191,8 +192,8 @@
     let mut cheap = [0, 0];
     for number in 0..2_000u64 {
         let class = (number % 2) as u8;
-        let dice = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let plan = table.plan("assist", &rungs(), 0.9, class, dice);
+        let random = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let plan = table.plan("assist", &rungs(), 0.9, class, random);
         cheap[usize::from(class)] += usize::from(plan.rung == 0);
     }
 
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -162,9 +162,9 @@
     }
 
     fn feed(&mut self, number: usize, event: RouteEvent) {
-        let dice = (self.draw() * (1u64 << 62) as f64) as u64;
+        let random = (self.draw() * (1u64 << 62) as f64) as u64;
         let now = BoxTime::from_millis(self.now);
-        let stamp = EventStamp { now, wall: WallTime(0), dice };
+        let stamp = EventStamp { now, wall: WallTime(0), random };
         for effect in self.boxes[number].apply(stamp, event) {
             self.act(number, effect);
         }
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -28,7 +28,7 @@
 pub struct TestBox {
     pub state: RouteState,
     pub now: u64,
-    dice: u64,
+    random: u64,
     tickets: u64,
     pub offset: u64,
 }
@@ -133,7 +133,7 @@
 
 /// A box that knows nothing.
 pub fn new_box(name: &str) -> TestBox {
-    TestBox { state: RouteState::new(settings(name)), now: 1_000, dice: 7, tickets: 0, offset: 0 }
+    TestBox { state: RouteState::new(settings(name)), now: 1_000, random: 7, tickets: 0, offset: 0 }
 }
 
 /// A box with plan 1 and replicas `a` and `b`.
@@ -147,9 +147,9 @@
 
 impl TestBox {
     pub fn feed(&mut self, event: RouteEvent) -> Vec<RouteEffect> {
-        self.dice = self.dice.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let now = BoxTime::from_millis(self.now);
-        self.state.apply(EventStamp { now, wall: WallTime(0), dice: self.dice }, event)
+        self.state.apply(EventStamp { now, wall: WallTime(0), random: self.random }, event)
     }
 
     /// The operator's order to bring a version in.
@@ -181,7 +181,7 @@
         let now = BoxTime::from_millis(self.now);
         let event = RouteEvent::EntriesRead { as_of: now, to: at(self.offset + 1) };
         // It takes no random number: what is drawn afterwards stays the same.
-        self.state.apply(EventStamp { now, wall: WallTime(0), dice: self.dice }, event);
+        self.state.apply(EventStamp { now, wall: WallTime(0), random: self.random }, event);
     }
 
     /// A change at the store's next offset.
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -154,8 +154,8 @@
     size: usize,
 }
 
-fn stamp(now: u64, dice: u64) -> EventStamp {
-    EventStamp { now: BoxTime::from_millis(now), wall: WallTime(WALL_START_MS + now), dice }
+fn stamp(now: u64, random: u64) -> EventStamp {
+    EventStamp { now: BoxTime::from_millis(now), wall: WallTime(WALL_START_MS + now), random }
 }
 
 impl LeaderFleet {
@@ -349,8 +349,8 @@
             let until = subject.frozen_until;
             return self.post(until, Parcel::Event(number, life, event));
         }
-        let dice = self.draw(u64::MAX);
-        let effects = self.boxes[number].state.apply(stamp(self.now, dice), event);
+        let random = self.draw(u64::MAX);
+        let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
         self.take(number, effects);
     }
 
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -269,10 +269,10 @@
     }
 
     pub fn feed(&mut self, to: usize, event: RouteEvent) {
-        let dice = self.draw(1 << 31) << 31 | self.draw(1 << 31);
+        let random = self.draw(1 << 31) << 31 | self.draw(1 << 31);
         let now = BoxTime::from_millis(self.now);
         let effects =
-            self.boxes[to].state.apply(EventStamp { now, wall: WallTime(0), dice }, event);
+            self.boxes[to].state.apply(EventStamp { now, wall: WallTime(0), random }, event);
         for effect in effects {
             match effect {
                 RouteEffect::SendGossip(targets, note) => {
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -265,9 +265,9 @@
     }
 
     pub fn feed(&mut self, number: usize, event: RouteEvent) -> Vec<RouteEffect> {
-        let dice = (self.draw() * (1u64 << 62) as f64) as u64;
+        let random = (self.draw() * (1u64 << 62) as f64) as u64;
         let now = BoxTime::from_millis(self.now);
-        self.boxes[number].apply(EventStamp { now, wall: WallTime(0), dice }, event)
+        self.boxes[number].apply(EventStamp { now, wall: WallTime(0), random }, event)
     }
 
     fn push(&mut self, at: u64, step: Step) {
