--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -304,7 +304,7 @@
         zone: format!("zone-{}", site.boxes[row]),
         incarnation: 1 + row as u64,
         entry_address: format!("{row}:80"),
-        note_address: format!("{row}:90"),
+        gossip_address: format!("{row}:90"),
         is_seed: false,
         capacity: BoxCapacity::default(),
         fresh: FreshBounds { revoke_ms: None, apply_ms: 2_000 },
--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireAsk {
     #[prost(string, tag = "1")]
-    note_address: String,
+    gossip_address: String,
     #[prost(fixed64, tag = "2")]
     incarnation: u64,
     /// The asker's clock, in microseconds.
@@ -44,7 +44,7 @@
 
 pub(super) fn write_ask(ask: &SyncRequest) -> WireAsk {
     WireAsk {
-        note_address: ask.note_address.clone(),
+        gossip_address: ask.gossip_address.clone(),
         incarnation: ask.incarnation,
         asked_at: ask.asked_at.as_micros(),
         known: Some(write_known(ask.known)),
@@ -56,7 +56,7 @@
 
 pub(super) fn read_ask(ask: WireAsk) -> SyncRequest {
     SyncRequest {
-        note_address: ask.note_address,
+        gossip_address: ask.gossip_address,
         incarnation: ask.incarnation,
         asked_at: BoxTime::from_micros(ask.asked_at),
         known: read_known(ask.known),
--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -23,7 +23,7 @@
     #[prost(fixed64, tag = "1")]
     incarnation: u64,
     #[prost(string, tag = "2")]
-    note_address: String,
+    gossip_address: String,
     #[prost(string, tag = "3")]
     entry_address: String,
     #[prost(string, tag = "4")]
@@ -95,7 +95,7 @@
 pub(super) fn write_card(card: &PeerInfo) -> WireCard {
     WireCard {
         incarnation: card.incarnation,
-        note_address: card.note_address.clone(),
+        gossip_address: card.gossip_address.clone(),
         entry_address: card.entry_address.clone(),
         zone: card.zone.clone(),
         open: card.open,
@@ -108,7 +108,7 @@
 pub(super) fn read_card(card: WireCard) -> PeerInfo {
     PeerInfo {
         incarnation: card.incarnation,
-        note_address: card.note_address,
+        gossip_address: card.gossip_address,
         entry_address: card.entry_address,
         zone: card.zone,
         open: card.open,
--- a/crates/box/src/gateway/note_wire/usage.rs
+++ b/crates/box/src/gateway/note_wire/usage.rs
@@ -8,13 +8,13 @@
     #[prost(uint64, tag = "1")]
     window: u64,
     #[prost(string, tag = "2")]
-    note_address: String,
+    gossip_address: String,
 }
 
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireUsage {
     #[prost(string, tag = "1")]
-    note_address: String,
+    gossip_address: String,
     #[prost(uint64, tag = "2")]
     window: u64,
     #[prost(btree_map = "string, uint64", tag = "3")]
@@ -22,19 +22,19 @@
 }
 
 pub(super) fn write_usage_ask(ask: &UsageRequest) -> WireUsageAsk {
-    WireUsageAsk { window: ask.window, note_address: ask.note_address.clone() }
+    WireUsageAsk { window: ask.window, gossip_address: ask.gossip_address.clone() }
 }
 
 pub(super) fn read_usage_ask(wire: WireUsageAsk) -> UsageRequest {
-    UsageRequest { window: wire.window, note_address: wire.note_address }
+    UsageRequest { window: wire.window, gossip_address: wire.gossip_address }
 }
 
 pub(super) fn write_usage(note: &UsageResponse) -> WireUsage {
     let UsageReport { window, counts } = note.usage.clone();
-    WireUsage { note_address: note.note_address.clone(), window, counts }
+    WireUsage { gossip_address: note.gossip_address.clone(), window, counts }
 }
 
 pub(super) fn read_usage(wire: WireUsage) -> UsageResponse {
     let usage = UsageReport { window: wire.window, counts: wire.counts };
-    UsageResponse { note_address: wire.note_address, usage }
+    UsageResponse { gossip_address: wire.gossip_address, usage }
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -332,7 +332,7 @@
         zone: settings.zone.clone(),
         incarnation: rand::random(),
         entry_address: settings.entry.to_string(),
-        note_address: settings.notes.to_string(),
+        gossip_address: settings.notes.to_string(),
         is_seed: settings.seeds.contains(&settings.notes),
         capacity: settings.capacity,
         fresh: settings.fresh,
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -66,7 +66,7 @@
         zone: "east".to_owned(),
         incarnation: 1,
         entry_address: "box-1:80".to_owned(),
-        note_address: "box-1:90".to_owned(),
+        gossip_address: "box-1:90".to_owned(),
         is_seed: false,
         capacity: BoxCapacity::default(),
         fresh: FreshBounds { revoke_ms: Some(LONG.as_millis() as u64), apply_ms: 2_000 },
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -26,7 +26,7 @@
 fn card(name: &str) -> PeerInfo {
     PeerInfo {
         incarnation: 17,
-        note_address: format!("10.1.0.{}:7680", name.len()),
+        gossip_address: format!("10.1.0.{}:7680", name.len()),
         entry_address: format!("10.1.0.{}:8603", name.len()),
         zone: "west".to_owned(),
         open: true,
@@ -38,7 +38,7 @@
 
 fn ask() -> SyncRequest {
     SyncRequest {
-        note_address: "10.1.0.9:7680".to_owned(),
+        gossip_address: "10.1.0.9:7680".to_owned(),
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
         known: PlanPosition { version: 5, read_to: at(12) },
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -236,8 +236,8 @@
     /// Answers the holder's question for this box's counts.
     pub(super) fn on_usage_asked(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
-        let note = UsageResponse { note_address: self.settings.note_address.clone(), usage };
-        out.push(RouteEffect::SendUsage(ask.note_address.clone(), note));
+        let note = UsageResponse { gossip_address: self.settings.gossip_address.clone(), usage };
+        out.push(RouteEffect::SendUsage(ask.gossip_address.clone(), note));
     }
 
     /// Takes another box's counts.
@@ -390,10 +390,10 @@
         match round.step(bounds, &boxes, stamp.wall) {
             RoundStep::Wait => {}
             RoundStep::Ask(boxes) => {
-                let note_address = self.settings.note_address.clone();
+                let gossip_address = self.settings.gossip_address.clone();
                 out.push(RouteEffect::RequestUsage(
                     boxes,
-                    UsageRequest { window: next, note_address },
+                    UsageRequest { window: next, gossip_address },
                 ));
             }
             RoundStep::Report(report) => {
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -58,14 +58,14 @@
     /// The window.
     pub window: u64,
     /// Where the answer goes.
-    pub note_address: String,
+    pub gossip_address: String,
 }
 
 /// A box's counts of a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageResponse {
     /// Where the box hears notes.
-    pub note_address: String,
+    pub gossip_address: String,
     /// What it counted.
     pub usage: UsageReport,
 }
@@ -132,7 +132,8 @@
 
     /// Takes another box's counts, once.
     pub fn hear(&mut self, note: &UsageResponse) {
-        if note.usage.window != self.report.window || !self.heard.insert(note.note_address.clone())
+        if note.usage.window != self.report.window
+            || !self.heard.insert(note.gossip_address.clone())
         {
             return;
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -116,7 +116,7 @@
     /// Where it takes callers.
     pub entry_address: String,
     /// Where it hears other boxes' notes.
-    pub note_address: String,
+    pub gossip_address: String,
     /// Whether boxes that start are told to ask this one.
     pub is_seed: bool,
     /// What it has for its work.
@@ -290,7 +290,7 @@
             RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
             RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
             RouteEvent::PeersDiscovered(addresses) => {
-                self.peers.hear_of(&addresses, &self.settings.note_address, stamp.now);
+                self.peers.hear_of(&addresses, &self.settings.gossip_address, stamp.now);
             }
             RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
             RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
@@ -570,9 +570,9 @@
     }
 
     /// Whether the box that hears notes at this address is known to be in this one's availability zone.
-    pub fn is_near(&self, note_address: &str) -> bool {
+    pub fn is_near(&self, gossip_address: &str) -> bool {
         let mut rows = self.peers.rows().map(|(_, row)| &row.card);
-        rows.any(|card| card.note_address == note_address && card.zone == self.settings.zone)
+        rows.any(|card| card.gossip_address == gossip_address && card.zone == self.settings.zone)
     }
 
     /// Replicas.
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -165,7 +165,7 @@
     fn card(&self, now: BoxTime) -> PeerInfo {
         PeerInfo {
             incarnation: self.settings.incarnation,
-            note_address: self.settings.note_address.clone(),
+            gossip_address: self.settings.gossip_address.clone(),
             entry_address: self.settings.entry_address.clone(),
             zone: self.settings.zone.clone(),
             open: self.open(now),
@@ -215,7 +215,7 @@
 
     fn ask(&self, stamp: EventStamp) -> SyncRequest {
         SyncRequest {
-            note_address: self.settings.note_address.clone(),
+            gossip_address: self.settings.gossip_address.clone(),
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
             known: self.known_plan(),
@@ -230,8 +230,8 @@
         ask: SyncRequest,
         out: &mut Vec<RouteEffect>,
     ) {
-        let to = vec![ask.note_address.clone()];
-        self.peers.hear_of(&to, &self.settings.note_address, stamp.now);
+        let to = vec![ask.gossip_address.clone()];
+        self.peers.hear_of(&to, &self.settings.gossip_address, stamp.now);
         let mut note = self.note(stamp, NoteKind::Answer);
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
@@ -255,7 +255,7 @@
             // It has just come to know what this box asks for, and has told few others so.
             self.asks.next_ask = stamp.now;
         }
-        self.peers.hear_of(&note.others, &self.settings.note_address, stamp.now);
+        self.peers.hear_of(&note.others, &self.settings.gossip_address, stamp.now);
         self.peers.hear_leads(&note.leads, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
@@ -315,7 +315,7 @@
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.note_address.clone(),
+                    note.card.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
@@ -325,7 +325,7 @@
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.note_address.clone(),
+                    note.card.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
@@ -350,7 +350,7 @@
             if stamp.now >= self.asks.next_behind_ask && !self.asks.told_too_little {
                 self.asks.next_behind_ask = stamp.now.plus_millis(peers::ASK_AGAIN_MS);
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.note_address.clone(),
+                    note.card.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -109,7 +109,7 @@
         all.truncate(self.reader_count(now));
         let own = all.iter().any(|(_, name)| name.is_none());
         let others = all.into_iter().filter_map(|(_, name)| self.rows.get(name?));
-        (own, others.map(|row| row.card.note_address.clone()).collect())
+        (own, others.map(|row| row.card.gossip_address.clone()).collect())
     }
 
     /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -166,7 +166,8 @@
     /// Random number of this life of its process.
     pub incarnation: u64,
     /// Where it hears notes.
-    pub note_address: String,
+    #[serde(rename = "note_address")]
+    pub gossip_address: String,
     /// Where it takes callers.
     pub entry_address: String,
     /// Its availability zone.
@@ -271,7 +272,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SyncRequest {
     /// Where the answer goes.
-    pub note_address: String,
+    pub gossip_address: String,
     /// Random number of this life of the asker's process.
     pub incarnation: u64,
     /// The asker's clock when it asked.
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -70,7 +70,7 @@
 
     /// Takes what was told of a box that spoke at `heard_at`.
     fn hear_lead(&mut self, lead: &PeerSummary, heard_at: BoxTime) {
-        let here = |row: &PeerState| row.card.note_address == lead.card.note_address;
+        let here = |row: &PeerState| row.card.gossip_address == lead.card.gossip_address;
         let later = |row: &PeerState| row.heard_at >= heard_at;
         // An address has one box, and who was heard there last is it.
         let stands =
@@ -88,16 +88,16 @@
 
     /// Notes a box, in place of any other at its address.
     fn put(&mut self, name: &str, state: PeerState) {
-        let address = &state.card.note_address;
+        let address = &state.card.gossip_address;
         self.hearsay.remove(address);
-        self.rows.retain(|other, row| other == name || row.card.note_address != *address);
+        self.rows.retain(|other, row| other == name || row.card.gossip_address != *address);
         self.rows.insert(name.to_owned(), state);
     }
 
     /// Notes addresses that may have a box.
     pub fn hear_of(&mut self, addresses: &[String], own: &str, now: BoxTime) {
         for address in addresses {
-            let known = self.rows.values().any(|row| row.card.note_address == *address);
+            let known = self.rows.values().any(|row| row.card.gossip_address == *address);
             if !known && address != own {
                 self.hearsay.entry(address.clone()).or_insert(now);
             }
@@ -119,7 +119,7 @@
     /// these most in the same availability zone. Who was only heard of may be anywhere.
     pub fn note_targets(&self, zone: &str, random: u64) -> Vec<String> {
         let near = |row: &&PeerState| row.card.zone == zone;
-        let known = |row: &PeerState| row.card.note_address.clone();
+        let known = |row: &PeerState| row.card.gossip_address.clone();
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
         let far = self.rows.values().filter(|row| !near(row)).map(known);
         let mut others: Vec<String> = far.chain(self.hearsay.keys().cloned()).collect();
@@ -158,7 +158,7 @@
 
     /// All addresses that have, or may have, another box.
     pub fn addresses(&self) -> Vec<String> {
-        let known = self.rows.values().map(|row| &row.card.note_address);
+        let known = self.rows.values().map(|row| &row.card.gossip_address);
         known.chain(self.hearsay.keys()).cloned().collect()
     }
 
@@ -168,12 +168,12 @@
             self.open_rows(now).partition(|row| row.card.zone == zone);
         let rows = if near.is_empty() { far } else { near };
         let index = random.checked_rem(rows.len() as u64)?;
-        rows.get(index as usize).map(|row| row.card.note_address.clone())
+        rows.get(index as usize).map(|row| row.card.gossip_address.clone())
     }
 
     /// An address that may have a box, by chance: what a box asks that knows nobody yet.
     pub fn any_address(&self, random: u64) -> Option<String> {
-        let known = self.rows.values().map(|row| &row.card.note_address);
+        let known = self.rows.values().map(|row| &row.card.gossip_address);
         let all: Vec<&String> = known.chain(self.hearsay.keys()).collect();
         let index = random.checked_rem(all.len() as u64)?;
         all.get(index as usize).map(|address| (*address).clone())
@@ -184,7 +184,7 @@
         let first = (random % self.rows.len().max(1) as u64) as usize;
         let rows = self.rows.values().chain(self.rows.values()).skip(first);
         let some = rows.take(TOLD_OF.min(self.rows.len()));
-        some.map(|row| row.card.note_address.clone()).collect()
+        some.map(|row| row.card.gossip_address.clone()).collect()
     }
 
     /// Live boxes that callers may be sent to.
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -229,7 +229,7 @@
 
 /// Another box's word of [`CONTENT`].
 fn told_content(number: u64, word: PoisonUpdate) -> RouteEvent {
-    let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..word }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
@@ -282,7 +282,7 @@
 }
 
 fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
-    let card = PeerInfo { note_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -39,7 +39,7 @@
         zone: "east".to_owned(),
         incarnation: 1,
         entry_address: format!("{name}:80"),
-        note_address: format!("{name}:90"),
+        gossip_address: format!("{name}:90"),
         is_seed: false,
         capacity: BoxCapacity::default(),
         fresh: FreshBounds { revoke_ms: Some(5_000), apply_ms: 2_000 },
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -207,7 +207,7 @@
 fn counts_that_a_box_tells_twice_are_taken_once() {
     let mut round = UsageRound::begin(7, [("alpha".to_owned(), 1)].into());
     let usage = UsageReport { window: 7, counts: [("alpha".to_owned(), 2)].into() };
-    let note = UsageResponse { note_address: "box-2:90".to_owned(), usage };
+    let note = UsageResponse { gossip_address: "box-2:90".to_owned(), usage };
 
     round.hear(&note);
     round.hear(&note);
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -133,7 +133,7 @@
 /// Asks `reader` now, and gives its answer.
 pub fn answer(reader: &mut TestBox, asker: &TestBox) -> GossipMessage {
     let ask = SyncRequest {
-        note_address: "box-1:90".to_owned(),
+        gossip_address: "box-1:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(asker.now),
         known: asker.state.known_plan(),
@@ -239,7 +239,7 @@
             .map(|other| GossipMessage {
                 name: format!("box-{other}"),
                 number: 1,
-                card: PeerInfo { note_address: format!("box-{other}:90"), ..PeerInfo::default() },
+                card: PeerInfo { gossip_address: format!("box-{other}:90"), ..PeerInfo::default() },
                 ..GossipMessage::default()
             })
             .collect();
@@ -509,7 +509,7 @@
     tell(&mut second, &mut first);
     let card = PeerInfo {
         entry_address: "box-2:80".to_owned(),
-        note_address: "box-2:90".to_owned(),
+        gossip_address: "box-2:90".to_owned(),
         open: true,
         ..PeerInfo::default()
     };
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -10,7 +10,7 @@
 /// Three other boxes speak, which callers may be sent to or not.
 fn hear_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
-        let card = PeerInfo { note_address: format!("{name}:90"), open, ..PeerInfo::default() };
+        let card = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
         let note =
             GossipMessage { name: name.to_owned(), number: 1, card, ..GossipMessage::default() };
         subject.feed(RouteEvent::GossipReceived(Box::new(note)));
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -227,8 +227,8 @@
     pub fn meet(&mut self, number: usize, down: &[Vec<UnreachableUpdate>]) {
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
-            let note_address = format!("{name}:90");
-            let card = PeerInfo { incarnation: 1, note_address, ..PeerInfo::default() };
+            let gossip_address = format!("{name}:90");
+            let card = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
             let down = down[other].clone();
             let note =
                 GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -304,7 +304,7 @@
             name: "box-3".to_owned(),
             number: 1,
             card: PeerInfo {
-                note_address: "box-3:90".to_owned(),
+                gossip_address: "box-3:90".to_owned(),
                 open: true,
                 ..PeerInfo::default()
             },
