--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -68,7 +68,7 @@
         session = order.inputs.trial.map(|_| format!("{:016x}", order.session)),
         trial_age_ms = order.inputs.trial.map(|trial| trial.age_ms),
         trial_share = order.inputs.trial.map(|trial| trial.share),
-        trial_gave_way = order.inputs.trial.map(|trial| trial.gave_way),
+        trial_gave_way = order.inputs.trial.map(|trial| trial.fell_back),
         content = format!("{:016x}", order.content),
         head_ms = order.head_ms,
     );
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -60,7 +60,7 @@
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
             share,
-            gave_way: wished.is_none(),
+            fell_back: wished.is_none(),
         });
         Some(AttemptChoice { pick, trial })
     }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -304,7 +304,7 @@
     /// Share of the sessions that the version on trial got.
     pub share: f64,
     /// Whether no replica of the version wished for could be taken.
-    pub gave_way: bool,
+    pub fell_back: bool,
 }
 
 /// What a decision rested on, for the log.
