--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -153,12 +153,12 @@
         RouteEffect::BackendLeaving(replica) => {
             info!(event = 712, name = "backend_leaving", replica);
         }
-        RouteEffect::EvacuationChanged { order, known_to, in_hand } => {
+        RouteEffect::EvacuationChanged { order, known_to, in_flight } => {
             let zone = order.zone.clone();
             let evacuated = order.evacuated;
             gauge!("ravenspoke_zone_evacuated", "zone" => zone.clone())
                 .set(f64::from(u8::from(evacuated)));
-            info!(event = 739, name = "evacuation_moved", zone, evacuated, %known_to, in_hand);
+            info!(event = 739, name = "evacuation_moved", zone, evacuated, %known_to, in_hand = in_flight);
         }
         RouteEffect::PoisonRefused { content, account, ends, age_ms } => {
             counter!("ravenspoke_fatal_contents_total").increment(1);
@@ -275,8 +275,8 @@
 }
 
 /// Logs that the process ends.
-pub fn note_exit(open_connections: usize, in_hand: usize) {
-    info!(event = 723, name = "gateway_exits", open_connections, in_hand);
+pub fn note_exit(open_connections: usize, in_flight: usize) {
+    info!(event = 723, name = "gateway_exits", open_connections, in_hand = in_flight);
 }
 
 /// Logs that a call to the store failed, or is late, `after` it began, and what the box does about it.
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -286,7 +286,7 @@
         },
         serve_out(settings, driver, &mut entry),
     );
-    observe::note_exit(entry.callers.open(), driver.state().in_hand());
+    observe::note_exit(entry.callers.open(), driver.state().in_flight());
 }
 
 /// Serves what callers send until they know of the stop, then what is open.
@@ -394,7 +394,7 @@
     }
 
     fn empty(&self) -> bool {
-        self.callers.open() == 0 && self.driver.state().in_hand() == 0
+        self.callers.open() == 0 && self.driver.state().in_flight() == 0
     }
 
     fn over(&self, most_ms: u64) -> bool {
--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -41,7 +41,8 @@
     /// Contents under which replicas ended.
     pub fatal: Vec<FatalDump>,
     /// Requests in hand.
-    pub in_hand: usize,
+    #[serde(rename = "in_hand")]
+    pub in_flight: usize,
 }
 
 impl RouteState {
@@ -61,7 +62,7 @@
             peers: self.peers.rows().collect(),
             trials: self.trials.values().collect(),
             fatal: self.fatal_dump(now),
-            in_hand: self.requests.len(),
+            in_flight: self.requests.len(),
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -427,7 +427,7 @@
         /// Position up to which the operator's records show it.
         known_to: TopicPosition,
         /// Requests in hand at replicas of the zone, which run on.
-        in_hand: usize,
+        in_flight: usize,
     },
     /// A request asks for what crashes replicas.
     PoisonRefused {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -354,11 +354,11 @@
     ) {
         let known_to = self.evacuated.word().known_to;
         for order in news {
-            let in_hand = self.in_hand_at(&order.zone);
+            let in_flight = self.in_flight_at(&order.zone);
             if !order.evacuated {
                 self.take_for_cold(stamp.now, &order.zone);
             }
-            out.push(RouteEffect::EvacuationChanged { order, known_to, in_hand });
+            out.push(RouteEffect::EvacuationChanged { order, known_to, in_flight });
             // Told with the next tick: until they know, other boxes send there.
             self.rounds.next_note = BoxTime::default();
         }
@@ -382,7 +382,7 @@
     }
 
     /// Requests in hand at replicas of an availability zone.
-    fn in_hand_at(&self, zone: &str) -> usize {
+    fn in_flight_at(&self, zone: &str) -> usize {
         let attempts = self.requests.values().filter_map(|request| request.attempt);
         let rows = attempts.filter_map(|attempt| self.backends.get(attempt.replica));
         rows.filter(|row| row.entry.zone == zone).count()
@@ -500,7 +500,7 @@
     }
 
     /// Requests in hand.
-    pub fn in_hand(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -71,7 +71,7 @@
     let answered = subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
 
     let moved = effects.iter().any(|effect| {
-        matches!(effect, RouteEffect::EvacuationChanged { order, in_hand: 1, .. } if order.evacuated)
+        matches!(effect, RouteEffect::EvacuationChanged { order, in_flight: 1, .. } if order.evacuated)
     });
     assert!(moved, "{effects:?}");
     assert!(matches!(answered[..], [RouteEffect::Relay(_)]), "{answered:?}");
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -65,7 +65,7 @@
     pub boxes: Vec<RouteState>,
     keys: Vec<BTreeMap<ReplicaKey, usize>>,
     replicas: usize,
-    in_hand: Vec<u32>,
+    in_flight: Vec<u32>,
     /// When each replica was last put, in milliseconds.
     pub cold_at: Vec<u64>,
     /// When each replica got requests, in milliseconds.
@@ -109,7 +109,7 @@
             boxes: (0..boxes).map(|number| new_state(number, 0)).collect(),
             keys: vec![BTreeMap::new(); boxes],
             replicas,
-            in_hand: vec![0; replicas],
+            in_flight: vec![0; replicas],
             cold_at: vec![0; replicas],
             got: vec![Vec::new(); replicas],
             steps: BinaryHeap::new(),
@@ -327,7 +327,7 @@
                 self.arrive();
             }
             Step::Head(number, ticket, replica) if self.runs(number, ticket, replica) => {
-                let running = self.in_hand[replica];
+                let running = self.in_flight[replica];
                 let waiting = running.saturating_sub(SLOTS);
                 let load = BackendLoad { running: running - waiting, waiting, slots: SLOTS };
                 let limit_per_s = self.limits[replica];
@@ -339,7 +339,7 @@
             }
             Step::End(number, ticket, replica) if self.runs(number, ticket, replica) => {
                 self.running[replica].retain(|row| (row.0, row.1) != (number, ticket));
-                self.in_hand[replica] -= 1;
+                self.in_flight[replica] -= 1;
                 self.feed(number, RouteEvent::ResponseFinished(RequestTicket(ticket)));
             }
             Step::Head(..) | Step::End(..) => {}
@@ -387,7 +387,7 @@
             self.push(self.now + CRASH_MS, Step::Crash(replica));
         }
         self.got[replica].push(self.now);
-        self.in_hand[replica] += 1;
+        self.in_flight[replica] += 1;
         self.push(self.now + ANSWER_MS.0, Step::Head(number, ticket, replica));
         self.push(self.now + ANSWER_MS.1, Step::End(number, ticket, replica));
     }
@@ -404,7 +404,7 @@
         }
         self.crashes += 1;
         self.down[replica] = true;
-        self.in_hand[replica] = 0;
+        self.in_flight[replica] = 0;
         self.push(self.now + DOWN_MS, Step::Up(replica));
         for (number, ticket, fatal) in std::mem::take(&mut self.running[replica]) {
             let broken = RouteEvent::AttemptFailed(RequestTicket(ticket), AttemptFailure::Broken);
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -381,7 +381,7 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::CallerDisconnected(ticket));
-    assert_eq!(subject.state.in_hand(), 0);
+    assert_eq!(subject.state.in_flight(), 0);
     assert!(subject.state.backends().rows().all(|(_, row)| row.outstanding == 0));
     assert_eq!(subject.feed(RouteEvent::HeadReceived(ticket, head(200))), []);
 }
