--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -472,7 +472,7 @@
     }
 
     /// Whether the box has not learnt yet how the store stands.
-    fn starts(&self) -> bool {
+    fn is_starting(&self) -> bool {
         self.fresh.is_unknown() || self.entries.known_to().is_none()
     }
 
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -179,7 +179,7 @@
     /// yet asks anybody, again and again.
     pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::ASK_AGAIN_MS;
-        let again = !self.starts() && self.asks.unanswered_at.is_some_and(unanswered);
+        let again = !self.is_starting() && self.asks.unanswered_at.is_some_and(unanswered);
         if stamp.now < self.asks.next_ask && !again {
             return;
         }
@@ -190,7 +190,7 @@
             return;
         }
         let first = stamp.random.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
-        let reader = readers.get(first).filter(|_| !self.starts()).cloned();
+        let reader = readers.get(first).filter(|_| !self.is_starting()).cloned();
         let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
         let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
@@ -202,7 +202,7 @@
 
     /// Time until the next ask, in milliseconds.
     fn ask_pause_ms(&mut self, now: BoxTime) -> u64 {
-        let starts = self.starts();
+        let starts = self.is_starting();
         let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
         let start = self.start.as_mut().filter(|_| starts);
         let pause_ms = start.map_or(peers::ASK_EVERY_MS, StartupState::note_ask);
@@ -251,7 +251,7 @@
         if note.name == self.settings.name || !self.peers.hear(note, stamp.now) {
             return;
         }
-        if self.starts() && note.card.open && note.echo.is_none() {
+        if self.is_starting() && note.card.open && note.echo.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
             self.asks.next_ask = stamp.now;
         }
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -130,7 +130,7 @@
 
     /// Whether it was started lately and reads the store for what nobody told it, so that it can soon tell others.
     pub(super) fn reads_at_start(&self) -> bool {
-        self.starts() && self.start.is_some_and(|start| start.reads)
+        self.is_starting() && self.start.is_some_and(|start| start.reads)
     }
 
     /// Whether this box tells the store where it hears notes, and reads where others do: readers, so that a
