--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -492,7 +492,7 @@
     }
 
     /// This box among the candidates for a duty.
-    fn standing(&self, now: BoxTime) -> LocalPeer<'_> {
+    fn local_peer(&self, now: BoxTime) -> LocalPeer<'_> {
         let serves = self.open(now) || self.reads_for_others(now);
         let (cut, open_since) = (self.is_cut(now), self.reading.open_since);
         let strong = self.settings.capacity.is_strong();
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -83,7 +83,7 @@
         self.rounds.note_number += 1;
         let number = self.rounds.note_number;
         let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
-            let leads = self.peers.leads(&self.standing(stamp.now), stamp.now);
+            let leads = self.peers.leads(&self.local_peer(stamp.now), stamp.now);
             (self.peers.some_addresses(stamp.random), leads, self.told_paces())
         } else {
             Default::default()
@@ -183,7 +183,7 @@
         if stamp.now < self.asks.next_ask && !again {
             return;
         }
-        let (own, readers) = self.peers.readers(&self.standing(stamp.now), stamp.now);
+        let (own, readers) = self.peers.readers(&self.local_peer(stamp.now), stamp.now);
         // A box that was started while the store is away knows no replica, reader or not.
         if own && self.knows_replicas() {
             self.asks.unanswered_at = None;
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -94,7 +94,7 @@
             (true, false) => peers::START_TOLD_MS,
             (false, true) => 0,
             (false, false) => {
-                let before = self.peers.rank(&self.standing(now), now) as u64;
+                let before = self.peers.rank(&self.local_peer(now), now) as u64;
                 (before * peers::START_TURN_MS).min(peers::START_TOLD_MS)
             }
         };
@@ -160,14 +160,14 @@
     /// Who has started and read the store since nobody told it anything reads on at once, if it finds itself a
     /// reader: boxes that started with it learn from it what comes next, such as an order to bring a version in.
     pub(super) fn read_on(&mut self, now: BoxTime) {
-        if self.settling(now) && self.peers.readers(&self.standing(now), now).0 {
+        if self.settling(now) && self.peers.readers(&self.local_peer(now), now).0 {
             self.reading.reader_at = Some(now);
         }
     }
 
     /// Notes from when on this box is one of the readers.
     pub(super) fn settle_reader(&mut self, now: BoxTime) {
-        if !self.peers.readers(&self.standing(now), now).0 {
+        if !self.peers.readers(&self.local_peer(now), now).0 {
             self.reading.reader_at = None;
             return;
         }
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -150,7 +150,7 @@
 
     /// How many boxes come before this one in writing what is due.
     fn duty_rank(&self, now: BoxTime) -> u64 {
-        self.peers.rank(&self.standing(now), now) as u64
+        self.peers.rank(&self.local_peer(now), now) as u64
     }
 
     /// Writes what is due: the first box with duties at once, the others in their place if the
