--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -37,7 +37,7 @@
             next = None;
         }
         // Readers tell the others of later ones.
-        let reads = driver.state().on_trial() && driver.state().is_reader(driver.now());
+        let reads = driver.state().has_running_trial() && driver.state().is_reader(driver.now());
         if unread
             || (reads && driver.clock().since(read_at) >= Duration::from_millis(VERDICT_EVERY_MS))
         {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -505,7 +505,7 @@
     }
 
     /// Whether a trial is under way, so that verdicts have to be read.
-    pub fn on_trial(&self) -> bool {
+    pub fn has_running_trial(&self) -> bool {
         self.trials.values().any(|trial| trial.state == trial::TrialState::Running)
     }
 
