--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -31,7 +31,7 @@
     let mut next = None;
     let mut read_at = driver.now();
     loop {
-        let unread = driver.state().verdicts_unread();
+        let unread = driver.state().has_unread_verdicts();
         if unread {
             // The store may have a verdict from before this box was started: read all of them.
             next = None;
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -511,7 +511,7 @@
 
     /// Whether the store was not yet asked for its word of some trial: it may have ended before this
     /// box was started.
-    pub fn verdicts_unread(&self) -> bool {
+    pub fn has_unread_verdicts(&self) -> bool {
         self.trials.values().any(|trial| !trial.looked)
     }
 
@@ -523,7 +523,7 @@
 
     /// Whether the box knows enough to serve: a plan, how far trials have come, and replicas.
     pub fn knows_site(&self) -> bool {
-        let trials_known = !self.verdicts_unread() && !self.marks_unread();
+        let trials_known = !self.has_unread_verdicts() && !self.marks_unread();
         self.has_plan() && trials_known && self.knows_replicas()
     }
 
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -261,7 +261,7 @@
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
-    assert!(subject.state.verdicts_unread() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_verdicts() && !subject.state.knows_site());
     let read = verdicts_read(&subject, Vec::new());
     subject.feed(read);
     assert!(subject.state.knows_site());
@@ -271,7 +271,7 @@
 fn an_order_that_has_just_been_given_needs_no_call_for_its_verdict() {
     let mut subject = ready_box();
     subject.give_order(order());
-    assert!(!subject.state.verdicts_unread() && !subject.state.marks_unread());
+    assert!(!subject.state.has_unread_verdicts() && !subject.state.marks_unread());
     assert!(subject.state.knows_site());
 }
 
@@ -280,7 +280,7 @@
     let mut subject = ready_box();
     subject.now += order().duration_ms / 4;
     subject.give_order(order());
-    assert!(subject.state.verdicts_unread() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_verdicts() && !subject.state.knows_site());
 }
 
 #[test]
@@ -454,10 +454,10 @@
     subject.give_order(order());
     subject.now += 20;
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
-    assert!(subject.state.verdicts_unread());
+    assert!(subject.state.has_unread_verdicts());
     let read = verdicts_read(&subject, Vec::new());
     subject.feed(read);
-    assert!(!subject.state.verdicts_unread());
+    assert!(!subject.state.has_unread_verdicts());
 }
 
 /// A tally of `quick` answers of 100 ms and `slow` ones that take six times as long.
