--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -30,7 +30,7 @@
 
     /// Reads all marks, if any is unread.
     pub(super) async fn read_if_due(&mut self) {
-        if !self.driver.state().marks_unread() {
+        if !self.driver.state().has_unread_checkpoints() {
             return;
         }
         match self.follower.read(&mut None, 0).await {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -517,13 +517,13 @@
 
     /// Whether the store's mark of some trial is still to be read: it was under way before this box heard
     /// of it, and sessions may have been moved.
-    pub fn marks_unread(&self) -> bool {
+    pub fn has_unread_checkpoints(&self) -> bool {
         self.trials.values().any(|trial| trial.mark_unread)
     }
 
     /// Whether the box knows enough to serve: a plan, how far trials have come, and replicas.
     pub fn knows_site(&self) -> bool {
-        let trials_known = !self.has_unread_verdicts() && !self.marks_unread();
+        let trials_known = !self.has_unread_verdicts() && !self.has_unread_checkpoints();
         self.has_plan() && trials_known && self.knows_replicas()
     }
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -212,7 +212,7 @@
 #[test]
 fn a_box_that_starts_in_a_trial_reads_how_far_it_has_come_before_it_serves() {
     let mut subject = started_box("box-2");
-    assert!(subject.state.marks_unread() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_checkpoints() && !subject.state.knows_site());
 
     let asked_at = BoxTime::from_millis(subject.now);
     let marks = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
@@ -295,7 +295,7 @@
     subject.give_order(order());
     let asked_at = BoxTime::from_millis(subject.now);
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
-    assert!(!subject.state.marks_unread() && subject.state.knows_site());
+    assert!(!subject.state.has_unread_checkpoints() && subject.state.knows_site());
 }
 
 #[test]
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -271,7 +271,7 @@
 fn an_order_that_has_just_been_given_needs_no_call_for_its_verdict() {
     let mut subject = ready_box();
     subject.give_order(order());
-    assert!(!subject.state.has_unread_verdicts() && !subject.state.marks_unread());
+    assert!(!subject.state.has_unread_verdicts() && !subject.state.has_unread_checkpoints());
     assert!(subject.state.knows_site());
 }
 
