--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -359,7 +359,7 @@
             told.0 = Instant::now();
             told.1.note(&driver.tally);
         }
-        let starts = !driver.state().knows_site();
+        let starts = !driver.state().is_synced();
         let tick_ms = if starts { START_TICK_MS } else { TICK_MS };
         tokio::time::sleep(Duration::from_millis(tick_ms)).await;
     }
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -109,7 +109,7 @@
     pub(super) async fn wait_for_turn(&mut self) {
         let began = self.driver.now();
         while !(self.due)(&self.driver.state(), self.driver.now()) {
-            let starts = !self.driver.state().knows_site();
+            let starts = !self.driver.state().is_synced();
             let look_ms = if starts { START_LOOK_MS } else { TURN_LOOK_MS };
             tokio::time::sleep(Duration::from_millis(look_ms)).await;
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -522,7 +522,7 @@
     }
 
     /// Whether the box knows enough to serve: a plan, how far trials have come, and replicas.
-    pub fn knows_site(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         let trials_known = !self.has_unread_verdicts() && !self.has_unread_checkpoints();
         self.has_plan() && trials_known && self.knows_replicas()
     }
@@ -530,7 +530,7 @@
     /// Whether a box that has started may take callers: it knows the site, or there is no more to wait for.
     pub fn takes_callers(&self, now: BoxTime) -> bool {
         let due = self.start.is_some_and(|start| now >= start.callers_at());
-        due || self.knows_site()
+        due || self.is_synced()
     }
 
     /// Whether the replicas are known: all that there are as of some time, and at least one. News of a few that
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -25,7 +25,7 @@
 fn boxes_that_start_together_make_few_calls_and_agree_on_who_reads() {
     for count in [9, 300] {
         let mut fleet = site(count);
-        let open = fleet.until_all(2_000, RouteState::knows_site);
+        let open = fleet.until_all(2_000, RouteState::is_synced);
         assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes know the site after {open:?} ms");
         let start = fleet.calls();
         fleet.run_until(6_000);
@@ -68,7 +68,7 @@
         fleet.run_until(5_000);
         fleet.calls();
         fleet.restart_all();
-        let took = fleet.until_all(2_000, RouteState::knows_site);
+        let took = fleet.until_all(2_000, RouteState::is_synced);
         assert!(took.is_some_and(|ms| ms <= 900), "{count} boxes are back after {took:?} ms");
         let calls = fleet.calls() as usize;
         assert!(calls <= count.max(20), "{count} boxes: {calls} calls");
@@ -160,7 +160,7 @@
         let mut fleet = Fleet::start_with(count, LARGE);
         fleet.put_replicas(LARGE_REPLICAS);
 
-        let took = fleet.until_all(20_000, RouteState::knows_site);
+        let took = fleet.until_all(20_000, RouteState::is_synced);
 
         let (calls, listings) = (fleet.calls(), fleet.listed_entries / LARGE_REPLICAS as u64);
         let label = format!("{count} boxes: after {took:?} ms, {calls} calls, {listings} listings");
@@ -175,7 +175,7 @@
 fn boxes_that_know_all_replicas_are_not_told_all_of_them_again_as_others_come() {
     let mut fleet = Fleet::start_with(100, LARGE);
     fleet.put_replicas(LARGE_REPLICAS / 2);
-    let known = |fleet: &Fleet| fleet.boxes.iter().all(|subject| subject.state.knows_site());
+    let known = |fleet: &Fleet| fleet.boxes.iter().all(|subject| subject.state.is_synced());
     while !known(&fleet) {
         fleet.run_until(fleet.now + 100);
         fleet.put_replicas(10);
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -325,10 +325,10 @@
     fn take(&mut self, to: usize, step: Step) {
         let now = BoxTime::from_millis(self.now);
         let state = &self.boxes[to].state;
-        let look = self.now + if state.knows_site() { 200 } else { 20 };
+        let look = self.now + if state.is_synced() { 200 } else { 20 };
         match step {
             Step::Tick => {
-                let next = self.now + if state.knows_site() { 200 } else { 40 };
+                let next = self.now + if state.is_synced() { 200 } else { 40 };
                 self.feed(to, RouteEvent::Tick);
                 self.push(next, to, Step::Tick);
             }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -212,13 +212,13 @@
 #[test]
 fn a_box_that_starts_in_a_trial_reads_how_far_it_has_come_before_it_serves() {
     let mut subject = started_box("box-2");
-    assert!(subject.state.has_unread_checkpoints() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_checkpoints() && !subject.state.is_synced());
 
     let asked_at = BoxTime::from_millis(subject.now);
     let marks = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
     subject.feed(RouteEvent::CheckpointsRead { asked_at, marks });
 
-    assert!(subject.state.knows_site());
+    assert!(subject.state.is_synced());
     let mut veteran = box_that_ran_through(SHARED_AT_MS);
     let parted = |number: &u64| {
         let key = session(*number);
@@ -295,7 +295,7 @@
     subject.give_order(order());
     let asked_at = BoxTime::from_millis(subject.now);
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
-    assert!(!subject.state.has_unread_checkpoints() && subject.state.knows_site());
+    assert!(!subject.state.has_unread_checkpoints() && subject.state.is_synced());
 }
 
 #[test]
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -261,10 +261,10 @@
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
-    assert!(subject.state.has_unread_verdicts() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_verdicts() && !subject.state.is_synced());
     let read = verdicts_read(&subject, Vec::new());
     subject.feed(read);
-    assert!(subject.state.knows_site());
+    assert!(subject.state.is_synced());
 }
 
 #[test]
@@ -272,7 +272,7 @@
     let mut subject = ready_box();
     subject.give_order(order());
     assert!(!subject.state.has_unread_verdicts() && !subject.state.has_unread_checkpoints());
-    assert!(subject.state.knows_site());
+    assert!(subject.state.is_synced());
 }
 
 #[test]
@@ -280,7 +280,7 @@
     let mut subject = ready_box();
     subject.now += order().duration_ms / 4;
     subject.give_order(order());
-    assert!(subject.state.has_unread_verdicts() && !subject.state.knows_site());
+    assert!(subject.state.has_unread_verdicts() && !subject.state.is_synced());
 }
 
 #[test]
