--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -23,7 +23,7 @@
     #[prost(message, optional, tag = "11")]
     page_from: Option<WirePosition>,
     #[prost(bool, tag = "8")]
-    has_rows: bool,
+    has_backends: bool,
 }
 
 /// How far an answer shows the replicas' entries.
@@ -50,7 +50,7 @@
         known: Some(write_known(ask.known)),
         entries_to: ask.entries.known_to.map(Into::into),
         page_from: Some(ask.entries.page_from.into()),
-        has_rows: ask.entries.has_rows,
+        has_backends: ask.entries.has_backends,
     }
 }
 
@@ -63,7 +63,7 @@
         entries: EntryQuery {
             known_to: ask.entries_to.map(Into::into),
             page_from: read_position(ask.page_from),
-            has_rows: ask.has_rows,
+            has_backends: ask.has_backends,
         },
     }
 }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -42,7 +42,7 @@
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
         known: PlanPosition { version: 5, read_to: at(12) },
-        entries: EntryQuery { known_to: Some(at(40)), page_from: at(7), has_rows: true },
+        entries: EntryQuery { known_to: Some(at(40)), page_from: at(7), has_backends: true },
     }
 }
 
--- a/crates/core/src/route/entries.rs
+++ b/crates/core/src/route/entries.rs
@@ -41,7 +41,7 @@
     /// Where the next page of a listing begins, if one is under way; else before all.
     pub page_from: TopicPosition,
     /// Whether replicas are known that a listing may have to remove.
-    pub has_rows: bool,
+    pub has_backends: bool,
 }
 
 /// What a box tells of the entries.
@@ -120,9 +120,9 @@
     }
 
     /// What this box wants to know.
-    pub fn wish(&self, has_rows: bool) -> EntryQuery {
+    pub fn wish(&self, has_backends: bool) -> EntryQuery {
         let page_from = self.listing.as_ref().map(|listing| listing.next).unwrap_or_default();
-        EntryQuery { known_to: self.known_to, page_from, has_rows }
+        EntryQuery { known_to: self.known_to, page_from, has_backends }
     }
 
     /// What is told to a box with this wish.
@@ -133,7 +133,7 @@
         let settled_to = first_lapsing.map_or(known_to, |at| at.min(known_to));
         let gone_from = self.gone_from.max(table.gone_from());
         let whole = wish.known_to.is_none_or(|to| to < gone_from);
-        if whole && first_lapsing.is_some() && wish.has_rows {
+        if whole && first_lapsing.is_some() && wish.has_backends {
             return EntryAnswer::default();
         }
         let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -536,11 +536,11 @@
     /// Whether the replicas are known: all that there are as of some time, and at least one. News of a few that
     /// came before is no answer to a caller whose replicas are among the others.
     fn knows_replicas(&self) -> bool {
-        self.entries.known_to().is_some() && self.has_rows()
+        self.entries.known_to().is_some() && self.has_backends()
     }
 
     /// Whether any replica is known.
-    fn has_rows(&self) -> bool {
+    fn has_backends(&self) -> bool {
         self.backends.rows().next().is_some()
     }
 
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -219,7 +219,7 @@
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
             known: self.known_plan(),
-            entries: self.entries.wish(self.has_rows()),
+            entries: self.entries.wish(self.has_backends()),
         }
     }
 
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -140,7 +140,7 @@
         entries: EntryQuery {
             known_to: asker.state.entries_to(),
             page_from: TopicPosition::default(),
-            has_rows: asker.state.backends().rows().next().is_some(),
+            has_backends: asker.state.backends().rows().next().is_some(),
         },
     };
     note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer")
