--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -102,7 +102,7 @@
         PeerDatagram::Usage(target, note) => (vec![target], encode_usage(&note)),
     };
     for target in &targets {
-        let same_zone = driver.state().is_near(target);
+        let same_zone = driver.state().is_in_same_zone(target);
         driver.tally.count_datagram(kind, same_zone, bytes.len());
     }
     for target in targets.iter().filter_map(|target| target.parse::<SocketAddr>().ok()) {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -570,7 +570,7 @@
     }
 
     /// Whether the box that hears notes at this address is known to be in this one's availability zone.
-    pub fn is_near(&self, gossip_address: &str) -> bool {
+    pub fn is_in_same_zone(&self, gossip_address: &str) -> bool {
         let mut rows = self.peers.rows().map(|(_, row)| &row.card);
         rows.any(|card| card.gossip_address == gossip_address && card.zone == self.settings.zone)
     }
