--- a/crates/box/src/gateway/directory.rs
+++ b/crates/box/src/gateway/directory.rs
@@ -33,7 +33,7 @@
 #[rocket::async_trait]
 impl Handler for ResolveHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, _data: Data<'r>) -> Outcome<'r> {
-        let named = self.driver.state().named(self.driver.now());
+        let named = self.driver.state().advertised_addresses(self.driver.now());
         if named.is_empty() {
             return Outcome::from(request, Status::ServiceUnavailable);
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -587,7 +587,7 @@
     }
 
     /// Addresses for a caller: open boxes; where none is open, this one, if it serves.
-    pub fn named(&self, now: BoxTime) -> Vec<String> {
+    pub fn advertised_addresses(&self, now: BoxTime) -> Vec<String> {
         let mut named: Vec<String> =
             self.peers.open_rows(now).map(|row| row.card.entry_address.clone()).collect();
         if self.open(now) || (named.is_empty() && self.ready(now)) {
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -40,7 +40,7 @@
 }
 
 fn named(subject: &TestBox) -> Vec<String> {
-    subject.state.named(BoxTime::from_millis(subject.now))
+    subject.state.advertised_addresses(BoxTime::from_millis(subject.now))
 }
 
 #[test]
