--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -35,7 +35,7 @@
 /// Follows the operator's plan and orders.
 pub async fn follow_operator(driver: Arc<GatewayDriver>, store: StoreClient) {
     let mut follower =
-        TopicFollower::new(driver.clone(), store, OPERATOR_TOPIC, RouteState::must_read);
+        TopicFollower::new(driver.clone(), store, OPERATOR_TOPIC, RouteState::must_read_plan);
     let mut next = None;
     let mut unread = false;
     let mut passed_over = None;
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -40,7 +40,7 @@
 impl RouteState {
     /// Whether this box must read the operator's records itself: it is a reader, or no other box has
     /// told it lately that what it knows is fresh, or has told it what is new.
-    pub fn must_read(&self, now: BoxTime) -> bool {
+    pub fn must_read_plan(&self, now: BoxTime) -> bool {
         let untold = self.is_untold(self.fresh.age_ms(now), OWN_READ_MS, now);
         let left = self.leaves_tries_to_others(now);
         self.is_reader(now) || self.is_behind(now) || (untold && !left)
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -125,9 +125,9 @@
     let asked = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(to, _) if to == "box-2:90");
     assert!(effects.iter().any(asked), "it asks who told it");
     let now = |subject: &TestBox| BoxTime::from_millis(subject.now);
-    assert!(!first.state.must_read(now(&first)) || first.state.is_reader(now(&first)));
+    assert!(!first.state.must_read_plan(now(&first)) || first.state.is_reader(now(&first)));
     first.now += 600;
-    assert!(first.state.must_read(now(&first)), "and reads the store where it gets no answer");
+    assert!(first.state.must_read_plan(now(&first)), "and reads the store where it gets no answer");
 }
 
 /// Asks `reader` now, and gives its answer.
@@ -348,10 +348,10 @@
     let (mut started, latest) = started_box();
     let effects = started.feed(RouteEvent::Tick);
     assert!(ask_in(&effects).is_some(), "it asks at once");
-    assert!(!started.state.must_read(clock(&started)));
+    assert!(!started.state.must_read_plan(clock(&started)));
     assert!(!started.state.must_read_entries(clock(&started)));
     started.now = latest - 1;
-    assert!(started.state.must_read(clock(&started)));
+    assert!(started.state.must_read_plan(clock(&started)));
     assert!(started.state.must_read_entries(clock(&started)));
 }
 
@@ -369,7 +369,7 @@
     started.feed(RouteEvent::GossipReceived(Box::new(note)));
     started.now = latest - 1;
     started.feed(RouteEvent::Tick);
-    assert!(!started.state.must_read(clock(&started)));
+    assert!(!started.state.must_read_plan(clock(&started)));
     assert!(!started.state.must_read_entries(clock(&started)));
     assert!(!started.state.wants_boxes(clock(&started)));
     assert!(started.state.open(clock(&started)));
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -332,11 +332,11 @@
                 self.feed(to, RouteEvent::Tick);
                 self.push(next, to, Step::Tick);
             }
-            Step::LookForPlan if state.must_read(now) && self.is_away() => self.fail(to, step),
+            Step::LookForPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
             Step::LookForEntries if state.must_read_entries(now) && self.is_away() => {
                 self.fail(to, step);
             }
-            Step::LookForPlan if state.must_read(now) => {
+            Step::LookForPlan if state.must_read_plan(now) => {
                 let waits = state.waits_for_plan(now);
                 let from = state.read_to().max(self.boxes[to].next);
                 // The test writes to the store only between two runs, at a time it knows by then.
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -84,9 +84,12 @@
 
     subject.now += BEHIND_MS;
 
-    assert!(subject.state.must_read(clock(&subject)));
+    assert!(subject.state.must_read_plan(clock(&subject)));
     hear_bare_answer(&mut subject);
-    assert!(subject.state.must_read(clock(&subject)), "an answer without the plan changes nothing");
+    assert!(
+        subject.state.must_read_plan(clock(&subject)),
+        "an answer without the plan changes nothing"
+    );
 }
 
 // 88 of 91 boxes read a plan of 890 KB from the store that no answer could hold. Each waited half a second for an answer that
@@ -98,16 +101,16 @@
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
     tell(&mut reader, &mut subject);
-    assert!(!subject.state.must_read(clock(&subject)), "an answer may hold it");
+    assert!(!subject.state.must_read_plan(clock(&subject)), "an answer may hold it");
 
     hear_bare_answer(&mut subject);
 
-    assert!(subject.state.must_read(clock(&subject)));
+    assert!(subject.state.must_read_plan(clock(&subject)));
     let effects = tell(&mut reader, &mut subject);
     let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
     assert!(!effects.iter().any(asks));
     subject.read_plan(Some(plan(2)));
-    assert!(!subject.state.must_read(clock(&subject)));
+    assert!(!subject.state.must_read_plan(clock(&subject)));
 }
 
 #[test]
@@ -121,7 +124,7 @@
 
     let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 
-    assert!(!subject.state.must_read(clock(&subject)), "the next answer may hold it");
+    assert!(!subject.state.must_read_plan(clock(&subject)), "the next answer may hold it");
     assert!(ask_in(&effects).is_some());
 }
 
