--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -143,7 +143,7 @@
     address: String,
 ) {
     let mut follower =
-        TopicFollower::new(driver.clone(), store, BOX_TOPIC, RouteState::wants_boxes);
+        TopicFollower::new(driver.clone(), store, BOX_TOPIC, RouteState::must_read_box_list);
     let own = KeyedRecord::new(name, Some(address.into_bytes()));
     // The era in which the store was told.
     let mut told = None;
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -135,7 +135,7 @@
 
     /// Whether this box tells the store where it hears notes, and reads where others do: readers, so that a
     /// box that starts finds one, and a box that hears nobody.
-    pub fn wants_boxes(&self, now: BoxTime) -> bool {
+    pub fn must_read_box_list(&self, now: BoxTime) -> bool {
         let alone = self.peers.live_count(now) == 1;
         !self.settling(now) && (self.is_reader(now) || alone)
     }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -371,7 +371,7 @@
     started.feed(RouteEvent::Tick);
     assert!(!started.state.must_read_plan(clock(&started)));
     assert!(!started.state.must_read_entries(clock(&started)));
-    assert!(!started.state.wants_boxes(clock(&started)));
+    assert!(!started.state.must_read_box_list(clock(&started)));
     assert!(started.state.open(clock(&started)));
 }
 
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -358,7 +358,7 @@
                 let at = self.now + took + if waits { WAIT_MS / 4 } else { 0 };
                 self.push(at, to, Step::EntriesRead { asked_at: self.now, listing });
             }
-            Step::LookForBoxes if state.wants_boxes(now) => {
+            Step::LookForBoxes if state.must_read_box_list(now) => {
                 self.boxes[to].calls += 2;
                 self.listed.push(format!("box-{to}:90"));
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
