--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -46,7 +46,7 @@
         next =
             if unread { None } else { next.max((told > TopicPosition::default()).then_some(told)) };
         // Who is no reader reads only what there is: it has heard of more, or nobody told it anything.
-        let waits = driver.state().waits_for_plan(driver.now());
+        let waits = driver.state().long_polls_plan(driver.now());
         let wait_ms = if waits { READER_WAIT_MS } else { 0 };
         let began_at = next;
         match follower.read(&mut next, wait_ms).await {
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -142,7 +142,7 @@
 
     /// Whether a read of the operator's records is to wait for one. What is old is read anew at once: a reader
     /// that waited with it would no longer be named to callers.
-    pub fn waits_for_plan(&self, now: BoxTime) -> bool {
+    pub fn long_polls_plan(&self, now: BoxTime) -> bool {
         let old = self.fresh.age_ms(now).is_none_or(|age| age >= WAIT_AGE_MS);
         self.is_reader(now) && !old
     }
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -337,7 +337,7 @@
                 self.fail(to, step);
             }
             Step::LookForPlan if state.must_read_plan(now) => {
-                let waits = state.waits_for_plan(now);
+                let waits = state.long_polls_plan(now);
                 let from = state.read_to().max(self.boxes[to].next);
                 // The test writes to the store only between two runs, at a time it knows by then.
                 let held = if waits && from == self.plans_end() { WAIT_MS } else { 0 };
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -43,9 +43,9 @@
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
     assert!(subject.state.is_reader(clock(&subject)));
-    assert!(!subject.state.waits_for_plan(clock(&subject)), "it has not read since its start");
+    assert!(!subject.state.long_polls_plan(clock(&subject)), "it has not read since its start");
     subject.read_plan(None);
-    assert!(subject.state.waits_for_plan(clock(&subject)));
+    assert!(subject.state.long_polls_plan(clock(&subject)));
 }
 
 /// A box that lost the store, knows three that have it, and was answered by one that has read further.
@@ -139,5 +139,5 @@
     subject.now += 500;
 
     assert!(subject.state.is_reader(clock(&subject)));
-    assert!(!subject.state.waits_for_plan(clock(&subject)));
+    assert!(!subject.state.long_polls_plan(clock(&subject)));
 }
