--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -356,7 +356,7 @@
             }
             return;
         }
-        let as_of = self.word_as_of(note, stamp.now);
+        let as_of = self.message_as_of(note, stamp.now);
         if let Some(as_of) = as_of.filter(|_| note.known == self.known_plan()) {
             self.fresh.renew(as_of);
         }
@@ -364,7 +364,7 @@
 
     /// As of when, on this box's clock, another one knew what its note says; `None` if the note
     /// answers no ask of this life of the process, or one that is too old.
-    pub fn word_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
+    pub fn message_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
         let asked = own_ask(note, self.settings.incarnation, now)?;
         Some(asked.asked_at.minus_millis(note.read_age_ms?))
     }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -360,7 +360,7 @@
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
     let ask = ask_in(&started.feed(RouteEvent::Tick)).expect("it asks");
     let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
-    let as_of = started.state.word_as_of(&note, clock(&started)).expect("a word");
+    let as_of = started.state.message_as_of(&note, clock(&started)).expect("a word");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
         read_to: note.known.read_to,
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -502,7 +502,7 @@
     /// The operator's records that an answer brings with it.
     fn take_records(&mut self, to: usize, note: &GossipMessage) {
         let state = &self.boxes[to].state;
-        let as_of = state.word_as_of(note, BoxTime::from_millis(self.now));
+        let as_of = state.message_as_of(note, BoxTime::from_millis(self.now));
         let known = state.known_plan();
         let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
         if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -377,7 +377,7 @@
     };
     let told = note_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
 
-    let as_of = starter.state.word_as_of(&told, BoxTime::from_millis(starter.now));
+    let as_of = starter.state.message_as_of(&told, BoxTime::from_millis(starter.now));
     let asked_at = as_of.expect("it answers this box's ask");
     starter.feed(RouteEvent::PlanRead {
         asked_at,
