--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -145,7 +145,7 @@
 pub fn take_told(driver: &GatewayDriver, note: &GossipMessage, records: &[KeyedRecord]) {
     let (as_of, known) = {
         let state = driver.state();
-        (state.message_as_of(note, driver.now()), state.known_plan())
+        (state.message_as_of(note, driver.now()), state.plan_position())
     };
     let Some(as_of) = as_of else { return };
     // What it told begins where this box had read to when it asked: nothing is left out.
--- a/crates/core/src/route/known.rs
+++ b/crates/core/src/route/known.rs
@@ -44,7 +44,7 @@
         plan: Option<RoutePlan>,
         out: &mut Vec<RouteEffect>,
     ) {
-        let own = self.known_plan();
+        let own = self.plan_position();
         if known <= own {
             return;
         }
@@ -121,7 +121,7 @@
     }
 
     /// How far this box knows the operator's records.
-    pub fn known_plan(&self) -> PlanPosition {
+    pub fn plan_position(&self) -> PlanPosition {
         PlanPosition { version: self.table.plan().version, read_to: self.read_to }
     }
 }
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -109,7 +109,7 @@
             number,
             card: self.card(stamp.now),
             era: self.era,
-            known: self.known_plan(),
+            known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
             evacuation: self.evacuated.word(),
             echo: None,
@@ -218,7 +218,7 @@
             gossip_address: self.settings.gossip_address.clone(),
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
-            known: self.known_plan(),
+            known: self.plan_position(),
             entries: self.entries.wish(self.has_backends()),
         }
     }
@@ -340,12 +340,12 @@
         note: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.known > self.known_plan() {
+        if note.known > self.plan_position() {
             self.asks.behind_since.get_or_insert(stamp.now);
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
             // one, asking again gives the same.
             let answers = own_ask(note, self.settings.incarnation, stamp.now)
-                .is_some_and(|ask| ask.known == self.known_plan());
+                .is_some_and(|ask| ask.known == self.plan_position());
             self.asks.told_too_little |= answers && note.entries.page.is_none();
             if stamp.now >= self.asks.next_behind_ask && !self.asks.told_too_little {
                 self.asks.next_behind_ask = stamp.now.plus_millis(peers::ASK_AGAIN_MS);
@@ -357,7 +357,7 @@
             return;
         }
         let as_of = self.message_as_of(note, stamp.now);
-        if let Some(as_of) = as_of.filter(|_| note.known == self.known_plan()) {
+        if let Some(as_of) = as_of.filter(|_| note.known == self.plan_position()) {
             self.fresh.renew(as_of);
         }
     }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -136,7 +136,7 @@
         gossip_address: "box-1:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(asker.now),
-        known: asker.state.known_plan(),
+        known: asker.state.plan_position(),
         entries: EntryQuery {
             known_to: asker.state.entries_to(),
             page_from: TopicPosition::default(),
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -503,7 +503,7 @@
     fn take_records(&mut self, to: usize, note: &GossipMessage) {
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(note, BoxTime::from_millis(self.now));
-        let known = state.known_plan();
+        let known = state.plan_position();
         let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
         if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
             let plan = Some(plan(note.known.version)).filter(|plan| plan.version > known.version);
