--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -308,12 +308,12 @@
                 self.on_tick(stamp, out);
             }
         }
-        self.open_entry(stamp.now, out);
+        self.start_accepting(stamp.now, out);
         effects
     }
 
     /// Has callers served from now on, once, when that is due.
-    fn open_entry(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
+    fn start_accepting(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
         let due = !self.stopping() && self.takes_callers(now);
         let start = self.start.as_mut().filter(|start| due && !start.entry_opened);
         if let Some(start) = start {
