--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -234,11 +234,11 @@
             }
             RouteEvent::EvacuationsRead(read) => {
                 let news = self.evacuated.take_read(read, stamp.now);
-                self.move_evacuations(stamp, news, out);
+                self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::EvacuationsReceived(word) => {
                 let news = self.evacuated.hear(&word, stamp.now);
-                self.move_evacuations(stamp, news, out);
+                self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::OrdersRead { read_to, orders } => {
                 self.on_orders(stamp, read_to, orders, out);
@@ -327,7 +327,7 @@
             self.tell(stamp, change, ChangeKind::Leaving, out);
         }
         let evacuations = self.evacuated.drop_unseen(stamp.now);
-        self.move_evacuations(stamp, evacuations, out);
+        self.apply_evacuations(stamp, evacuations, out);
         self.share_limits(stamp.now);
         self.share_cold(stamp.now);
         self.settle_ends(stamp.now);
@@ -346,7 +346,7 @@
     }
 
     /// Tells of zones that are under evacuation from now on, or no longer.
-    fn move_evacuations(
+    fn apply_evacuations(
         &mut self,
         stamp: EventStamp,
         news: Vec<ZoneOrder>,
--- a/crates/core/src/route/news.rs
+++ b/crates/core/src/route/news.rs
@@ -259,7 +259,7 @@
         self.peers.hear_leads(&note.leads, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
-        self.move_evacuations(stamp, evacuations, out);
+        self.apply_evacuations(stamp, evacuations, out);
         self.hear_entries(stamp, note, out);
         let paces = &self.paces;
         let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
