--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -83,5 +83,5 @@
     let (phase, age) = (standing.progress.phase, standing.progress.age_ms);
     let later = phase > wanted.progress.phase;
     let equal = phase == wanted.progress.phase && age >= wanted.progress.age_ms;
-    same && (later || equal) && !wanted.progress.settles_more(standing.progress)
+    same && (later || equal) && !wanted.progress.names_earlier_carry(standing.progress)
 }
--- a/crates/core/src/route/progress.rs
+++ b/crates/core/src/route/progress.rs
@@ -42,7 +42,7 @@
 
 impl TrialProgress {
     /// Whether it names from when on the version carries all, or names it earlier, than the other.
-    pub fn settles_more(self, other: TrialProgress) -> bool {
+    pub fn names_earlier_carry(self, other: TrialProgress) -> bool {
         let earlier = |at_ms| other.carries_at_ms.is_none_or(|other_ms| at_ms < other_ms);
         self.carries_at_ms.is_some_and(earlier)
     }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -228,8 +228,9 @@
 
     /// Notes that the store has a mark.
     pub fn note_marked(&mut self, mark: TrialProgress) {
-        let settles_more = mark.settles_more(self.marked);
-        if self.marked.phase < mark.phase || self.marked.age_ms < mark.age_ms || settles_more {
+        let names_earlier_carry = mark.names_earlier_carry(self.marked);
+        if self.marked.phase < mark.phase || self.marked.age_ms < mark.age_ms || names_earlier_carry
+        {
             self.marked = mark;
         }
     }
@@ -239,7 +240,7 @@
         let progress = self.progress(now);
         let step = (self.order.duration_ms as f64 * MARK_PART) as u64;
         let further = progress.phase > self.marked.phase
-            || progress.settles_more(self.marked)
+            || progress.names_earlier_carry(self.marked)
             || progress.age_ms >= self.marked.age_ms.saturating_add(step);
         let under_way = self.state == TrialState::Running && self.bad_since.is_none();
         (under_way && further).then(|| TrialCheckpoint {
