--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -32,7 +32,7 @@
         let version = trial.map_or(VersionFilter::Any, |trial| {
             // While it is open which version stays, an answer goes on with the one that began it.
             let open =
-                trial.state == TrialState::Running && !trial.passed_over(stamp.now, store_away);
+                trial.state == TrialState::Running && !trial.is_ejected(stamp.now, store_away);
             let on_trial = if request.relayed && open {
                 request.relayed_on_trial
             } else {
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -298,7 +298,7 @@
 
     /// Whether the version is passed over: it was rolled back, or found bad for long while the store can't
     /// take the verdict. Until then all boxes go on alike: one that acts on its own opinion parts sessions.
-    pub fn passed_over(&self, now: BoxTime, store_away: bool) -> bool {
+    pub fn is_ejected(&self, now: BoxTime, store_away: bool) -> bool {
         let long = |since: BoxTime| now.millis_since(since) >= ALONE_AFTER_MS;
         match self.state {
             TrialState::Done => false,
@@ -310,7 +310,7 @@
     /// Share of the sessions that the version gets now.
     pub fn share(&self, now: BoxTime, store_away: bool) -> f64 {
         match self.state {
-            _ if self.passed_over(now, store_away) => 0.0,
+            _ if self.is_ejected(now, store_away) => 0.0,
             TrialState::Done => 1.0,
             TrialState::RolledBack | TrialState::Running => self.phase.share(),
         }
