--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -164,7 +164,7 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         // What runs is told by the replica, also where no replica of the version wished for was left.
         let trial = self.trials.get(&request.service);
-        let on_trial = trial.is_some_and(|trial| trial.tries(&row.entry.version));
+        let on_trial = trial.is_some_and(|trial| trial.is_on_trial(&row.entry.version));
         request.attempt = Some(RunningAttempt {
             replica: pick.key,
             began: stamp.now,
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -325,7 +325,7 @@
     }
 
     /// Whether `version` is under way to be judged here.
-    pub fn tries(&self, version: &str) -> bool {
+    pub fn is_on_trial(&self, version: &str) -> bool {
         self.state == TrialState::Running && self.order.version == version
     }
 
