--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -36,7 +36,7 @@
             let on_trial = if request.relayed && open {
                 request.relayed_on_trial
             } else {
-                trial.lot(request.session, stamp.random) < share
+                trial.session_draw(request.session, stamp.random) < share
             };
             version_wish(trial, on_trial)
         });
