--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -180,7 +180,7 @@
         /// When it was asked.
         asked_at: BoxTime,
         /// What it answered.
-        word: LeaseAnswer,
+        answer: LeaseAnswer,
     },
     /// What former holders of the lease left was read, and they can write no more.
     LeaderRecordsRead {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -276,8 +276,8 @@
             RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.hear_placement(&told, stamp.now),
             RouteEvent::SyncRequested(ask) => self.on_ask(stamp, ask, out),
-            RouteEvent::LeaseAnswered { asked_at, word } => {
-                self.on_lease(stamp, asked_at, word, out);
+            RouteEvent::LeaseAnswered { asked_at, answer } => {
+                self.on_lease(stamp, asked_at, answer, out);
             }
             RouteEvent::LeaderRecordsRead { token, next, left } => {
                 self.on_taken_over(token, next, left)
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -167,9 +167,9 @@
     let mut subject = new_box("box-1");
     subject.state = RouteState::new(RouteSettings { leader, ..settings("box-1") });
     for _ in 0..4 {
-        let word = LeaseAnswer { token: 5, dealt: true };
+        let answer = LeaseAnswer { token: 5, dealt: true };
         let asked_at = BoxTime::from_millis(subject.now);
-        subject.feed(RouteEvent::LeaseAnswered { asked_at, word });
+        subject.feed(RouteEvent::LeaseAnswered { asked_at, answer });
         subject.now += 1_000;
         subject.feed(RouteEvent::Tick);
     }
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -360,12 +360,12 @@
         if subject.life == life {
             subject.generation = generation;
         }
-        let word = LeaseAnswer { token: token(0, generation), dealt };
+        let answer = LeaseAnswer { token: token(0, generation), dealt };
         let asked_at = BoxTime::from_millis(asked_at);
         let way = 2 + self.draw(20);
         self.post(
             self.now + way,
-            Parcel::Event(number, life, RouteEvent::LeaseAnswered { asked_at, word }),
+            Parcel::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
     }
 
