--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -73,7 +73,7 @@
             Err(error) => observe::note_bad_record(&error),
         }
     }
-    driver.feed(RouteEvent::CheckpointsRead { asked_at, marks: marks.clone() });
+    driver.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints: marks.clone() });
     marks
 }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -139,8 +139,8 @@
     CheckpointsRead {
         /// When the store was asked for them.
         asked_at: BoxTime,
-        /// The marks.
-        marks: Vec<TrialCheckpoint>,
+        /// The checkpoints.
+        checkpoints: Vec<TrialCheckpoint>,
     },
     /// A mark of this box was taken by the store.
     CheckpointStored(TrialCheckpoint),
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -247,8 +247,8 @@
                 self.on_verdicts(asked_at, verdicts, out);
             }
             RouteEvent::VerdictStored(verdict) => self.take_verdict(verdict, true, out),
-            RouteEvent::CheckpointsRead { asked_at, marks } => {
-                self.on_marks(stamp, asked_at, marks)
+            RouteEvent::CheckpointsRead { asked_at, checkpoints } => {
+                self.on_marks(stamp, asked_at, checkpoints)
             }
             RouteEvent::CheckpointStored(mark) => {
                 self.take_mark(stamp, &mark);
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -215,8 +215,8 @@
     assert!(subject.state.has_unread_checkpoints() && !subject.state.is_synced());
 
     let asked_at = BoxTime::from_millis(subject.now);
-    let marks = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
-    subject.feed(RouteEvent::CheckpointsRead { asked_at, marks });
+    let checkpoints = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
+    subject.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints });
 
     assert!(subject.state.is_synced());
     let mut veteran = box_that_ran_through(SHARED_AT_MS);
