--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -21,7 +21,6 @@
 pub mod admission;
 mod answer;
 mod arrival;
-mod asks;
 mod attempt;
 pub mod backend;
 pub mod backlog;
@@ -58,6 +57,7 @@
 mod sender;
 pub mod sizes;
 pub mod start;
+mod sync_state;
 pub mod tally;
 pub mod trial;
 mod verdict;
@@ -70,7 +70,6 @@
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-use asks::SyncState;
 use backend::{BackendChange, BackendTable, ChangeKind};
 use budget::{BudgetBounds, SendBudget};
 use entries::EntryPosition;
@@ -88,6 +87,7 @@
 use request::RouteRequest;
 use sizes::ConfidenceGains;
 use start::StartupState;
+use sync_state::SyncState;
 use trial::VersionTrial;
 
 pub use dump::RouteDump;
