--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::deeds::UnreachableUpdate;
+use ravenspoke_core::route::backend_health::UnreachableUpdate;
 use ravenspoke_core::route::fatal::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::limit::LimitUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -1,7 +1,7 @@
 //! The head of an answer came: it is passed on, or another replica or a larger model is asked.
 
+use super::backend_health::BackendOutcome;
 use super::budget::SendCause;
-use super::deeds::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
 use super::pace::ServiceLatency;
 use super::sizes::{self, ModelConfidence};
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::deeds::BackendOutcome;
+use super::backend_health::BackendOutcome;
 use super::event::{CallerRequest, PromptSize, RefusalReason, RouteEffect};
 use super::plan::{KeyHolder, RouteSpec};
 use super::refuse::refusal;
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -2,9 +2,9 @@
 //! another attempt when one keeps silent, fails or ends.
 
 use super::admission::{latest_return, turned_away};
+use super::backend_health::{BackendOutcome, DOWN_TELL_MS};
 use super::budget::SendCause;
 use super::choice::AttemptChoice;
-use super::deeds::{BackendOutcome, DOWN_TELL_MS};
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
 use super::pick::BackendPick;
 use super::placement::urgency;
--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -9,8 +9,8 @@
 use slotmap::SlotMap;
 use xxhash_rust::xxh3::xxh3_64;
 
+use super::backend_health::LostAnswer;
 use super::backlog::ReplicaBacklog;
-use super::deeds::LostAnswer;
 use super::gone::ReplicaTombstones;
 use super::held::PrefixCache;
 use super::leader::scale::ZoneCount;
--- a/crates/core/src/route/learn.rs
+++ b/crates/core/src/route/learn.rs
@@ -1,6 +1,6 @@
 //! What sends and answers teach: work that waits at replicas, the pace of models, the evidence in a trial.
 
-use super::deeds::LostAnswer;
+use super::backend_health::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
 use super::pick::BackendPick;
 use super::placement::{PlacementUpdate, TOLD_WORK_MS};
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -19,8 +19,8 @@
 pub use table::{PeerState, PeerTable};
 
 use super::backend::BackendChange;
+use super::backend_health::UnreachableUpdate;
 use super::budget::SendCount;
-use super::deeds::UnreachableUpdate;
 use super::entries::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::fatal::{CrashUpdate, PoisonUpdate};
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -1,6 +1,6 @@
 //! A request in hand and its attempt under way: plain data that the decisions on them share.
 
-use super::deeds::BackendOutcome;
+use super::backend_health::BackendOutcome;
 use super::event::PromptSize;
 use super::plan::RouteSpec;
 use super::sizes::ModelConfidence;
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -1,7 +1,7 @@
 //! What boxes tell each other of replicas' loads.
 
 use ravenspoke_core::route::backend::backend_hash;
-use ravenspoke_core::route::deeds::DOWN_TELL_MS;
+use ravenspoke_core::route::backend_health::DOWN_TELL_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, CallerRequest, RouteEvent};
 use ravenspoke_core::route::loads::{BackendLoad, LoadUpdate};
 use ravenspoke_core::route::peers::GossipMessage;
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::event::{EventStamp, RequestTicket};
 use ravenspoke_core::ids::ReplicaKey;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::deeds::UnreachableUpdate;
+use ravenspoke_core::route::backend_health::UnreachableUpdate;
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
