--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -11,11 +11,11 @@
 
 use super::backend_health::LostAnswer;
 use super::backlog::ReplicaBacklog;
-use super::gone::ReplicaTombstones;
 use super::held::PrefixCache;
 use super::leader::scale::ZoneCount;
 use super::limit::ReplicaLimit;
 use super::sender::SenderPart;
+use super::tombstones::ReplicaTombstones;
 use super::warm_up::{WarmUpPlan, UNSEEN_MS};
 use crate::ids::ReplicaKey;
 use crate::position::TopicPosition;
