--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -11,9 +11,9 @@
 
 use super::backend_health::LostAnswer;
 use super::backlog::ReplicaBacklog;
-use super::held::PrefixCache;
 use super::leader::scale::ZoneCount;
 use super::limit::ReplicaLimit;
+use super::prefix_cache::PrefixCache;
 use super::sender::SenderPart;
 use super::tombstones::ReplicaTombstones;
 use super::warm_up::{WarmUpPlan, UNSEEN_MS};
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -9,12 +9,12 @@
 use ravenspoke_core::route::event::{
     AnswerHead, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
-use ravenspoke_core::route::held::{PrefixCache, HELD_MS};
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::pace::{LatencyEstimate, ModelLatency, ServiceLatency};
 use ravenspoke_core::route::placement::{
     PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
 };
+use ravenspoke_core::route::prefix_cache::{PrefixCache, HELD_MS};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, refusal_in, TestBox};
