--- a/crates/core/tests/route/rests.rs
+++ b/crates/core/tests/route/rests.rs
@@ -1,7 +1,7 @@
 //! Replicas that turn requests away and ask for rest.
 
+use ravenspoke_core::route::backoff::REST_LIMIT_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RefusalReason, RouteEvent};
-use ravenspoke_core::route::rest::REST_LIMIT_MS;
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
