--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -3,8 +3,8 @@
 use super::backend_health::BackendOutcome;
 use super::budget::SendCause;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
+use super::model_cascade::{self, ModelConfidence};
 use super::pace::ServiceLatency;
-use super::sizes::{self, ModelConfidence};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
@@ -129,6 +129,6 @@
             let choice = self.choose(stamp, ticket, Some(size));
             (spent_ms + choice.map_or(0.0, |choice| choice.pick.expected_ms)) / target_ms
         };
-        sizes::next_size(request.route.sizes.len(), opinion, lifts, part_of)
+        model_cascade::next_size(request.route.sizes.len(), opinion, lifts, part_of)
     }
 }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -4,11 +4,11 @@
 
 use super::backend_health::BackendOutcome;
 use super::event::{CallerRequest, PromptSize, RefusalReason, RouteEffect};
+use super::model_cascade;
 use super::plan::{KeyHolder, RouteSpec};
 use super::refuse::refusal;
 use super::region::allowed_zones;
 use super::request::RouteRequest;
-use super::sizes;
 use super::{RouteState, STOP_TAKE_MS};
 use crate::event::{EventStamp, RequestTicket};
 use crate::replica::mix;
@@ -60,7 +60,7 @@
             session: ask.session,
             content: ask.content,
             id_hash: xxh3_64(ask.id.as_bytes()),
-            size: if chooses { sizes::first_size(&route.sizes) } else { None },
+            size: if chooses { model_cascade::first_size(&route.sizes) } else { None },
             opinion: None,
             arrived: stamp.now,
             deadline: stamp.now.plus_millis(left),
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -2,8 +2,8 @@
 
 use super::backend_health::BackendOutcome;
 use super::event::PromptSize;
+use super::model_cascade::ModelConfidence;
 use super::plan::RouteSpec;
-use super::sizes::ModelConfidence;
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -5,7 +5,7 @@
     AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent,
 };
 
-use ravenspoke_core::route::sizes::{
+use ravenspoke_core::route::model_cascade::{
     next_size, sure_enough, ConfidenceGains, ModelConfidence, AT_ONCE, NEUTRAL,
 };
 
