--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -3,9 +3,9 @@
 use serde::Serialize;
 
 use super::backend::BackendState;
-use super::fatal::FatalDump;
 use super::peers::PeerState;
 use super::plan::RoutePlan;
+use super::poison::FatalDump;
 use super::trial::VersionTrial;
 use super::RouteState;
 use crate::position::TopicPosition;
--- a/crates/core/tests/route/fatal.rs
+++ b/crates/core/tests/route/fatal.rs
@@ -5,11 +5,11 @@
 use ravenspoke_core::route::event::{
     AttemptFailure, CallerRequest, RefusalReason, RouteEvent, SendOrder,
 };
-use ravenspoke_core::route::fatal::{
-    CrashUpdate, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
-};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
+use ravenspoke_core::route::poison::{
+    CrashUpdate, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+};
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, RATE};
