--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -1,7 +1,7 @@
 //! What a box asks of another, and how far the answer shows the replicas' entries.
 
 use prost::Message;
-use ravenspoke_core::route::entries::{EntryQuery, ListingPage};
+use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage};
 use ravenspoke_core::route::peers::{EntryCoverage, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -5,7 +5,7 @@
 
 use super::backend::{BackendChange, ChangeKind};
 use super::budget::SendCount;
-use super::entries::EntryAnswer;
+use super::entry_sync::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{LatencyUpdate, ServiceLatency};
 use super::peers::{
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -29,7 +29,7 @@
 pub mod budget;
 mod choice;
 mod dump;
-pub mod entries;
+pub mod entry_sync;
 mod era;
 pub mod evacuation;
 pub mod event;
@@ -72,7 +72,7 @@
 
 use backend::{BackendChange, BackendTable, ChangeKind};
 use budget::{BudgetBounds, SendBudget};
-use entries::EntryPosition;
+use entry_sync::EntryPosition;
 use evacuation::{EvacuatedZones, ZoneOrder};
 use event::{RouteEffect, RouteEvent};
 use fresh::{FreshBounds, PlanFreshness};
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -21,7 +21,7 @@
 use super::backend::BackendChange;
 use super::backend_health::UnreachableUpdate;
 use super::budget::SendCount;
-use super::entries::{EntryQuery, ListingPage};
+use super::entry_sync::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::limit::LimitUpdate;
 use super::loads::LoadUpdate;
@@ -246,7 +246,7 @@
     pub read_to: TopicPosition,
 }
 
-/// How far an answer shows the replicas' entries; see [`super::entries::EntryAnswer`].
+/// How far an answer shows the replicas' entries; see [`super::entry_sync::EntryAnswer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EntryCoverage {
     /// All changes before this position are known with it.
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::entries::{EntryQuery, CHANGES_TOLD, LISTING_MS};
+use ravenspoke_core::route::entry_sync::{EntryQuery, CHANGES_TOLD, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
--- a/crates/core/tests/route/readers.rs
+++ b/crates/core/tests/route/readers.rs
@@ -1,6 +1,6 @@
 //! When a box reads the store itself: duties, what others could not tell it, and how old its plan is.
 
-use ravenspoke_core::route::entries::ListingPage;
+use ravenspoke_core::route::entry_sync::ListingPage;
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo, BEHIND_MS, START_SETTLE_MS};
 
