--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -9,10 +9,10 @@
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent,
 };
-use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::peers::BoxCapacity;
 use ravenspoke_core::route::plan::{RouteKind, RoutePlan, RouteSpec, RouteTarget};
+use ravenspoke_core::route::plan_freshness::FreshBounds;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use ravenspoke_core::route::budget::BudgetBounds;
-use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::leader::LeaderBounds;
 use ravenspoke_core::route::peers::BoxCapacity;
+use ravenspoke_core::route::plan_freshness::FreshBounds;
 use ravenspoke_core::route::region::ZoneRegions;
 
 /// Checked settings.
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -4,9 +4,9 @@
 //! where a store that came back from a copy has lost it.
 
 use super::event::RouteEffect;
-use super::fresh::PlanFreshness;
 use super::peers::PlanPosition;
 use super::plan::{RoutePlan, RouteTable};
+use super::plan_freshness::PlanFreshness;
 use super::RouteState;
 use crate::event::EventStamp;
 use crate::position::TopicPosition;
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -9,9 +9,9 @@
 use ravenspoke_core::route::event::{
     AnswerHead, CallerRequest, RefusalReason, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
-use ravenspoke_core::route::fresh::FreshBounds;
 use ravenspoke_core::route::peers::{BoxCapacity, GossipMessage};
 use ravenspoke_core::route::plan::{KeyHolder, RouteKind, RoutePlan, RouteSpec, RouteTarget};
+use ravenspoke_core::route::plan_freshness::FreshBounds;
 use ravenspoke_core::route::trial::TrialOrder;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
