--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -57,9 +57,9 @@
 mod sender;
 pub mod start;
 mod sync_state;
-pub mod tally;
 mod tombstones;
 pub mod trial;
+pub mod trial_stats;
 mod verdict;
 pub mod warm_up;
 
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -28,8 +28,8 @@
 use super::pace::LatencyUpdate;
 use super::poison::{CrashUpdate, PoisonUpdate};
 use super::progress::TrialProgress;
-use super::tally::RouteStats;
 use super::trial::TrialVerdict;
+use super::trial_stats::RouteStats;
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -19,7 +19,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::progress::{TrialCheckpoint, TrialPhase, TrialProgress};
-use super::tally::{RouteStats, TrialFinding, TrialStats};
+use super::trial_stats::{RouteStats, TrialFinding, TrialStats};
 use crate::replica::mix;
 use crate::time::BoxTime;
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -29,8 +29,8 @@
 };
 use ravenspoke_core::route::progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
-use ravenspoke_core::route::tally::{TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
+use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -3,8 +3,8 @@
 use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
 use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
-use ravenspoke_core::route::tally::{TrialFault, TrialStats, VersionStats};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, TRIAL_SHARE};
+use ravenspoke_core::route::trial_stats::{TrialFault, TrialStats, VersionStats};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, ready_box, session, TestBox};
