--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -5,7 +5,7 @@
 use ravenspoke_adapter::records::{read_mark, write_mark, MARK_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::progress::TrialCheckpoint;
+use ravenspoke_core::route::trial_progress::TrialCheckpoint;
 use ravenspoke_core::time::BoxTime;
 use tokio::sync::mpsc::UnboundedReceiver;
 
--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -2,8 +2,8 @@
 
 use prost::{Enumeration, Message};
 use ravenspoke_core::route::peers::TrialUpdate;
-use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial::{TrialState, TrialVerdict};
+use ravenspoke_core::route::trial_progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
 
 #[derive(Clone, PartialEq, Message)]
--- a/crates/core/src/route/era.rs
+++ b/crates/core/src/route/era.rs
@@ -5,7 +5,7 @@
 //! What the boxes wrote they write again: verdicts and marks of trials, by turns as at first.
 
 use super::event::RouteEffect;
-use super::progress::TrialProgress;
+use super::trial_progress::TrialProgress;
 use super::{RouteState, LAPSE_MS};
 use crate::time::BoxTime;
 
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::progress::{TrialCheckpoint, TrialPhase, TrialProgress};
+use super::trial_progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use super::trial_stats::{RouteStats, TrialFinding, TrialStats};
 use crate::replica::mix;
 use crate::time::BoxTime;
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -4,8 +4,8 @@
 
 use super::event::RouteEffect;
 use super::peers::GossipMessage;
-use super::progress::TrialCheckpoint;
 use super::trial::{TrialOrder, TrialState, TrialVerdict, VersionTrial};
+use super::trial_progress::TrialCheckpoint;
 use super::RouteState;
 use crate::event::EventStamp;
 use crate::position::TopicPosition;
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -2,8 +2,8 @@
 
 use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
-use ravenspoke_core::route::progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, TRIAL_SHARE};
+use ravenspoke_core::route::trial_progress::{TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialFault, TrialStats, VersionStats};
 use ravenspoke_core::time::BoxTime;
 
