--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -11,7 +11,7 @@
 use super::peers::{
     self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
-use super::start::StartupState;
+use super::startup::StartupState;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
 use crate::time::BoxTime;
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -53,7 +53,7 @@
 pub mod region;
 mod request;
 mod sender;
-pub mod start;
+pub mod startup;
 mod store_era;
 mod sync_state;
 mod tombstones;
@@ -86,7 +86,7 @@
 use readers::ReaderState;
 use region::ZoneRegions;
 use request::RouteRequest;
-use start::StartupState;
+use startup::StartupState;
 use sync_state::SyncState;
 use trial::VersionTrial;
 
--- a/crates/core/src/route/readers.rs
+++ b/crates/core/src/route/readers.rs
@@ -4,7 +4,7 @@
 //! store, must neither wait for ever for the others nor storm the store with them.
 
 use super::event::RouteEffect;
-use super::start::StartupState;
+use super::startup::StartupState;
 use super::{peers, RouteState};
 use crate::time::BoxTime;
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -27,7 +27,7 @@
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
-use ravenspoke_core::route::start::{KNOW_OWN_MS, KNOW_REST_MS};
+use ravenspoke_core::route::startup::{KNOW_OWN_MS, KNOW_REST_MS};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
 use ravenspoke_core::route::trial_progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
