--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -5,7 +5,6 @@
 use ravenspoke_core::event::{EventStamp, RequestTicket};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, CallerRequest, PromptSize, RouteEffect, RouteEvent,
 };
@@ -13,6 +12,7 @@
 use ravenspoke_core::route::peers::BoxCapacity;
 use ravenspoke_core::route::plan::{RouteKind, RoutePlan, RouteSpec, RouteTarget};
 use ravenspoke_core::route::plan_freshness::FreshBounds;
+use ravenspoke_core::route::retry_budget::BudgetBounds;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -1,9 +1,9 @@
 //! What boxes say of themselves and of others.
 
 use prost::Message;
-use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::evacuation::EvacuationDigest;
 use ravenspoke_core::route::peers::{BudgetUpdate, PeerInfo, PeerSummary};
+use ravenspoke_core::route::retry_budget::SendCount;
 
 use super::position::{read_position, WirePosition};
 
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -8,11 +8,11 @@
 use ravenspoke_box::gateway::answer_pace::AnswerPace;
 use ravenspoke_box::gateway::driver::{GatewayDriver, GatewaySinks};
 use ravenspoke_core::position::TopicPosition;
-use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::peers::BoxCapacity;
 use ravenspoke_core::route::plan::RoutePlan;
 use ravenspoke_core::route::plan_freshness::FreshBounds;
+use ravenspoke_core::route::retry_budget::BudgetBounds;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use tokio::sync::mpsc::{channel, unbounded_channel};
 
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -7,12 +7,12 @@
 use ravenspoke_box::gateway::note_wire::{decode_datagram, encode_ask, encode_note, HeardDatagram};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::budget::SendCount;
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_TOLD};
 use ravenspoke_core::route::pace::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::peers::{
     BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, PeerSummary, PlanPosition, SyncRequest,
 };
+use ravenspoke_core::route::retry_budget::SendCount;
 use ravenspoke_core::time::BoxTime;
 
 /// Largest datagram, in bytes; one of the operator's records may come with a listing's page.
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::leader::LeaderBounds;
 use ravenspoke_core::route::peers::BoxCapacity;
 use ravenspoke_core::route::plan_freshness::FreshBounds;
 use ravenspoke_core::route::region::ZoneRegions;
+use ravenspoke_core::route::retry_budget::BudgetBounds;
 
 /// Checked settings.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -1,10 +1,10 @@
 //! The head of an answer came: it is passed on, or another replica or a larger model is asked.
 
 use super::backend_health::BackendOutcome;
-use super::budget::SendCause;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
 use super::model_cascade::{self, ModelConfidence};
 use super::pace::ServiceLatency;
+use super::retry_budget::SendCause;
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -3,13 +3,13 @@
 
 use super::admission::{latest_return, turned_away};
 use super::backend_health::{BackendOutcome, DOWN_TELL_MS};
-use super::budget::SendCause;
 use super::choice::AttemptChoice;
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
 use super::pick::BackendPick;
 use super::placement::urgency;
 use super::plan::{RouteKind, RouteSpec};
 use super::request::RunningAttempt;
+use super::retry_budget::SendCause;
 use super::verdict::advance;
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -4,13 +4,13 @@
 use std::collections::VecDeque;
 
 use super::backend::{BackendChange, ChangeKind};
-use super::budget::SendCount;
 use super::entry_sync::EntryAnswer;
 use super::event::RouteEffect;
 use super::pace::{LatencyUpdate, ServiceLatency};
 use super::peers::{
     self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
+use super::retry_budget::SendCount;
 use super::startup::StartupState;
 use super::{BackendSource, RouteState};
 use crate::event::EventStamp;
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -20,13 +20,13 @@
 
 use super::backend::BackendChange;
 use super::backend_health::UnreachableUpdate;
-use super::budget::SendCount;
 use super::entry_sync::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::limit::LimitUpdate;
 use super::loads::LoadUpdate;
 use super::pace::LatencyUpdate;
 use super::poison::{CrashUpdate, PoisonUpdate};
+use super::retry_budget::SendCount;
 use super::trial::TrialVerdict;
 use super::trial_progress::TrialProgress;
 use super::trial_stats::RouteStats;
--- a/crates/core/tests/route/budget.rs
+++ b/crates/core/tests/route/budget.rs
@@ -1,6 +1,8 @@
 //! The retry budget of a fleet: boxes that see few requests each, and what they make of the whole.
 
-use ravenspoke_core::route::budget::{BudgetBounds, SendBudget, SendCause, SendCount, HEARD_MS};
+use ravenspoke_core::route::retry_budget::{
+    BudgetBounds, SendBudget, SendCause, SendCount, HEARD_MS,
+};
 use ravenspoke_core::time::BoxTime;
 
 /// Boxes of the fleet.
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -5,13 +5,13 @@
 use ravenspoke_core::event::{EventStamp, RequestTicket};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
     AnswerHead, CallerRequest, RefusalReason, RouteEffect, RouteEvent, RouteRefusal, SendOrder,
 };
 use ravenspoke_core::route::peers::{BoxCapacity, GossipMessage};
 use ravenspoke_core::route::plan::{KeyHolder, RouteKind, RoutePlan, RouteSpec, RouteTarget};
 use ravenspoke_core::route::plan_freshness::FreshBounds;
+use ravenspoke_core::route::retry_budget::BudgetBounds;
 use ravenspoke_core::route::trial::TrialOrder;
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -1,12 +1,12 @@
 //! Attempts, what may be repeated, and what a refusal may say.
 
-use ravenspoke_core::route::budget::BudgetBounds;
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, CallerRequest, RefusalReason, RouteEffect, RouteEvent,
 };
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::plan::RouteKind;
 use ravenspoke_core::route::plan_freshness::FreshBounds;
+use ravenspoke_core::route::retry_budget::BudgetBounds;
 use ravenspoke_core::route::{RouteSettings, RouteState, STOP_TAKE_MS};
 
 use crate::fixture::{
