--- a/crates/core/tests/route/limits.rs
+++ b/crates/core/tests/route/limits.rs
@@ -1,9 +1,9 @@
 //! Replicas that name a limit: what they get in four seconds, from all boxes together.
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
-use ravenspoke_core::route::limit::{LimitUpdate, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
+use ravenspoke_core::route::rate_limit::{LimitUpdate, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
 use ravenspoke_core::route::RouteState;
 
 use crate::fixture::{ask, entry, head, is_refused, new_box, plan, ready_box, TestBox};
