--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -14,7 +14,7 @@
 use super::leader::scale::ZoneCount;
 use super::prefix_cache::PrefixCache;
 use super::rate_limit::ReplicaLimit;
-use super::sender::SenderPart;
+use super::rate_share::SenderPart;
 use super::tombstones::ReplicaTombstones;
 use super::warm_up::{WarmUpPlan, UNSEEN_MS};
 use crate::ids::ReplicaKey;
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::backend::{BackendState, BackendTable};
-use super::sender::{FleetNames, SenderPart};
+use super::rate_share::{FleetNames, SenderPart};
 use super::RouteState;
 use crate::event::EventStamp;
 use crate::ids::ReplicaKey;
--- a/crates/core/src/route/warm_up.rs
+++ b/crates/core/src/route/warm_up.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::backend::BackendTable;
-use super::sender::FleetNames;
+use super::rate_share::FleetNames;
 use super::RouteState;
 use crate::time::BoxTime;
 
