--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -48,13 +48,13 @@
 pub mod prefix_cache;
 pub mod rate_limit;
 mod rate_share;
-pub mod readers;
 mod refuse;
 pub mod region;
 mod request;
 pub mod retry_budget;
 pub mod startup;
 mod store_era;
+pub mod store_readers;
 mod sync_state;
 mod tombstones;
 pub mod trial;
@@ -82,11 +82,11 @@
 use plan::{RoutePlan, RouteTable};
 use plan_freshness::{FreshBounds, PlanFreshness};
 use poison::PoisonContents;
-use readers::ReaderState;
 use region::ZoneRegions;
 use request::RouteRequest;
 use retry_budget::{BudgetBounds, SendBudget};
 use startup::StartupState;
+use store_readers::ReaderState;
 use sync_state::SyncState;
 use trial::VersionTrial;
 
@@ -97,7 +97,7 @@
 pub const LAPSE_MS: u64 = 2_200;
 
 /// A box whose plan is older than this is not named to callers, in milliseconds, unless all are:
-/// past [`readers::OWN_READ_MS`] and a call to the store.
+/// past [`store_readers::OWN_READ_MS`] and a call to the store.
 pub const NAMED_AGE_MS: u64 = 3_600;
 
 /// New requests are still taken for this long after the planned stop began, in milliseconds: callers
