--- a/crates/box/src/gateway/note_wire/replica.rs
+++ b/crates/box/src/gateway/note_wire/replica.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::backend_health::UnreachableUpdate;
 use ravenspoke_core::route::loads::LoadUpdate;
-use ravenspoke_core::route::pace::{LatencyEstimate, LatencyUpdate, ModelLatency};
+use ravenspoke_core::route::model_latency::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::placement::PlacementUpdate;
 use ravenspoke_core::route::poison::{CrashUpdate, PoisonUpdate};
 use ravenspoke_core::route::rate_limit::LimitUpdate;
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_TOLD};
-use ravenspoke_core::route::pace::{LatencyEstimate, LatencyUpdate, ModelLatency};
+use ravenspoke_core::route::model_latency::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::peers::{
     BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, PeerSummary, PlanPosition, SyncRequest,
 };
--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -3,7 +3,7 @@
 use super::backend_health::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
 use super::model_cascade::{self, ModelConfidence};
-use super::pace::ServiceLatency;
+use super::model_latency::ServiceLatency;
 use super::retry_budget::SendCause;
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,7 +1,7 @@
 //! Which replica a request's next attempt would go to: the version of its trial, and what its prompt takes.
 
 use super::event::TrialInputs;
-use super::pace::ServiceLatency;
+use super::model_latency::ServiceLatency;
 use super::pick::{BackendPick, BackendQuery, VersionFilter};
 use super::placement::PromptWork;
 use super::request::RouteRequest;
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -6,7 +6,7 @@
 use super::backend::{BackendChange, ChangeKind};
 use super::entry_sync::EntryAnswer;
 use super::event::RouteEffect;
-use super::pace::{LatencyUpdate, ServiceLatency};
+use super::model_latency::{LatencyUpdate, ServiceLatency};
 use super::peers::{
     self, BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, SyncRequest, TrialUpdate,
 };
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -23,7 +23,7 @@
 use super::entry_sync::{EntryQuery, ListingPage};
 use super::evacuation::EvacuationDigest;
 use super::loads::LoadUpdate;
-use super::pace::LatencyUpdate;
+use super::model_latency::LatencyUpdate;
 use super::poison::{CrashUpdate, PoisonUpdate};
 use super::rate_limit::LimitUpdate;
 use super::retry_budget::SendCount;
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -10,7 +10,7 @@
     AnswerHead, CallerRequest, PromptSize, RouteEffect, RouteEvent, SendOrder,
 };
 use ravenspoke_core::route::loads::BackendLoad;
-use ravenspoke_core::route::pace::{LatencyEstimate, ModelLatency, ServiceLatency};
+use ravenspoke_core::route::model_latency::{LatencyEstimate, ModelLatency, ServiceLatency};
 use ravenspoke_core::route::placement::{
     PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
 };
