--- a/crates/core/tests/route/main.rs
+++ b/crates/core/tests/route/main.rs
@@ -1,5 +1,6 @@
 //! The rules of routing by host and prefix, each on the real reducer in virtual time.
 
+mod backoff;
 mod budget;
 mod calls;
 mod cold;
@@ -24,5 +25,4 @@
 mod requests;
 mod restarts;
 mod restores;
-mod rests;
 mod trials;
