--- a/crates/core/tests/route/main.rs
+++ b/crates/core/tests/route/main.rs
@@ -1,7 +1,6 @@
 //! The rules of routing by host and prefix, each on the real reducer in virtual time.
 
 mod backoff;
-mod budget;
 mod calls;
 mod cold;
 mod evacuations;
@@ -25,4 +24,5 @@
 mod requests;
 mod restarts;
 mod restores;
+mod retry_budget;
 mod trials;
