--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -8,7 +8,7 @@
 use crate::time::BoxTime;
 
 /// Failures in a row after which a replica is passed over. Two: one may be the request's own fault.
-pub const PASS_OVER_FAILURES: u32 = 2;
+pub const EJECTION_FAILURES: u32 = 2;
 
 /// First span for which a replica is passed over, in milliseconds; doubled by each further one.
 pub const PASS_OVER_FIRST_MS: u64 = 700;
@@ -96,11 +96,11 @@
             BackendOutcome::Failed => row.failures += 1,
             BackendOutcome::Unreachable => {
                 row.down_at = Some(now);
-                row.failures += PASS_OVER_FAILURES;
+                row.failures += EJECTION_FAILURES;
             }
             BackendOutcome::Neither => {}
         }
-        if row.failures >= PASS_OVER_FAILURES {
+        if row.failures >= EJECTION_FAILURES {
             row.pass_over(now);
         }
     }
