--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -11,7 +11,7 @@
 pub const EJECTION_FAILURES: u32 = 2;
 
 /// First span for which a replica is passed over, in milliseconds; doubled by each further one.
-pub const PASS_OVER_FIRST_MS: u64 = 700;
+pub const EJECTION_FIRST_MS: u64 = 700;
 
 /// Longest span for which a replica is passed over, in milliseconds.
 pub const PASS_OVER_LIMIT_MS: u64 = 5_000;
@@ -70,7 +70,7 @@
 impl BackendState {
     /// Passes it over for a span, longer each time in a row.
     fn pass_over(&mut self, now: BoxTime) {
-        let span = (PASS_OVER_FIRST_MS << self.passes.min(8)).min(PASS_OVER_LIMIT_MS);
+        let span = (EJECTION_FIRST_MS << self.passes.min(8)).min(PASS_OVER_LIMIT_MS);
         self.passed_until = now.plus_millis(span);
         self.passes += 1;
         self.failures = 0;
@@ -118,7 +118,7 @@
         let at = now.minus_millis(told.age_ms);
         if told.age_ms < DOWN_TOLD_MS && at > row.reported_at {
             row.down_at = row.down_at.max(Some(at));
-            row.passed_until = row.passed_until.max(at.plus_millis(PASS_OVER_FIRST_MS));
+            row.passed_until = row.passed_until.max(at.plus_millis(EJECTION_FIRST_MS));
             return Some(key);
         }
         None
