--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -14,7 +14,7 @@
 pub const EJECTION_FIRST_MS: u64 = 700;
 
 /// Longest span for which a replica is passed over, in milliseconds.
-pub const PASS_OVER_LIMIT_MS: u64 = 5_000;
+pub const EJECTION_LIMIT_MS: u64 = 5_000;
 
 /// Answers that a replica left out are held against its version after this, in milliseconds, where it has
 /// not answered since: the entry of one that crashed is gone by then, after three heartbeats of silence.
@@ -70,7 +70,7 @@
 impl BackendState {
     /// Passes it over for a span, longer each time in a row.
     fn pass_over(&mut self, now: BoxTime) {
-        let span = (EJECTION_FIRST_MS << self.passes.min(8)).min(PASS_OVER_LIMIT_MS);
+        let span = (EJECTION_FIRST_MS << self.passes.min(8)).min(EJECTION_LIMIT_MS);
         self.passed_until = now.plus_millis(span);
         self.passes += 1;
         self.failures = 0;
