--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -68,7 +68,7 @@
         if stamp.now < self.rounds.next_note {
             return;
         }
-        self.rounds.next_note = stamp.now.plus_millis(peers::NOTE_EVERY_MS);
+        self.rounds.next_note = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
         self.peers.forget(stamp.now);
         let told = |at: BoxTime| stamp.now.millis_since(at) < TELL_MS;
         self.rounds.changes.retain(|(at, _)| told(*at));
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -34,7 +34,7 @@
 use crate::time::BoxTime;
 
 /// Time between two notes to the same box, in milliseconds.
-pub const NOTE_EVERY_MS: u64 = 500;
+pub const GOSSIP_INTERVAL_MS: u64 = 500;
 
 /// A box that has said nothing for this long is no longer named to callers, in milliseconds: three
 /// notes in a row may be lost, the fourth is late.
