--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -44,7 +44,7 @@
 pub const FORGET_MS: u64 = 60_000;
 
 /// Boxes that a note is sent to each time; at most this many, chosen anew.
-pub const NOTE_FANOUT: usize = 12;
+pub const GOSSIP_FANOUT: usize = 12;
 
 /// Of these, boxes of the sender's own availability zone at most: bytes between zones are paid for, and boxes of one
 /// zone mostly choose among the same replicas. The rest keeps word going between zones: each hears eight notes a
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, NOTE_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
+    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, GOSSIP_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
     TOLD_SILENT_MS,
 };
 use crate::time::BoxTime;
@@ -123,12 +123,12 @@
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
         let far = self.rows.values().filter(|row| !near(row)).map(known);
         let mut others: Vec<String> = far.chain(self.hearsay.keys().cloned()).collect();
-        if targets.len() + others.len() > NOTE_FANOUT {
+        if targets.len() + others.len() > GOSSIP_FANOUT {
             let order = |address: &String| xxh3_64_with_seed(address.as_bytes(), random);
             targets.sort_by_cached_key(order);
             others.sort_by_cached_key(order);
-            targets.truncate(NOTE_NEAR.max(NOTE_FANOUT.saturating_sub(others.len())));
-            others.truncate(NOTE_FANOUT - targets.len());
+            targets.truncate(NOTE_NEAR.max(GOSSIP_FANOUT.saturating_sub(others.len())));
+            others.truncate(GOSSIP_FANOUT - targets.len());
         }
         targets.append(&mut others);
         targets
@@ -153,7 +153,7 @@
 
     /// Whether the boxes that are known are so few that each note reaches all.
     pub fn all_are_told(&self) -> bool {
-        self.rows.len() + self.hearsay.len() <= NOTE_FANOUT
+        self.rows.len() + self.hearsay.len() <= GOSSIP_FANOUT
     }
 
     /// All addresses that have, or may have, another box.
