--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -18,7 +18,7 @@
 
 /// News of a replica is told to other boxes for this long, in milliseconds: three notes. Who hears it
 /// tells it on.
-pub const TELL_MS: u64 = 1_500;
+pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
 /// News of replicas in one note, at most, the newest first; what a box misses it reads itself later.
 pub const NEWS_LIMIT: usize = 40;
@@ -70,7 +70,7 @@
         }
         self.rounds.next_note = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
         self.peers.forget(stamp.now);
-        let told = |at: BoxTime| stamp.now.millis_since(at) < TELL_MS;
+        let told = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
         self.rounds.changes.retain(|(at, _)| told(*at));
         let targets = self.peers.note_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
