--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -2,7 +2,7 @@
 //! another attempt when one keeps silent, fails or ends.
 
 use super::admission::{latest_return, turned_away};
-use super::backend_health::{BackendOutcome, DOWN_TELL_MS};
+use super::backend_health::{BackendOutcome, UNREACHABLE_DELAY_MS};
 use super::choice::AttemptChoice;
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
 use super::pick::BackendPick;
@@ -296,7 +296,7 @@
                 self.settle_ends(stamp.now);
                 self.cool_unreached(attempt.replica);
                 self.rounds.next_note =
-                    self.rounds.next_note.min(stamp.now.plus_millis(DOWN_TELL_MS));
+                    self.rounds.next_note.min(stamp.now.plus_millis(UNREACHABLE_DELAY_MS));
             }
         }
     }
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -31,7 +31,7 @@
 
 /// A box that could not reach a replica tells others after this at the latest, in milliseconds: each request until then may
 /// be given to it.
-pub const DOWN_TELL_MS: u64 = 50;
+pub const UNREACHABLE_DELAY_MS: u64 = 50;
 
 /// Word of a replica to which no connection came about.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -1,7 +1,7 @@
 //! What boxes tell each other of replicas' loads.
 
 use ravenspoke_core::route::backend::backend_hash;
-use ravenspoke_core::route::backend_health::DOWN_TELL_MS;
+use ravenspoke_core::route::backend_health::UNREACHABLE_DELAY_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, CallerRequest, RouteEvent};
 use ravenspoke_core::route::loads::{BackendLoad, LoadUpdate};
 use ravenspoke_core::route::peers::GossipMessage;
@@ -76,7 +76,7 @@
     teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let (ticket, order) = teller.sent(ask("/read/x"));
     teller.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
-    teller.now += DOWN_TELL_MS;
+    teller.now += UNREACHABLE_DELAY_MS;
     let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note, before the next is due");
     let note = GossipMessage { name: "box-9".to_owned(), ..note };
 
