--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -24,7 +24,7 @@
 const LOST_LIMIT: usize = 64;
 
 /// Word that a replica could not be reached is told to other boxes for this long, in milliseconds: two notes.
-pub const DOWN_TOLD_MS: u64 = 1_200;
+pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
 /// Such words in one note, at most, the newest first: some 670 bytes, worked out.
 const DOWN_TOLD: usize = 48;
@@ -116,7 +116,7 @@
         let key = *self.hashes.get(&told.replica)?;
         let row = &mut self.rows[key];
         let at = now.minus_millis(told.age_ms);
-        if told.age_ms < DOWN_TOLD_MS && at > row.reported_at {
+        if told.age_ms < UNREACHABLE_GOSSIP_MS && at > row.reported_at {
             row.down_at = row.down_at.max(Some(at));
             row.passed_until = row.passed_until.max(at.plus_millis(EJECTION_FIRST_MS));
             return Some(key);
@@ -128,7 +128,8 @@
     pub(super) fn down_to_tell(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let note = |row: &BackendState| {
             let age_ms = now.millis_since(row.down_at?);
-            (age_ms < DOWN_TOLD_MS).then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
+            (age_ms < UNREACHABLE_GOSSIP_MS)
+                .then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
         };
         let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(note).collect();
         notes.sort_by_key(|note| note.age_ms);
