--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -52,7 +52,7 @@
 pub const END_KEPT_MS: u64 = 60_000;
 
 /// An end is told on for this long, in milliseconds: several notes pass it on to all boxes of hundreds.
-pub const END_TOLD_MS: u64 = 3_000;
+pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
 /// That a content crashes replicas binds for this long after the last end, in milliseconds: callers go on for minutes, and
 /// each try ends all that a replica has in hand.
@@ -255,7 +255,7 @@
         ends: &[CrashUpdate],
         words: &[PoisonUpdate],
     ) {
-        for told in ends.iter().filter(|told| told.age_ms < END_TOLD_MS) {
+        for told in ends.iter().filter(|told| told.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
             let CrashUpdate { content, request, replica, .. } = *told;
             let end = ReplicaEnd { requests: vec![request], replica, unsure: None, at };
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, END_KEPT_MS, END_SPREAD_MS, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS,
-    FATAL_ENDS_APART, FATAL_KEPT_MS, REQUESTS_KEPT, SAME_MOMENT_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, END_SPREAD_MS, FATAL_BINDS_MS,
+    FATAL_ENDS, FATAL_ENDS_APART, FATAL_KEPT_MS, REQUESTS_KEPT, SAME_MOMENT_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -196,14 +196,14 @@
                 age_ms,
             })
         });
-        notes.filter(|note| note.age_ms < END_TOLD_MS)
+        notes.filter(|note| note.age_ms < CRASH_GOSSIP_MS)
     }
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
     pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
         let fatal = self.fatal_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
-        let answered = answered.filter(|age_ms| *age_ms < END_TOLD_MS);
+        let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
         let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
         fatal.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
     }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::poison::{
-    CrashUpdate, PoisonUpdate, END_TOLD_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -48,7 +48,7 @@
     fleet.notes_go = true;
     fleet.play(0.5, 2_000);
     fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
-    fleet.play(0.5, 3_000 + END_TOLD_MS);
+    fleet.play(0.5, 3_000 + CRASH_GOSSIP_MS);
     fleet
 }
 
