--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -26,7 +26,7 @@
 
 /// Word of a limit is told on for this long after the replica said it, in milliseconds: several notes pass it on to all
 /// boxes of hundreds.
-pub const LIMIT_TOLD_MS: u64 = 3_000;
+pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
 /// Limits in one note, at most, the latest word first: some 600 bytes.
 const LIMITS_TOLD: usize = 40;
@@ -107,7 +107,7 @@
     /// What other boxes are told, if there is anything that they may not know.
     fn note(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
         let age_ms = now.millis_since(self.said_at?);
-        (age_ms < LIMIT_TOLD_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
+        (age_ms < LIMIT_GOSSIP_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
     }
 }
 
@@ -173,7 +173,7 @@
         notes: &[LimitUpdate],
         out: &mut Vec<RouteEffect>,
     ) {
-        for told in notes.iter().filter(|told| told.age_ms < LIMIT_TOLD_MS) {
+        for told in notes.iter().filter(|told| told.age_ms < LIMIT_GOSSIP_MS) {
             let Some(key) = self.backends.named(told) else { continue };
             self.take_limit(stamp, key, told.per_s, stamp.now.minus_millis(told.age_ms), out);
         }
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -3,7 +3,9 @@
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
-use ravenspoke_core::route::rate_limit::{LimitUpdate, ASK_AFTER_MS, LIMIT_KEPT_MS, LIMIT_TOLD_MS};
+use ravenspoke_core::route::rate_limit::{
+    LimitUpdate, ASK_AFTER_MS, LIMIT_GOSSIP_MS, LIMIT_KEPT_MS,
+};
 use ravenspoke_core::route::RouteState;
 
 use crate::fixture::{ask, entry, head, is_refused, new_box, plan, ready_box, TestBox};
@@ -171,11 +173,11 @@
 #[test]
 fn older_word_of_a_limit_does_not_replace_later_word() {
     let mut subject = ready_box();
-    subject.now += LIMIT_TOLD_MS;
+    subject.now += LIMIT_GOSSIP_MS;
     name_limit(&mut subject, Some(1.0));
     subject.feed(note(1, None, 500));
     assert!(sent_to_a(&mut subject) <= 1, "what the replica said itself is later");
-    subject.feed(note(2, None, LIMIT_TOLD_MS));
+    subject.feed(note(2, None, LIMIT_GOSSIP_MS));
     assert!(sent_to_a(&mut subject) <= 1, "word that is too old says nothing");
 }
 
