--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -3,7 +3,7 @@
 use super::backend_health::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
 use super::pick::BackendPick;
-use super::placement::{PlacementUpdate, TOLD_WORK_MS};
+use super::placement::{PlacementUpdate, PLACEMENT_GOSSIP_WORK_MS};
 use super::trial::{TrialState, VersionTrial};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
@@ -25,7 +25,7 @@
         pace.sent(work_ms);
         let expected_ms = pick.expected_ms + pace.begin_ms(request.size.unwrap_or(0));
         self.backends.placed(pick.key, &work, work_ms, expected_ms, stamp.now);
-        if work_ms >= TOLD_WORK_MS {
+        if work_ms >= PLACEMENT_GOSSIP_WORK_MS {
             let Some(row) = self.backends.get(pick.key) else { return };
             let replica = row.id_hash;
             let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -22,7 +22,7 @@
 
 /// A prompt that takes a replica at least this long is told to other boxes at once, in milliseconds: what
 /// is shorter drains before others' next requests.
-pub const TOLD_WORK_MS: f64 = 100.0;
+pub const PLACEMENT_GOSSIP_WORK_MS: f64 = 100.0;
 
 /// Word of a long prompt that a box has placed: its work is there before any answer of the replica tells of
 /// it, and so are its shared parts.
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -12,7 +12,7 @@
 use ravenspoke_core::route::loads::BackendLoad;
 use ravenspoke_core::route::model_latency::{LatencyEstimate, ModelLatency, ServiceLatency};
 use ravenspoke_core::route::placement::{
-    PlacementUpdate, PromptWork, ReplicaView, TOLD_WORK_MS, ZONE_KB_MS,
+    PlacementUpdate, PromptWork, ReplicaView, PLACEMENT_GOSSIP_WORK_MS, ZONE_KB_MS,
 };
 use ravenspoke_core::route::prefix_cache::{PrefixCache, HELD_MS};
 use ravenspoke_core::time::BoxTime;
@@ -123,7 +123,7 @@
     assert_eq!(told.replica, backend_hash(&order.replica_id));
     let near = |ms: u32| (800..1_200).contains(&ms);
     assert!(near(told.work_ms), "{told:?}");
-    let short = (TOLD_WORK_MS / 0.1 / 2.0) as u32;
+    let short = (PLACEMENT_GOSSIP_WORK_MS / 0.1 / 2.0) as u32;
     let (_, effects) = subject.arrive(prompt(10, 0, short));
     assert_eq!(told_in(&effects), None);
 }
