--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -56,7 +56,7 @@
 
 /// A box that was heard of through others is taken for living for this long after it spoke, in
 /// milliseconds: where notes go to a few of many boxes, word of one takes up to three rounds.
-pub const TOLD_SILENT_MS: u64 = 2_500;
+pub const INDIRECT_SILENT_MS: u64 = 2_500;
 
 /// Boxes that ask one reader, at most, with an ask each [`ASK_EVERY_MS`]: some 80 answers a second, a
 /// hundredth of a core.
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, GOSSIP_FANOUT, NOTE_NEAR, SILENT_MS, TOLD_OF,
-    TOLD_SILENT_MS,
+    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, GOSSIP_FANOUT, INDIRECT_SILENT_MS, NOTE_NEAR,
+    SILENT_MS, TOLD_OF,
 };
 use crate::time::BoxTime;
 
@@ -31,7 +31,7 @@
 
     /// Whether it was heard lately, or others have lately heard it.
     pub(super) fn leads(&self, now: BoxTime) -> bool {
-        now.millis_since(self.heard_at) < TOLD_SILENT_MS
+        now.millis_since(self.heard_at) < INDIRECT_SILENT_MS
     }
 }
 
@@ -63,7 +63,8 @@
 
     /// Takes what another box told of boxes with duties.
     pub fn hear_leads(&mut self, leads: &[PeerSummary], me: &str, now: BoxTime) {
-        for lead in leads.iter().filter(|lead| lead.name != me && lead.age_ms < TOLD_SILENT_MS) {
+        for lead in leads.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
+        {
             self.hear_lead(lead, now.minus_millis(lead.age_ms));
         }
     }
