--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -99,7 +99,7 @@
 pub const START_TURN_MS: u64 = 100;
 
 /// It waits no longer than this, in milliseconds, for boxes that read the store or know all to tell it: they may be unable to.
-pub const START_TOLD_MS: u64 = 10_000;
+pub const START_SYNC_LIMIT_MS: u64 = 10_000;
 
 /// A box that could not reach the store goes behind the others in reading it for this long, in milliseconds,
 /// unless a call succeeds.
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -91,11 +91,11 @@
         }
         let wait_ms = match (self.peers.any_serves(now), self.settings.is_seed) {
             (true, true) => peers::START_WAIT_MS,
-            (true, false) => peers::START_TOLD_MS,
+            (true, false) => peers::START_SYNC_LIMIT_MS,
             (false, true) => 0,
             (false, false) => {
                 let before = self.peers.rank(&self.local_peer(now), now) as u64;
-                (before * peers::START_TURN_MS).min(peers::START_TOLD_MS)
+                (before * peers::START_TURN_MS).min(peers::START_SYNC_LIMIT_MS)
             }
         };
         now >= start.read_at.plus_millis(wait_ms)
