--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -131,7 +131,7 @@
 pub const OTHERS_EVERY: u64 = 4;
 
 /// Addresses of other boxes that a note tells of.
-pub const TOLD_OF: usize = 6;
+pub const ADDRESSES_PER_MESSAGE: usize = 6;
 
 /// Addresses in an answer to a caller, at most; the platform's limit.
 pub const NAMED_LIMIT: usize = 64;
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerInfo, PeerSummary, FORGET_MS, GOSSIP_FANOUT, INDIRECT_SILENT_MS, NOTE_NEAR,
-    SILENT_MS, TOLD_OF,
+    GossipMessage, PeerInfo, PeerSummary, ADDRESSES_PER_MESSAGE, FORGET_MS, GOSSIP_FANOUT,
+    INDIRECT_SILENT_MS, NOTE_NEAR, SILENT_MS,
 };
 use crate::time::BoxTime;
 
@@ -184,7 +184,7 @@
     pub fn some_addresses(&self, random: u64) -> Vec<String> {
         let first = (random % self.rows.len().max(1) as u64) as usize;
         let rows = self.rows.values().chain(self.rows.values()).skip(first);
-        let some = rows.take(TOLD_OF.min(self.rows.len()));
+        let some = rows.take(ADDRESSES_PER_MESSAGE.min(self.rows.len()));
         some.map(|row| row.card.gossip_address.clone()).collect()
     }
 
