--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -31,7 +31,7 @@
 pub const TOLD_MS: u64 = 1_200;
 
 /// Loads in one note, at most, the highest first: what keeps a note within a datagram.
-pub const LOADS_TOLD: usize = 24;
+pub const LOADS_PER_MESSAGE: usize = 24;
 
 /// Load that came with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -180,7 +180,7 @@
         };
         let mut rows: Vec<&BackendState> = self.rows.values().filter(tells).collect();
         rows.sort_by(|a, b| b.reported_share().total_cmp(&a.reported_share()));
-        rows.truncate(LOADS_TOLD);
+        rows.truncate(LOADS_PER_MESSAGE);
         rows.into_iter().map(|row| row.load_note(now)).collect()
     }
 }
