--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -25,7 +25,7 @@
 pub const COLD_WEIGHT: f64 = 2.0;
 
 /// A replica's load is told to other boxes from this share of its slots on: below it nothing waits.
-pub const TOLD_SHARE: f64 = 0.4;
+pub const GOSSIP_LOAD_SHARE: f64 = 0.4;
 
 /// A load is told for this long after its report, in milliseconds: two notes pass it on to all.
 pub const TOLD_MS: u64 = 1_200;
@@ -176,7 +176,7 @@
     /// Loads that other boxes should know of.
     pub fn loads_to_tell(&self, now: BoxTime) -> Vec<LoadUpdate> {
         let tells = |row: &&BackendState| {
-            now.millis_since(row.reported_at) < TOLD_MS && row.reported_share() >= TOLD_SHARE
+            now.millis_since(row.reported_at) < TOLD_MS && row.reported_share() >= GOSSIP_LOAD_SHARE
         };
         let mut rows: Vec<&BackendState> = self.rows.values().filter(tells).collect();
         rows.sort_by(|a, b| b.reported_share().total_cmp(&a.reported_share()));
