--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -28,7 +28,7 @@
 pub const GOSSIP_LOAD_SHARE: f64 = 0.4;
 
 /// A load is told for this long after its report, in milliseconds: two notes pass it on to all.
-pub const TOLD_MS: u64 = 1_200;
+pub const LOAD_GOSSIP_MS: u64 = 1_200;
 
 /// Loads in one note, at most, the highest first: what keeps a note within a datagram.
 pub const LOADS_PER_MESSAGE: usize = 24;
@@ -176,7 +176,8 @@
     /// Loads that other boxes should know of.
     pub fn loads_to_tell(&self, now: BoxTime) -> Vec<LoadUpdate> {
         let tells = |row: &&BackendState| {
-            now.millis_since(row.reported_at) < TOLD_MS && row.reported_share() >= GOSSIP_LOAD_SHARE
+            now.millis_since(row.reported_at) < LOAD_GOSSIP_MS
+                && row.reported_share() >= GOSSIP_LOAD_SHARE
         };
         let mut rows: Vec<&BackendState> = self.rows.values().filter(tells).collect();
         rows.sort_by(|a, b| b.reported_share().total_cmp(&a.reported_share()));
