--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -7,7 +7,7 @@
 use ravenspoke_box::gateway::note_wire::{decode_datagram, encode_ask, encode_note, HeardDatagram};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
-use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_TOLD};
+use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_PER_MESSAGE};
 use ravenspoke_core::route::model_latency::{LatencyEstimate, LatencyUpdate, ModelLatency};
 use ravenspoke_core::route::peers::{
     BudgetUpdate, EntryCoverage, GossipMessage, PeerInfo, PeerSummary, PlanPosition, SyncRequest,
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_page_of_a_listing_fits_into_a_datagram() {
-    let changes = (0..CHANGES_TOLD).map(change).collect();
+    let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
     let note = GossipMessage { changes, ..answer() };
     assert!(encode_note(&note, None, None).len() < NOTE_LIMIT);
 }
@@ -167,7 +167,8 @@
 #[test]
 fn a_plan_of_a_thousand_routes_fits_into_an_answer_beside_a_page_of_replicas() {
     let record = plan_of_many_routes();
-    let note = GossipMessage { changes: (0..CHANGES_TOLD).map(change).collect(), ..answer() };
+    let note =
+        GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..answer() };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
     let datagram = encode_note(&note, Some(&packed), None);
--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -12,11 +12,11 @@
 
 /// Changes in one datagram, at most: packed some 20 bytes each, in a datagram of at most 60,000 that may hold a plan
 /// of a thousand routes beside them.
-pub const CHANGES_TOLD: usize = 1_000;
+pub const CHANGES_PER_MESSAGE: usize = 1_000;
 
 /// A listing shows which replicas are gone as well, if these are at most so many: who was told it can then tell others what
 /// they lack, where it would else have to tell them all replicas.
-pub const GONE_TOLD: usize = CHANGES_TOLD / 2;
+pub const GONE_TOLD: usize = CHANGES_PER_MESSAGE / 2;
 
 /// A listing is under way for this long after a page of it, in milliseconds: an ask and its answer, once lost and
 /// repeated. Meanwhile the store is not asked for all replicas as well.
@@ -138,9 +138,9 @@
         }
         let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
         let shows_gone = !whole || table.gone_count() <= GONE_TOLD;
-        let mut changes = table.changes_from(from, shows_gone, CHANGES_TOLD + 1);
-        let more = changes.len() > CHANGES_TOLD;
-        let kept = if more && !whole { aligned(&changes) } else { CHANGES_TOLD };
+        let mut changes = table.changes_from(from, shows_gone, CHANGES_PER_MESSAGE + 1);
+        let more = changes.len() > CHANGES_PER_MESSAGE;
+        let kept = if more && !whole { aligned(&changes) } else { CHANGES_PER_MESSAGE };
         let next = changes.get(kept).map(|change| change.at);
         changes.truncate(kept);
         let all = !more && settled_to == known_to;
@@ -215,7 +215,8 @@
 /// How many of more changes than an answer holds are told in one: up to a position that is the same for all who ask, so that
 /// what follows is packed once for them.
 fn aligned(changes: &[BackendChange]) -> usize {
-    let window = |change: &BackendChange| (change.at.era, change.at.offset / CHANGES_TOLD as u64);
+    let window =
+        |change: &BackendChange| (change.at.era, change.at.offset / CHANGES_PER_MESSAGE as u64);
     let Some(first) = changes.first().map(window) else { return 0 };
-    changes.iter().take(CHANGES_TOLD).take_while(|change| window(change) == first).count()
+    changes.iter().take(CHANGES_PER_MESSAGE).take_while(|change| window(change) == first).count()
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -2,7 +2,7 @@
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
-use ravenspoke_core::route::entry_sync::{EntryQuery, CHANGES_TOLD, LISTING_MS};
+use ravenspoke_core::route::entry_sync::{EntryQuery, CHANGES_PER_MESSAGE, LISTING_MS};
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
@@ -416,7 +416,7 @@
 fn more_replicas_than_a_datagram_holds_are_told_in_pages() {
     let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
-    for number in 0..2 * CHANGES_TOLD + 7 {
+    for number in 0..2 * CHANGES_PER_MESSAGE + 7 {
         reader.put(entry(&format!("r{number}"), "v1"));
     }
     let mut effects = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
@@ -424,12 +424,12 @@
     while let Some(ask) = ask_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
         let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
-        assert!(note.changes.len() <= CHANGES_TOLD);
+        assert!(note.changes.len() <= CHANGES_PER_MESSAGE);
         effects = asker.feed(RouteEvent::GossipReceived(Box::new(note)));
         pages += 1;
     }
     assert_eq!(pages, 3);
-    assert_eq!(asker.state.backends().rows().count(), 2 * CHANGES_TOLD + 7);
+    assert_eq!(asker.state.backends().rows().count(), 2 * CHANGES_PER_MESSAGE + 7);
     assert_eq!(asker.state.entries_to(), reader.state.entries_to());
 }
 
@@ -437,7 +437,7 @@
 fn a_box_that_is_told_all_replicas_page_by_page_does_not_list_them_in_the_store_as_well() {
     let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
-    for number in 0..2 * CHANGES_TOLD {
+    for number in 0..2 * CHANGES_PER_MESSAGE {
         reader.put(entry(&format!("r{number}"), "v1"));
     }
     asker.feed(RouteEvent::Tick);
