--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -16,7 +16,7 @@
 
 /// A listing shows which replicas are gone as well, if these are at most so many: who was told it can then tell others what
 /// they lack, where it would else have to tell them all replicas.
-pub const GONE_TOLD: usize = CHANGES_PER_MESSAGE / 2;
+pub const TOMBSTONES_PER_MESSAGE: usize = CHANGES_PER_MESSAGE / 2;
 
 /// A listing is under way for this long after a page of it, in milliseconds: an ask and its answer, once lost and
 /// repeated. Meanwhile the store is not asked for all replicas as well.
@@ -137,7 +137,7 @@
             return EntryAnswer::default();
         }
         let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
-        let shows_gone = !whole || table.gone_count() <= GONE_TOLD;
+        let shows_gone = !whole || table.gone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, shows_gone, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
         let kept = if more && !whole { aligned(&changes) } else { CHANGES_PER_MESSAGE };
