--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -62,7 +62,7 @@
 pub const FATAL_KEPT_MS: u64 = 600_000;
 
 /// Words of contents in one note, at most, by turns: some 120 bytes.
-pub const WORDS_TOLD: usize = 8;
+pub const POISON_PER_MESSAGE: usize = 8;
 
 /// The same in an answer to an ask: what is known in all, in most cases; some 900 bytes.
 pub const WORDS_ANSWERED: usize = 64;
@@ -287,7 +287,7 @@
 
     /// What other boxes are told of contents with the note of this number.
     pub(super) fn told_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.fatal.words(number, WORDS_TOLD, now)
+        self.fatal.words(number, POISON_PER_MESSAGE, now)
     }
 
     /// What a box that asks is told of contents.
