--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -65,7 +65,7 @@
 pub const POISON_PER_MESSAGE: usize = 8;
 
 /// The same in an answer to an ask: what is known in all, in most cases; some 900 bytes.
-pub const WORDS_ANSWERED: usize = 64;
+pub const POISON_PER_RESPONSE: usize = 64;
 
 /// Ends in one note, at most; those of contents with most ends first: some 900 bytes.
 const ENDS_TOLD: usize = 24;
@@ -292,7 +292,7 @@
 
     /// What a box that asks is told of contents.
     pub(super) fn answered_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.fatal.words(number, WORDS_ANSWERED, now)
+        self.fatal.words(number, POISON_PER_RESPONSE, now)
     }
 
     /// Contents under which replicas ended, as operators see them.
