--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -205,7 +205,7 @@
         let starts = self.is_starting();
         let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
         let start = self.start.as_mut().filter(|_| starts);
-        let pause_ms = start.map_or(peers::ASK_EVERY_MS, StartupState::note_ask);
+        let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::note_ask);
         if starts && many_know {
             pause_ms.min(peers::ASK_AGAIN_MS)
         } else {
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -58,7 +58,7 @@
 /// milliseconds: where notes go to a few of many boxes, word of one takes up to three rounds.
 pub const INDIRECT_SILENT_MS: u64 = 2_500;
 
-/// Boxes that ask one reader, at most, with an ask each [`ASK_EVERY_MS`]: some 80 answers a second, a
+/// Boxes that ask one reader, at most, with an ask each [`SYNC_INTERVAL_MS`]: some 80 answers a second, a
 /// hundredth of a core.
 pub const ASKERS_LIMIT: usize = 64;
 
@@ -106,7 +106,7 @@
 pub const CUT_MS: u64 = 20_000;
 
 /// Time between two asks, in milliseconds.
-pub const ASK_EVERY_MS: u64 = 800;
+pub const SYNC_INTERVAL_MS: u64 = 800;
 
 /// A box that hears that another has read further asks that one for the records, and reads the store
 /// itself after this, in milliseconds: an ask and its answer, once lost and repeated.
