--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::{PeerState, PeerTable};
-use super::{PeerSummary, ASKERS_LIMIT, LEADS_SPARE, READERS_MIN};
+use super::{PeerSummary, CLIENTS_PER_READER, LEADS_SPARE, READERS_MIN};
 use crate::time::BoxTime;
 
 /// Processor time of a box that answers many others, in cores.
@@ -100,7 +100,7 @@
 
     /// How many boxes read the store for the others.
     fn reader_count(&self, now: BoxTime) -> usize {
-        READERS_MIN.max(self.fleet_count(now).div_ceil(ASKERS_LIMIT))
+        READERS_MIN.max(self.fleet_count(now).div_ceil(CLIENTS_PER_READER))
     }
 
     /// Whether this box is one of the readers, and where the others of them hear notes.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -60,7 +60,7 @@
 
 /// Boxes that ask one reader, at most, with an ask each [`SYNC_INTERVAL_MS`]: some 80 answers a second, a
 /// hundredth of a core.
-pub const ASKERS_LIMIT: usize = 64;
+pub const CLIENTS_PER_READER: usize = 64;
 
 /// A box that was started lately acts on finding itself a reader after this, in milliseconds: each knows few
 /// others yet and would take itself for one. Of 300 that start together 94 did after one second, 8 after this.
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -3,7 +3,7 @@
 
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::RouteEvent;
-use ravenspoke_core::route::peers::{ASKERS_LIMIT, READERS_MIN};
+use ravenspoke_core::route::peers::{CLIENTS_PER_READER, READERS_MIN};
 use ravenspoke_core::route::RouteState;
 use ravenspoke_core::time::BoxTime;
 
@@ -12,13 +12,13 @@
 
 /// Readers that a fleet of this size should have.
 fn wanted(count: usize) -> usize {
-    READERS_MIN.max(count.div_ceil(ASKERS_LIMIT))
+    READERS_MIN.max(count.div_ceil(CLIENTS_PER_READER))
 }
 
 /// Whether about as many boxes read as should: each box counts the fleet by what it has heard, so that
 /// views differ by a few boxes, which costs a call and no more.
 fn agreed(fleet: &Fleet, count: usize) -> bool {
-    fleet.readers().abs_diff(wanted(count)) <= usize::from(count > ASKERS_LIMIT)
+    fleet.readers().abs_diff(wanted(count)) <= usize::from(count > CLIENTS_PER_READER)
 }
 
 #[test]
