--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::table::{PeerState, PeerTable};
-use super::{PeerSummary, CLIENTS_PER_READER, LEADS_SPARE, READERS_MIN};
+use super::{PeerSummary, CLIENTS_PER_READER, READERS_MIN, SPARE_DUTY_HOLDERS};
 use crate::time::BoxTime;
 
 /// Processor time of a box that answers many others, in cores.
@@ -118,7 +118,7 @@
             return Vec::new();
         }
         let mut all = self.candidates(me, now);
-        all.truncate(self.reader_count(now) + LEADS_SPARE);
+        all.truncate(self.reader_count(now) + SPARE_DUTY_HOLDERS);
         let rows = all.into_iter().filter_map(|(_, name)| self.rows.get_key_value(name?));
         rows.map(|(name, row)| PeerSummary {
             name: name.clone(),
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -124,7 +124,7 @@
 pub const ECHO_LIMIT_MS: u64 = 3_000;
 
 /// Boxes told of beyond those with duties: who follows when one dies is known by then.
-pub const LEADS_SPARE: usize = 2;
+pub const SPARE_DUTY_HOLDERS: usize = 2;
 
 /// Of this many notes of a box that was not started lately one tells of others: each box hears two dozen notes
 /// a second where not all reach all, and word of others was half of their bytes.
