--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -488,7 +488,7 @@
 
     /// Whether this box can't reach the store.
     fn is_cut(&self, now: BoxTime) -> bool {
-        self.reading.cut_at.is_some_and(|at| now.millis_since(at) < peers::CUT_MS)
+        self.reading.cut_at.is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
     }
 
     /// This box among the candidates for a duty.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -103,7 +103,7 @@
 
 /// A box that could not reach the store goes behind the others in reading it for this long, in milliseconds,
 /// unless a call succeeds.
-pub const CUT_MS: u64 = 20_000;
+pub const STORE_UNREACHABLE_MS: u64 = 20_000;
 
 /// Time between two asks, in milliseconds.
 pub const SYNC_INTERVAL_MS: u64 = 800;
