--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -41,7 +41,7 @@
 pub const SILENT_MS: u64 = 1_800;
 
 /// A box that has said nothing for this long is forgotten, in milliseconds.
-pub const FORGET_MS: u64 = 60_000;
+pub const PEER_EXPIRY_MS: u64 = 60_000;
 
 /// Boxes that a note is sent to each time; at most this many, chosen anew.
 pub const GOSSIP_FANOUT: usize = 12;
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerInfo, PeerSummary, ADDRESSES_PER_MESSAGE, FORGET_MS, GOSSIP_FANOUT,
-    INDIRECT_SILENT_MS, NOTE_NEAR, SILENT_MS,
+    GossipMessage, PeerInfo, PeerSummary, ADDRESSES_PER_MESSAGE, GOSSIP_FANOUT, INDIRECT_SILENT_MS,
+    NOTE_NEAR, PEER_EXPIRY_MS, SILENT_MS,
 };
 use crate::time::BoxTime;
 
@@ -107,8 +107,8 @@
 
     /// Forgets boxes that were silent for long, and addresses where nobody answered.
     pub fn forget(&mut self, now: BoxTime) {
-        self.rows.retain(|_, row| now.millis_since(row.heard_at) < FORGET_MS);
-        self.hearsay.retain(|_, at| now.millis_since(*at) < FORGET_MS);
+        self.rows.retain(|_, row| now.millis_since(row.heard_at) < PEER_EXPIRY_MS);
+        self.hearsay.retain(|_, at| now.millis_since(*at) < PEER_EXPIRY_MS);
     }
 
     /// Boxes that live, this one included.
@@ -136,7 +136,7 @@
     }
 
     /// Boxes of the fleet, this one included: where notes reach all, those that live; else all that were
-    /// heard or heard of within [`FORGET_MS`], since each box hears the others but now and then.
+    /// heard or heard of within [`PEER_EXPIRY_MS`], since each box hears the others but now and then.
     pub fn fleet_count(&self, now: BoxTime) -> usize {
         let live = self.live_count(now);
         if self.all_are_told() {
