--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -373,6 +373,6 @@
 /// The ask that a note answers, if it was made in this life of the process and not too long ago.
 fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
     let asked = note.echo.as_ref().filter(|ask| ask.incarnation == incarnation)?;
-    let early = now.millis_since(asked.asked_at) < peers::ECHO_LIMIT_MS;
+    let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
 }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -121,7 +121,7 @@
 pub const ANSWERED_MS: u64 = 1_700;
 
 /// An answer to an ask that was sent longer ago says nothing, in milliseconds.
-pub const ECHO_LIMIT_MS: u64 = 3_000;
+pub const SYNC_RESPONSE_LIMIT_MS: u64 = 3_000;
 
 /// Boxes told of beyond those with duties: who follows when one dies is known by then.
 pub const SPARE_DUTY_HOLDERS: usize = 2;
