--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -16,7 +16,7 @@
 use super::rate_limit::ReplicaLimit;
 use super::rate_share::SenderPart;
 use super::tombstones::ReplicaTombstones;
-use super::warm_up::{WarmUpPlan, UNSEEN_MS};
+use super::warm_up::{WarmUpPlan, ASSUMED_DOWN_MS};
 use crate::ids::ReplicaKey;
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
@@ -173,7 +173,7 @@
     /// entry says so seconds later.
     pub(super) fn cool_unreached(&mut self, key: ReplicaKey, ms: u64) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.cool(UNSEEN_MS + ms, row.passed_until);
+            row.cool(ASSUMED_DOWN_MS + ms, row.passed_until);
             self.newly_cold = true;
         }
     }
--- a/crates/core/src/route/warm_up.rs
+++ b/crates/core/src/route/warm_up.rs
@@ -22,7 +22,7 @@
 
 /// A replica that could not be reached is taken to be down for this long afterwards, in milliseconds, and for cold from then
 /// on: nobody may try it meanwhile, and its entry tells of its new start some two seconds after that.
-pub(super) const UNSEEN_MS: u64 = 4_000;
+pub(super) const ASSUMED_DOWN_MS: u64 = 4_000;
 
 impl BackendTable {
     /// Works this box's parts in cold replicas out anew: boxes come and go.
