--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -20,7 +20,7 @@
 
 /// An order that a store which came back from a copy does not show is kept for this long, in milliseconds: the operator
 /// writes again what was lost, within seconds.
-pub const UNSEEN_ORDER_MS: u64 = 10_000;
+pub const ORDER_GRACE_MS: u64 = 10_000;
 
 /// One zone's order, given or withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -145,7 +145,7 @@
     fn keep_unseen(&mut self, zone: &str, now: BoxTime) {
         let kept = self.unseen.iter().any(|(unseen, _)| unseen == zone);
         if !kept && !self.shows(zone) {
-            self.unseen.push((zone.to_owned(), now.plus_millis(UNSEEN_ORDER_MS)));
+            self.unseen.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
         }
     }
 
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::evacuation::{
-    EvacuationDigest, EvacuationRead, ZoneOrder, UNSEEN_ORDER_MS,
+    EvacuationDigest, EvacuationRead, ZoneOrder, ORDER_GRACE_MS,
 };
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PlanPosition};
@@ -156,7 +156,7 @@
 
     assert_eq!(zones(&subject), ["east", "west"]);
     read_zones(&mut subject, Some(restored(5)), restored(6), &[("east", true)]);
-    subject.now += UNSEEN_ORDER_MS;
+    subject.now += ORDER_GRACE_MS;
     subject.feed(RouteEvent::Tick);
     assert_eq!(zones(&subject), ["east", "west"], "it was written again");
 }
@@ -170,7 +170,7 @@
     read_zones(&mut subject, Some(restored(5)), restored(6), &[("west", false)]);
 
     assert_eq!(zones(&subject), ["east"]);
-    subject.now += UNSEEN_ORDER_MS;
+    subject.now += ORDER_GRACE_MS;
     subject.feed(RouteEvent::Tick);
     assert!(zones(&subject).is_empty());
 }
