--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -94,7 +94,7 @@
 
 /// An entry that vanished while the store was away is used until this long after its return, in
 /// milliseconds: a replica that lives has written it again by then, which takes about two seconds.
-pub const LAPSE_MS: u64 = 2_200;
+pub const EXPIRY_GRACE_MS: u64 = 2_200;
 
 /// A box whose plan is older than this is not named to callers, in milliseconds, unless all are:
 /// past [`store_readers::OWN_READ_MS`] and a call to the store.
@@ -271,7 +271,7 @@
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
                 self.reading.cut_at = failed.then_some(stamp.now);
-                self.lapse_at = Some(stamp.now.plus_millis(LAPSE_MS));
+                self.lapse_at = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
             RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.hear_placement(&told, stamp.now),
@@ -436,7 +436,7 @@
         self.lapse_at.filter(|at| *at > now)
     }
 
-    /// Whether this box lost the store, or has had it back for less than [`LAPSE_MS`].
+    /// Whether this box lost the store, or has had it back for less than [`EXPIRY_GRACE_MS`].
     fn store_away(&self, now: BoxTime) -> bool {
         self.lapse_at(now).is_some()
     }
--- a/crates/core/src/route/store_era.rs
+++ b/crates/core/src/route/store_era.rs
@@ -6,7 +6,7 @@
 
 use super::event::RouteEffect;
 use super::trial_progress::TrialProgress;
-use super::{RouteState, LAPSE_MS};
+use super::{RouteState, EXPIRY_GRACE_MS};
 use crate::time::BoxTime;
 
 impl RouteState {
@@ -21,7 +21,7 @@
         }
         out.push(RouteEffect::StoreRestored { era, former });
         // Entries written since the copy come back when their replicas write them again.
-        self.lapse_at = Some(now.plus_millis(LAPSE_MS));
+        self.lapse_at = Some(now.plus_millis(EXPIRY_GRACE_MS));
         for trial in self.trials.values_mut() {
             trial.written = false;
             trial.marked = TrialProgress::default();
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -8,7 +8,7 @@
     GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
     START_WAIT_MS,
 };
-use ravenspoke_core::route::{LAPSE_MS, NAMED_AGE_MS};
+use ravenspoke_core::route::{EXPIRY_GRACE_MS, NAMED_AGE_MS};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, at, entry, new_box, note_in, plan, ready_box, TestBox};
@@ -480,7 +480,7 @@
     assert_eq!(note.entries.age_ms, None, "not all is settled");
     asker.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert!(uses(&asker, "a"));
-    reader.now += LAPSE_MS;
+    reader.now += EXPIRY_GRACE_MS;
     asker.now = reader.now;
     reader.feed(RouteEvent::Tick);
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -9,7 +9,7 @@
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PlanPosition};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict};
-use ravenspoke_core::route::{RouteState, LAPSE_MS};
+use ravenspoke_core::route::{RouteState, EXPIRY_GRACE_MS};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, at, entry, new_box, plan, ready_box, TestBox, KEY};
@@ -227,7 +227,7 @@
     list_restored(&mut subject, &[entry("a", "v1")]);
 
     assert_eq!(replicas(&subject), ["a", "b"]);
-    subject.now += LAPSE_MS;
+    subject.now += EXPIRY_GRACE_MS;
     subject.feed(RouteEvent::Tick);
     assert_eq!(replicas(&subject), ["a"]);
 }
