--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -98,7 +98,7 @@
 
 /// A box whose plan is older than this is not named to callers, in milliseconds, unless all are:
 /// past [`store_readers::OWN_READ_MS`] and a call to the store.
-pub const NAMED_AGE_MS: u64 = 3_600;
+pub const ADVERTISED_AGE_MS: u64 = 3_600;
 
 /// New requests are still taken for this long after the planned stop began, in milliseconds: callers
 /// keep an address for a while. One taken later might not end before the process is killed.
@@ -447,7 +447,7 @@
 
     /// Whether callers may be sent here.
     pub fn open(&self, now: BoxTime) -> bool {
-        let fresh = self.fresh.age_ms(now).is_some_and(|age| age < NAMED_AGE_MS);
+        let fresh = self.fresh.age_ms(now).is_some_and(|age| age < ADVERTISED_AGE_MS);
         self.ready(now) && fresh && self.knows_replicas()
     }
 
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -8,7 +8,7 @@
     GossipMessage, PeerInfo, PeerSummary, SyncRequest, START_SETTLE_MS, START_SPREAD_MS,
     START_WAIT_MS,
 };
-use ravenspoke_core::route::{EXPIRY_GRACE_MS, NAMED_AGE_MS};
+use ravenspoke_core::route::{ADVERTISED_AGE_MS, EXPIRY_GRACE_MS};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, at, entry, new_box, note_in, plan, ready_box, TestBox};
@@ -67,7 +67,7 @@
 fn a_box_that_can_not_read_the_plan_is_named_only_if_none_can() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
-    first.now += NAMED_AGE_MS;
+    first.now += ADVERTISED_AGE_MS;
     second.now = first.now;
     second.read_plan(None);
     tell(&mut second, &mut first);
@@ -84,7 +84,7 @@
 #[test]
 fn where_no_box_can_read_the_plan_those_that_serve_on_are_named() {
     let mut subject = ready_box();
-    subject.now += NAMED_AGE_MS;
+    subject.now += ADVERTISED_AGE_MS;
     assert_eq!(named(&subject), ["box-1:80"]);
 }
 
