--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -593,7 +593,7 @@
         if self.open(now) || (named.is_empty() && self.ready(now)) {
             named.push(self.settings.entry_address.clone());
         }
-        named.truncate(peers::NAMED_LIMIT);
+        named.truncate(peers::ADVERTISED_LIMIT);
         named
     }
 }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -134,7 +134,7 @@
 pub const ADDRESSES_PER_MESSAGE: usize = 6;
 
 /// Addresses in an answer to a caller, at most; the platform's limit.
-pub const NAMED_LIMIT: usize = 64;
+pub const ADVERTISED_LIMIT: usize = 64;
 
 /// What a box says of one trial.
 #[derive(Clone, Debug, Default, PartialEq)]
