--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -14,7 +14,7 @@
 use ravenspoke_core::route::leader::LeaderOrder;
 use ravenspoke_core::route::trial::TrialVerdict;
 use ravenspoke_core::route::trial_progress::TrialCheckpoint;
-use ravenspoke_core::route::{RouteSettings, RouteState, STOP_TAKE_MS};
+use ravenspoke_core::route::{RouteSettings, RouteState, STOP_ACCEPT_MS};
 use ravenspoke_core::time::BoxTime;
 use rocket::Route;
 use tokio::net::UdpSocket;
@@ -297,7 +297,7 @@
     let known_ms = (settings.keep_ms + KNOWN_MARGIN_MS).min(limit_ms);
     stop.until(known_ms).await;
     entry.close_resting();
-    stop.until_empty(STOP_TAKE_MS.max(known_ms).min(limit_ms)).await;
+    stop.until_empty(STOP_ACCEPT_MS.max(known_ms).min(limit_ms)).await;
     entry.close().await;
     stop.until_empty(limit_ms).await;
 }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -9,7 +9,7 @@
 use super::refuse::refusal;
 use super::region::allowed_zones;
 use super::request::RouteRequest;
-use super::{RouteState, STOP_TAKE_MS};
+use super::{RouteState, STOP_ACCEPT_MS};
 use crate::event::{EventStamp, RequestTicket};
 use crate::replica::mix;
 
@@ -36,7 +36,7 @@
 
     fn admit(&self, stamp: EventStamp, ask: &CallerRequest) -> Result<RouteRequest, RefusalReason> {
         let since = self.stopping_since;
-        let late = |since| stamp.now.millis_since(since) >= STOP_TAKE_MS || !self.entry_opened();
+        let late = |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
         if since.is_some_and(late) {
             return Err(RefusalReason::BoxStopping);
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -102,7 +102,7 @@
 
 /// New requests are still taken for this long after the planned stop began, in milliseconds: callers
 /// keep an address for a while. One taken later might not end before the process is killed.
-pub const STOP_TAKE_MS: u64 = 2_500;
+pub const STOP_ACCEPT_MS: u64 = 2_500;
 
 /// Settings of a box that the reducer needs.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::plan::RouteKind;
 use ravenspoke_core::route::plan_freshness::FreshBounds;
 use ravenspoke_core::route::retry_budget::BudgetBounds;
-use ravenspoke_core::route::{RouteSettings, RouteState, STOP_TAKE_MS};
+use ravenspoke_core::route::{RouteSettings, RouteState, STOP_ACCEPT_MS};
 
 use crate::fixture::{
     ask, at, entry, head, is_refused, new_box, order_in, plan, ready_box, refusal_in, route,
@@ -368,7 +368,7 @@
     let mut subject = ready_box();
     subject.feed(RouteEvent::StopRequested);
     assert!(!subject.state.ready(ravenspoke_core::time::BoxTime::from_millis(subject.now)));
-    subject.now += STOP_TAKE_MS - 1;
+    subject.now += STOP_ACCEPT_MS - 1;
     subject.read_plan(None);
     subject.sent(ask("/read/x"));
     subject.now += 1;
