--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -22,7 +22,7 @@
 
 /// A box that waits for the store to show a lost plan again reads it itself where no reader has answered it for this long,
 /// in milliseconds: until boxes agree on other readers.
-pub const READER_GONE_MS: u64 = 4_000;
+pub const READER_LOST_MS: u64 = 4_000;
 
 /// A box's part in reading the store for all.
 #[derive(Debug, Default)]
@@ -60,7 +60,7 @@
         let answered = self.is_cut(now) && answered_at.is_some_and(within(peers::ANSWERED_MS));
         // Nobody can say that the plan is fresh, so that only word of one who reads stands for a read.
         let read_at = self.asks.reader_answered_at;
-        let read = self.awaits_plan() && read_at.is_some_and(within(READER_GONE_MS));
+        let read = self.awaits_plan() && read_at.is_some_and(within(READER_LOST_MS));
         answered || read
     }
 
