--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -17,7 +17,7 @@
 pub const FIRST_ASK_MS: u64 = 1_000;
 
 /// Boxes that have not told their counts are asked again after this, in milliseconds.
-pub const ASK_AGAIN_MS: u64 = 600;
+pub const USAGE_RETRY_MS: u64 = 600;
 
 /// Bounds of the reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -154,7 +154,7 @@
         if due || unheard.is_empty() {
             return RoundStep::Report(self.report.clone());
         }
-        if self.asked_at.is_some_and(|at| wall.0.abs_diff(at) < ASK_AGAIN_MS) {
+        if self.asked_at.is_some_and(|at| wall.0.abs_diff(at) < USAGE_RETRY_MS) {
             return RoundStep::Wait;
         }
         self.asked_at = Some(wall.0);
