--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -178,7 +178,7 @@
     /// Asks a reader how fresh this box's knowledge is, unless it reads often itself; one that knows nothing
     /// yet asks anybody, again and again.
     pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
-        let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::ASK_AGAIN_MS;
+        let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
         let again = !self.is_starting() && self.asks.unanswered_at.is_some_and(unanswered);
         if stamp.now < self.asks.next_ask && !again {
             return;
@@ -207,7 +207,7 @@
         let start = self.start.as_mut().filter(|_| starts);
         let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::note_ask);
         if starts && many_know {
-            pause_ms.min(peers::ASK_AGAIN_MS)
+            pause_ms.min(peers::SYNC_RETRY_MS)
         } else {
             pause_ms
         }
@@ -348,7 +348,7 @@
                 .is_some_and(|ask| ask.known == self.plan_position());
             self.asks.told_too_little |= answers && note.entries.page.is_none();
             if stamp.now >= self.asks.next_behind_ask && !self.asks.told_too_little {
-                self.asks.next_behind_ask = stamp.now.plus_millis(peers::ASK_AGAIN_MS);
+                self.asks.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
                     note.card.gossip_address.clone(),
                     self.ask(stamp),
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -113,7 +113,7 @@
 pub const BEHIND_MS: u64 = 500;
 
 /// Who got no answer asks another box after this, in milliseconds: answers take a few.
-pub const ASK_AGAIN_MS: u64 = 150;
+pub const SYNC_RETRY_MS: u64 = 150;
 
 /// A box that lost the store, and whose last ask was answered within this, in milliseconds, leaves it to the readers
 /// to find out when the store is back: two asks, once lost. Calls of 300 boxes in an outage of 8 s:
