--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -108,7 +108,7 @@
     /// Takes word of another box that could not reach a replica, unless it has told its load since. A crash takes many
     /// replicas away at once, which then look idle; each box would find each of them out by a request of its own.
     /// Gives the replica if the word counts.
-    pub(super) fn hear_down(
+    pub(super) fn apply_unreachable(
         &mut self,
         told: &UnreachableUpdate,
         now: BoxTime,
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -267,7 +267,7 @@
             self.backends.hear_load(told, &mean_ms, stamp.now);
         }
         for told in &note.down {
-            if let Some(key) = self.backends.hear_down(told, stamp.now) {
+            if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
                 self.cool_unreached(key);
             }
         }
