--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -125,7 +125,7 @@
     }
 
     /// Replicas that could not be reached lately, as other boxes are told of them.
-    pub(super) fn down_to_tell(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
+    pub(super) fn unreachable_updates(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let note = |row: &BackendState| {
             let age_ms = now.millis_since(row.down_at?);
             (age_ms < UNREACHABLE_GOSSIP_MS)
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -93,7 +93,11 @@
         let (loads, down, limits) = if kind == NoteKind::Round || self.peers.all_are_told() {
             let backends = &self.backends;
             let now = stamp.now;
-            (backends.loads_to_tell(now), backends.down_to_tell(now), backends.limits_to_tell(now))
+            (
+                backends.loads_to_tell(now),
+                backends.unreachable_updates(now),
+                backends.limits_to_tell(now),
+            )
         } else {
             Default::default()
         };
