--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -275,7 +275,7 @@
                 self.cool_unreached(key);
             }
         }
-        self.hear_limits(stamp, &note.limits, out);
+        self.apply_limits(stamp, &note.limits, out);
         self.hear_ends(stamp, &note.ends, &note.contents);
         for told in &note.paces {
             if self.backends.serves(&told.service) {
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -167,7 +167,7 @@
     }
 
     /// Takes what other boxes heard of limits.
-    pub(super) fn hear_limits(
+    pub(super) fn apply_limits(
         &mut self,
         stamp: EventStamp,
         notes: &[LimitUpdate],
