--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -96,7 +96,7 @@
             (
                 backends.loads_to_tell(now),
                 backends.unreachable_updates(now),
-                backends.limits_to_tell(now),
+                backends.limit_updates(now),
             )
         } else {
             Default::default()
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -142,7 +142,7 @@
     }
 
     /// Limits that other boxes are told of.
-    pub(super) fn limits_to_tell(&self, now: BoxTime) -> Vec<LimitUpdate> {
+    pub(super) fn limit_updates(&self, now: BoxTime) -> Vec<LimitUpdate> {
         let note = |row: &BackendState| row.limit.note(row.id_hash, now);
         let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(note).collect();
         notes.sort_by_key(|note| note.age_ms);
