--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -268,7 +268,7 @@
         let paces = &self.paces;
         let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
         for told in &note.loads {
-            self.backends.hear_load(told, &mean_ms, stamp.now);
+            self.backends.apply_load(told, &mean_ms, stamp.now);
         }
         for told in &note.down {
             if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -163,7 +163,7 @@
     }
 
     /// Takes the load that another box heard of, unless this one knows a later report.
-    pub fn hear_load(&mut self, told: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
+    pub fn apply_load(&mut self, told: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
         let Some(key) = self.hashes.get(&told.replica) else { return };
         let row = &mut self.rows[*key];
         let at = now.minus_millis(told.age_ms);
