--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -94,7 +94,7 @@
             let backends = &self.backends;
             let now = stamp.now;
             (
-                backends.loads_to_tell(now),
+                backends.load_updates(now),
                 backends.unreachable_updates(now),
                 backends.limit_updates(now),
             )
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -174,7 +174,7 @@
     }
 
     /// Loads that other boxes should know of.
-    pub fn loads_to_tell(&self, now: BoxTime) -> Vec<LoadUpdate> {
+    pub fn load_updates(&self, now: BoxTime) -> Vec<LoadUpdate> {
         let tells = |row: &&BackendState| {
             now.millis_since(row.reported_at) < LOAD_GOSSIP_MS
                 && row.reported_share() >= GOSSIP_LOAD_SHARE
