--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -130,7 +130,7 @@
     }
 
     /// Takes word of a prompt that another box placed.
-    pub(super) fn hear_placement(&mut self, told: &PlacementUpdate, now: BoxTime) {
+    pub(super) fn apply_placement(&mut self, told: &PlacementUpdate, now: BoxTime) {
         let Some(key) = self.hashes.get(&told.replica) else { return };
         let row = &mut self.rows[*key];
         row.held.note(told.shared, now);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -274,7 +274,7 @@
                 self.lapse_at = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
             RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
-            RouteEvent::PlacementReceived(told) => self.backends.hear_placement(&told, stamp.now),
+            RouteEvent::PlacementReceived(told) => self.backends.apply_placement(&told, stamp.now),
             RouteEvent::SyncRequested(ask) => self.on_ask(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, answer } => {
                 self.on_lease(stamp, asked_at, answer, out);
