--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -287,7 +287,7 @@
                 budget.hear(&note.name, told.count, stamp.now);
             }
         }
-        self.hear_trials(stamp, note, out);
+        self.apply_trials(stamp, note, out);
         self.hear_freshness(stamp, note, out);
     }
 
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -124,7 +124,7 @@
             .collect()
     }
 
-    pub(super) fn hear_trials(
+    pub(super) fn apply_trials(
         &mut self,
         stamp: EventStamp,
         note: &GossipMessage,
