--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -276,7 +276,7 @@
             }
         }
         self.apply_limits(stamp, &note.limits, out);
-        self.hear_ends(stamp, &note.ends, &note.contents);
+        self.apply_crashes(stamp, &note.ends, &note.contents);
         for told in &note.paces {
             if self.backends.serves(&told.service) {
                 self.paces.entry(told.service.clone()).or_default().hear(&told.models);
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -249,7 +249,7 @@
     }
 
     /// Takes what other boxes tell of ends, and of contents.
-    pub(super) fn hear_ends(
+    pub(super) fn apply_crashes(
         &mut self,
         stamp: EventStamp,
         ends: &[CrashUpdate],
