--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -293,7 +293,7 @@
             self.backends.left(attempt.replica, attempt.began);
             self.backends.ended(attempt.replica, deed, stamp.now);
             if deed == BackendOutcome::Unreachable {
-                self.settle_ends(stamp.now);
+                self.settle_crashes(stamp.now);
                 self.cool_unreached(attempt.replica);
                 self.rounds.next_note =
                     self.rounds.next_note.min(stamp.now.plus_millis(UNREACHABLE_DELAY_MS));
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -330,7 +330,7 @@
         self.apply_evacuations(stamp, evacuations, out);
         self.share_limits(stamp.now);
         self.share_cold(stamp.now);
-        self.settle_ends(stamp.now);
+        self.settle_crashes(stamp.now);
         self.note_open(stamp.now);
         self.take_turn(stamp.now);
         self.tell_open(stamp.now);
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Finds out which replicas ended while they worked.
-    pub(super) fn settle_ends(&mut self, now: BoxTime) {
+    pub(super) fn settle_crashes(&mut self, now: BoxTime) {
         let backends = &self.backends;
         let fate = |key: ReplicaKey, at: BoxTime| {
             backends.get(key).map_or(EndFate::Ended, |row| row.fate_since(at, now))
