--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -129,7 +129,7 @@
             loads,
             down,
             limits,
-            ends: self.told_ends(stamp.now),
+            ends: self.crash_updates(stamp.now),
             contents: self.told_contents(number, stamp.now),
             budgets,
             paces,
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -166,7 +166,7 @@
 
     fn told(&self, now: BoxTime) -> Vec<CrashUpdate> {
         let notes = |(content, row): (&u64, &ContentRecord)| {
-            let ends: Vec<CrashUpdate> = row.told_ends(*content, now).collect();
+            let ends: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
             let count = ends.len();
             ends.into_iter().map(move |note| (count, note))
         };
@@ -281,7 +281,7 @@
     }
 
     /// Ends that other boxes are told of.
-    pub(super) fn told_ends(&self, now: BoxTime) -> Vec<CrashUpdate> {
+    pub(super) fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         self.fatal.told(now)
     }
 
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -181,7 +181,7 @@
     }
 
     /// Ends that other boxes are told of, one note for each request.
-    pub(super) fn told_ends(
+    pub(super) fn crash_updates(
         &self,
         content: u64,
         now: BoxTime,
