--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -130,7 +130,7 @@
             down,
             limits,
             ends: self.crash_updates(stamp.now),
-            contents: self.told_contents(number, stamp.now),
+            contents: self.poison_updates(number, stamp.now),
             budgets,
             paces,
             trials: trials.collect(),
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -286,7 +286,7 @@
     }
 
     /// What other boxes are told of contents with the note of this number.
-    pub(super) fn told_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
+    pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.fatal.words(number, POISON_PER_MESSAGE, now)
     }
 
