--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -240,7 +240,7 @@
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
         note.changes = changes;
-        note.contents = self.answered_contents(note.number, stamp.now);
+        note.contents = self.poison_response(note.number, stamp.now);
         note.entries = EntryCoverage { known_to, age_ms, page };
         note.echo = Some(ask);
         out.push(RouteEffect::SendGossip(to, Box::new(note)));
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -291,7 +291,7 @@
     }
 
     /// What a box that asks is told of contents.
-    pub(super) fn answered_contents(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
+    pub(super) fn poison_response(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.fatal.words(number, POISON_PER_RESPONSE, now)
     }
 
