--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -260,7 +260,7 @@
             self.asks.next_ask = stamp.now;
         }
         self.peers.hear_of(&note.others, &self.settings.gossip_address, stamp.now);
-        self.peers.hear_leads(&note.leads, &self.settings.name, stamp.now);
+        self.peers.apply_duty_holders(&note.leads, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -62,7 +62,7 @@
     }
 
     /// Takes what another box told of boxes with duties.
-    pub fn hear_leads(&mut self, leads: &[PeerSummary], me: &str, now: BoxTime) {
+    pub fn apply_duty_holders(&mut self, leads: &[PeerSummary], me: &str, now: BoxTime) {
         for lead in leads.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
         {
             self.hear_lead(lead, now.minus_millis(lead.age_ms));
