--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -65,12 +65,12 @@
     pub fn apply_duty_holders(&mut self, leads: &[PeerSummary], me: &str, now: BoxTime) {
         for lead in leads.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
         {
-            self.hear_lead(lead, now.minus_millis(lead.age_ms));
+            self.apply_duty_holder(lead, now.minus_millis(lead.age_ms));
         }
     }
 
     /// Takes what was told of a box that spoke at `heard_at`.
-    fn hear_lead(&mut self, lead: &PeerSummary, heard_at: BoxTime) {
+    fn apply_duty_holder(&mut self, lead: &PeerSummary, heard_at: BoxTime) {
         let here = |row: &PeerState| row.card.gossip_address == lead.card.gossip_address;
         let later = |row: &PeerState| row.heard_at >= heard_at;
         // An address has one box, and who was heard there last is it.
