--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -235,7 +235,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let to = vec![ask.gossip_address.clone()];
-        self.peers.hear_of(&to, &self.settings.gossip_address, stamp.now);
+        self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
         let mut note = self.note(stamp, NoteKind::Answer);
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
@@ -259,7 +259,7 @@
             // It has just come to know what this box asks for, and has told few others so.
             self.asks.next_ask = stamp.now;
         }
-        self.peers.hear_of(&note.others, &self.settings.gossip_address, stamp.now);
+        self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
         self.peers.apply_duty_holders(&note.leads, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -290,7 +290,7 @@
             RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
             RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
             RouteEvent::PeersDiscovered(addresses) => {
-                self.peers.hear_of(&addresses, &self.settings.gossip_address, stamp.now);
+                self.peers.add_addresses(&addresses, &self.settings.gossip_address, stamp.now);
             }
             RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
             RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -96,7 +96,7 @@
     }
 
     /// Notes addresses that may have a box.
-    pub fn hear_of(&mut self, addresses: &[String], own: &str, now: BoxTime) {
+    pub fn add_addresses(&mut self, addresses: &[String], own: &str, now: BoxTime) {
         for address in addresses {
             let known = self.rows.values().any(|row| row.card.gossip_address == *address);
             if !known && address != own {
