--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -264,7 +264,7 @@
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
-        self.hear_entries(stamp, note, out);
+        self.apply_entries(stamp, note, out);
         let paces = &self.paces;
         let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
         for told in &note.loads {
@@ -292,7 +292,7 @@
     }
 
     /// Takes what another box says of replicas: news, or the answer to an ask.
-    fn hear_entries(
+    fn apply_entries(
         &mut self,
         stamp: EventStamp,
         note: &GossipMessage,
