--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -288,7 +288,7 @@
             }
         }
         self.apply_trials(stamp, note, out);
-        self.hear_freshness(stamp, note, out);
+        self.apply_freshness(stamp, note, out);
     }
 
     /// Takes what another box says of replicas: news, or the answer to an ask.
@@ -338,7 +338,7 @@
     }
 
     /// Relies on what another box read, as of when it says, if this box has read as far.
-    fn hear_freshness(
+    fn apply_freshness(
         &mut self,
         stamp: EventStamp,
         note: &GossipMessage,
