--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -230,7 +230,7 @@
                 self.on_plan_read(stamp, asked_at, read_to, plan, out);
             }
             RouteEvent::PlanReceived { as_of, known, plan } => {
-                self.on_plan_told(stamp, as_of, known, plan, out);
+                self.on_plan_received(stamp, as_of, known, plan, out);
             }
             RouteEvent::EvacuationsRead(read) => {
                 let news = self.evacuated.take_read(read, stamp.now);
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -36,7 +36,7 @@
     }
 
     /// Takes the plan that another box knows, or its word that it is this box's, as of `as_of`.
-    pub(super) fn on_plan_told(
+    pub(super) fn on_plan_received(
         &mut self,
         stamp: EventStamp,
         as_of: BoxTime,
