--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -234,7 +234,7 @@
     }
 
     /// Answers the holder's question for this box's counts.
-    pub(super) fn on_usage_asked(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
+    pub(super) fn on_usage_requested(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
         let note = UsageResponse { gossip_address: self.settings.gossip_address.clone(), usage };
         out.push(RouteEffect::SendUsage(ask.gossip_address.clone(), note));
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -287,7 +287,7 @@
             RouteEvent::LeaderCallEnded(call, outcome) => {
                 self.on_leader_call(stamp, &call, outcome)
             }
-            RouteEvent::UsageRequested(ask) => self.on_usage_asked(&ask, out),
+            RouteEvent::UsageRequested(ask) => self.on_usage_requested(&ask, out),
             RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
             RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.add_addresses(&addresses, &self.settings.gossip_address, stamp.now);
