--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -241,7 +241,7 @@
     }
 
     /// Takes another box's counts.
-    pub(super) fn on_usage_told(&mut self, note: &UsageResponse) {
+    pub(super) fn on_usage_received(&mut self, note: &UsageResponse) {
         if let Some(round) = &mut self.leader.round {
             round.hear(note);
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -288,7 +288,7 @@
                 self.on_leader_call(stamp, &call, outcome)
             }
             RouteEvent::UsageRequested(ask) => self.on_usage_requested(&ask, out),
-            RouteEvent::UsageReceived(note) => self.on_usage_told(&note),
+            RouteEvent::UsageReceived(note) => self.on_usage_received(&note),
             RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.add_addresses(&addresses, &self.settings.gossip_address, stamp.now);
             }
