--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -246,7 +246,7 @@
         out.push(RouteEffect::SendGossip(to, Box::new(note)));
     }
 
-    pub(super) fn on_note(
+    pub(super) fn on_gossip(
         &mut self,
         stamp: EventStamp,
         note: &GossipMessage,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -273,7 +273,7 @@
                 self.reading.cut_at = failed.then_some(stamp.now);
                 self.lapse_at = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
-            RouteEvent::GossipReceived(note) => self.on_note(stamp, &note, out),
+            RouteEvent::GossipReceived(note) => self.on_gossip(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.apply_placement(&told, stamp.now),
             RouteEvent::SyncRequested(ask) => self.on_ask(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, answer } => {
