--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -228,7 +228,7 @@
     }
 
     /// Answers another box's ask.
-    pub(super) fn on_ask(
+    pub(super) fn on_sync_request(
         &mut self,
         stamp: EventStamp,
         ask: SyncRequest,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -275,7 +275,7 @@
             }
             RouteEvent::GossipReceived(note) => self.on_gossip(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.apply_placement(&told, stamp.now),
-            RouteEvent::SyncRequested(ask) => self.on_ask(stamp, ask, out),
+            RouteEvent::SyncRequested(ask) => self.on_sync_request(stamp, ask, out),
             RouteEvent::LeaseAnswered { asked_at, answer } => {
                 self.on_lease(stamp, asked_at, answer, out);
             }
