--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -375,7 +375,7 @@
         self.requests.remove(&ticket);
     }
 
-    pub(super) fn on_time_up(
+    pub(super) fn on_deadline_passed(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -299,7 +299,7 @@
                 self.on_failed(stamp, ticket, failure, out);
             }
             RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
-            RouteEvent::DeadlinePassed(ticket) => self.on_time_up(stamp, ticket, out),
+            RouteEvent::DeadlinePassed(ticket) => self.on_deadline_passed(stamp, ticket, out),
             RouteEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket),
             RouteEvent::StopRequested => {
                 self.stopping_since.get_or_insert(stamp.now);
