--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -302,7 +302,7 @@
     }
 
     /// Goes elsewhere if there is where to go and the budget allows it; else the attempt goes on.
-    pub(super) fn on_paused(
+    pub(super) fn on_attempt_stalled(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -294,7 +294,7 @@
             }
             RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
             RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
-            RouteEvent::AttemptStalled(ticket) => self.on_paused(stamp, ticket, out),
+            RouteEvent::AttemptStalled(ticket) => self.on_attempt_stalled(stamp, ticket, out),
             RouteEvent::AttemptFailed(ticket, failure) => {
                 self.on_failed(stamp, ticket, failure, out);
             }
