--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -360,7 +360,7 @@
         }
     }
 
-    pub(super) fn on_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    pub(super) fn on_response_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let deed =
             self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.deed);
         if deed == BackendOutcome::Served {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -298,7 +298,7 @@
             RouteEvent::AttemptFailed(ticket, failure) => {
                 self.on_failed(stamp, ticket, failure, out);
             }
-            RouteEvent::ResponseFinished(ticket) => self.on_finished(stamp, ticket),
+            RouteEvent::ResponseFinished(ticket) => self.on_response_finished(stamp, ticket),
             RouteEvent::DeadlinePassed(ticket) => self.on_deadline_passed(stamp, ticket, out),
             RouteEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket),
             RouteEvent::StopRequested => {
