--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -14,7 +14,7 @@
 use crate::replica::mix;
 
 impl RouteState {
-    pub(super) fn on_arrived(
+    pub(super) fn on_request_arrived(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -292,7 +292,9 @@
             RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.add_addresses(&addresses, &self.settings.gossip_address, stamp.now);
             }
-            RouteEvent::RequestArrived(ticket, ask) => self.on_arrived(stamp, ticket, ask, out),
+            RouteEvent::RequestArrived(ticket, ask) => {
+                self.on_request_arrived(stamp, ticket, ask, out)
+            }
             RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
             RouteEvent::AttemptStalled(ticket) => self.on_attempt_stalled(stamp, ticket, out),
             RouteEvent::AttemptFailed(ticket, failure) => {
