--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -248,7 +248,7 @@
             }
             RouteEvent::VerdictStored(verdict) => self.take_verdict(verdict, true, out),
             RouteEvent::CheckpointsRead { asked_at, checkpoints } => {
-                self.on_marks(stamp, asked_at, checkpoints)
+                self.on_checkpoints(stamp, asked_at, checkpoints)
             }
             RouteEvent::CheckpointStored(mark) => {
                 self.take_mark(stamp, &mark);
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -69,7 +69,7 @@
     }
 
     /// Takes the store's marks of all trials, as of `asked_at`.
-    pub(super) fn on_marks(
+    pub(super) fn on_checkpoints(
         &mut self,
         stamp: EventStamp,
         asked_at: BoxTime,
