--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -295,7 +295,7 @@
     }
 
     /// Takes that the store expects another record of this token: what it has is read anew.
-    pub(super) fn on_lead_unsure(&mut self, token: u64) {
+    pub(super) fn on_record_conflict(&mut self, token: u64) {
         self.leader.took_over.take_if(|own| *own == token);
     }
 
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -283,7 +283,7 @@
                 self.on_taken_over(token, next, left)
             }
             RouteEvent::RecordStored { token, number } => self.on_record_kept(token, number),
-            RouteEvent::RecordConflict { token } => self.on_lead_unsure(token),
+            RouteEvent::RecordConflict { token } => self.on_record_conflict(token),
             RouteEvent::LeaderCallEnded(call, outcome) => {
                 self.on_leader_call(stamp, &call, outcome)
             }
