--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -273,7 +273,7 @@
     }
 
     /// Takes that a record of this box, of this number, stands in the store.
-    pub(super) fn on_record_kept(&mut self, token: u64, number: u64) {
+    pub(super) fn on_record_stored(&mut self, token: u64, number: u64) {
         if self.leader.took_over != Some(token) {
             return;
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -282,7 +282,7 @@
             RouteEvent::LeaderRecordsRead { token, next, left } => {
                 self.on_taken_over(token, next, left)
             }
-            RouteEvent::RecordStored { token, number } => self.on_record_kept(token, number),
+            RouteEvent::RecordStored { token, number } => self.on_record_stored(token, number),
             RouteEvent::RecordConflict { token } => self.on_record_conflict(token),
             RouteEvent::LeaderCallEnded(call, outcome) => {
                 self.on_leader_call(stamp, &call, outcome)
