--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -248,7 +248,7 @@
     }
 
     /// Takes what former holders left.
-    pub(super) fn on_taken_over(&mut self, token: u64, next: u64, left: Vec<LeaderRecord>) {
+    pub(super) fn on_leader_records(&mut self, token: u64, next: u64, left: Vec<LeaderRecord>) {
         let mine = matches!(self.leader.part, LeaderPart::Acting(lease) if lease.token() == token);
         // A late answer shows what this box has gone beyond.
         if !mine || self.leader.took_over == Some(token) {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -280,7 +280,7 @@
                 self.on_lease(stamp, asked_at, answer, out);
             }
             RouteEvent::LeaderRecordsRead { token, next, left } => {
-                self.on_taken_over(token, next, left)
+                self.on_leader_records(token, next, left)
             }
             RouteEvent::RecordStored { token, number } => self.on_record_stored(token, number),
             RouteEvent::RecordConflict { token } => self.on_record_conflict(token),
