--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -90,7 +90,7 @@
     }
 
     /// Takes what was read. Gives what of it is news.
-    pub fn take_read(&mut self, read: EvacuationRead, now: BoxTime) -> Vec<ZoneOrder> {
+    pub fn apply_read(&mut self, read: EvacuationRead, now: BoxTime) -> Vec<ZoneOrder> {
         let EvacuationRead { from, to, orders } = read;
         // Records between what is known and what was read may hold other orders; whoever told of them told the zones.
         if to < self.known_to || from.is_some_and(|from| from > self.known_to) {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -233,7 +233,7 @@
                 self.on_plan_received(stamp, as_of, known, plan, out);
             }
             RouteEvent::EvacuationsRead(read) => {
-                let news = self.evacuated.take_read(read, stamp.now);
+                let news = self.evacuated.apply_read(read, stamp.now);
                 self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::EvacuationsReceived(word) => {
