--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -154,7 +154,7 @@
 
     /// Takes what another box told of changes, in answer to a wish. Nothing is left out only if that wish
     /// named no more than is known now.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         wish: EntryQuery,
         told_to: Option<TopicPosition>,
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -315,7 +315,7 @@
             // An answer that is no word of all there is has more behind it.
             let more = age_ms.is_none() && known_to > asked.entries.known_to;
             self.take_backends(stamp, changes, BackendSource::Told, None, out);
-            self.entries.take_changes(asked.entries, known_to, as_of);
+            self.entries.apply_changes(asked.entries, known_to, as_of);
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
