--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -175,7 +175,7 @@
     }
 
     /// Takes a page of a listing. Gives the whole of it, with its end, when the last one has come.
-    pub fn take_page(
+    pub fn apply_page(
         &mut self,
         wish: EntryQuery,
         page: ListingPage,
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -325,7 +325,7 @@
             }
             return;
         };
-        match self.entries.take_page(asked.entries, page, &changes, as_of, stamp.now) {
+        match self.entries.apply_page(asked.entries, page, &changes, as_of, stamp.now) {
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
