--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -302,7 +302,7 @@
         let Some(asked) = own_ask(note, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
             // replica must get nothing two seconds after the store's word.
-            return self.take_backends(stamp, changes, BackendSource::Told, None, out);
+            return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
         };
         self.asks.unanswered_at = None;
         self.asks.answered_at = Some(stamp.now);
@@ -314,7 +314,7 @@
         let Some(page) = page else {
             // An answer that is no word of all there is has more behind it.
             let more = age_ms.is_none() && known_to > asked.entries.known_to;
-            self.take_backends(stamp, changes, BackendSource::Told, None, out);
+            self.apply_backends(stamp, changes, BackendSource::Told, None, out);
             self.entries.apply_changes(asked.entries, known_to, as_of);
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -257,7 +257,7 @@
             RouteEvent::BackendsChanged(changes) => self.on_backends(stamp, changes, out),
             // Unlike an entry that vanished while the store was away, it does not come back by itself.
             RouteEvent::BackendsInvalidated(changes) => {
-                self.take_backends(stamp, changes, BackendSource::Store, None, out);
+                self.apply_backends(stamp, changes, BackendSource::Store, None, out);
             }
             RouteEvent::BackendsListed { end, listed } => {
                 self.entries.note_listed(end);
@@ -397,12 +397,12 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let lapse_at = self.lapse_at(stamp.now);
-        self.take_backends(stamp, changes, BackendSource::Store, lapse_at, out);
+        self.apply_backends(stamp, changes, BackendSource::Store, lapse_at, out);
     }
 
     /// Takes changes, and tells what of them is news: what leaves by all who learn of it, the rest by who
     /// read it, since others ask for it. Entries that vanished are used until `lapse_at`.
-    fn take_backends(
+    fn apply_backends(
         &mut self,
         stamp: EventStamp,
         changes: Vec<BackendChange>,
