--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -289,7 +289,7 @@
 
     /// Takes a whole listing that was made when the store's entries ended at `end`: what is not in it
     /// is gone. Gives the changes that are news.
-    pub fn take_all(
+    pub fn apply_all(
         &mut self,
         end: TopicPosition,
         listed: Vec<BackendChange>,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -426,7 +426,7 @@
         lapse_at: Option<BoxTime>,
         out: &mut Vec<RouteEffect>,
     ) {
-        let all = self.backends.take_all(end, listed, stamp.now, lapse_at);
+        let all = self.backends.apply_all(end, listed, stamp.now, lapse_at);
         // Who lists learns late what others know already, but for what leaves.
         for (change, news) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
             self.tell(stamp, change, news, out);
