--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -278,7 +278,7 @@
         match &change.entry {
             Some(entry) if self.gone.has_left(entry, change.at) => ChangeKind::None,
             Some(entry) => self.put(entry.clone(), change.at, now),
-            None => self.take_gone(&change.id, change.at, lapse_at),
+            None => self.apply_removal(&change.id, change.at, lapse_at),
         }
     }
 
@@ -400,7 +400,12 @@
         keys.insert(keys.partition_point(before), key);
     }
 
-    fn take_gone(&mut self, id: &str, at: TopicPosition, lapse_at: Option<BoxTime>) -> ChangeKind {
+    fn apply_removal(
+        &mut self,
+        id: &str,
+        at: TopicPosition,
+        lapse_at: Option<BoxTime>,
+    ) -> ChangeKind {
         let Some(key) = self.ids.get(id).copied() else {
             self.gone.note(id, at, None);
             return ChangeKind::None;
