--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -113,7 +113,7 @@
 
 impl BackendTable {
     /// Takes what a replica said of its limit. Returns whether that is news.
-    fn take_limit(&mut self, key: ReplicaKey, per_s: Option<f64>, at: BoxTime) -> bool {
+    fn apply_limit(&mut self, key: ReplicaKey, per_s: Option<f64>, at: BoxTime) -> bool {
         self.rows.get_mut(key).is_some_and(|row| row.limit.take(per_s, at))
     }
 
@@ -162,7 +162,7 @@
     ) {
         let lifts = head.proven && !head.not_run;
         if !head.other_replica && (head.limit_per_s.is_some() || lifts) {
-            self.take_limit(stamp, key, head.limit_per_s, stamp.now, out);
+            self.apply_limit(stamp, key, head.limit_per_s, stamp.now, out);
         }
     }
 
@@ -175,11 +175,11 @@
     ) {
         for told in notes.iter().filter(|told| told.age_ms < LIMIT_GOSSIP_MS) {
             let Some(key) = self.backends.named(told) else { continue };
-            self.take_limit(stamp, key, told.per_s, stamp.now.minus_millis(told.age_ms), out);
+            self.apply_limit(stamp, key, told.per_s, stamp.now.minus_millis(told.age_ms), out);
         }
     }
 
-    fn take_limit(
+    fn apply_limit(
         &mut self,
         stamp: EventStamp,
         key: ReplicaKey,
@@ -187,7 +187,7 @@
         at: BoxTime,
         out: &mut Vec<RouteEffect>,
     ) {
-        if !self.backends.take_limit(key, per_s, at) {
+        if !self.backends.apply_limit(key, per_s, at) {
             return;
         }
         let fleet = self.fleet_names(stamp.now);
