--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -31,7 +31,7 @@
             Some(plan) if plan.version < self.table.plan().version => {
                 out.push(RouteEffect::PlanTooOld { version: plan.version });
             }
-            Some(plan) => self.take_plan(stamp, asked_at, read_to, plan, out),
+            Some(plan) => self.apply_plan(stamp, asked_at, read_to, plan, out),
         }
     }
 
@@ -50,7 +50,7 @@
         }
         match plan {
             Some(plan) if plan.version == known.version => {
-                self.take_plan(stamp, as_of, known.read_to, plan, out);
+                self.apply_plan(stamp, as_of, known.read_to, plan, out);
             }
             _ if known.version == own.version => self.rely_on(as_of, known.read_to),
             // The plan itself was too long to be told.
@@ -59,7 +59,7 @@
     }
 
     /// Takes a plan that is no older than the one in force.
-    fn take_plan(
+    fn apply_plan(
         &mut self,
         stamp: EventStamp,
         asked_at: BoxTime,
