--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -146,7 +146,7 @@
     }
 
     /// Answers left out by a replica that answers again.
-    pub(super) fn take_lost(&mut self, key: ReplicaKey) -> Vec<LostAnswer> {
+    pub(super) fn drain_lost(&mut self, key: ReplicaKey) -> Vec<LostAnswer> {
         self.rows.get_mut(key).map(|row| std::mem::take(&mut row.lost)).unwrap_or_default()
     }
 
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -95,7 +95,7 @@
     }
 
     fn hold_to_account(&mut self, service: &str, replica: ReplicaKey) {
-        for lost in self.backends.take_lost(replica) {
+        for lost in self.backends.drain_lost(replica) {
             self.add_answer(service, &lost.route, lost.on_trial, true, None);
         }
     }
