--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -179,7 +179,7 @@
     }
 
     /// Takes the replicas of a zone for cold, as long as the operator says of their services.
-    pub(super) fn take_for_cold(
+    pub(super) fn mark_zone_cold(
         &mut self,
         zone: &str,
         warm_up: &dyn Fn(&str) -> Option<WarmUpPlan>,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -358,7 +358,7 @@
         for order in news {
             let in_flight = self.in_flight_at(&order.zone);
             if !order.evacuated {
-                self.take_for_cold(stamp.now, &order.zone);
+                self.mark_zone_cold(stamp.now, &order.zone);
             }
             out.push(RouteEffect::EvacuationChanged { order, known_to, in_flight });
             // Told with the next tick: until they know, other boxes send there.
@@ -368,10 +368,10 @@
 
     /// Takes a zone's replicas for cold: what empties a zone often starts them anew, and their own word of it comes
     /// seconds after the withdrawal.
-    fn take_for_cold(&mut self, now: BoxTime, zone: &str) {
+    fn mark_zone_cold(&mut self, now: BoxTime, zone: &str) {
         let services = &self.table.plan().services;
         let warm_up = |service: &str| services.get(service).and_then(|plan| plan.warm_up);
-        self.backends.take_for_cold(zone, &warm_up, now);
+        self.backends.mark_zone_cold(zone, &warm_up, now);
     }
 
     /// Takes a replica that could not be reached for cold from when it is tried again, if its service bounds cold ones.
