--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -294,7 +294,7 @@
             self.backends.ended(attempt.replica, deed, stamp.now);
             if deed == BackendOutcome::Unreachable {
                 self.settle_crashes(stamp.now);
-                self.cool_unreached(attempt.replica);
+                self.mark_unreachable_cold(attempt.replica);
                 self.rounds.next_note =
                     self.rounds.next_note.min(stamp.now.plus_millis(UNREACHABLE_DELAY_MS));
             }
--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -171,7 +171,7 @@
 impl BackendTable {
     /// Takes a replica that could not be reached for cold for `ms` from when it may be back: it has mostly started anew, and its
     /// entry says so seconds later.
-    pub(super) fn cool_unreached(&mut self, key: ReplicaKey, ms: u64) {
+    pub(super) fn mark_unreachable_cold(&mut self, key: ReplicaKey, ms: u64) {
         if let Some(row) = self.rows.get_mut(key) {
             row.cool(ASSUMED_DOWN_MS + ms, row.passed_until);
             self.newly_cold = true;
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -272,7 +272,7 @@
         }
         for told in &note.down {
             if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
-                self.cool_unreached(key);
+                self.mark_unreachable_cold(key);
             }
         }
         self.apply_limits(stamp, &note.limits, out);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -375,11 +375,11 @@
     }
 
     /// Takes a replica that could not be reached for cold from when it is tried again, if its service bounds cold ones.
-    pub(super) fn cool_unreached(&mut self, key: ReplicaKey) {
+    pub(super) fn mark_unreachable_cold(&mut self, key: ReplicaKey) {
         let service = self.backends.get(key).map(|row| row.entry.service.as_str());
         let plan = service.and_then(|service| self.table.plan().services.get(service));
         if let Some(warm_up) = plan.and_then(|plan| plan.warm_up) {
-            self.backends.cool_unreached(key, warm_up.lasts_ms);
+            self.backends.mark_unreachable_cold(key, warm_up.lasts_ms);
         }
     }
 
