--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -435,7 +435,7 @@
     }
 
     /// Drops entries whose grace is over, and gives that as changes.
-    pub fn drop_lapsed(&mut self, now: BoxTime) -> Vec<BackendChange> {
+    pub fn drop_expired(&mut self, now: BoxTime) -> Vec<BackendChange> {
         let over = |key: &ReplicaKey| self.rows[*key].lapses_at.is_some_and(|at| at <= now);
         let lapsed: Vec<ReplicaKey> = self.lapsing.iter().copied().filter(over).collect();
         let mut changes = Vec::with_capacity(lapsed.len());
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -325,7 +325,7 @@
     }
 
     fn on_tick(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
-        for change in self.backends.drop_lapsed(stamp.now) {
+        for change in self.backends.drop_expired(stamp.now) {
             self.tell(stamp, change, ChangeKind::Leaving, out);
         }
         let evacuations = self.evacuated.drop_unseen(stamp.now);
