--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -244,7 +244,7 @@
     }
 
     /// Position of the first change that may yet be undone: an entry vanished while the store was away.
-    pub fn first_lapsing(&self) -> Option<TopicPosition> {
+    pub fn first_expiring(&self) -> Option<TopicPosition> {
         self.lapsing.iter().filter_map(|key| self.rows.get(*key)).map(|row| row.at).min()
     }
 
--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -129,11 +129,11 @@
     pub fn answer(&self, wish: EntryQuery, table: &BackendTable, now: BoxTime) -> EntryAnswer {
         let Some(known_to) = self.known_to else { return EntryAnswer::default() };
         // A replica that may come back is neither told nor passed over.
-        let first_lapsing = table.first_lapsing();
-        let settled_to = first_lapsing.map_or(known_to, |at| at.min(known_to));
+        let first_expiring = table.first_expiring();
+        let settled_to = first_expiring.map_or(known_to, |at| at.min(known_to));
         let gone_from = self.gone_from.max(table.gone_from());
         let whole = wish.known_to.is_none_or(|to| to < gone_from);
-        if whole && first_lapsing.is_some() && wish.has_backends {
+        if whole && first_expiring.is_some() && wish.has_backends {
             return EntryAnswer::default();
         }
         let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
