--- a/crates/box/src/gateway/note_wire/ask.rs
+++ b/crates/box/src/gateway/note_wire/ask.rs
@@ -74,7 +74,7 @@
         age_ms: word.age_ms,
         page_end: word.page.map(|page| page.end.into()),
         page_next: word.page.and_then(|page| page.next).map(Into::into),
-        page_gone_from: word.page.map(|page| page.gone_from.into()),
+        page_gone_from: word.page.map(|page| page.tombstones_from.into()),
     }
 }
 
@@ -82,8 +82,8 @@
     let next = word.page_next.map(Into::into);
     let page = word.page_end.map(|end| {
         let end = end.into();
-        let gone_from = word.page_gone_from.map_or(end, Into::into);
-        ListingPage { end, next, gone_from }
+        let tombstones_from = word.page_gone_from.map_or(end, Into::into);
+        ListingPage { end, next, tombstones_from }
     });
     let known_to = word.known_to.map(Into::into);
     EntryCoverage { known_to, age_ms: word.age_ms, page }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -85,7 +85,7 @@
             page: Some(ListingPage {
                 end: at(43),
                 next: Some(TopicPosition::default()),
-                gone_from: at(41),
+                tombstones_from: at(41),
             }),
         },
         others: vec!["10.1.0.4:7680".to_owned()],
--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -254,7 +254,7 @@
     }
 
     /// Position from which on it is known which replicas are gone.
-    pub fn gone_from(&self) -> TopicPosition {
+    pub fn tombstones_from(&self) -> TopicPosition {
         self.gone.kept_from()
     }
 
--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -30,7 +30,7 @@
     /// Position from which the next page goes on; `None` on the last.
     pub next: Option<TopicPosition>,
     /// From this position on it shows which replicas are gone as well.
-    pub gone_from: TopicPosition,
+    pub tombstones_from: TopicPosition,
 }
 
 /// What a box wants to know of the entries.
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 struct OpenListing {
     end: TopicPosition,
-    gone_from: TopicPosition,
+    tombstones_from: TopicPosition,
     as_of: Option<BoxTime>,
     next: TopicPosition,
     rows: Vec<BackendChange>,
@@ -77,7 +77,7 @@
     /// As of when that was all there was.
     as_of: Option<BoxTime>,
     /// From here on it is known which replicas are gone.
-    gone_from: TopicPosition,
+    tombstones_from: TopicPosition,
     listing: Option<OpenListing>,
 }
 
@@ -101,14 +101,14 @@
     /// Notes a listing of all entries before `end`.
     pub fn note_listed(&mut self, end: TopicPosition) {
         self.known_to = Some(end);
-        self.gone_from = end;
+        self.tombstones_from = end;
         self.listing = None;
     }
 
     /// Notes one that shows as well which replicas are gone from a position on.
-    fn note_told(&mut self, end: TopicPosition, gone_from: TopicPosition) {
+    fn note_told(&mut self, end: TopicPosition, tombstones_from: TopicPosition) {
         self.note_listed(end);
-        self.gone_from = gone_from.min(end);
+        self.tombstones_from = tombstones_from.min(end);
     }
 
     /// Notes that all changes before `to` are known, and that there were no others at `as_of`.
@@ -131,8 +131,8 @@
         // A replica that may come back is neither told nor passed over.
         let first_expiring = table.first_expiring();
         let settled_to = first_expiring.map_or(known_to, |at| at.min(known_to));
-        let gone_from = self.gone_from.max(table.gone_from());
-        let whole = wish.known_to.is_none_or(|to| to < gone_from);
+        let tombstones_from = self.tombstones_from.max(table.tombstones_from());
+        let whole = wish.known_to.is_none_or(|to| to < tombstones_from);
         if whole && first_expiring.is_some() && wish.has_backends {
             return EntryAnswer::default();
         }
@@ -146,8 +146,8 @@
         let all = !more && settled_to == known_to;
         let age_ms = self.age_ms(now).filter(|_| all || whole);
         let told_to = next.map_or(settled_to, |at| at.min(settled_to));
-        let gone_from = if shows_gone { gone_from } else { settled_to };
-        let page = whole.then_some(ListingPage { end: settled_to, next, gone_from });
+        let tombstones_from = if shows_gone { tombstones_from } else { settled_to };
+        let page = whole.then_some(ListingPage { end: settled_to, next, tombstones_from });
         let known_to = if whole { settled_to } else { told_to };
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
     }
@@ -189,9 +189,9 @@
         let first = TopicPosition::default();
         if wish.page_from == first {
             let (end, rows) = (page.end, Vec::new());
-            let gone_from = page.gone_from;
+            let tombstones_from = page.tombstones_from;
             self.listing =
-                Some(OpenListing { end, gone_from, as_of, next: first, rows, heard_at: now });
+                Some(OpenListing { end, tombstones_from, as_of, next: first, rows, heard_at: now });
         }
         let listing = self.listing.as_mut()?;
         if listing.next != wish.page_from || page.end < listing.end {
@@ -200,13 +200,13 @@
         listing.rows.extend(changes.iter().cloned());
         listing.heard_at = now;
         // Pages may come from different boxes.
-        listing.gone_from = listing.gone_from.max(page.gone_from);
+        listing.tombstones_from = listing.tombstones_from.max(page.tombstones_from);
         if let Some(next) = page.next {
             listing.next = next;
             return None;
         }
         let listing = self.listing.take()?;
-        self.note_told(listing.end, listing.gone_from);
+        self.note_told(listing.end, listing.tombstones_from);
         self.note_read(listing.end, listing.as_of);
         Some((listing.end, listing.rows))
     }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -120,7 +120,7 @@
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
     let mut note = answer(&mut reader, &subject);
-    note.entries.page = Some(ListingPage { end: at(9), next: None, gone_from: at(9) });
+    note.entries.page = Some(ListingPage { end: at(9), next: None, tombstones_from: at(9) });
 
     let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 
