--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -249,7 +249,7 @@
     }
 
     /// Replicas that are known to be gone.
-    pub(super) fn gone_count(&self) -> usize {
+    pub(super) fn tombstone_count(&self) -> usize {
         self.gone.count()
     }
 
--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -137,7 +137,7 @@
             return EntryAnswer::default();
         }
         let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
-        let shows_gone = !whole || table.gone_count() <= TOMBSTONES_PER_MESSAGE;
+        let shows_gone = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, shows_gone, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
         let kept = if more && !whole { aligned(&changes) } else { CHANGES_PER_MESSAGE };
