--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -90,7 +90,7 @@
         };
         let budgets = self.told_budgets(stamp.now);
         // Each takes a look at all replicas, and rounds of notes bring them to all: an answer comes too often for that.
-        let (loads, down, limits) = if kind == NoteKind::Round || self.peers.all_are_told() {
+        let (loads, down, limits) = if kind == NoteKind::Round || self.peers.gossip_reaches_all() {
             let backends = &self.backends;
             let now = stamp.now;
             (
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -93,7 +93,7 @@
 
     /// Other boxes that live: where notes reach all, who did not speak is silent; else word of it may be under way.
     fn living(&self, now: BoxTime) -> impl Iterator<Item = (&String, &PeerState)> {
-        let few = self.all_are_told();
+        let few = self.gossip_reaches_all();
         let live = move |row: &PeerState| if few { row.lives(now) } else { row.leads(now) };
         self.rows.iter().filter(move |(_, row)| live(row))
     }
@@ -114,7 +114,7 @@
 
     /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
     pub fn leads(&self, me: &LocalPeer, now: BoxTime) -> Vec<PeerSummary> {
-        if self.all_are_told() {
+        if self.gossip_reaches_all() {
             return Vec::new();
         }
         let mut all = self.candidates(me, now);
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -139,7 +139,7 @@
     /// heard or heard of within [`PEER_EXPIRY_MS`], since each box hears the others but now and then.
     pub fn fleet_count(&self, now: BoxTime) -> usize {
         let live = self.live_count(now);
-        if self.all_are_told() {
+        if self.gossip_reaches_all() {
             return live;
         }
         1 + self.rows.len() + self.hearsay.len()
@@ -147,13 +147,13 @@
 
     /// Names of the fleet's other boxes: those that [`Self::fleet_count`] counts and whose names are known.
     pub fn fleet_names(&self, now: BoxTime) -> impl Iterator<Item = &str> {
-        let all = !self.all_are_told();
+        let all = !self.gossip_reaches_all();
         let rows = self.rows.iter().filter(move |(_, row)| all || row.lives(now));
         rows.map(|(name, _)| name.as_str())
     }
 
     /// Whether the boxes that are known are so few that each note reaches all.
-    pub fn all_are_told(&self) -> bool {
+    pub fn gossip_reaches_all(&self) -> bool {
         self.rows.len() + self.hearsay.len() <= GOSSIP_FANOUT
     }
 
