--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -30,7 +30,7 @@
             let replica = row.id_hash;
             let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
             out.push(RouteEffect::SendPlacement(
-                self.peers.note_targets(&self.settings.zone, stamp.random),
+                self.peers.gossip_targets(&self.settings.zone, stamp.random),
                 note,
             ));
         }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -72,7 +72,7 @@
         self.peers.forget(stamp.now);
         let told = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
         self.rounds.changes.retain(|(at, _)| told(*at));
-        let targets = self.peers.note_targets(&self.settings.zone, stamp.random);
+        let targets = self.peers.gossip_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
             let note = self.note(stamp, NoteKind::Round);
             out.push(RouteEffect::SendGossip(targets, Box::new(note)));
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -118,7 +118,7 @@
 
     /// Addresses for the next round of notes of a box in `zone`: all if they are few, else some by chance, of
     /// these most in the same availability zone. Who was only heard of may be anywhere.
-    pub fn note_targets(&self, zone: &str, random: u64) -> Vec<String> {
+    pub fn gossip_targets(&self, zone: &str, random: u64) -> Vec<String> {
         let near = |row: &&PeerState| row.card.zone == zone;
         let known = |row: &PeerState| row.card.gossip_address.clone();
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
