--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -341,7 +341,7 @@
         self.tally_silent(stamp);
         self.advance_trials(stamp, out);
         self.judge_trials(stamp, out);
-        self.mark_trials(stamp, out);
+        self.write_checkpoints(stamp, out);
         self.ask_reader(stamp, out);
         self.send_notes(stamp, out);
         self.lead(stamp, out);
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -177,7 +177,7 @@
     }
 
     /// Marks in the store how far trials have come, box by box as verdicts are written.
-    pub(super) fn mark_trials(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
+    pub(super) fn write_checkpoints(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
             match trial.mark_due(stamp.now) {
