--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -61,7 +61,7 @@
             evacuated: self.evacuated.zones(),
             peers: self.peers.rows().collect(),
             trials: self.trials.values().collect(),
-            fatal: self.fatal_dump(now),
+            fatal: self.poison_dump(now),
             in_flight: self.requests.len(),
         }
     }
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -296,7 +296,7 @@
     }
 
     /// Contents under which replicas ended, as operators see them.
-    pub(super) fn fatal_dump(&self, now: BoxTime) -> Vec<FatalDump> {
+    pub(super) fn poison_dump(&self, now: BoxTime) -> Vec<FatalDump> {
         self.fatal.dump(now)
     }
 
