--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -5,7 +5,7 @@
 use super::backend::BackendState;
 use super::peers::PeerState;
 use super::plan::RoutePlan;
-use super::poison::FatalDump;
+use super::poison::PoisonDump;
 use super::trial::VersionTrial;
 use super::RouteState;
 use crate::position::TopicPosition;
@@ -39,7 +39,7 @@
     /// Trials.
     pub trials: Vec<&'a VersionTrial>,
     /// Contents under which replicas ended.
-    pub fatal: Vec<FatalDump>,
+    pub fatal: Vec<PoisonDump>,
     /// Requests in hand.
     #[serde(rename = "in_hand")]
     pub in_flight: usize,
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -99,7 +99,7 @@
 
 /// A content under which replicas ended, as operators see it.
 #[derive(Debug, Serialize)]
-pub struct FatalDump {
+pub struct PoisonDump {
     /// Hash of what requests ask for, as in logs.
     pub content: String,
     /// Ends known here.
@@ -189,8 +189,8 @@
         words
     }
 
-    fn dump(&self, now: BoxTime) -> Vec<FatalDump> {
-        let dump = |(content, row): (&u64, &ContentRecord)| FatalDump {
+    fn dump(&self, now: BoxTime) -> Vec<PoisonDump> {
+        let dump = |(content, row): (&u64, &ContentRecord)| PoisonDump {
             content: format!("{content:016x}"),
             ends: row.count(now),
             fatal_age_ms: row.fatal_age_ms(now),
@@ -296,7 +296,7 @@
     }
 
     /// Contents under which replicas ended, as operators see them.
-    pub(super) fn poison_dump(&self, now: BoxTime) -> Vec<FatalDump> {
+    pub(super) fn poison_dump(&self, now: BoxTime) -> Vec<PoisonDump> {
         self.fatal.dump(now)
     }
 
