--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -274,7 +274,7 @@
         cause: SendCause,
     ) -> bool {
         let Some(request) = self.requests.get(&ticket) else { return false };
-        if !request.may_be_sent(stamp.now) || self.is_fatal(stamp, ticket) {
+        if !request.may_be_sent(stamp.now) || self.is_poison(stamp, ticket) {
             return false;
         }
         let boxes = self.peers.fleet_count(stamp.now);
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    fn is_fatal(&self, content: u64, now: BoxTime) -> bool {
-        self.rows.get(&content).is_some_and(|row| row.is_fatal(now))
+    fn is_poison(&self, content: u64, now: BoxTime) -> bool {
+        self.rows.get(&content).is_some_and(|row| row.is_poison(now))
     }
 
     /// The record of a content, if it was not logged yet that it is sent no further.
@@ -235,9 +235,9 @@
     }
 
     /// Whether a request asks for what crashes replicas.
-    pub(super) fn is_fatal(&self, stamp: EventStamp, ticket: RequestTicket) -> bool {
+    pub(super) fn is_poison(&self, stamp: EventStamp, ticket: RequestTicket) -> bool {
         let content = self.requests.get(&ticket).map_or(0, |request| request.content);
-        self.fatal.is_fatal(content, stamp.now)
+        self.fatal.is_poison(content, stamp.now)
     }
 
     /// A request was answered whole.
@@ -307,7 +307,7 @@
         ticket: RequestTicket,
         out: &mut Vec<RouteEffect>,
     ) -> bool {
-        let fatal = self.is_fatal(stamp, ticket);
+        let fatal = self.is_poison(stamp, ticket);
         if fatal {
             self.log_fatal(stamp, ticket, out);
             self.give_up(stamp, ticket, RefusalReason::CrashesReplicas, out);
