--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -43,7 +43,7 @@
         otherwise: RefusalReason,
         out: &mut Vec<RouteEffect>,
     ) {
-        if self.stop_fatal(stamp, ticket, out) {
+        if self.refuse_poison(stamp, ticket, out) {
             return;
         }
         self.advance_trial(stamp, ticket, out);
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -301,7 +301,7 @@
     }
 
     /// Ends a request that asks for what crashes replicas. Returns whether it does.
-    pub(super) fn stop_fatal(
+    pub(super) fn refuse_poison(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
