--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -309,14 +309,14 @@
     ) -> bool {
         let fatal = self.is_poison(stamp, ticket);
         if fatal {
-            self.log_fatal(stamp, ticket, out);
+            self.log_poison(stamp, ticket, out);
             self.give_up(stamp, ticket, RefusalReason::CrashesReplicas, out);
         }
         fatal
     }
 
     /// Logs a content that is sent no further, once, with a client account that asks for it.
-    fn log_fatal(&mut self, stamp: EventStamp, ticket: RequestTicket, out: &mut Vec<RouteEffect>) {
+    fn log_poison(&mut self, stamp: EventStamp, ticket: RequestTicket, out: &mut Vec<RouteEffect>) {
         let Some(request) = self.requests.get(&ticket) else { return };
         let content = request.content;
         let account = request.account.clone();
