--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -350,8 +350,8 @@
             // one, asking again gives the same.
             let answers = own_ask(note, self.settings.incarnation, stamp.now)
                 .is_some_and(|ask| ask.known == self.plan_position());
-            self.asks.told_too_little |= answers && note.entries.page.is_none();
-            if stamp.now >= self.asks.next_behind_ask && !self.asks.told_too_little {
+            self.asks.lagging |= answers && note.entries.page.is_none();
+            if stamp.now >= self.asks.next_behind_ask && !self.asks.lagging {
                 self.asks.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
                     note.card.gossip_address.clone(),
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -106,7 +106,7 @@
         if read_to >= self.read_to {
             self.read_to = read_to;
             self.asks.behind_since = None;
-            self.asks.told_too_little = false;
+            self.asks.lagging = false;
         }
     }
 
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -50,7 +50,7 @@
     /// answer of theirs stands for a read, also after a call that failed.
     pub fn is_behind(&self, now: BoxTime) -> bool {
         let long = |at: BoxTime| now.millis_since(at) >= peers::BEHIND_MS;
-        self.asks.told_too_little || self.asks.behind_since.is_some_and(long)
+        self.asks.lagging || self.asks.behind_since.is_some_and(long)
     }
 
     /// Whether this box lost the store, or the store lost its plan, and others, who answer it, find out when it is back.
--- a/crates/core/src/route/sync_state.rs
+++ b/crates/core/src/route/sync_state.rs
@@ -16,7 +16,7 @@
     /// Since when it is known that another box has read further.
     pub(super) behind_since: Option<BoxTime>,
     /// Whether an answer to its ask for that lacked it.
-    pub(super) told_too_little: bool,
+    pub(super) lagging: bool,
     /// When it may ask for that again.
     pub(super) next_behind_ask: BoxTime,
 }
