--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -79,7 +79,7 @@
     fn return_in_turn(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.return_late(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let held_back = self.backends.all_held_back(&request.service, stamp.now);
+        let held_back = self.backends.all_throttled(&request.service, stamp.now);
         let Some(next_at) = held_back.and_then(|service| service.next_at) else { return };
         let after_ms = next_at.millis_since(stamp.now);
         request.retry_after_ms = request.retry_after_ms.map(|late| late.min(after_ms));
@@ -96,7 +96,7 @@
         if self.backends.all_evacuated(service, &self.evacuated, stamp.now) {
             return Some(RefusalReason::Evacuated);
         }
-        let held_back = self.backends.all_held_back(service, stamp.now);
+        let held_back = self.backends.all_throttled(service, stamp.now);
         held_back.map(|_| RefusalReason::ReplicasLimited)
     }
 
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -48,7 +48,7 @@
     }
 
     /// Whether all replicas of a service that may be used at all take no more for now.
-    pub(super) fn all_held_back(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
+    pub(super) fn all_throttled(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
         let keys = self.by_service.get(service)?;
         let rows = || keys.iter().map(|key| &self.rows[*key]).filter(|row| row.usable(now));
         let held_back = rows().count() > 0 && rows().all(|row| !row.takes_more(now));
