--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -370,7 +370,7 @@
         self.requests.remove(&ticket);
     }
 
-    pub(super) fn on_caller_left(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    pub(super) fn on_caller_disconnected(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.end_attempt(stamp, ticket, BackendOutcome::Neither);
         self.requests.remove(&ticket);
     }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -302,7 +302,7 @@
             }
             RouteEvent::ResponseFinished(ticket) => self.on_response_finished(stamp, ticket),
             RouteEvent::DeadlinePassed(ticket) => self.on_deadline_passed(stamp, ticket, out),
-            RouteEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket),
+            RouteEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket),
             RouteEvent::StopRequested => {
                 self.stopping_since.get_or_insert(stamp.now);
                 self.rounds.next_note = BoxTime::default();
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -255,7 +255,7 @@
             BoxEvent::ReleasedAnswerRated { version, class, good } => {
                 self.on_rated(stamp, &version, class, good, out);
             }
-            BoxEvent::CallerDisconnected(ticket) => self.on_caller_left(stamp, ticket, out),
+            BoxEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket, out),
             BoxEvent::StopRequested => self.on_stop_asked(stamp, out),
         }
         effects
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -158,7 +158,7 @@
         self.place(stamp, key, false, out);
     }
 
-    pub(super) fn on_caller_left(
+    pub(super) fn on_caller_disconnected(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
