--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -251,7 +251,7 @@
                 self.on_checkpoints(stamp, asked_at, checkpoints)
             }
             RouteEvent::CheckpointStored(mark) => {
-                self.take_mark(stamp, &mark);
+                self.apply_checkpoint(stamp, &mark);
                 self.rounds.next_note = BoxTime::default();
             }
             RouteEvent::BackendsChanged(changes) => self.on_backends(stamp, changes, out),
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -76,14 +76,14 @@
         marks: Vec<TrialCheckpoint>,
     ) {
         for mark in marks {
-            self.take_mark(stamp, &mark);
+            self.apply_checkpoint(stamp, &mark);
         }
         let asked_after = self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at);
         asked_after.for_each(|trial| trial.mark_unread = false);
     }
 
     /// Takes a mark that stands in the store.
-    pub(super) fn take_mark(&mut self, stamp: EventStamp, mark: &TrialCheckpoint) {
+    pub(super) fn apply_checkpoint(&mut self, stamp: EventStamp, mark: &TrialCheckpoint) {
         let Some(trial) = self.trials.get_mut(&mark.service) else { return };
         if trial.order.version == mark.version {
             trial.learn(mark.progress, stamp.now);
