--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -273,7 +273,10 @@
         // What may come back is settled by the same change, from a box that takes it for gone.
         let settled = lapse_at.is_none() && change.entry.is_none() && self.lapses(&change.id);
         if known.is_some_and(|at| at > change.at || (at == change.at && !settled)) {
-            return change.entry.as_ref().map_or(ChangeKind::None, |entry| self.take_mark(entry));
+            return change
+                .entry
+                .as_ref()
+                .map_or(ChangeKind::None, |entry| self.apply_leaving(entry));
         }
         match &change.entry {
             Some(entry) if self.gone.has_left(entry, change.at) => ChangeKind::None,
--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -19,7 +19,7 @@
 
     /// Takes a leaving mark from an entry that is not later than the one known. Within one life of a replica it is never
     /// taken back, so the order does not matter.
-    pub(super) fn take_mark(&mut self, entry: &BackendEntry) -> ChangeKind {
+    pub(super) fn apply_leaving(&mut self, entry: &BackendEntry) -> ChangeKind {
         let key = self.ids.get(&entry.id).copied().filter(|_| entry.leaving);
         let same_life = |key: &ReplicaKey| self.rows[*key].entry.born == entry.born;
         match key.filter(same_life).and_then(|key| self.mark_leaving(key)) {
