--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -246,7 +246,7 @@
             RouteEvent::VerdictsRead { asked_at, verdicts } => {
                 self.on_verdicts(asked_at, verdicts, out);
             }
-            RouteEvent::VerdictStored(verdict) => self.take_verdict(verdict, true, out),
+            RouteEvent::VerdictStored(verdict) => self.apply_verdict(verdict, true, out),
             RouteEvent::CheckpointsRead { asked_at, checkpoints } => {
                 self.on_checkpoints(stamp, asked_at, checkpoints)
             }
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -56,7 +56,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         for verdict in verdicts {
-            self.take_verdict(verdict, true, out);
+            self.apply_verdict(verdict, true, out);
         }
         // An order that was read later may be of a trial that the listing did not show yet.
         for trial in self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at) {
@@ -92,7 +92,7 @@
     }
 
     /// Takes a verdict, which stands in the store or did in a former era. A trial that ended never begins anew.
-    pub(super) fn take_verdict(
+    pub(super) fn apply_verdict(
         &mut self,
         verdict: TrialVerdict,
         stands: bool,
@@ -144,7 +144,7 @@
             trial.peers.insert(note.name.clone(), heard.tallies.clone());
         }
         for verdict in &note.verdicts {
-            self.take_verdict(verdict.clone(), stands, out);
+            self.apply_verdict(verdict.clone(), stands, out);
         }
     }
 
