--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -91,7 +91,7 @@
     }
 
     /// Takes a report of its load, as of `at`.
-    fn take_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
+    fn apply_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
         let age_ms = at.millis_since(self.reported_at) as f64;
         let left = (-age_ms / USUAL_HALF_LIFE_MS).exp2().min(USUAL_KEPT);
         self.usual += (f64::from(load) - self.usual) * (1.0 - left);
@@ -157,7 +157,7 @@
     /// Takes the load that came with an answer; a request that waits has `mean_ms` of work.
     pub fn reported(&mut self, key: ReplicaKey, load: BackendLoad, mean_ms: f64, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.take_report(load.running + WAITING_WEIGHT * load.waiting, load.waiting, now);
+            row.apply_report(load.running + WAITING_WEIGHT * load.waiting, load.waiting, now);
             row.backlog.reported(load.waiting, mean_ms, now);
         }
     }
@@ -168,7 +168,7 @@
         let row = &mut self.rows[*key];
         let at = now.minus_millis(told.age_ms);
         if at > row.reported_at {
-            row.take_report(told.load, told.waiting, at);
+            row.apply_report(told.load, told.waiting, at);
             row.backlog.reported(told.waiting, mean_ms(&row.entry.service), at);
         }
     }
