--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -45,7 +45,7 @@
 
 impl RouteState {
     /// Tells news of a replica to other boxes, at once and for a while.
-    pub(super) fn tell(
+    pub(super) fn announce_change(
         &mut self,
         stamp: EventStamp,
         change: BackendChange,
--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -43,6 +43,6 @@
         }
         let Some(change) = self.backends.mark_leaving(key) else { return };
         out.push(RouteEffect::LeavingReported(change.id.clone()));
-        self.tell(stamp, change, ChangeKind::Leaving, out);
+        self.announce_change(stamp, change, ChangeKind::Leaving, out);
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -326,7 +326,7 @@
 
     fn on_tick(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         for change in self.backends.drop_expired(stamp.now) {
-            self.tell(stamp, change, ChangeKind::Leaving, out);
+            self.announce_change(stamp, change, ChangeKind::Leaving, out);
         }
         let evacuations = self.evacuated.drop_unseen(stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
@@ -413,7 +413,7 @@
         for change in changes {
             let news = self.backends.take(&change, stamp.now, lapse_at);
             if news == ChangeKind::Leaving || source == BackendSource::Store {
-                self.tell(stamp, change, news, out);
+                self.announce_change(stamp, change, news, out);
             }
         }
     }
@@ -429,7 +429,7 @@
         let all = self.backends.apply_all(end, listed, stamp.now, lapse_at);
         // Who lists learns late what others know already, but for what leaves.
         for (change, news) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
-            self.tell(stamp, change, news, out);
+            self.announce_change(stamp, change, news, out);
         }
     }
 
