--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -64,7 +64,7 @@
     }
 
     /// Sends a round of notes, if it is time for one.
-    pub(super) fn send_notes(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
+    pub(super) fn send_gossip(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         if stamp.now < self.rounds.next_note {
             return;
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -343,7 +343,7 @@
         self.judge_trials(stamp, out);
         self.write_checkpoints(stamp, out);
         self.ask_reader(stamp, out);
-        self.send_notes(stamp, out);
+        self.send_gossip(stamp, out);
         self.lead(stamp, out);
     }
 
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -92,7 +92,7 @@
         out.push(RouteEffect::PlanInForce { version, routes, age_ms });
         // Others ask for it at once: it is everywhere after a few steps, and few boxes read the store.
         self.rounds.next_note = BoxTime::default();
-        self.send_notes(stamp, out);
+        self.send_gossip(stamp, out);
     }
 
     /// Relies on the plan as all that was confirmed before `asked_at`, up to a position.
