--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -85,7 +85,13 @@
 impl LeaderPart {
     /// Takes the store's answer to an ask of `asked_at`. A lease that lapsed meanwhile begins anew, with the token of the
     /// answer: another box may have had it.
-    pub fn hear(&mut self, word: LeaseAnswer, asked_at: BoxTime, now: BoxTime, length_ms: u64) {
+    pub fn apply_answer(
+        &mut self,
+        word: LeaseAnswer,
+        asked_at: BoxTime,
+        now: BoxTime,
+        length_ms: u64,
+    ) {
         let until = asked_at.plus_millis(length_ms);
         *self = match *self {
             _ if !word.dealt => Self::Other,
