--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -205,7 +205,7 @@
     ) {
         let length_ms = self.lease_ms();
         let former = self.leader.part;
-        self.leader.part.hear(word, asked_at, stamp.now, length_ms);
+        self.leader.part.apply_answer(word, asked_at, stamp.now, length_ms);
         self.note_part(former, out);
     }
 
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -24,7 +24,12 @@
 /// A part that was dealt the lease at 1 s, under token 5.
 fn dealt() -> LeaderPart {
     let mut part = LeaderPart::default();
-    part.hear(LeaseAnswer { token: 5, dealt: true }, millis(1_000), millis(1_010), LEASE_MS);
+    part.apply_answer(
+        LeaseAnswer { token: 5, dealt: true },
+        millis(1_000),
+        millis(1_010),
+        LEASE_MS,
+    );
     part
 }
 
@@ -32,7 +37,12 @@
 fn a_lease_is_acted_on_only_after_whoever_had_it_no_longer_may() {
     let mut part = dealt();
     for at in [2_000, 3_000, 4_000] {
-        part.hear(LeaseAnswer { token: 7, dealt: true }, millis(at), millis(at + 5), LEASE_MS);
+        part.apply_answer(
+            LeaseAnswer { token: 7, dealt: true },
+            millis(at),
+            millis(at + 5),
+            LEASE_MS,
+        );
         part.pass(millis(at + 5));
         assert_eq!(part.acting(millis(at + 5)), None, "at {at}");
     }
@@ -47,12 +57,17 @@
 fn a_lease_that_lapsed_while_the_box_was_frozen_begins_anew_under_another_token() {
     let mut part = dealt();
     part.pass(millis(9_000));
-    part.hear(LeaseAnswer { token: 9, dealt: true }, millis(9_000), millis(9_005), LEASE_MS);
+    part.apply_answer(
+        LeaseAnswer { token: 9, dealt: true },
+        millis(9_000),
+        millis(9_005),
+        LEASE_MS,
+    );
     part.pass(millis(9_005));
 
     assert_eq!(part.acting(millis(9_005)), None);
     for at in [10_000, 11_000, 12_000] {
-        part.hear(LeaseAnswer { token: 9, dealt: true }, millis(at), millis(at), LEASE_MS);
+        part.apply_answer(LeaseAnswer { token: 9, dealt: true }, millis(at), millis(at), LEASE_MS);
     }
     part.pass(millis(12_100));
     assert_eq!(part.acting(millis(12_100)).map(|lease| lease.token()), Some(9));
