--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -243,7 +243,7 @@
     /// Takes another box's counts.
     pub(super) fn on_usage_received(&mut self, note: &UsageResponse) {
         if let Some(round) = &mut self.leader.round {
-            round.hear(note);
+            round.add_response(note);
         }
     }
 
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -131,7 +131,7 @@
     }
 
     /// Takes another box's counts, once.
-    pub fn hear(&mut self, note: &UsageResponse) {
+    pub fn add_response(&mut self, note: &UsageResponse) {
         if note.usage.window != self.report.window
             || !self.heard.insert(note.gossip_address.clone())
         {
