--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -110,7 +110,7 @@
     }
 
     /// Takes another box's word. Gives what of it is news.
-    pub fn hear(&mut self, word: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
+    pub fn merge(&mut self, word: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
         if word.known_to.era < self.known_to.era {
             word.zones.iter().for_each(|zone| self.keep_unseen(zone, now));
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -252,7 +252,7 @@
         note: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.name == self.settings.name || !self.peers.hear(note, stamp.now) {
+        if note.name == self.settings.name || !self.peers.merge(note, stamp.now) {
             return;
         }
         if self.is_starting() && note.card.open && note.echo.is_none() {
@@ -262,7 +262,7 @@
         self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
         self.peers.apply_duty_holders(&note.leads, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
-        let evacuations = self.evacuated.hear(&note.evacuation, stamp.now);
+        let evacuations = self.evacuated.merge(&note.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
         self.apply_entries(stamp, note, out);
         let paces = &self.paces;
@@ -279,12 +279,12 @@
         self.apply_crashes(stamp, &note.ends, &note.contents);
         for told in &note.paces {
             if self.backends.serves(&told.service) {
-                self.paces.entry(told.service.clone()).or_default().hear(&told.models);
+                self.paces.entry(told.service.clone()).or_default().merge(&told.models);
             }
         }
         for told in &note.budgets {
             if let Some(budget) = self.budgets.get_mut(&told.service) {
-                budget.hear(&note.name, told.count, stamp.now);
+                budget.merge(&note.name, told.count, stamp.now);
             }
         }
         self.apply_trials(stamp, note, out);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -237,7 +237,7 @@
                 self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::EvacuationsReceived(word) => {
-                let news = self.evacuated.hear(&word, stamp.now);
+                let news = self.evacuated.merge(&word, stamp.now);
                 self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::OrdersRead { read_to, orders } => {
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -95,7 +95,7 @@
     }
 
     /// Comes nearer to what another box has learnt, by how much each of them has seen.
-    fn hear(&mut self, other: LatencyEstimate) {
+    fn merge(&mut self, other: LatencyEstimate) {
         let sound = other.ms.is_finite() && other.ms > 0.0 && other.answers.is_finite();
         if !sound || other.answers < 1.0 {
             return;
@@ -168,14 +168,14 @@
     }
 
     /// Takes what another box has learnt of models that this one knows of.
-    pub fn hear(&mut self, models: &[ModelLatency]) {
+    pub fn merge(&mut self, models: &[ModelLatency]) {
         let count = models.len().min(MODELS_HEARD);
         if self.models.len() < count {
             self.models.resize(count, ModelPace::default());
         }
         for (own, other) in self.models.iter_mut().zip(models) {
-            own.token_ms.hear(other.token);
-            own.begin_ms.hear(other.begin);
+            own.token_ms.merge(other.token);
+            own.begin_ms.merge(other.begin);
         }
     }
 
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -50,7 +50,7 @@
     }
 
     /// Takes a note. Returns false if it is older than one that was taken.
-    pub fn hear(&mut self, note: &GossipMessage, now: BoxTime) -> bool {
+    pub fn merge(&mut self, note: &GossipMessage, now: BoxTime) -> bool {
         let known = self.rows.get(&note.name);
         let same = known.filter(|row| row.card.incarnation == note.card.incarnation);
         if same.is_some_and(|row| row.number >= note.number) {
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -128,10 +128,10 @@
         self.row(content).note(end, now);
     }
 
-    fn hear(&mut self, word: &PoisonUpdate, now: BoxTime) {
+    fn merge(&mut self, word: &PoisonUpdate, now: BoxTime) {
         // What was answered is no news of a content of which nothing bad is known.
         if !word.answered || self.rows.contains_key(&word.content) {
-            self.row(word.content).hear(word, now);
+            self.row(word.content).merge(word, now);
         }
     }
 
@@ -262,7 +262,7 @@
             self.fatal.note(content, end, stamp.now);
         }
         for word in words.iter().filter(|word| word.age_ms < FATAL_KEPT_MS) {
-            self.fatal.hear(word, stamp.now);
+            self.fatal.merge(word, stamp.now);
         }
     }
 
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -107,7 +107,7 @@
     }
 
     /// Takes another box's word.
-    pub(super) fn hear(&mut self, word: &PoisonUpdate, now: BoxTime) {
+    pub(super) fn merge(&mut self, word: &PoisonUpdate, now: BoxTime) {
         let at = now.minus_millis(word.age_ms);
         if word.answered {
             self.clear(at);
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -117,7 +117,7 @@
     }
 
     /// Takes another box's counts.
-    pub fn hear(&mut self, name: &str, count: SendCount, now: BoxTime) {
+    pub fn merge(&mut self, name: &str, count: SendCount, now: BoxTime) {
         self.heard.retain(|_, (at, _)| now.millis_since(*at) < HEARD_MS);
         self.heard.insert(name.to_owned(), (now, count));
     }
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -224,8 +224,8 @@
     let usage = UsageReport { window: 7, counts: [("alpha".to_owned(), 2)].into() };
     let note = UsageResponse { gossip_address: "box-2:90".to_owned(), usage };
 
-    round.hear(&note);
-    round.hear(&note);
+    round.add_response(&note);
+    round.add_response(&note);
 
     let bounds = UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS };
     let ended = WallTime(8 * WINDOW_MS + LATE_MS);
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -320,7 +320,7 @@
     let known = learnt(0.2, 100);
     let mut started = ServiceLatency::default();
 
-    started.hear(&known.told());
+    started.merge(&known.told());
 
     let tokens = 10_000.0;
     assert!((started.read_ms(0, tokens) - known.read_ms(0, tokens)).abs() < 1.0);
@@ -331,7 +331,7 @@
     let (mut known, other) = (learnt(0.2, 100), learnt(0.02, 1));
     let before = known.read_ms(0, 10_000.0);
 
-    known.hear(&other.told());
+    known.merge(&other.told());
 
     let after = known.read_ms(0, 10_000.0);
     assert!((after / before - 1.0).abs() < 0.1, "{before} ms before, {after} ms after");
@@ -348,7 +348,7 @@
             }
             let word = boxes[number].told();
             let other = (number + 1 + round) % boxes.len();
-            boxes[other].hear(&word);
+            boxes[other].merge(&word);
         }
     }
     for subject in &boxes {
@@ -363,7 +363,7 @@
     let before = known.read_ms(0, 10_000.0);
     for ms in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let time = LatencyEstimate { ms, answers: 30.0 };
-        known.hear(&[ModelLatency { token: time, begin: time }]);
+        known.merge(&[ModelLatency { token: time, begin: time }]);
     }
     assert_eq!(known.read_ms(0, 10_000.0), before);
 }
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -64,7 +64,7 @@
                 let count = boxes[number].count(BOUNDS, now);
                 for _ in 0..TOLD_TO {
                     let to = draw(&mut seed, BOXES as u64) as usize;
-                    boxes[to].hear(&format!("box-{number}"), count, now);
+                    boxes[to].merge(&format!("box-{number}"), count, now);
                 }
             }
         }
@@ -129,7 +129,7 @@
         budget.earn(BOUNDS, now);
     }
     while budget.spend(BOUNDS, BOXES, SendCause::Failure, now) {}
-    budget.hear("box-2", count, now);
+    budget.merge("box-2", count, now);
     (budget, now)
 }
 
@@ -147,7 +147,7 @@
 fn counts_that_no_box_can_have_are_borne() {
     let most = SendCount { requests: u32::MAX, sends: u32::MAX };
     let (mut budget, now) = box_that_spent_its_part(most);
-    budget.hear("box-3", most, now);
+    budget.merge("box-3", most, now);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "nothing is left");
 }
 
