--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -85,7 +85,7 @@
     }
 
     /// What is told to other boxes.
-    pub fn word(&self) -> EvacuationDigest {
+    pub fn digest(&self) -> EvacuationDigest {
         EvacuationDigest { known_to: self.known_to, zones: self.zones.clone() }
     }
 
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -115,7 +115,7 @@
             era: self.era,
             known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
-            evacuation: self.evacuated.word(),
+            evacuation: self.evacuated.digest(),
             echo: None,
             entries: EntryCoverage::default(),
             changes: self
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -354,7 +354,7 @@
         news: Vec<ZoneOrder>,
         out: &mut Vec<RouteEffect>,
     ) {
-        let known_to = self.evacuated.word().known_to;
+        let known_to = self.evacuated.digest().known_to;
         for order in news {
             let in_flight = self.in_flight_at(&order.zone);
             if !order.evacuated {
