--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -120,7 +120,7 @@
     }
 
     /// What this box wants to know.
-    pub fn wish(&self, has_backends: bool) -> EntryQuery {
+    pub fn query(&self, has_backends: bool) -> EntryQuery {
         let page_from = self.listing.as_ref().map(|listing| listing.next).unwrap_or_default();
         EntryQuery { known_to: self.known_to, page_from, has_backends }
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -223,7 +223,7 @@
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
             known: self.plan_position(),
-            entries: self.entries.wish(self.has_backends()),
+            entries: self.entries.query(self.has_backends()),
         }
     }
 
