--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -434,7 +434,7 @@
             }
             for (zone, size) in known.size.without(&|zone| self.evacuated.contains(zone)) {
                 let stock = stocks.get(zone).copied().unwrap_or_default();
-                let wish = scale::wish(plan, size, stock);
+                let wish = scale::zone_target(plan, size, stock);
                 let kinds = [(true, wish.spot, stock.spot), (false, wish.usual, stock.usual)];
                 for (spot, wanted, standing) in kinds {
                     let (service, zone) = (service.clone(), zone.to_owned());
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -69,7 +69,7 @@
 }
 
 /// What a zone of this size is to have.
-pub fn wish(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
+pub fn zone_target(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.has_cheaper() {
         return ZoneTarget { usual: size, spot: 0 };
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -4,7 +4,7 @@
 
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::leader::lease::{LeaderPart, LeaseAnswer};
-use ravenspoke_core::route::leader::scale::{wish, ScalePlan, ZoneCount, ZoneTarget};
+use ravenspoke_core::route::leader::scale::{zone_target, ScalePlan, ZoneCount, ZoneTarget};
 use ravenspoke_core::route::leader::usage::{
     RoundStep, UsageBounds, UsageReport, UsageResponse, UsageRound,
 };
@@ -76,10 +76,14 @@
 #[test]
 fn cheap_replicas_replace_usual_ones_only_as_they_serve() {
     let stock = |usual, spot| ZoneCount { usual, spot };
-    assert_eq!(wish(&PLAN, 20, stock(20, 0)), ZoneTarget { usual: 20, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(20, 9)), ZoneTarget { usual: 11, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(3, 17)), ZoneTarget { usual: 3, spot: 17 });
-    assert_eq!(wish(&PLAN, 20, stock(3, 0)), ZoneTarget { usual: 20, spot: 17 }, "taken away");
+    assert_eq!(zone_target(&PLAN, 20, stock(20, 0)), ZoneTarget { usual: 20, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, stock(20, 9)), ZoneTarget { usual: 11, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, stock(3, 17)), ZoneTarget { usual: 3, spot: 17 });
+    assert_eq!(
+        zone_target(&PLAN, 20, stock(3, 0)),
+        ZoneTarget { usual: 20, spot: 17 },
+        "taken away"
+    );
 }
 
 #[test]
@@ -87,7 +91,7 @@
     let tight = ScalePlan { max: 24, ..PLAN };
     for usual in 0..=24 {
         for spot in 0..=24 {
-            let wish = wish(&tight, 20, ZoneCount { usual, spot });
+            let wish = zone_target(&tight, 20, ZoneCount { usual, spot });
             assert!(
                 wish.usual + wish.spot <= tight.max.max(usual + spot),
                 "{usual} {spot} {wish:?}"
@@ -101,7 +105,7 @@
 fn without_cheap_replicas_the_size_stays_as_it_was() {
     let usual_only = ScalePlan { spot_price: None, ..PLAN };
     let stock = ZoneCount { usual: 12, spot: 0 };
-    assert_eq!(wish(&usual_only, 20, stock), ZoneTarget { usual: 20, spot: 0 });
+    assert_eq!(zone_target(&usual_only, 20, stock), ZoneTarget { usual: 20, spot: 0 });
 }
 
 #[test]
