--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -71,7 +71,7 @@
     let answer = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
     match answer {
         Ok(Ok(GroupWord { era, generation, has_first })) => {
-            let answer = LeaseAnswer { token: token(era, generation), dealt: has_first };
+            let answer = LeaseAnswer { token: token(era, generation), granted: has_first };
             driver.feed(RouteEvent::LeaseAnswered { asked_at, answer });
             Some(generation)
         }
--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -14,10 +14,10 @@
 /// What the store answered to a box that asked for the lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseAnswer {
-    /// Rises each time that the lease is dealt, and with the store's era.
+    /// Rises each time that the lease is granted, and with the store's era.
     pub token: u64,
     /// Whether the box has the lease.
-    pub dealt: bool,
+    pub granted: bool,
 }
 
 /// The phase of a lease that waits until no other box relies on it.
@@ -53,7 +53,7 @@
 
 impl LeaderLease<Settling> {
     /// A lease that was dealt by an answer to an ask of `asked_at`.
-    fn dealt(token: u64, asked_at: BoxTime, now: BoxTime, length_ms: u64) -> Self {
+    fn granted(token: u64, asked_at: BoxTime, now: BoxTime, length_ms: u64) -> Self {
         let phase = Settling { acts_at: now.plus_millis(length_ms) };
         Self { token, until: asked_at.plus_millis(length_ms), phase }
     }
@@ -94,14 +94,14 @@
     ) {
         let until = asked_at.plus_millis(length_ms);
         *self = match *self {
-            _ if !word.dealt => Self::Other,
+            _ if !word.granted => Self::Other,
             Self::Settling(lease) if lease.stands(now) && same_era(lease.token, word.token) => {
                 Self::Settling(LeaderLease { until: lease.until.max(until), ..lease })
             }
             Self::Acting(lease) if lease.stands(now) && same_era(lease.token, word.token) => {
                 Self::Acting(LeaderLease { until: lease.until.max(until), ..lease })
             }
-            _ => Self::Settling(LeaderLease::dealt(word.token, asked_at, now, length_ms)),
+            _ => Self::Settling(LeaderLease::granted(word.token, asked_at, now, length_ms)),
         };
     }
 
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -22,10 +22,10 @@
 }
 
 /// A part that was dealt the lease at 1 s, under token 5.
-fn dealt() -> LeaderPart {
+fn granted() -> LeaderPart {
     let mut part = LeaderPart::default();
     part.apply_answer(
-        LeaseAnswer { token: 5, dealt: true },
+        LeaseAnswer { token: 5, granted: true },
         millis(1_000),
         millis(1_010),
         LEASE_MS,
@@ -35,10 +35,10 @@
 
 #[test]
 fn a_lease_is_acted_on_only_after_whoever_had_it_no_longer_may() {
-    let mut part = dealt();
+    let mut part = granted();
     for at in [2_000, 3_000, 4_000] {
         part.apply_answer(
-            LeaseAnswer { token: 7, dealt: true },
+            LeaseAnswer { token: 7, granted: true },
             millis(at),
             millis(at + 5),
             LEASE_MS,
@@ -55,10 +55,10 @@
 
 #[test]
 fn a_lease_that_lapsed_while_the_box_was_frozen_begins_anew_under_another_token() {
-    let mut part = dealt();
+    let mut part = granted();
     part.pass(millis(9_000));
     part.apply_answer(
-        LeaseAnswer { token: 9, dealt: true },
+        LeaseAnswer { token: 9, granted: true },
         millis(9_000),
         millis(9_005),
         LEASE_MS,
@@ -67,7 +67,12 @@
 
     assert_eq!(part.acting(millis(9_005)), None);
     for at in [10_000, 11_000, 12_000] {
-        part.apply_answer(LeaseAnswer { token: 9, dealt: true }, millis(at), millis(at), LEASE_MS);
+        part.apply_answer(
+            LeaseAnswer { token: 9, granted: true },
+            millis(at),
+            millis(at),
+            LEASE_MS,
+        );
     }
     part.pass(millis(12_100));
     assert_eq!(part.acting(millis(12_100)).map(|lease| lease.token()), Some(9));
@@ -186,7 +191,7 @@
     let mut subject = new_box("box-1");
     subject.state = RouteState::new(RouteSettings { leader, ..settings("box-1") });
     for _ in 0..4 {
-        let answer = LeaseAnswer { token: 5, dealt: true };
+        let answer = LeaseAnswer { token: 5, granted: true };
         let asked_at = BoxTime::from_millis(subject.now);
         subject.feed(RouteEvent::LeaseAnswered { asked_at, answer });
         subject.now += 1_000;
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -355,12 +355,12 @@
     }
 
     fn join(&mut self, number: usize, life: u32, asked_at: u64, known: u64) {
-        let (generation, dealt) = self.store.join((number, life), known, self.now);
+        let (generation, granted) = self.store.join((number, life), known, self.now);
         let subject = &mut self.boxes[number];
         if subject.life == life {
             subject.generation = generation;
         }
-        let answer = LeaseAnswer { token: token(0, generation), dealt };
+        let answer = LeaseAnswer { token: token(0, generation), granted };
         let asked_at = BoxTime::from_millis(asked_at);
         let way = 2 + self.draw(20);
         self.post(
