--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -111,7 +111,8 @@
     /// This box's part of what it bears until then.
     pub(super) warm_up: SenderPart,
     /// It wants nothing from this box before this.
-    pub rests_until: BoxTime,
+    #[serde(rename = "rests_until")]
+    pub backoff_until: BoxTime,
     /// The limit that it names.
     pub limit: ReplicaLimit,
     /// Prompts that wait there.
@@ -376,7 +377,7 @@
             id_hash: backend_hash(&id),
             cold_until: now.plus_millis(entry.cold_ms),
             warm_up: SenderPart::default(),
-            rests_until: BoxTime::default(),
+            backoff_until: BoxTime::default(),
             limit: ReplicaLimit::default(),
             at,
             reported: 0,
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -16,7 +16,7 @@
 impl BackendState {
     /// Whether it wants nothing from this box for now.
     pub(super) fn rests(&self, now: BoxTime) -> bool {
-        now < self.rests_until
+        now < self.backoff_until
     }
 
     /// Whether this box may send it a request now, by its rest and its limit.
@@ -27,9 +27,9 @@
     /// From when on this box may send it a request; `None` if it may send it none while its limit stands.
     fn next_at(&self, now: BoxTime) -> Option<BoxTime> {
         if self.limit.allows(now) {
-            return Some(self.rests_until);
+            return Some(self.backoff_until);
         }
-        self.limit.next_at().map(|at| at.max(self.rests_until))
+        self.limit.next_at().map(|at| at.max(self.backoff_until))
     }
 }
 
@@ -43,7 +43,7 @@
     /// Takes a replica's word that it wants nothing until `until`.
     fn let_rest(&mut self, key: ReplicaKey, until: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.rests_until = row.rests_until.max(until);
+            row.backoff_until = row.backoff_until.max(until);
         }
     }
 
