--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -101,7 +101,8 @@
     /// Spans in a row for which it was passed over.
     pub passes: u32,
     /// Not chosen before this.
-    pub passed_until: BoxTime,
+    #[serde(rename = "passed_until")]
+    pub ejected_until: BoxTime,
     /// When a connection to it last did not come about, here or at another box.
     pub down_at: Option<BoxTime>,
     /// Not chosen from this on: its entry vanished while the store was unsound.
@@ -174,7 +175,7 @@
     /// entry says so seconds later.
     pub(super) fn mark_unreachable_cold(&mut self, key: ReplicaKey, ms: u64) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.cool(ASSUMED_DOWN_MS + ms, row.passed_until);
+            row.cool(ASSUMED_DOWN_MS + ms, row.ejected_until);
             self.newly_cold = true;
         }
     }
@@ -388,7 +389,7 @@
             outstanding: 0,
             failures: 0,
             passes: 0,
-            passed_until: BoxTime::default(),
+            ejected_until: BoxTime::default(),
             down_at: None,
             lapses_at: None,
             backlog: ReplicaBacklog::default(),
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -71,7 +71,7 @@
     /// Passes it over for a span, longer each time in a row.
     fn pass_over(&mut self, now: BoxTime) {
         let span = (EJECTION_FIRST_MS << self.passes.min(8)).min(EJECTION_LIMIT_MS);
-        self.passed_until = now.plus_millis(span);
+        self.ejected_until = now.plus_millis(span);
         self.passes += 1;
         self.failures = 0;
     }
@@ -118,7 +118,7 @@
         let at = now.minus_millis(told.age_ms);
         if told.age_ms < UNREACHABLE_GOSSIP_MS && at > row.reported_at {
             row.down_at = row.down_at.max(Some(at));
-            row.passed_until = row.passed_until.max(at.plus_millis(EJECTION_FIRST_MS));
+            row.ejected_until = row.ejected_until.max(at.plus_millis(EJECTION_FIRST_MS));
             return Some(key);
         }
         None
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -101,7 +101,7 @@
         };
         let usable: Vec<ReplicaKey> = keys.iter().filter(fits).copied().collect();
         let well: Vec<ReplicaKey> =
-            usable.iter().copied().filter(|key| self.rows[*key].passed_until <= ask.now).collect();
+            usable.iter().copied().filter(|key| self.rows[*key].ejected_until <= ask.now).collect();
         // With more than half passed over the cause is not the replicas.
         let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
         let asked = pool.iter().copied().find(|key| self.rows[*key].limit.asks(ask.now));
