--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -99,7 +99,8 @@
     /// Failures in a row.
     pub failures: u32,
     /// Spans in a row for which it was passed over.
-    pub passes: u32,
+    #[serde(rename = "passes")]
+    pub ejections: u32,
     /// Not chosen before this.
     #[serde(rename = "passed_until")]
     pub ejected_until: BoxTime,
@@ -388,7 +389,7 @@
             since_report: 0,
             outstanding: 0,
             failures: 0,
-            passes: 0,
+            ejections: 0,
             ejected_until: BoxTime::default(),
             down_at: None,
             lapses_at: None,
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -70,9 +70,9 @@
 impl BackendState {
     /// Passes it over for a span, longer each time in a row.
     fn pass_over(&mut self, now: BoxTime) {
-        let span = (EJECTION_FIRST_MS << self.passes.min(8)).min(EJECTION_LIMIT_MS);
+        let span = (EJECTION_FIRST_MS << self.ejections.min(8)).min(EJECTION_LIMIT_MS);
         self.ejected_until = now.plus_millis(span);
-        self.passes += 1;
+        self.ejections += 1;
         self.failures = 0;
     }
 }
@@ -91,7 +91,7 @@
         match deed {
             BackendOutcome::Served => {
                 row.failures = 0;
-                row.passes = 0;
+                row.ejections = 0;
             }
             BackendOutcome::Failed => row.failures += 1,
             BackendOutcome::Unreachable => {
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -95,7 +95,7 @@
         assert_eq!(next.number, 1, "nothing was written: it is still the first attempt");
         read_orders(&mut subject, Some(2), 3, &[(&zone, false)]);
         let rows = subject.state.backends().rows();
-        assert!(rows.into_iter().all(|(_, row)| row.failures == 0 && row.passes == 0));
+        assert!(rows.into_iter().all(|(_, row)| row.failures == 0 && row.ejections == 0));
     }
 }
 
