--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -105,7 +105,8 @@
     #[serde(rename = "passed_until")]
     pub ejected_until: BoxTime,
     /// When a connection to it last did not come about, here or at another box.
-    pub down_at: Option<BoxTime>,
+    #[serde(rename = "down_at")]
+    pub unreachable_at: Option<BoxTime>,
     /// Not chosen from this on: its entry vanished while the store was unsound.
     pub lapses_at: Option<BoxTime>,
     /// Cold until this.
@@ -391,7 +392,7 @@
             failures: 0,
             ejections: 0,
             ejected_until: BoxTime::default(),
-            down_at: None,
+            unreachable_at: None,
             lapses_at: None,
             backlog: ReplicaBacklog::default(),
             held: PrefixCache::default(),
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -95,7 +95,7 @@
             }
             BackendOutcome::Failed => row.failures += 1,
             BackendOutcome::Unreachable => {
-                row.down_at = Some(now);
+                row.unreachable_at = Some(now);
                 row.failures += EJECTION_FAILURES;
             }
             BackendOutcome::Neither => {}
@@ -117,7 +117,7 @@
         let row = &mut self.rows[key];
         let at = now.minus_millis(told.age_ms);
         if told.age_ms < UNREACHABLE_GOSSIP_MS && at > row.reported_at {
-            row.down_at = row.down_at.max(Some(at));
+            row.unreachable_at = row.unreachable_at.max(Some(at));
             row.ejected_until = row.ejected_until.max(at.plus_millis(EJECTION_FIRST_MS));
             return Some(key);
         }
@@ -127,7 +127,7 @@
     /// Replicas that could not be reached lately, as other boxes are told of them.
     pub(super) fn unreachable_updates(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let note = |row: &BackendState| {
-            let age_ms = now.millis_since(row.down_at?);
+            let age_ms = now.millis_since(row.unreachable_at?);
             (age_ms < UNREACHABLE_GOSSIP_MS)
                 .then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
         };
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -202,10 +202,10 @@
 impl BackendState {
     /// What became of a replica after an attempt broke at `at`.
     fn fate_since(&self, at: BoxTime, now: BoxTime) -> EndFate {
-        let down_at = self.down_at.filter(|down_at| *down_at >= at);
+        let unreachable_at = self.unreachable_at.filter(|unreachable_at| *unreachable_at >= at);
         let lived = self.reported_at.millis_since(at) >= LIVED_MS;
-        match down_at {
-            Some(down_at) if !lived || self.reported_at >= down_at => EndFate::Ended,
+        match unreachable_at {
+            Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => EndFate::Ended,
             _ if lived => EndFate::Lived,
             _ if self.reported_at < at && now.millis_since(at) >= UNHEARD_MS => EndFate::Ended,
             _ => EndFate::Open,
