--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -74,7 +74,7 @@
     }
 
     /// When the lease lapses.
-    pub fn lapses_at(&self) -> Option<BoxTime> {
+    pub fn expires_at(&self) -> Option<BoxTime> {
         self.fresh_at.map(|fresh_at| fresh_at.plus_millis(FRESH_LEASE_MS))
     }
 }
--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -108,7 +108,8 @@
     #[serde(rename = "down_at")]
     pub unreachable_at: Option<BoxTime>,
     /// Not chosen from this on: its entry vanished while the store was unsound.
-    pub lapses_at: Option<BoxTime>,
+    #[serde(rename = "lapses_at")]
+    pub expires_at: Option<BoxTime>,
     /// Cold until this.
     pub cold_until: BoxTime,
     /// This box's part of what it bears until then.
@@ -142,7 +143,7 @@
 
     /// Whether it may be chosen at all.
     pub(super) fn usable(&self, now: BoxTime) -> bool {
-        !self.entry.leaving && self.lapses_at.is_none_or(|at| now < at)
+        !self.entry.leaving && self.expires_at.is_none_or(|at| now < at)
     }
 }
 
@@ -232,7 +233,7 @@
     pub fn changes_from(&self, from: TopicPosition, gone: bool, most: usize) -> Vec<BackendChange> {
         let keys = self.by_change.range(from..).flat_map(|(_, keys)| keys);
         let rows = keys.filter_map(|key| self.rows.get(*key));
-        let used = rows.filter(|row| row.lapses_at.is_none()).map(|row| BackendChange {
+        let used = rows.filter(|row| row.expires_at.is_none()).map(|row| BackendChange {
             id: row.entry.id.clone(),
             at: row.at,
             entry: Some(row.entry.clone()),
@@ -291,7 +292,7 @@
 
     /// Whether a replica is used only until its entry must be back.
     fn lapses(&self, id: &str) -> bool {
-        self.ids.get(id).is_some_and(|key| self.rows[*key].lapses_at.is_some())
+        self.ids.get(id).is_some_and(|key| self.rows[*key].expires_at.is_some())
     }
 
     /// Takes a whole listing that was made when the store's entries ended at `end`: what is not in it
@@ -334,7 +335,7 @@
         row.cool(entry.cold_ms, now);
         self.newly_cold |= entry.cold_ms > 0;
         row.entry = BackendEntry { leaving, born, ..entry };
-        row.lapses_at = None;
+        row.expires_at = None;
         self.lapsing.remove(&key);
         self.note_change(key, at);
         match (news, changed) {
@@ -393,7 +394,7 @@
             ejections: 0,
             ejected_until: BoxTime::default(),
             unreachable_at: None,
-            lapses_at: None,
+            expires_at: None,
             backlog: ReplicaBacklog::default(),
             held: PrefixCache::default(),
             lost: Vec::new(),
@@ -420,7 +421,7 @@
         self.note_change(key, at);
         let row = &mut self.rows[key];
         if let Some(lapse_at) = lapse_at.filter(|_| !row.entry.leaving) {
-            row.lapses_at.get_or_insert(lapse_at);
+            row.expires_at.get_or_insert(lapse_at);
             self.lapsing.insert(key);
             return ChangeKind::None;
         }
@@ -443,7 +444,7 @@
 
     /// Drops entries whose grace is over, and gives that as changes.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<BackendChange> {
-        let over = |key: &ReplicaKey| self.rows[*key].lapses_at.is_some_and(|at| at <= now);
+        let over = |key: &ReplicaKey| self.rows[*key].expires_at.is_some_and(|at| at <= now);
         let lapsed: Vec<ReplicaKey> = self.lapsing.iter().copied().filter(over).collect();
         let mut changes = Vec::with_capacity(lapsed.len());
         for key in lapsed {
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -194,7 +194,7 @@
     /// A write must begin before the freshness lease lapses, unless the log is down for all.
     fn send_before(&self, now: BoxTime) -> BoxTime {
         let soon = now.plus_millis(SEND_WITHIN_MS);
-        match (self.fresh_state(now), self.fresh.lapses_at()) {
+        match (self.fresh_state(now), self.fresh.expires_at()) {
             (FreshState::Fresh, Some(lapses)) => soon.min(lapses),
             _ => soon,
         }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -303,7 +303,7 @@
 fn uses(subject: &TestBox, id: &str) -> bool {
     let now = BoxTime::from_millis(subject.now);
     let mut rows = subject.state.backends().rows();
-    rows.any(|(_, row)| row.entry.id == id && row.lapses_at.is_none_or(|at| now < at))
+    rows.any(|(_, row)| row.entry.id == id && row.expires_at.is_none_or(|at| now < at))
 }
 
 #[test]
