--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -276,7 +276,7 @@
         // A listing did not show it, so that it was gone by then.
         let known = known.or((change.at < self.listed_to).then_some(self.listed_to));
         // What may come back is settled by the same change, from a box that takes it for gone.
-        let settled = lapse_at.is_none() && change.entry.is_none() && self.lapses(&change.id);
+        let settled = lapse_at.is_none() && change.entry.is_none() && self.is_expiring(&change.id);
         if known.is_some_and(|at| at > change.at || (at == change.at && !settled)) {
             return change
                 .entry
@@ -291,7 +291,7 @@
     }
 
     /// Whether a replica is used only until its entry must be back.
-    fn lapses(&self, id: &str) -> bool {
+    fn is_expiring(&self, id: &str) -> bool {
         self.ids.get(id).is_some_and(|key| self.rows[*key].expires_at.is_some())
     }
 
