--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -263,20 +263,21 @@
         self.gone.kept_from()
     }
 
-    /// Takes one change. Where the store was away, an entry that vanished is used until `lapse_at`: it
+    /// Takes one change. Where the store was away, an entry that vanished is used until `grace_until`: it
     /// may come back. Gives what of it is news.
     pub fn take(
         &mut self,
         change: &BackendChange,
         now: BoxTime,
-        lapse_at: Option<BoxTime>,
+        grace_until: Option<BoxTime>,
     ) -> ChangeKind {
         let known = self.ids.get(&change.id).map(|key| self.rows[*key].at);
         let known = known.or_else(|| self.gone.position(&change.id));
         // A listing did not show it, so that it was gone by then.
         let known = known.or((change.at < self.listed_to).then_some(self.listed_to));
         // What may come back is settled by the same change, from a box that takes it for gone.
-        let settled = lapse_at.is_none() && change.entry.is_none() && self.is_expiring(&change.id);
+        let settled =
+            grace_until.is_none() && change.entry.is_none() && self.is_expiring(&change.id);
         if known.is_some_and(|at| at > change.at || (at == change.at && !settled)) {
             return change
                 .entry
@@ -286,7 +287,7 @@
         match &change.entry {
             Some(entry) if self.gone.has_left(entry, change.at) => ChangeKind::None,
             Some(entry) => self.put(entry.clone(), change.at, now),
-            None => self.apply_removal(&change.id, change.at, lapse_at),
+            None => self.apply_removal(&change.id, change.at, grace_until),
         }
     }
 
@@ -302,7 +303,7 @@
         end: TopicPosition,
         listed: Vec<BackendChange>,
         now: BoxTime,
-        lapse_at: Option<BoxTime>,
+        grace_until: Option<BoxTime>,
     ) -> Vec<(BackendChange, ChangeKind)> {
         let shown: HashSet<&str> = listed.iter().map(|row| row.id.as_str()).collect();
         let missing = self.ids.keys().filter(|id| !shown.contains(id.as_str()));
@@ -310,7 +311,7 @@
         let gone = |id: &String| BackendChange { id: id.clone(), at: end.previous(), entry: None };
         let missing: Vec<BackendChange> = missing.map(gone).collect();
         let changes = missing.into_iter().chain(listed);
-        let taken = changes.map(|change| (change.clone(), self.take(&change, now, lapse_at)));
+        let taken = changes.map(|change| (change.clone(), self.take(&change, now, grace_until)));
         let taken = taken.collect();
         self.listed_to = self.listed_to.max(end);
         taken
@@ -412,7 +413,7 @@
         &mut self,
         id: &str,
         at: TopicPosition,
-        lapse_at: Option<BoxTime>,
+        grace_until: Option<BoxTime>,
     ) -> ChangeKind {
         let Some(key) = self.ids.get(id).copied() else {
             self.gone.note(id, at, None);
@@ -420,8 +421,8 @@
         };
         self.note_change(key, at);
         let row = &mut self.rows[key];
-        if let Some(lapse_at) = lapse_at.filter(|_| !row.entry.leaving) {
-            row.expires_at.get_or_insert(lapse_at);
+        if let Some(grace_until) = grace_until.filter(|_| !row.entry.leaving) {
+            row.expires_at.get_or_insert(grace_until);
             self.lapsing.insert(key);
             return ChangeKind::None;
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -164,7 +164,7 @@
     paces: HashMap<String, ServiceLatency>,
     requests: HashMap<RequestTicket, RouteRequest>,
     /// Until then entries that vanish may come back: the store was away.
-    lapse_at: Option<BoxTime>,
+    grace_until: Option<BoxTime>,
     /// Position up to which the operator's records were read.
     read_to: TopicPosition,
     /// The store's era, as the store or another box named it; 0 where none did.
@@ -205,7 +205,7 @@
             lifts: HashMap::new(),
             paces: HashMap::new(),
             requests: HashMap::new(),
-            lapse_at: None,
+            grace_until: None,
             read_to: TopicPosition::default(),
             era: 0,
             orders_era: 0,
@@ -261,7 +261,7 @@
             }
             RouteEvent::BackendsListed { end, listed } => {
                 self.entries.note_listed(end);
-                self.on_listed(stamp, end, listed, self.lapse_at(stamp.now), out);
+                self.on_listed(stamp, end, listed, self.grace_until(stamp.now), out);
             }
             RouteEvent::EntriesRead { as_of, to } => {
                 self.entries.note_read(to, Some(as_of));
@@ -271,7 +271,7 @@
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
                 self.reading.cut_at = failed.then_some(stamp.now);
-                self.lapse_at = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
+                self.grace_until = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
             RouteEvent::GossipReceived(note) => self.on_gossip(stamp, &note, out),
             RouteEvent::PlacementReceived(told) => self.backends.apply_placement(&told, stamp.now),
@@ -396,22 +396,22 @@
         changes: Vec<BackendChange>,
         out: &mut Vec<RouteEffect>,
     ) {
-        let lapse_at = self.lapse_at(stamp.now);
-        self.apply_backends(stamp, changes, BackendSource::Store, lapse_at, out);
+        let grace_until = self.grace_until(stamp.now);
+        self.apply_backends(stamp, changes, BackendSource::Store, grace_until, out);
     }
 
     /// Takes changes, and tells what of them is news: what leaves by all who learn of it, the rest by who
-    /// read it, since others ask for it. Entries that vanished are used until `lapse_at`.
+    /// read it, since others ask for it. Entries that vanished are used until `grace_until`.
     fn apply_backends(
         &mut self,
         stamp: EventStamp,
         changes: Vec<BackendChange>,
         source: BackendSource,
-        lapse_at: Option<BoxTime>,
+        grace_until: Option<BoxTime>,
         out: &mut Vec<RouteEffect>,
     ) {
         for change in changes {
-            let news = self.backends.take(&change, stamp.now, lapse_at);
+            let news = self.backends.take(&change, stamp.now, grace_until);
             if news == ChangeKind::Leaving || source == BackendSource::Store {
                 self.announce_change(stamp, change, news, out);
             }
@@ -423,10 +423,10 @@
         stamp: EventStamp,
         end: TopicPosition,
         listed: Vec<BackendChange>,
-        lapse_at: Option<BoxTime>,
+        grace_until: Option<BoxTime>,
         out: &mut Vec<RouteEffect>,
     ) {
-        let all = self.backends.apply_all(end, listed, stamp.now, lapse_at);
+        let all = self.backends.apply_all(end, listed, stamp.now, grace_until);
         // Who lists learns late what others know already, but for what leaves.
         for (change, news) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
             self.announce_change(stamp, change, news, out);
@@ -434,13 +434,13 @@
     }
 
     /// Until when entries that vanish may come back, where the store was away lately.
-    fn lapse_at(&self, now: BoxTime) -> Option<BoxTime> {
-        self.lapse_at.filter(|at| *at > now)
+    fn grace_until(&self, now: BoxTime) -> Option<BoxTime> {
+        self.grace_until.filter(|at| *at > now)
     }
 
     /// Whether this box lost the store, or has had it back for less than [`EXPIRY_GRACE_MS`].
     fn store_away(&self, now: BoxTime) -> bool {
-        self.lapse_at(now).is_some()
+        self.grace_until(now).is_some()
     }
 
     fn has_plan(&self) -> bool {
--- a/crates/core/src/route/store_era.rs
+++ b/crates/core/src/route/store_era.rs
@@ -21,7 +21,7 @@
         }
         out.push(RouteEffect::StoreRestored { era, former });
         // Entries written since the copy come back when their replicas write them again.
-        self.lapse_at = Some(now.plus_millis(EXPIRY_GRACE_MS));
+        self.grace_until = Some(now.plus_millis(EXPIRY_GRACE_MS));
         for trial in self.trials.values_mut() {
             trial.written = false;
             trial.marked = TrialProgress::default();
