--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -165,7 +165,7 @@
     /// In the order of their last changes: what a box that asks lacks is found without a look at all.
     by_change: BTreeMap<TopicPosition, BTreeSet<ReplicaKey>>,
     /// Those whose entries vanished while the store was unsound.
-    lapsing: BTreeSet<ReplicaKey>,
+    expiring: BTreeSet<ReplicaKey>,
     gone: ReplicaTombstones,
     /// Position up to which the last whole listing showed all.
     listed_to: TopicPosition,
@@ -250,7 +250,7 @@
 
     /// Position of the first change that may yet be undone: an entry vanished while the store was away.
     pub fn first_expiring(&self) -> Option<TopicPosition> {
-        self.lapsing.iter().filter_map(|key| self.rows.get(*key)).map(|row| row.at).min()
+        self.expiring.iter().filter_map(|key| self.rows.get(*key)).map(|row| row.at).min()
     }
 
     /// Replicas that are known to be gone.
@@ -337,7 +337,7 @@
         self.newly_cold |= entry.cold_ms > 0;
         row.entry = BackendEntry { leaving, born, ..entry };
         row.expires_at = None;
-        self.lapsing.remove(&key);
+        self.expiring.remove(&key);
         self.note_change(key, at);
         match (news, changed) {
             (true, _) => ChangeKind::Leaving,
@@ -423,7 +423,7 @@
         let row = &mut self.rows[key];
         if let Some(grace_until) = grace_until.filter(|_| !row.entry.leaving) {
             row.expires_at.get_or_insert(grace_until);
-            self.lapsing.insert(key);
+            self.expiring.insert(key);
             return ChangeKind::None;
         }
         self.remove(key);
@@ -433,7 +433,7 @@
     fn remove(&mut self, key: ReplicaKey) {
         let Some(row) = self.rows.remove(key) else { return };
         self.forget_change(key, row.at);
-        self.lapsing.remove(&key);
+        self.expiring.remove(&key);
         self.ids.remove(&row.entry.id);
         self.hashes.remove(&row.id_hash);
         if let Some(keys) = self.by_service.get_mut(&row.entry.service) {
@@ -446,7 +446,7 @@
     /// Drops entries whose grace is over, and gives that as changes.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<BackendChange> {
         let over = |key: &ReplicaKey| self.rows[*key].expires_at.is_some_and(|at| at <= now);
-        let lapsed: Vec<ReplicaKey> = self.lapsing.iter().copied().filter(over).collect();
+        let lapsed: Vec<ReplicaKey> = self.expiring.iter().copied().filter(over).collect();
         let mut changes = Vec::with_capacity(lapsed.len());
         for key in lapsed {
             let row = &self.rows[key];
