--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -87,7 +87,8 @@
     /// Reported running requests, and waiting ones by [`super::loads::WAITING_WEIGHT`].
     pub reported: u32,
     /// What it usually reports, lately.
-    pub usual: f64,
+    #[serde(rename = "usual")]
+    pub typical_load: f64,
     /// Reported waiting requests alone.
     pub reported_waiting: u32,
     /// When they were reported.
@@ -386,7 +387,7 @@
             limit: ReplicaLimit::default(),
             at,
             reported: 0,
-            usual: 0.0,
+            typical_load: 0.0,
             reported_waiting: 0,
             reported_at: BoxTime::default(),
             since_report: 0,
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -74,7 +74,7 @@
     pub fn load(&self, now: BoxTime) -> f64 {
         let age = now.millis_since(self.reported_at) as f64;
         let left = (-age / REPORT_HALF_LIFE_MS).exp2();
-        let faded = self.usual + (f64::from(self.reported) - self.usual) * left;
+        let faded = self.typical_load + (f64::from(self.reported) - self.typical_load) * left;
         let estimate = (faded + f64::from(self.since_report)).max(f64::from(self.outstanding));
         let cold = if self.cold_until > now { COLD_WEIGHT } else { 1.0 };
         estimate * cold / self.slots()
@@ -94,7 +94,7 @@
     fn apply_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
         let age_ms = at.millis_since(self.reported_at) as f64;
         let left = (-age_ms / USUAL_HALF_LIFE_MS).exp2().min(USUAL_KEPT);
-        self.usual += (f64::from(load) - self.usual) * (1.0 - left);
+        self.typical_load += (f64::from(load) - self.typical_load) * (1.0 - left);
         self.reported = load;
         self.reported_waiting = waiting;
         self.reported_at = at;
