--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -221,7 +221,7 @@
         for row in keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)) {
             let stock = stocks.entry(row.entry.zone.clone()).or_default();
             if !row.entry.spot {
-                stock.usual += 1;
+                stock.on_demand += 1;
             } else if row.cold_until <= now {
                 stock.spot += 1;
             }
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -435,7 +435,8 @@
             for (zone, size) in known.size.without(&|zone| self.evacuated.contains(zone)) {
                 let stock = stocks.get(zone).copied().unwrap_or_default();
                 let wish = scale::zone_target(plan, size, stock);
-                let kinds = [(true, wish.spot, stock.spot), (false, wish.usual, stock.usual)];
+                let kinds =
+                    [(true, wish.spot, stock.spot), (false, wish.on_demand, stock.on_demand)];
                 for (spot, wanted, standing) in kinds {
                     let (service, zone) = (service.clone(), zone.to_owned());
                     let subject = ScaleSubject { service, zone, spot };
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneCount {
     /// Usual ones that don't leave.
-    pub usual: u32,
+    pub on_demand: u32,
     /// Those among the ones that may be taken away which serve: they don't leave, and are no longer cold.
     pub spot: u32,
 }
@@ -63,7 +63,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneTarget {
     /// Usual ones.
-    pub usual: u32,
+    #[serde(rename = "usual")]
+    pub on_demand: u32,
     /// Ones that may be taken away.
     pub spot: u32,
 }
@@ -72,14 +73,14 @@
 pub fn zone_target(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.has_cheaper() {
-        return ZoneTarget { usual: size, spot: 0 };
+        return ZoneTarget { on_demand: size, spot: 0 };
     }
     let kept = ((f64::from(size) * USUAL_SHARE).ceil() as u32).clamp(1, size);
     let wanted = size - kept;
     let usual = (size - wanted.min(stock.spot)).max(kept);
     // Both kinds count toward the limit while one replaces the other.
-    let room = plan.max - usual.max(stock.usual).min(plan.max);
-    ZoneTarget { usual, spot: wanted.min(room.max(stock.spot)) }
+    let room = plan.max - usual.max(stock.on_demand).min(plan.max);
+    ZoneTarget { on_demand: usual, spot: wanted.min(room.max(stock.spot)) }
 }
 
 /// An order to the platform: how many replicas of a kind a zone is to have.
@@ -165,7 +166,7 @@
 impl ServiceSize {
     /// The sizes of zones that have these replicas.
     pub fn found(service: &str, stocks: &BTreeMap<String, ZoneCount>) -> Self {
-        let zones = stocks.iter().map(|(zone, stock)| (zone.clone(), stock.usual + stock.spot));
+        let zones = stocks.iter().map(|(zone, stock)| (zone.clone(), stock.on_demand + stock.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
     }
 
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -80,13 +80,13 @@
 
 #[test]
 fn cheap_replicas_replace_usual_ones_only_as_they_serve() {
-    let stock = |usual, spot| ZoneCount { usual, spot };
-    assert_eq!(zone_target(&PLAN, 20, stock(20, 0)), ZoneTarget { usual: 20, spot: 17 });
-    assert_eq!(zone_target(&PLAN, 20, stock(20, 9)), ZoneTarget { usual: 11, spot: 17 });
-    assert_eq!(zone_target(&PLAN, 20, stock(3, 17)), ZoneTarget { usual: 3, spot: 17 });
+    let stock = |usual, spot| ZoneCount { on_demand: usual, spot };
+    assert_eq!(zone_target(&PLAN, 20, stock(20, 0)), ZoneTarget { on_demand: 20, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, stock(20, 9)), ZoneTarget { on_demand: 11, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, stock(3, 17)), ZoneTarget { on_demand: 3, spot: 17 });
     assert_eq!(
         zone_target(&PLAN, 20, stock(3, 0)),
-        ZoneTarget { usual: 20, spot: 17 },
+        ZoneTarget { on_demand: 20, spot: 17 },
         "taken away"
     );
 }
@@ -96,12 +96,12 @@
     let tight = ScalePlan { max: 24, ..PLAN };
     for usual in 0..=24 {
         for spot in 0..=24 {
-            let wish = zone_target(&tight, 20, ZoneCount { usual, spot });
+            let wish = zone_target(&tight, 20, ZoneCount { on_demand: usual, spot });
             assert!(
-                wish.usual + wish.spot <= tight.max.max(usual + spot),
+                wish.on_demand + wish.spot <= tight.max.max(usual + spot),
                 "{usual} {spot} {wish:?}"
             );
-            assert!(wish.usual >= 1);
+            assert!(wish.on_demand >= 1);
         }
     }
 }
@@ -109,8 +109,8 @@
 #[test]
 fn without_cheap_replicas_the_size_stays_as_it_was() {
     let usual_only = ScalePlan { spot_price: None, ..PLAN };
-    let stock = ZoneCount { usual: 12, spot: 0 };
-    assert_eq!(zone_target(&usual_only, 20, stock), ZoneTarget { usual: 20, spot: 0 });
+    let stock = ZoneCount { on_demand: 12, spot: 0 };
+    assert_eq!(zone_target(&usual_only, 20, stock), ZoneTarget { on_demand: 20, spot: 0 });
 }
 
 #[test]
