--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -31,7 +31,7 @@
     #[prost(bool, tag = "5")]
     open: bool,
     #[prost(bool, tag = "6")]
-    cut: bool,
+    store_unreachable: bool,
     #[prost(bool, tag = "7")]
     reads: bool,
     #[prost(bool, tag = "8")]
@@ -99,7 +99,7 @@
         entry_address: card.entry_address.clone(),
         zone: card.zone.clone(),
         open: card.open,
-        cut: card.cut,
+        store_unreachable: card.store_unreachable,
         reads: card.reads,
         strong: card.strong,
     }
@@ -112,7 +112,7 @@
         entry_address: card.entry_address,
         zone: card.zone,
         open: card.open,
-        cut: card.cut,
+        store_unreachable: card.store_unreachable,
         reads: card.reads,
         strong: card.strong,
     }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -30,7 +30,7 @@
         entry_address: format!("10.1.0.{}:8603", name.len()),
         zone: "west".to_owned(),
         open: true,
-        cut: true,
+        store_unreachable: true,
         strong: true,
         reads: true,
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -173,7 +173,7 @@
             entry_address: self.settings.entry_address.clone(),
             zone: self.settings.zone.clone(),
             open: self.open(now),
-            cut: self.is_cut(now),
+            store_unreachable: self.is_cut(now),
             reads: self.reads_for_others(now) || self.reads_at_start(),
             strong: self.settings.capacity.is_strong(),
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -498,7 +498,7 @@
         let serves = self.open(now) || self.reads_for_others(now);
         let (cut, open_since) = (self.is_cut(now), self.reading.open_since);
         let strong = self.settings.capacity.is_strong();
-        LocalPeer { name: &self.settings.name, serves, cut, strong, open_since }
+        LocalPeer { name: &self.settings.name, serves, store_unreachable: cut, strong, open_since }
     }
 
     /// Requests in hand.
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -41,7 +41,7 @@
     /// Whether callers may be sent to it, or it reads the store for the others.
     pub serves: bool,
     /// Whether it can't reach the store.
-    pub cut: bool,
+    pub store_unreachable: bool,
     /// Whether it can answer many others.
     pub strong: bool,
     /// Since when callers may be sent to it; others that have said nothing since may have come as far.
@@ -60,7 +60,7 @@
 /// of their names, so that they lie in different availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateKey {
-    cut: bool,
+    store_unreachable: bool,
     idle: bool,
     weak: bool,
     hash: u64,
@@ -69,12 +69,17 @@
 impl CandidateKey {
     fn of_own(me: &LocalPeer) -> Self {
         let hash = xxh3_64(me.name.as_bytes());
-        Self { cut: me.cut, idle: !me.serves, weak: !me.strong, hash }
+        Self { store_unreachable: me.store_unreachable, idle: !me.serves, weak: !me.strong, hash }
     }
 
     fn of_other(me: &LocalPeer, name: &str, other: &PeerState) -> Self {
         let (idle, hash) = (!me.may_serve(other), xxh3_64(name.as_bytes()));
-        Self { cut: other.card.cut, idle, weak: !other.card.strong, hash }
+        Self {
+            store_unreachable: other.card.store_unreachable,
+            idle,
+            weak: !other.card.strong,
+            hash,
+        }
     }
 }
 
@@ -130,7 +135,7 @@
 
     /// Whether another box lives that reaches the store and serves or reads for the others.
     pub fn any_serves(&self, now: BoxTime) -> bool {
-        self.living(now).any(|(_, row)| row.card.serves() && !row.card.cut)
+        self.living(now).any(|(_, row)| row.card.serves() && !row.card.store_unreachable)
     }
 
     /// How many boxes come before this one in a duty that one box has.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -175,7 +175,8 @@
     /// Whether callers may be sent to it.
     pub open: bool,
     /// Whether it can't reach the store.
-    pub cut: bool,
+    #[serde(rename = "cut")]
+    pub store_unreachable: bool,
     /// Whether it reads the store for the others.
     pub reads: bool,
     /// Whether it can answer many others; see [`BoxCapacity::is_strong`].
