--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether it was heard lately, or others have lately heard it.
-    pub(super) fn leads(&self, now: BoxTime) -> bool {
+    pub(super) fn may_hold_duty(&self, now: BoxTime) -> bool {
         now.millis_since(self.heard_at) < INDIRECT_SILENT_MS
     }
 }
