--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -68,7 +68,7 @@
     #[prost(message, repeated, tag = "15")]
     loads: Vec<WireLoad>,
     #[prost(message, repeated, tag = "16")]
-    leads: Vec<WireSummary>,
+    duty_holders: Vec<WireSummary>,
     #[prost(message, optional, tag = "17")]
     entries: Option<WireEntryWord>,
     #[prost(message, repeated, tag = "18")]
@@ -221,7 +221,7 @@
         evacuation: Some(write_evacuation(&note.evacuation)),
         echo: note.echo.as_ref().map(write_ask),
         loads: note.loads.iter().map(write_load).collect(),
-        leads: note.leads.iter().map(write_summary).collect(),
+        duty_holders: note.duty_holders.iter().map(write_summary).collect(),
         entries: note.echo.as_ref().map(|_| write_word(note.entries)),
         down: note.down.iter().map(write_down).collect(),
         limits: note.limits.iter().map(write_limit).collect(),
@@ -247,7 +247,7 @@
         verdicts: wire.verdicts.into_iter().map(read_verdict).collect(),
         others: wire.others,
         loads: wire.loads.into_iter().map(read_load).collect(),
-        leads: wire.leads.into_iter().map(read_summary).collect(),
+        duty_holders: wire.duty_holders.into_iter().map(read_summary).collect(),
         entries: wire.entries.map(read_word).unwrap_or_default(),
         down: wire.down.into_iter().map(read_down).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -97,7 +97,7 @@
             service: "pool".to_owned(),
             models: vec![pace(0.25), pace(1.5)],
         }],
-        leads: vec![PeerSummary { name: "f-2".to_owned(), card: card("f-2"), age_ms: 900 }],
+        duty_holders: vec![PeerSummary { name: "f-2".to_owned(), card: card("f-2"), age_ms: 900 }],
         ..GossipMessage::default()
     }
 }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -83,7 +83,7 @@
         self.rounds.note_number += 1;
         let number = self.rounds.note_number;
         let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
-            let leads = self.peers.leads(&self.local_peer(stamp.now), stamp.now);
+            let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
             (self.peers.some_addresses(stamp.random), leads, self.told_paces())
         } else {
             Default::default()
@@ -136,7 +136,7 @@
             trials: trials.collect(),
             verdicts: self.verdicts(),
             others,
-            leads,
+            duty_holders: leads,
         }
     }
 
@@ -260,7 +260,7 @@
             self.asks.next_ask = stamp.now;
         }
         self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
-        self.peers.apply_duty_holders(&note.leads, &self.settings.name, stamp.now);
+        self.peers.apply_duty_holders(&note.duty_holders, &self.settings.name, stamp.now);
         self.note_era(note.era, stamp.now, out);
         let evacuations = self.evacuated.merge(&note.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -118,7 +118,7 @@
     }
 
     /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
-    pub fn leads(&self, me: &LocalPeer, now: BoxTime) -> Vec<PeerSummary> {
+    pub fn duty_holders(&self, me: &LocalPeer, now: BoxTime) -> Vec<PeerSummary> {
         if self.gossip_reaches_all() {
             return Vec::new();
         }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -234,7 +234,7 @@
     /// Where other boxes hear notes.
     pub others: Vec<String>,
     /// Boxes with duties for the others, where a note does not reach all.
-    pub leads: Vec<PeerSummary>,
+    pub duty_holders: Vec<PeerSummary>,
 }
 
 /// How far a box knows the operator's records. A newer plan goes before a later position: a store that came back from a
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -62,8 +62,9 @@
     }
 
     /// Takes what another box told of boxes with duties.
-    pub fn apply_duty_holders(&mut self, leads: &[PeerSummary], me: &str, now: BoxTime) {
-        for lead in leads.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
+    pub fn apply_duty_holders(&mut self, duty_holders: &[PeerSummary], me: &str, now: BoxTime) {
+        for lead in
+            duty_holders.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
         {
             self.apply_duty_holder(lead, now.minus_millis(lead.age_ms));
         }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -496,7 +496,7 @@
     let lead = PeerSummary { name: "box-2".to_owned(), card: note.card.clone(), age_ms: 0 };
     let leads = vec![lead];
     let name = "box-3".to_owned();
-    let other = GossipMessage { name, number: 1, leads, ..GossipMessage::default() };
+    let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
     assert!(named(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
@@ -518,7 +518,7 @@
     let note = GossipMessage {
         name: "box-3".to_owned(),
         number: 1,
-        leads: vec![lead],
+        duty_holders: vec![lead],
         ..GossipMessage::default()
     };
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
