--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -1,7 +1,7 @@
 //! Replicas of backend servers on the platform: what is known of each; [`super::pick`] chooses.
 //!
 //! A replica is known by its entry in the store; [`super::loads`] says how busy it is. What a replica
-//! *does* counts as well: see [`super::deeds`].
+//! *does* counts as well: see [`super::backend_health`].
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -4,18 +4,18 @@
 //! signed bundles. Claims, bills and witnesses have no place in it: a caller's retry is a new request
 //! there, and nobody reads bills. A request comes in by `arrival`; `choice` says which replica would get it,
 //! `attempt` sends it, `answer` decides on the head that comes back, `refuse` ends it without one; what sends
-//! and answers teach is in `learn`; trials of new versions are in `verdict`; what boxes tell each other is
-//! in `news`; [`readers`] says which of them reads the store; `dump` describes the state.
+//! and answers teach is in `feedback`; trials of new versions are in `verdict`; what boxes tell each other is
+//! in `gossip`; [`store_readers`] says which of them reads the store; `dump` describes the state.
 //!
-//! [`plan`] what is routed where · [`fresh`] how long that may be relied on · [`backend`] replicas ·
-//! [`loads`] how busy they are · [`deeds`] how well they do · [`pick`] which of them answers ·
-//! [`peers`] the other boxes · [`entries`] how far the replicas' entries are known ·
-//! [`trial`] new versions · [`tally`] what speaks against them · [`progress`] how far they have come ·
+//! [`plan`] what is routed where · [`plan_freshness`] how long that may be relied on · [`backend`] replicas ·
+//! [`loads`] how busy they are · [`backend_health`] how well they do · [`pick`] which of them answers ·
+//! [`peers`] the other boxes · [`entry_sync`] how far the replicas' entries are known ·
+//! [`trial`] new versions · [`trial_stats`] what speaks against them · [`trial_progress`] how far they have come ·
 //! [`evacuation`] zones that get nothing · [`region`] where a request may be served · [`warm_up`] replicas that are cold ·
-//! `leaving` replicas that say that they leave · [`limit`] replicas that take few requests · [`rest`] replicas that want none for a while · `sender` who sends to which of these · [`fatal`] requests that crash replicas ·
-//! [`budget`] further sends · [`sizes`] which model answers · [`start`] a box's start ·
-//! `known` how far the operator's records are known · [`leader`] what one box does for all ·
-//! `era` a store that comes back from a copy · [`placement`] what it costs to have a prompt read where, from [`backlog`], [`pace`] and [`held`] ·
+//! `leaving` replicas that say that they leave · [`rate_limit`] replicas that take few requests · [`backoff`] replicas that want none for a while · `rate_share` who sends to which of these · [`poison`] requests that crash replicas ·
+//! [`retry_budget`] further sends · [`model_cascade`] which model answers · [`startup`] a box's start ·
+//! `plan_state` how far the operator's records are known · [`leader`] what one box does for all ·
+//! `store_era` a store that comes back from a copy · [`placement`] what it costs to have a prompt read where, from [`backlog`], [`model_latency`] and [`prefix_cache`] ·
 //! [`admission`] what is turned away.
 
 pub mod admission;
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Limits that replicas name: the requests a second that one in need takes from all boxes together.
 //!
 //! Load pattern: a replica in need has little in hand, so it looks idle, and each of hundreds of boxes has a request for it
-//! now and then. Few of them send there; see [`super::sender`].
+//! now and then. Few of them send there; see [`super::rate_share`].
 //!
 //! Word of a limit comes with answers, and boxes tell it on: most never ask that replica again. The latest word counts.
 
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -10,7 +10,7 @@
 //! only under load.
 //!
 //! What decides whose sessions move must be the same on all boxes, whenever they were started: the order's
-//! age and the phase ([`super::progress`]) are told between boxes and marked in the store, only go
+//! age and the phase ([`super::trial_progress`]) are told between boxes and marked in the store, only go
 //! forward, and an opinion of one box counts for nothing until it stands there as a verdict.
 
 use std::collections::BTreeMap;
--- a/crates/core/src/route/warm_up.rs
+++ b/crates/core/src/route/warm_up.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a zone's replicas come back at the same moment, or all are started anew, and each of hundreds of boxes
 //! chooses among them before any answer tells of the others' requests. So few boxes send to a cold replica; see
-//! [`super::sender`]. What it may not get goes to warm ones.
+//! [`super::rate_share`]. What it may not get goes to warm ones.
 
 use serde::Serialize;
 
