--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -10,8 +10,8 @@
 
 use super::answer_pace::AnswerSlot;
 use super::driver::{GatewayDriver, PeerDatagram};
-use super::note_wire::pages::PackedPages;
-use super::note_wire::{
+use super::gossip_wire::pages::PackedPages;
+use super::gossip_wire::{
     decode_datagram, encode_ask, encode_note, encode_placement, encode_usage, encode_usage_ask,
     HeardDatagram,
 };
--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -12,7 +12,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use super::driver::GatewayDriver;
-use super::note_wire::records::PackedRecords;
+use super::gossip_wire::records::PackedRecords;
 use super::observe;
 
 /// The newest record of each key.
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -2,9 +2,9 @@
 
 use proptest::prelude::*;
 use ravenspoke_adapter::store::KeyedRecord;
-use ravenspoke_box::gateway::note_wire::packed::{PackedError, INFLATED_LIMIT};
-use ravenspoke_box::gateway::note_wire::records::PackedRecords;
-use ravenspoke_box::gateway::note_wire::{decode_datagram, encode_ask, encode_note, HeardDatagram};
+use ravenspoke_box::gateway::gossip_wire::packed::{PackedError, INFLATED_LIMIT};
+use ravenspoke_box::gateway::gossip_wire::records::PackedRecords;
+use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_ask, encode_note, HeardDatagram};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_PER_MESSAGE};
