--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 //! elsewhere when it breaks, [`event_cut`] cuts it into whole events, [`pool`] keeps connections to
 //! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
 //! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`marks`]).
-//! [`tally`] counts what that and datagrams cost. [`notes`] talks to other boxes in the datagrams of [`gossip_wire`], and [`told`] tells them what the operator wrote.
+//! [`tally`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`told`] tells them what the operator wrote.
 //! [`directory`] answers who asks for addresses, readiness, state and metrics. [`observe`] logs, and `strange` which headers
 //! of replicas are not known here.
 //! [`reload`] takes changes of the settings. [`process`] puts them together.
@@ -22,7 +22,7 @@
 mod listen;
 pub mod marks;
 pub mod gossip_wire;
-pub mod notes;
+pub mod gossip;
 pub mod observe;
 pub mod pool;
 pub mod process;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -33,7 +33,7 @@
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
 use super::strange::StrangeHeaders;
-use super::{follow, leader, marks, notes, observe, tally, verdicts};
+use super::{follow, leader, marks, gossip, observe, tally, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
 
@@ -172,8 +172,8 @@
     receivers: SiteReceivers,
 ) {
     let socket = Arc::new(socket);
-    tokio::spawn(notes::hear_notes(driver.clone(), socket.clone()));
-    tokio::spawn(notes::send_notes(driver.clone(), socket, receivers.notes, receivers.answers));
+    tokio::spawn(gossip::hear_notes(driver.clone(), socket.clone()));
+    tokio::spawn(gossip::send_notes(driver.clone(), socket, receivers.notes, receivers.answers));
     tokio::spawn(follow::follow_operator(driver.clone(), store.clone()));
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -16,7 +16,7 @@
 use ravenspoke_core::time::BoxTime;
 
 /// Largest datagram, in bytes; one of the operator's records may come with a listing's page.
-const NOTE_LIMIT: usize = ravenspoke_box::gateway::notes::NOTE_LIMIT;
+const NOTE_LIMIT: usize = ravenspoke_box::gateway::gossip::NOTE_LIMIT;
 
 /// A position in the store's third era.
 fn at(offset: u64) -> TopicPosition {
