--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -22,7 +22,7 @@
 use super::answer_pace::AnswerPace;
 use super::observe;
 use super::tally::{ControlTally, DatagramKind};
-use super::told::OperatorRecords;
+use super::operator_records::OperatorRecords;
 use crate::clock::BoxClock;
 
 /// What the reducer tells the task of one request.
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -16,7 +16,7 @@
 
 use super::driver::GatewayDriver;
 use super::observe;
-use super::told::take_read;
+use super::operator_records::take_read;
 use super::topic_follower::{TopicFollower, TopicNews, RETRY_MS};
 
 /// A reader's read waits this long for a record, in milliseconds: the price of a call against the age
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -17,7 +17,7 @@
 };
 use super::observe;
 use super::tally::DatagramKind;
-use super::told::take_told;
+use super::operator_records::take_told;
 
 /// Largest datagram, in bytes.
 pub const NOTE_LIMIT: usize = 60_000;
