--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -4,7 +4,7 @@
 //! request, [`answers`] makes what its caller gets, [`relay`] passes a stream on and takes it up
 //! elsewhere when it breaks, [`event_cut`] cuts it into whole events, [`pool`] keeps connections to
 //! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
-//! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`marks`]).
+//! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`checkpoints`]).
 //! [`tally`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`operator_records`] tells them what the operator wrote.
 //! [`directory`] answers who asks for addresses, readiness, state and metrics. [`observe`] logs, and `strange` which headers
 //! of replicas are not known here.
@@ -20,7 +20,7 @@
 pub mod follow;
 pub mod leader;
 mod listen;
-pub mod marks;
+pub mod checkpoints;
 pub mod gossip_wire;
 pub mod gossip;
 pub mod observe;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -33,7 +33,7 @@
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
 use super::strange::StrangeHeaders;
-use super::{follow, leader, marks, gossip, observe, tally, verdicts};
+use super::{follow, leader, checkpoints, gossip, observe, tally, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
 
@@ -178,7 +178,7 @@
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
     tokio::spawn(verdicts::write_verdicts(driver.clone(), store.clone(), receivers.verdicts));
-    tokio::spawn(marks::write_marks(driver.clone(), store.clone(), receivers.marks));
+    tokio::spawn(checkpoints::write_marks(driver.clone(), store.clone(), receivers.marks));
     tokio::spawn(follow::follow_boxes(
         driver.clone(),
         store.clone(),
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::driver::GatewayDriver;
-use super::marks::MarkReader;
+use super::checkpoints::MarkReader;
 use super::observe;
 use super::topic_follower::TopicFollower;
 
