--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -19,7 +19,7 @@
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
 use super::relay::{relay_stream, StreamSource};
-use super::strange::StrangeHeaders;
+use super::unknown_headers::StrangeHeaders;
 
 /// Largest answer that is no stream, in bytes; it is read whole before any of it is passed on.
 pub const ANSWER_LIMIT: usize = 4 << 20;
--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -29,7 +29,7 @@
 pub mod relay;
 pub mod reload;
 mod store_calls;
-mod strange;
+mod unknown_headers;
 pub mod tally;
 pub mod operator_records;
 mod topic_follower;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -32,7 +32,7 @@
 use super::listen::ListeningEntry;
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
-use super::strange::StrangeHeaders;
+use super::unknown_headers::StrangeHeaders;
 use super::{follow, leader, checkpoints, gossip, observe, tally, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
