--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -21,7 +21,7 @@
 
 use super::answer_pace::AnswerPace;
 use super::observe;
-use super::tally::{ControlTally, DatagramKind};
+use super::control_stats::{ControlTally, DatagramKind};
 use super::operator_records::OperatorRecords;
 use crate::clock::BoxClock;
 
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -16,7 +16,7 @@
     HeardDatagram,
 };
 use super::observe;
-use super::tally::DatagramKind;
+use super::control_stats::DatagramKind;
 use super::operator_records::take_told;
 
 /// Largest datagram, in bytes.
--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -18,7 +18,7 @@
 
 use super::driver::GatewayDriver;
 use super::observe;
-use super::tally::StoreCall;
+use super::control_stats::StoreCall;
 
 /// Group of the boxes that ask for the lease.
 const GROUP: &str = "leader";
--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 //! elsewhere when it breaks, [`event_cut`] cuts it into whole events, [`pool`] keeps connections to
 //! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
 //! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`checkpoints`]).
-//! [`tally`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`operator_records`] tells them what the operator wrote.
+//! [`control_stats`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`operator_records`] tells them what the operator wrote.
 //! [`directory`] answers who asks for addresses, readiness, state and metrics. [`observe`] logs, and `strange` which headers
 //! of replicas are not known here.
 //! [`reload`] takes changes of the settings. [`process`] puts them together.
@@ -30,7 +30,7 @@
 pub mod reload;
 mod store_calls;
 mod unknown_headers;
-pub mod tally;
+pub mod control_stats;
 pub mod operator_records;
 mod topic_follower;
 pub mod verdicts;
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -15,7 +15,7 @@
 use tracing::{error, info, warn};
 
 use super::driver::RequestName;
-use super::tally::ControlTally;
+use super::control_stats::ControlTally;
 
 /// Logs what was decided of a request.
 pub fn note_request(name: &RequestName, effect: &RouteEffect) {
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -33,7 +33,7 @@
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
 use super::unknown_headers::StrangeHeaders;
-use super::{follow, leader, checkpoints, gossip, observe, tally, verdicts};
+use super::{follow, leader, checkpoints, gossip, observe, control_stats, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
 
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -15,7 +15,7 @@
 use super::driver::GatewayDriver;
 use super::observe::{self, StoreRole};
 use super::store_calls::{AnsweredCall, CallStep, OpenCalls};
-use super::tally::StoreCall;
+use super::control_stats::StoreCall;
 
 /// A box looks this often whether it must read itself, in milliseconds.
 pub const TURN_LOOK_MS: u64 = 200;
