--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::answers::{plain_answer, refuse, whole_body, BrokenAnswer, CallerBody};
+use super::responses::{plain_answer, refuse, whole_body, BrokenAnswer, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! A box that routes by host and prefix on the users' platform.
 //!
 //! [`driver`] holds the reducer's state. [`entry`] takes callers' connections, [`exchange`] serves one
-//! request, [`answers`] makes what its caller gets, [`relay`] passes a stream on and takes it up
+//! request, [`responses`] makes what its caller gets, [`relay`] passes a stream on and takes it up
 //! elsewhere when it breaks, [`event_cut`] cuts it into whole events, [`pool`] keeps connections to
 //! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
 //! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`checkpoints`]).
@@ -11,7 +11,7 @@
 //! [`reload`] takes changes of the settings. [`process`] puts them together.
 
 pub mod answer_pace;
-pub mod answers;
+pub mod responses;
 pub mod directory;
 pub mod driver;
 pub mod entry;
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Frame, Incoming};
 use ravenspoke_core::route::event::{AttemptFailure, RouteEvent, SendOrder};
 
-use super::answers::{BrokenAnswer, CallerBody};
+use super::responses::{BrokenAnswer, CallerBody};
 use super::driver::RequestStep;
 use super::event_cut::EventCutter;
 use super::exchange::{
