--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc::{Sender, UnboundedSender};
 use tokio::sync::Notify;
 
-use super::answer_pace::AnswerPace;
+use super::sync_pacer::AnswerPace;
 use super::observe;
 use super::control_stats::{ControlTally, DatagramKind};
 use super::operator_records::OperatorRecords;
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
-use super::answer_pace::AnswerSlot;
+use super::sync_pacer::AnswerSlot;
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -10,7 +10,7 @@
 //! of replicas are not known here.
 //! [`reload`] takes changes of the settings. [`process`] puts them together.
 
-pub mod answer_pace;
+pub mod sync_pacer;
 pub mod responses;
 pub mod directory;
 pub mod driver;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use super::answer_pace::AnswerPace;
+use super::sync_pacer::AnswerPace;
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
 use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, NOTES_QUEUED};
 use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_PART};
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -1,6 +1,6 @@
 //! How many answers to other boxes wait at a box.
 
-use ravenspoke_box::gateway::answer_pace::{AnswerPace, ANSWER_WAIT_BYTES};
+use ravenspoke_box::gateway::sync_pacer::{AnswerPace, ANSWER_WAIT_BYTES};
 
 /// Bytes of an answer that tells a thousand replicas.
 const LONG_ANSWER: usize = 16_600;
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ravenspoke_box::clock::{BoxClock, SuspensionWatch};
-use ravenspoke_box::gateway::answer_pace::AnswerPace;
+use ravenspoke_box::gateway::sync_pacer::AnswerPace;
 use ravenspoke_box::gateway::driver::{GatewayDriver, GatewaySinks};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::event::RouteEvent;
