--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`driver`] holds the reducer's state. [`entry`] takes callers' connections, [`exchange`] serves one
 //! request, [`responses`] makes what its caller gets, [`relay`] passes a stream on and takes it up
-//! elsewhere when it breaks, [`event_cut`] cuts it into whole events, [`pool`] keeps connections to
+//! elsewhere when it breaks, [`event_splitter`] cuts it into whole events, [`pool`] keeps connections to
 //! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
 //! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`checkpoints`]).
 //! [`control_stats`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`operator_records`] tells them what the operator wrote.
@@ -15,7 +15,7 @@
 pub mod directory;
 pub mod driver;
 pub mod entry;
-pub mod event_cut;
+pub mod event_splitter;
 pub mod exchange;
 pub mod follow;
 pub mod leader;
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 
 use super::responses::{BrokenAnswer, CallerBody};
 use super::driver::RequestStep;
-use super::event_cut::EventCutter;
+use super::event_splitter::EventCutter;
 use super::exchange::{
     attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayTools, RequestGuard,
 };
