--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -3,13 +3,14 @@
 //! A datagram is a note or an ask; a long note is [`packed`]. `replica`, `trial`, `peer`, `ask`, `position` and
 //! [`records`] hold the messages of its parts.
 
-mod ask;
+
 pub mod packed;
 pub mod pages;
 mod peer;
 mod position;
 pub mod records;
 mod replica;
+mod sync;
 mod trial;
 mod usage;
 
@@ -20,7 +21,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
-use ask::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
+use sync::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
 use packed::{deflate, inflate, PackedError};
 use peer::{
     read_budget, read_card, read_evacuation, read_summary, write_budget, write_card,
