--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -70,7 +70,7 @@
         let Some(value) = &record.value else { continue };
         match read_mark(&record.key, value) {
             Ok(mark) => marks.push(mark),
-            Err(error) => observe::note_bad_record(&error),
+            Err(error) => observe::log_bad_record(&error),
         }
     }
     driver.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints: marks.clone() });
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -197,7 +197,7 @@
     pub fn feed_request(&self, name: &RequestName, event: RouteEvent) -> Option<RequestStep> {
         let mut step = None;
         for effect in self.apply(event) {
-            observe::note_request(name, &effect);
+            observe::log_request(name, &effect);
             match effect {
                 RouteEffect::Send(_, order) => step = Some(RequestStep::Send(Box::new(order))),
                 RouteEffect::Relay(_) => step = Some(RequestStep::Relay),
@@ -223,7 +223,7 @@
     }
 
     fn hand_on(&self, effect: RouteEffect) {
-        observe::note_effect(&effect);
+        observe::log_effect(&effect);
         match effect {
             // The receivers live as long as the process.
             RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Note(to, note)),
--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -97,9 +97,9 @@
         self.accept(&listener).await;
         match listener.close() {
             Ok(waiting) => waiting.into_iter().for_each(|stream| self.take(stream)),
-            Err(error) => observe::note_socket_failed("entry", &error),
+            Err(error) => observe::log_socket_failed("entry", &error),
         }
-        observe::note_callers_refused(self.count.open());
+        observe::log_callers_refused(self.count.open());
     }
 
     async fn accept(&self, listener: &ListeningEntry) {
@@ -114,7 +114,7 @@
                 Ok(stream) => self.take(stream),
                 Err(error) => {
                     // Out of descriptors, or the caller was gone at once: the next may do better.
-                    observe::note_socket_failed("entry", &error);
+                    observe::log_socket_failed("entry", &error);
                     tokio::time::sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
                 }
             }
@@ -125,9 +125,9 @@
         let full = self.count.open() >= self.limit;
         let was_full = self.full.swap(full, Ordering::Relaxed);
         if full {
-            observe::note_caller_turned_away();
+            observe::log_caller_turned_away();
             if !was_full {
-                observe::note_callers_full(self.limit);
+                observe::log_callers_full(self.limit);
             }
             return;
         }
@@ -157,7 +157,7 @@
     phase: watch::Receiver<EntryPhase>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        observe::note_socket_failed("entry", &error);
+        observe::log_socket_failed("entry", &error);
     }
     let wait = wait_to_serve(&tools, phase.clone()).await;
     let first = FirstWait::new(wait, tools.driver.now());
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -62,14 +62,14 @@
     pub fn finish(&mut self, status: u16) {
         self.feed(RouteEvent::ResponseFinished(self.name.ticket));
         self.ended = true;
-        observe::note_finished(&self.name, status, self.began.elapsed());
+        observe::log_finished(&self.name, status, self.began.elapsed());
     }
 }
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         if !self.ended {
-            observe::note_caller_left(&self.name, self.began.elapsed());
+            observe::log_caller_left(&self.name, self.began.elapsed());
             self.feed(RouteEvent::CallerDisconnected(self.name.ticket));
         }
     }
@@ -141,7 +141,7 @@
     let waited_ms = waited.as_millis() as u64;
     let ask = CallerRequest { body_bytes: body.len(), content, waited_ms, ..ask };
     if waited_ms > 0 {
-        observe::note_request_waited(&ask.id, waited_ms);
+        observe::log_request_waited(&ask.id, waited_ms);
     }
     let driver = tools.driver.clone();
     let name = RequestName { ticket: driver.next_ticket(), id: ask.id.clone() };
@@ -198,7 +198,7 @@
         let left = tools.driver.until(order.deadline);
         match tools.driver.clock().within(left.min(patience), asked.as_mut()).await {
             Some(Ok(answer)) => {
-                observe::note_head(&guard.name, &answer.decoded, began.elapsed());
+                observe::log_head(&guard.name, &answer.decoded, began.elapsed());
                 return AttemptOutcome::Answer(Box::new(answer));
             }
             Some(Err(failed)) => break failed,
@@ -212,11 +212,11 @@
         // Silence alone ends nothing: the reducer names another replica, or the wait goes on.
         if let Some(step) = guard.feed(RouteEvent::AttemptStalled(guard.name.ticket)) {
             let why = "no head in time";
-            observe::note_attempt_failed(&guard.name, AttemptFailure::Silent, why, began.elapsed());
+            observe::log_attempt_failed(&guard.name, AttemptFailure::Silent, why, began.elapsed());
             return AttemptOutcome::Ended(Some(step));
         }
     };
-    observe::note_attempt_failed(&guard.name, failure, &why, began.elapsed());
+    observe::log_attempt_failed(&guard.name, failure, &why, began.elapsed());
     AttemptOutcome::Ended(guard.feed(RouteEvent::AttemptFailed(guard.name.ticket, failure)))
 }
 
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -56,7 +56,7 @@
                 if std::mem::replace(&mut passed_over, next) == next {
                     tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
                 } else {
-                    observe::note_read_passed_over(next.unwrap_or_default(), read_to);
+                    observe::log_read_passed_over(next.unwrap_or_default(), read_to);
                 }
             }
             Some(news) => {
@@ -117,7 +117,7 @@
     let (mut changes, mut spoilt) = (Vec::new(), Vec::new());
     for record in news.records {
         let entry = record.value.as_ref().map(|value| read_backend(&record.key, value)).transpose();
-        let entry = entry.map_err(|error| observe::note_bad_record(&error));
+        let entry = entry.map_err(|error| observe::log_bad_record(&error));
         let change = |entry| BackendChange { id: record.key, at: record.at, entry };
         match entry {
             Ok(entry) => changes.push(change(entry)),
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -49,11 +49,11 @@
                     driver.feed(RouteEvent::UsageRequested(ask))
                 }
                 Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
-                Ok(HeardDatagram::Empty) => observe::note_bad_note("it is empty"),
-                Err(error) => observe::note_bad_note(&error.to_string()),
+                Ok(HeardDatagram::Empty) => observe::log_bad_note("it is empty"),
+                Err(error) => observe::log_bad_note(&error.to_string()),
             },
             // A box that is gone answers a note with an error on this socket.
-            Err(error) => observe::note_socket_failed("notes", &error),
+            Err(error) => observe::log_socket_failed("notes", &error),
         }
     }
 }
@@ -107,7 +107,7 @@
     }
     for target in targets.iter().filter_map(|target| target.parse::<SocketAddr>().ok()) {
         if let Err(error) = socket.send_to(&bytes, target).await {
-            observe::note_socket_failed("notes", &error);
+            observe::log_socket_failed("notes", &error);
         }
     }
     bytes.len()
--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -76,11 +76,11 @@
             Some(generation)
         }
         Ok(Err(error)) => {
-            observe::note_lease_unanswered(&error);
+            observe::log_lease_unanswered(&error);
             None
         }
         Err(_) => {
-            observe::note_lease_unanswered(&"no answer in time");
+            observe::log_lease_unanswered(&"no answer in time");
             None
         }
     }
@@ -91,7 +91,7 @@
     driver.tally.count_call(LEADER_TOPIC, StoreCall::Join);
     let left = timeout(Duration::from_millis(CALL_MS), store.leave(member)).await;
     if let Ok(Err(error)) = left {
-        observe::note_lease_unanswered(&error);
+        observe::log_lease_unanswered(&error);
     }
 }
 
@@ -132,7 +132,7 @@
             LeaderStep::Call(call) => return self.call(&order, call).await,
         };
         if let Err(error) = done {
-            observe::note_lead_failed("store", &error);
+            observe::log_lead_failed("store", &error);
         }
     }
 
@@ -168,10 +168,10 @@
 
     async fn call(&self, order: &LeaderOrder, call: &LeaderCall) {
         let outcome = self.cloud.call(call, order.token).await.unwrap_or_else(|error| {
-            observe::note_lead_failed("call", &error);
+            observe::log_lead_failed("call", &error);
             CallOutcome::Unknown
         });
-        observe::note_lead_called(call, order.token, outcome);
+        observe::log_lead_called(call, order.token, outcome);
         self.driver.feed(RouteEvent::LeaderCallEnded(call.clone(), outcome));
     }
 }
@@ -179,7 +179,7 @@
 fn read_left(record: &KeyedRecord) -> Option<LeaderRecord> {
     let value = record.value.as_ref()?;
     read_leader(&record.key, value).unwrap_or_else(|error| {
-        observe::note_bad_record(&error);
+        observe::log_bad_record(&error);
         None
     })
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -103,9 +103,9 @@
     follow_site(&settings, &driver, &store, socket, receivers.site);
     let entry = GatewayEntry::start(&settings, &driver, listener);
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
-    observe::note_started(&settings.name, settings.entry, &settings.seeds);
+    observe::log_started(&settings.name, settings.entry, &settings.seeds);
     if !settings.unread_seeds.is_empty() {
-        observe::note_unread_seeds(&settings.unread_seeds);
+        observe::log_unread_seeds(&settings.unread_seeds);
     }
     tokio::spawn(follow_settings(driver.clone(), file, signals.hangup));
 
@@ -235,7 +235,7 @@
     async fn close(&mut self) {
         self.phase.send_replace(EntryPhase::Closed);
         if let Err(error) = (&mut self.taking).await {
-            observe::note_socket_failed("entry", &std::io::Error::other(error));
+            observe::log_socket_failed("entry", &std::io::Error::other(error));
         }
     }
 }
@@ -249,7 +249,7 @@
         starting
     });
     if opened {
-        observe::note_callers_taken();
+        observe::log_callers_taken();
     }
 }
 
@@ -286,7 +286,7 @@
         },
         serve_out(settings, driver, &mut entry),
     );
-    observe::note_exit(entry.callers.open(), driver.state().in_flight());
+    observe::log_exit(entry.callers.open(), driver.state().in_flight());
 }
 
 /// Serves what callers send until they know of the stop, then what is open.
@@ -318,7 +318,7 @@
     let rocket = ignite(server(address).mount("/", routes), address, purpose).await?;
     tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
-            observe::note_socket_failed(purpose, &std::io::Error::other(error.to_string()));
+            observe::log_socket_failed(purpose, &std::io::Error::other(error.to_string()));
             // A box without one of its listeners is no box: the platform starts it anew.
             std::process::exit(1);
         }
@@ -348,7 +348,7 @@
     let mut watch = SuspensionWatch::start(driver.clock());
     loop {
         if let Some(length) = watch.look(driver.clock()) {
-            observe::note_woke(length);
+            observe::log_woke(length);
         }
         driver.feed(RouteEvent::Tick);
         if swept.elapsed() >= Duration::from_millis(SWEEP_EVERY_MS) {
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -109,7 +109,7 @@
     }
 
     fn note_failed(&self, failure: AttemptFailure, why: &str, began: Instant) {
-        observe::note_attempt_failed(&self.guard.name, failure, why, began.elapsed());
+        observe::log_attempt_failed(&self.guard.name, failure, why, began.elapsed());
     }
 
     async fn next_piece(&mut self, patience: Duration) -> StreamPiece {
--- a/crates/box/src/gateway/reload.rs
+++ b/crates/box/src/gateway/reload.rs
@@ -24,7 +24,7 @@
         let text = match std::fs::read_to_string(&file) {
             Ok(text) => text,
             Err(error) => {
-                observe::note_reload_failed(&error.to_string());
+                observe::log_reload_failed(&error.to_string());
                 continue;
             }
         };
@@ -43,8 +43,8 @@
             if changed {
                 driver.state().set_bounds(settings.fresh, settings.budget);
             }
-            observe::note_reloaded(changed);
+            observe::log_reloaded(changed);
         }
-        Err(findings) => observe::note_reload_failed(&findings.lines().join("; ")),
+        Err(findings) => observe::log_reload_failed(&findings.lines().join("; ")),
     }
 }
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -256,7 +256,7 @@
         self.retry_ms = RETRY_MS;
         self.note_era();
         if let Some(at) = self.lost_at.take() {
-            observe::note_store_regained(self.topic, self.driver.clock().since(at));
+            observe::log_store_regained(self.topic, self.driver.clock().since(at));
             self.driver.feed(RouteEvent::StoreRecovered);
         }
     }
@@ -264,7 +264,7 @@
     /// Notes the era that the store names.
     fn note_era(&mut self) {
         if let Some(value) = self.store.era().take_unread() {
-            observe::note_era_unread(&value);
+            observe::log_era_unread(&value);
         }
         let era = self.era();
         if std::mem::replace(&mut self.era, era) != era {
@@ -274,11 +274,11 @@
 
     /// Notes a call that failed, or is late, `after` it began.
     fn note_failed(&mut self, why: &dyn std::fmt::Display, after: Duration) {
-        observe::note_store_error();
+        observe::log_store_error();
         (self.failed_at, self.jitter) = (self.driver.now(), rand::random());
         self.driver.feed(RouteEvent::StoreFailed);
         if self.lost_at.is_none() {
-            observe::note_store_lost(self.topic, why, after, self.role());
+            observe::log_store_lost(self.topic, why, after, self.role());
         }
         self.lost_at.get_or_insert(self.failed_at);
     }
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -63,7 +63,7 @@
         let Some(value) = &record.value else { continue };
         match read_verdict(&record.key, value) {
             Ok(verdict) => verdicts.extend(verdict),
-            Err(error) => observe::note_bad_record(&error),
+            Err(error) => observe::log_bad_record(&error),
         }
     }
     driver.feed(RouteEvent::VerdictsRead { asked_at, verdicts: verdicts.clone() });
