--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -18,10 +18,10 @@
 use super::control_stats::ControlTally;
 
 /// Logs what was decided of a request.
-pub fn note_request(name: &RequestName, effect: &RouteEffect) {
+pub fn log_request(name: &RequestName, effect: &RouteEffect) {
     let id = name.id.as_str();
     match effect {
-        RouteEffect::Send(_, order) => note_send(id, order),
+        RouteEffect::Send(_, order) => log_send(id, order),
         RouteEffect::Refuse(_, refusal, inputs) => {
             let reason = refusal.reason.slug();
             counter!("ravenspoke_route_refused_total", "reason" => reason).increment(1);
@@ -44,7 +44,7 @@
     }
 }
 
-fn note_send(id: &str, order: &SendOrder) {
+fn log_send(id: &str, order: &SendOrder) {
     counter!("ravenspoke_sends_total", "attempt" => order.number.to_string()).increment(1);
     info!(
         event = 701,
@@ -75,7 +75,7 @@
 }
 
 /// Logs that a replica's answer was no answer, or none came.
-pub fn note_attempt_failed(
+pub fn log_attempt_failed(
     name: &RequestName,
     failure: AttemptFailure,
     why: &str,
@@ -87,7 +87,7 @@
 }
 
 /// Logs the head of a replica's answer: what the next decision rests on.
-pub fn note_head(name: &RequestName, head: &AnswerHead, after: Duration) {
+pub fn log_head(name: &RequestName, head: &AnswerHead, after: Duration) {
     let after_ms = after.as_millis() as u64;
     info!(
         event = 707,
@@ -107,33 +107,33 @@
 }
 
 /// Logs that the box was suspended.
-pub fn note_woke(length: Duration) {
+pub fn log_woke(length: Duration) {
     counter!("ravenspoke_suspensions_total").increment(1);
     warn!(event = 744, name = "box_woke", suspended_ms = length.as_millis() as u64);
 }
 
 /// Logs a header that the platform's adapter does not know, the first time that a replica sends it.
-pub fn note_strange_header(header: &str, value: &str, replica: &str) {
+pub fn log_strange_header(header: &str, value: &str, replica: &str) {
     counter!("ravenspoke_strange_headers_total").increment(1);
     warn!(event = 740, name = "header_unknown", header, value, replica);
 }
 
 /// Logs how a request ended whose answer was passed on.
-pub fn note_finished(name: &RequestName, status: u16, took: Duration) {
+pub fn log_finished(name: &RequestName, status: u16, took: Duration) {
     histogram!("ravenspoke_answer_seconds").record(took.as_secs_f64());
     let took_ms = took.as_millis() as u64;
     info!(event = 705, name = "answer_passed_on", id = name.id, status, took_ms);
 }
 
 /// Logs that the caller went away before the end.
-pub fn note_caller_left(name: &RequestName, after: Duration) {
+pub fn log_caller_left(name: &RequestName, after: Duration) {
     counter!("ravenspoke_callers_left_total").increment(1);
     let after_ms = after.as_millis() as u64;
     info!(event = 706, name = "caller_left", id = name.id, after_ms);
 }
 
 /// Logs a change of what the box believes.
-pub fn note_effect(effect: &RouteEffect) {
+pub fn log_effect(effect: &RouteEffect) {
     match effect {
         RouteEffect::PlanInForce { version, routes, age_ms } => {
             gauge!("ravenspoke_plan_version").set(*version as f64);
@@ -230,57 +230,57 @@
 }
 
 /// Logs that the process runs.
-pub fn note_started(name: &str, address: SocketAddr, seeds: &[SocketAddr]) {
+pub fn log_started(name: &str, address: SocketAddr, seeds: &[SocketAddr]) {
     info!(event = 720, name = "gateway_started", box_name = name, %address, ?seeds);
 }
 
 /// Logs that the settings were read anew.
-pub fn note_reloaded(changed: bool) {
+pub fn log_reloaded(changed: bool) {
     info!(event = 721, name = "settings_read", changed);
 }
 
 /// Logs that the settings can't be read; the last ones serve.
-pub fn note_reload_failed(why: &str) {
+pub fn log_reload_failed(why: &str) {
     warn!(event = 722, name = "settings_unreadable", why);
 }
 
 /// Logs seeds of the settings that are no addresses.
-pub fn note_unread_seeds(seeds: &[String]) {
+pub fn log_unread_seeds(seeds: &[String]) {
     warn!(event = 724, name = "seeds_unreadable", ?seeds);
 }
 
 /// Counts a connection of a caller that is closed because too many are open.
-pub fn note_caller_turned_away() {
+pub fn log_caller_turned_away() {
     counter!("ravenspoke_callers_turned_away_total").increment(1);
 }
 
 /// Logs that callers' connections are closed from now on: too many are open.
-pub fn note_callers_full(limit: usize) {
+pub fn log_callers_full(limit: usize) {
     warn!(event = 725, name = "callers_full", limit);
 }
 
 /// Logs that a request came while the box started.
-pub fn note_request_waited(id: &str, waited_ms: u64) {
+pub fn log_request_waited(id: &str, waited_ms: u64) {
     info!(event = 728, name = "request_waited", id, waited_ms);
 }
 
 /// Logs that callers are served from now on.
-pub fn note_callers_taken() {
+pub fn log_callers_taken() {
     info!(event = 726, name = "callers_taken");
 }
 
 /// Logs that connections of callers are refused from now on, with those that are open still.
-pub fn note_callers_refused(open_connections: usize) {
+pub fn log_callers_refused(open_connections: usize) {
     info!(event = 727, name = "callers_refused", open_connections);
 }
 
 /// Logs that the process ends.
-pub fn note_exit(open_connections: usize, in_flight: usize) {
+pub fn log_exit(open_connections: usize, in_flight: usize) {
     info!(event = 723, name = "gateway_exits", open_connections, in_hand = in_flight);
 }
 
 /// Logs that a call to the store failed, or is late, `after` it began, and what the box does about it.
-pub fn note_store_lost(topic: &str, why: &dyn std::fmt::Display, after: Duration, role: StoreRole) {
+pub fn log_store_lost(topic: &str, why: &dyn std::fmt::Display, after: Duration, role: StoreRole) {
     let after_ms = after.as_millis() as u64;
     let StoreRole { reads, tries } = role;
     warn!(event = 730, name = "store_lost", topic, after_ms, reads, tries, %why);
@@ -296,28 +296,28 @@
 }
 
 /// Counts a call to the store that failed.
-pub fn note_store_error() {
+pub fn log_store_error() {
     counter!("ravenspoke_store_errors_total").increment(1);
 }
 
 /// Logs that other boxes must read the operator's records themselves: packed they don't fit into a datagram.
-pub fn note_records_untold(bytes: usize, limit: usize, from: TopicPosition) {
+pub fn log_records_untold(bytes: usize, limit: usize, from: TopicPosition) {
     warn!(event = 737, name = "records_untold", bytes, limit, %from);
 }
 
 /// Logs that an answer of the store names no era, or one that can't be read.
-pub fn note_era_unread(value: &str) {
+pub fn log_era_unread(value: &str) {
     warn!(event = 746, name = "store_era_unreadable", value);
 }
 
 /// Logs that what was read of the operator's records ends before what this box has heard of, and is passed over.
-pub fn note_read_passed_over(end: TopicPosition, read_to: TopicPosition) {
+pub fn log_read_passed_over(end: TopicPosition, read_to: TopicPosition) {
     counter!("ravenspoke_reads_passed_over_total").increment(1);
     warn!(event = 747, name = "read_passed_over", %end, %read_to);
 }
 
 /// Logs how a call that one box makes for all ended.
-pub fn note_lead_called(call: &LeaderCall, token: u64, outcome: CallOutcome) {
+pub fn log_lead_called(call: &LeaderCall, token: u64, outcome: CallOutcome) {
     let kind = match call {
         LeaderCall::Report(_) => "report",
         LeaderCall::Scale(..) => "scale",
@@ -327,17 +327,17 @@
 }
 
 /// Logs that a step of the box that acts for all failed; it is taken again while the box has the lease.
-pub fn note_lead_failed(step: &'static str, why: &dyn std::fmt::Display) {
+pub fn log_lead_failed(step: &'static str, why: &dyn std::fmt::Display) {
     warn!(event = 751, name = "lead_failed", step, %why);
 }
 
 /// Logs that the store gave no answer to an ask for the lease of what one box does for all.
-pub fn note_lease_unanswered(why: &dyn std::fmt::Display) {
+pub fn log_lease_unanswered(why: &dyn std::fmt::Display) {
     warn!(event = 752, name = "lease_unanswered", %why);
 }
 
 /// Logs that a reader has the store again.
-pub fn note_store_regained(topic: &str, after: Duration) {
+pub fn log_store_regained(topic: &str, after: Duration) {
     let after_ms = after.as_millis() as u64;
     info!(event = 731, name = "store_regained", topic, after_ms);
 }
@@ -365,18 +365,18 @@
 }
 
 /// Logs a record that can't be decoded.
-pub fn note_bad_record(error: &RecordError) {
+pub fn log_bad_record(error: &RecordError) {
     counter!("ravenspoke_bad_records_total").increment(1);
     error!(event = 732, name = "record_unreadable", why = %error);
 }
 
 /// Logs a note of another box that can't be decoded.
-pub fn note_bad_note(why: &str) {
+pub fn log_bad_note(why: &str) {
     counter!("ravenspoke_bad_notes_total").increment(1);
     warn!(event = 733, name = "note_unreadable", why);
 }
 
 /// Logs that a socket of the box's own failed.
-pub fn note_socket_failed(purpose: &str, error: &std::io::Error) {
+pub fn log_socket_failed(purpose: &str, error: &std::io::Error) {
     warn!(event = 734, name = "socket_failed", purpose, why = %error);
 }
