--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -49,8 +49,8 @@
                     driver.feed(RouteEvent::UsageRequested(ask))
                 }
                 Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
-                Ok(HeardDatagram::Empty) => observe::log_bad_note("it is empty"),
-                Err(error) => observe::log_bad_note(&error.to_string()),
+                Ok(HeardDatagram::Empty) => observe::log_bad_gossip("it is empty"),
+                Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
             // A box that is gone answers a note with an error on this socket.
             Err(error) => observe::log_socket_failed("notes", &error),
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -371,7 +371,7 @@
 }
 
 /// Logs a note of another box that can't be decoded.
-pub fn log_bad_note(why: &str) {
+pub fn log_bad_gossip(why: &str) {
     counter!("ravenspoke_bad_notes_total").increment(1);
     warn!(event = 733, name = "note_unreadable", why);
 }
