--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -113,7 +113,7 @@
 }
 
 /// Logs a header that the platform's adapter does not know, the first time that a replica sends it.
-pub fn log_strange_header(header: &str, value: &str, replica: &str) {
+pub fn log_unknown_header(header: &str, value: &str, replica: &str) {
     counter!("ravenspoke_strange_headers_total").increment(1);
     warn!(event = 740, name = "header_unknown", header, value, replica);
 }
--- a/crates/box/src/gateway/unknown_headers.rs
+++ b/crates/box/src/gateway/unknown_headers.rs
@@ -28,7 +28,7 @@
             if self.is_new(name.as_str()) {
                 let value = String::from_utf8_lossy(value.as_bytes());
                 let short: String = value.chars().take(VALUE_LIMIT).collect();
-                observe::log_strange_header(name.as_str(), &short, replica);
+                observe::log_unknown_header(name.as_str(), &short, replica);
             }
         }
     }
