--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -198,7 +198,7 @@
         let left = tools.driver.until(order.deadline);
         match tools.driver.clock().within(left.min(patience), asked.as_mut()).await {
             Some(Ok(answer)) => {
-                observe::log_head(&guard.name, &answer.decoded, began.elapsed());
+                observe::log_head_received(&guard.name, &answer.decoded, began.elapsed());
                 return AttemptOutcome::Answer(Box::new(answer));
             }
             Some(Err(failed)) => break failed,
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -87,7 +87,7 @@
 }
 
 /// Logs the head of a replica's answer: what the next decision rests on.
-pub fn log_head(name: &RequestName, head: &AnswerHead, after: Duration) {
+pub fn log_head_received(name: &RequestName, head: &AnswerHead, after: Duration) {
     let after_ms = after.as_millis() as u64;
     info!(
         event = 707,
