--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -107,7 +107,7 @@
 }
 
 /// Logs that the box was suspended.
-pub fn log_woke(length: Duration) {
+pub fn log_suspension(length: Duration) {
     counter!("ravenspoke_suspensions_total").increment(1);
     warn!(event = 744, name = "box_woke", suspended_ms = length.as_millis() as u64);
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -348,7 +348,7 @@
     let mut watch = SuspensionWatch::start(driver.clock());
     loop {
         if let Some(length) = watch.look(driver.clock()) {
-            observe::log_woke(length);
+            observe::log_suspension(length);
         }
         driver.feed(RouteEvent::Tick);
         if swept.elapsed() >= Duration::from_millis(SWEEP_EVERY_MS) {
