--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -69,7 +69,7 @@
 impl Drop for RequestGuard {
     fn drop(&mut self) {
         if !self.ended {
-            observe::log_caller_left(&self.name, self.began.elapsed());
+            observe::log_caller_disconnected(&self.name, self.began.elapsed());
             self.feed(RouteEvent::CallerDisconnected(self.name.ticket));
         }
     }
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -126,7 +126,7 @@
 }
 
 /// Logs that the caller went away before the end.
-pub fn log_caller_left(name: &RequestName, after: Duration) {
+pub fn log_caller_disconnected(name: &RequestName, after: Duration) {
     counter!("ravenspoke_callers_left_total").increment(1);
     let after_ms = after.as_millis() as u64;
     info!(event = 706, name = "caller_left", id = name.id, after_ms);
