--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -62,7 +62,7 @@
     pub fn finish(&mut self, status: u16) {
         self.feed(RouteEvent::ResponseFinished(self.name.ticket));
         self.ended = true;
-        observe::log_finished(&self.name, status, self.began.elapsed());
+        observe::log_response_finished(&self.name, status, self.began.elapsed());
     }
 }
 
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -119,7 +119,7 @@
 }
 
 /// Logs how a request ended whose answer was passed on.
-pub fn log_finished(name: &RequestName, status: u16, took: Duration) {
+pub fn log_response_finished(name: &RequestName, status: u16, took: Duration) {
     histogram!("ravenspoke_answer_seconds").record(took.as_secs_f64());
     let took_ms = took.as_millis() as u64;
     info!(event = 705, name = "answer_passed_on", id = name.id, status, took_ms);
