--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -245,7 +245,7 @@
 }
 
 /// Logs seeds of the settings that are no addresses.
-pub fn log_unread_seeds(seeds: &[String]) {
+pub fn log_invalid_seeds(seeds: &[String]) {
     warn!(event = 724, name = "seeds_unreadable", ?seeds);
 }
 
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -105,7 +105,7 @@
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
     observe::log_started(&settings.name, settings.entry, &settings.seeds);
     if !settings.unread_seeds.is_empty() {
-        observe::log_unread_seeds(&settings.unread_seeds);
+        observe::log_invalid_seeds(&settings.unread_seeds);
     }
     tokio::spawn(follow_settings(driver.clone(), file, signals.hangup));
 
