--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -125,7 +125,7 @@
         let full = self.count.open() >= self.limit;
         let was_full = self.full.swap(full, Ordering::Relaxed);
         if full {
-            observe::log_caller_turned_away();
+            observe::count_rejected_caller();
             if !was_full {
                 observe::log_callers_full(self.limit);
             }
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -250,7 +250,7 @@
 }
 
 /// Counts a connection of a caller that is closed because too many are open.
-pub fn log_caller_turned_away() {
+pub fn count_rejected_caller() {
     counter!("ravenspoke_callers_turned_away_total").increment(1);
 }
 
