--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -265,7 +265,7 @@
 }
 
 /// Logs that callers are served from now on.
-pub fn log_callers_taken() {
+pub fn log_callers_accepted() {
     info!(event = 726, name = "callers_taken");
 }
 
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -249,7 +249,7 @@
         starting
     });
     if opened {
-        observe::log_callers_taken();
+        observe::log_callers_accepted();
     }
 }
 
