--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -99,7 +99,7 @@
             Ok(waiting) => waiting.into_iter().for_each(|stream| self.take(stream)),
             Err(error) => observe::log_socket_failed("entry", &error),
         }
-        observe::log_callers_refused(self.count.open());
+        observe::log_entry_closed(self.count.open());
     }
 
     async fn accept(&self, listener: &ListeningEntry) {
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -270,7 +270,7 @@
 }
 
 /// Logs that connections of callers are refused from now on, with those that are open still.
-pub fn log_callers_refused(open_connections: usize) {
+pub fn log_entry_closed(open_connections: usize) {
     info!(event = 727, name = "callers_refused", open_connections);
 }
 
