--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -301,7 +301,7 @@
 }
 
 /// Logs that other boxes must read the operator's records themselves: packed they don't fit into a datagram.
-pub fn log_records_untold(bytes: usize, limit: usize, from: TopicPosition) {
+pub fn log_oversized_records(bytes: usize, limit: usize, from: TopicPosition) {
     warn!(event = 737, name = "records_untold", bytes, limit, %from);
 }
 
