--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -306,7 +306,7 @@
 }
 
 /// Logs that an answer of the store names no era, or one that can't be read.
-pub fn log_era_unread(value: &str) {
+pub fn log_invalid_era(value: &str) {
     warn!(event = 746, name = "store_era_unreadable", value);
 }
 
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -264,7 +264,7 @@
     /// Notes the era that the store names.
     fn note_era(&mut self) {
         if let Some(value) = self.store.era().take_unread() {
-            observe::log_era_unread(&value);
+            observe::log_invalid_era(&value);
         }
         let era = self.era();
         if std::mem::replace(&mut self.era, era) != era {
