--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -56,7 +56,7 @@
                 if std::mem::replace(&mut passed_over, next) == next {
                     tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
                 } else {
-                    observe::log_read_passed_over(next.unwrap_or_default(), read_to);
+                    observe::log_read_discarded(next.unwrap_or_default(), read_to);
                 }
             }
             Some(news) => {
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -311,7 +311,7 @@
 }
 
 /// Logs that what was read of the operator's records ends before what this box has heard of, and is passed over.
-pub fn log_read_passed_over(end: TopicPosition, read_to: TopicPosition) {
+pub fn log_read_discarded(end: TopicPosition, read_to: TopicPosition) {
     counter!("ravenspoke_reads_passed_over_total").increment(1);
     warn!(event = 747, name = "read_passed_over", %end, %read_to);
 }
