--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -171,7 +171,7 @@
             observe::log_lead_failed("call", &error);
             CallOutcome::Unknown
         });
-        observe::log_lead_called(call, order.token, outcome);
+        observe::log_leader_call(call, order.token, outcome);
         self.driver.feed(RouteEvent::LeaderCallEnded(call.clone(), outcome));
     }
 }
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -317,7 +317,7 @@
 }
 
 /// Logs how a call that one box makes for all ended.
-pub fn log_lead_called(call: &LeaderCall, token: u64, outcome: CallOutcome) {
+pub fn log_leader_call(call: &LeaderCall, token: u64, outcome: CallOutcome) {
     let kind = match call {
         LeaderCall::Report(_) => "report",
         LeaderCall::Scale(..) => "scale",
