--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -132,7 +132,7 @@
             LeaderStep::Call(call) => return self.call(&order, call).await,
         };
         if let Err(error) = done {
-            observe::log_lead_failed("store", &error);
+            observe::log_leader_step_failed("store", &error);
         }
     }
 
@@ -168,7 +168,7 @@
 
     async fn call(&self, order: &LeaderOrder, call: &LeaderCall) {
         let outcome = self.cloud.call(call, order.token).await.unwrap_or_else(|error| {
-            observe::log_lead_failed("call", &error);
+            observe::log_leader_step_failed("call", &error);
             CallOutcome::Unknown
         });
         observe::log_leader_call(call, order.token, outcome);
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -327,7 +327,7 @@
 }
 
 /// Logs that a step of the box that acts for all failed; it is taken again while the box has the lease.
-pub fn log_lead_failed(step: &'static str, why: &dyn std::fmt::Display) {
+pub fn log_leader_step_failed(step: &'static str, why: &dyn std::fmt::Display) {
     warn!(event = 751, name = "lead_failed", step, %why);
 }
 
