--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -76,11 +76,11 @@
             Some(generation)
         }
         Ok(Err(error)) => {
-            observe::log_lease_unanswered(&error);
+            observe::log_lease_failed(&error);
             None
         }
         Err(_) => {
-            observe::log_lease_unanswered(&"no answer in time");
+            observe::log_lease_failed(&"no answer in time");
             None
         }
     }
@@ -91,7 +91,7 @@
     driver.tally.count_call(LEADER_TOPIC, StoreCall::Join);
     let left = timeout(Duration::from_millis(CALL_MS), store.leave(member)).await;
     if let Ok(Err(error)) = left {
-        observe::log_lease_unanswered(&error);
+        observe::log_lease_failed(&error);
     }
 }
 
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -332,7 +332,7 @@
 }
 
 /// Logs that the store gave no answer to an ask for the lease of what one box does for all.
-pub fn log_lease_unanswered(why: &dyn std::fmt::Display) {
+pub fn log_lease_failed(why: &dyn std::fmt::Display) {
     warn!(event = 752, name = "lease_unanswered", %why);
 }
 
