--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -296,7 +296,7 @@
 }
 
 /// Counts a call to the store that failed.
-pub fn log_store_error() {
+pub fn count_store_error() {
     counter!("ravenspoke_store_errors_total").increment(1);
 }
 
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -274,7 +274,7 @@
 
     /// Notes a call that failed, or is late, `after` it began.
     fn note_failed(&mut self, why: &dyn std::fmt::Display, after: Duration) {
-        observe::log_store_error();
+        observe::count_store_error();
         (self.failed_at, self.jitter) = (self.driver.now(), rand::random());
         self.driver.feed(RouteEvent::StoreFailed);
         if self.lost_at.is_none() {
