--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -344,12 +344,12 @@
 
 /// What was last logged of the costs of control.
 #[derive(Debug, Default)]
-pub struct ToldCosts {
+pub struct LoggedCosts {
     calls: String,
     bytes: String,
 }
 
-impl ToldCosts {
+impl LoggedCosts {
     /// Logs the calls to the store and the bytes of datagrams so far, where they have grown.
     pub fn note(&mut self, tally: &ControlTally) {
         let (calls, bytes) = (tally.calls(), tally.bytes());
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -344,7 +344,7 @@
 
 async fn run_ticks(driver: Arc<GatewayDriver>, pool: Arc<ReplicaPool>) {
     let mut swept = Instant::now();
-    let mut told = (Instant::now(), observe::ToldCosts::default());
+    let mut told = (Instant::now(), observe::LoggedCosts::default());
     let mut watch = SuspensionWatch::start(driver.clock());
     loop {
         if let Some(length) = watch.look(driver.clock()) {
