--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -351,7 +351,7 @@
 
 impl LoggedCosts {
     /// Logs the calls to the store and the bytes of datagrams so far, where they have grown.
-    pub fn note(&mut self, tally: &ControlTally) {
+    pub fn log_changes(&mut self, tally: &ControlTally) {
         let (calls, bytes) = (tally.calls(), tally.bytes());
         if calls != self.calls {
             info!(event = 735, name = "store_calls", calls);
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -357,7 +357,7 @@
         }
         if told.0.elapsed() >= Duration::from_millis(tally::TELL_EVERY_MS) {
             told.0 = Instant::now();
-            told.1.note(&driver.tally);
+            told.1.log_changes(&driver.tally);
         }
         let starts = !driver.state().is_synced();
         let tick_ms = if starts { START_TICK_MS } else { TICK_MS };
