--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -344,7 +344,7 @@
 
 async fn run_ticks(driver: Arc<GatewayDriver>, pool: Arc<ReplicaPool>) {
     let mut swept = Instant::now();
-    let mut told = (Instant::now(), observe::LoggedCosts::default());
+    let mut logged = (Instant::now(), observe::LoggedCosts::default());
     let mut watch = SuspensionWatch::start(driver.clock());
     loop {
         if let Some(length) = watch.look(driver.clock()) {
@@ -355,9 +355,9 @@
             swept = Instant::now();
             pool.sweep();
         }
-        if told.0.elapsed() >= Duration::from_millis(tally::TELL_EVERY_MS) {
-            told.0 = Instant::now();
-            told.1.log_changes(&driver.tally);
+        if logged.0.elapsed() >= Duration::from_millis(tally::TELL_EVERY_MS) {
+            logged.0 = Instant::now();
+            logged.1.log_changes(&driver.tally);
         }
         let starts = !driver.state().is_synced();
         let tick_ms = if starts { START_TICK_MS } else { TICK_MS };
