--- a/crates/box/src/gateway/control_stats.rs
+++ b/crates/box/src/gateway/control_stats.rs
@@ -82,12 +82,12 @@
 
 /// What control has cost so far.
 #[derive(Debug, Default)]
-pub struct ControlTally {
+pub struct ControlStats {
     calls: LabelSums,
     bytes: LabelSums,
 }
 
-impl ControlTally {
+impl ControlStats {
     /// Counts a call to the store, whatever becomes of it.
     pub fn count_call(&self, topic: &'static str, call: StoreCall) {
         counter!("ravenspoke_store_calls_total", "topic" => topic, "call" => call.label())
--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -21,7 +21,7 @@
 
 use super::sync_pacer::AnswerPace;
 use super::observe;
-use super::control_stats::{ControlTally, DatagramKind};
+use super::control_stats::{ControlStats, DatagramKind};
 use super::operator_records::OperatorRecords;
 use crate::clock::BoxClock;
 
@@ -115,7 +115,7 @@
     /// What answers to other boxes may take of the link.
     pub answers: AnswerPace,
     /// What control has cost so far.
-    pub tally: ControlTally,
+    pub tally: ControlStats,
 }
 
 impl GatewayDriver {
@@ -135,7 +135,7 @@
             callers_due: Notify::new(),
             listed: AtomicBool::new(false),
             answers,
-            tally: ControlTally::default(),
+            tally: ControlStats::default(),
         }
     }
 
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -15,7 +15,7 @@
 use tracing::{error, info, warn};
 
 use super::driver::RequestName;
-use super::control_stats::ControlTally;
+use super::control_stats::ControlStats;
 
 /// Logs what was decided of a request.
 pub fn log_request(name: &RequestName, effect: &RouteEffect) {
@@ -351,7 +351,7 @@
 
 impl LoggedCosts {
     /// Logs the calls to the store and the bytes of datagrams so far, where they have grown.
-    pub fn log_changes(&mut self, tally: &ControlTally) {
+    pub fn log_changes(&mut self, tally: &ControlStats) {
         let (calls, bytes) = (tally.calls(), tally.bytes());
         if calls != self.calls {
             info!(event = 735, name = "store_calls", calls);
