--- a/crates/box/src/gateway/control_stats.rs
+++ b/crates/box/src/gateway/control_stats.rs
@@ -8,7 +8,7 @@
 
 /// Time between two lines of the log that tell the sums so far, in milliseconds: an operator finds what a
 /// busy store was asked for, at six lines of each kind a minute at most.
-pub const TELL_EVERY_MS: u64 = 10_000;
+pub const LOG_INTERVAL_MS: u64 = 10_000;
 
 /// A kind of call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -355,7 +355,7 @@
             swept = Instant::now();
             pool.sweep();
         }
-        if logged.0.elapsed() >= Duration::from_millis(tally::TELL_EVERY_MS) {
+        if logged.0.elapsed() >= Duration::from_millis(tally::LOG_INTERVAL_MS) {
             logged.0 = Instant::now();
             logged.1.log_changes(&driver.tally);
         }
