--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -115,7 +115,7 @@
     /// What answers to other boxes may take of the link.
     pub answers: AnswerPace,
     /// What control has cost so far.
-    pub tally: ControlStats,
+    pub stats: ControlStats,
 }
 
 impl GatewayDriver {
@@ -135,7 +135,7 @@
             callers_due: Notify::new(),
             listed: AtomicBool::new(false),
             answers,
-            tally: ControlStats::default(),
+            stats: ControlStats::default(),
         }
     }
 
@@ -218,7 +218,7 @@
         }
         let kind = datagram.kind();
         if self.sinks.notes.try_send(datagram).is_err() {
-            self.tally.count_dropped(kind);
+            self.stats.count_dropped(kind);
         }
     }
 
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -35,7 +35,7 @@
                     driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
-                Ok(HeardDatagram::Ask(_)) => driver.tally.count_dropped(DatagramKind::Answer),
+                Ok(HeardDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::Answer),
                 Ok(HeardDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
@@ -103,7 +103,7 @@
     };
     for target in &targets {
         let same_zone = driver.state().is_in_same_zone(target);
-        driver.tally.count_datagram(kind, same_zone, bytes.len());
+        driver.stats.count_datagram(kind, same_zone, bytes.len());
     }
     for target in targets.iter().filter_map(|target| target.parse::<SocketAddr>().ok()) {
         if let Err(error) = socket.send_to(&bytes, target).await {
--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -66,7 +66,7 @@
     member: &GroupMember,
     generation: u64,
 ) -> Option<u64> {
-    driver.tally.count_call(LEADER_TOPIC, StoreCall::Join);
+    driver.stats.count_call(LEADER_TOPIC, StoreCall::Join);
     let asked_at = driver.now();
     let answer = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
     match answer {
@@ -88,7 +88,7 @@
 
 /// Leaves the group, so that another box gets the lease at once.
 async fn leave(driver: &GatewayDriver, store: &StoreClient, (member, _): &(GroupMember, u64)) {
-    driver.tally.count_call(LEADER_TOPIC, StoreCall::Join);
+    driver.stats.count_call(LEADER_TOPIC, StoreCall::Join);
     let left = timeout(Duration::from_millis(CALL_MS), store.leave(member)).await;
     if let Ok(Err(error)) = left {
         observe::log_lease_failed(&error);
@@ -138,10 +138,10 @@
 
     /// Bars former holders from writing, and reads what they left.
     async fn take_over(&self, token: u64) -> Result<(), StoreError> {
-        self.driver.tally.count_call(LEADER_TOPIC, StoreCall::Append);
+        self.driver.stats.count_call(LEADER_TOPIC, StoreCall::Append);
         let epoch = ProducerEpoch { producer: PRODUCER, epoch: token, sequence: 0 };
         let next = self.store.begin_epoch(LEADER_TOPIC, epoch).await?;
-        self.driver.tally.count_call(LEADER_TOPIC, StoreCall::List);
+        self.driver.stats.count_call(LEADER_TOPIC, StoreCall::List);
         let listing = self.store.newest(LEADER_TOPIC).await?;
         let left = listing.records.iter().filter_map(read_left).collect();
         self.driver.feed(RouteEvent::LeaderRecordsRead { token, next, left });
@@ -150,7 +150,7 @@
 
     /// Writes a record for the next holder.
     async fn keep(&self, token: u64, kept: &NumberedRecord) -> Result<(), StoreError> {
-        self.driver.tally.count_call(LEADER_TOPIC, StoreCall::Append);
+        self.driver.stats.count_call(LEADER_TOPIC, StoreCall::Append);
         let number = kept.number;
         let epoch = ProducerEpoch { producer: PRODUCER, epoch: token, sequence: number };
         let (key, value) = write_leader(&kept.record);
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -194,7 +194,7 @@
             info!(event = 714, name = "verdict_due", service, version, ?state);
         }
         RouteEffect::VersionRejected { service, version, finding } => {
-            let (route, tally) = (finding.route.as_deref().unwrap_or("all"), &finding.tally);
+            let (route, tally) = (finding.route.as_deref().unwrap_or("all"), &finding.stats);
             warn!(
                 event = 718,
                 name = "version_condemned",
@@ -351,8 +351,8 @@
 
 impl LoggedCosts {
     /// Logs the calls to the store and the bytes of datagrams so far, where they have grown.
-    pub fn log_changes(&mut self, tally: &ControlStats) {
-        let (calls, bytes) = (tally.calls(), tally.bytes());
+    pub fn log_changes(&mut self, stats: &ControlStats) {
+        let (calls, bytes) = (stats.calls(), stats.bytes());
         if calls != self.calls {
             info!(event = 735, name = "store_calls", calls);
             self.calls = calls;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -357,7 +357,7 @@
         }
         if logged.0.elapsed() >= Duration::from_millis(tally::LOG_INTERVAL_MS) {
             logged.0 = Instant::now();
-            logged.1.log_changes(&driver.tally);
+            logged.1.log_changes(&driver.stats);
         }
         let starts = !driver.state().is_synced();
         let tick_ms = if starts { START_TICK_MS } else { TICK_MS };
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -125,7 +125,7 @@
         let call = |store: StoreClient, _| async move { store.newest(topic).await };
         let answered = self.answer(&mut calls, StoreCall::List, 0, call).await.ok()?;
         for _ in 1..answered.value.pages {
-            self.driver.tally.count_call(topic, StoreCall::List);
+            self.driver.stats.count_call(topic, StoreCall::List);
         }
         Some(answered)
     }
@@ -208,7 +208,7 @@
             if calls.is_empty() || (calls.has_room() && self.may_try_again()) {
                 // Beside a call that is late there is no time to wait for a record.
                 let wait_ms = if calls.is_empty() { wait_ms } else { 0 };
-                self.driver.tally.count_call(self.topic, kind);
+                self.driver.stats.count_call(self.topic, kind);
                 let (store, pulse) = self.store.watched();
                 calls.begin(self.driver.now(), wait_ms, pulse, call(store, wait_ms));
             }
