--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -73,10 +73,10 @@
     /// What it is.
     pub fn kind(&self) -> DatagramKind {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => DatagramKind::Answer,
-            Self::Note(..) => DatagramKind::Note,
+            Self::Note(_, note) if note.echo.is_some() => DatagramKind::SyncResponse,
+            Self::Note(..) => DatagramKind::Gossip,
             Self::Placement(..) => DatagramKind::Placement,
-            Self::Ask(..) => DatagramKind::Ask,
+            Self::Ask(..) => DatagramKind::SyncRequest,
             Self::UsageRequest(..) | Self::Usage(..) => DatagramKind::Usage,
         }
     }
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -35,7 +35,7 @@
                     driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
-                Ok(HeardDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::Answer),
+                Ok(HeardDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
                 Ok(HeardDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
