--- a/crates/box/src/gateway/control_stats.rs
+++ b/crates/box/src/gateway/control_stats.rs
@@ -38,11 +38,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
     /// A note that nobody asked for.
-    Note,
+    Gossip,
     /// An ask.
-    Ask,
+    SyncRequest,
     /// The answer to one.
-    Answer,
+    SyncResponse,
     /// Word of a placed prompt.
     Placement,
     /// A question for counts of usage, or the counts.
@@ -52,9 +52,9 @@
 impl DatagramKind {
     fn label(self) -> &'static str {
         match self {
-            Self::Note => "note",
-            Self::Ask => "ask",
-            Self::Answer => "answer",
+            Self::Gossip => "note",
+            Self::SyncRequest => "ask",
+            Self::SyncResponse => "answer",
             Self::Placement => "placement",
             Self::Usage => "usage",
         }
