--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc::{Sender, UnboundedSender};
 use tokio::sync::Notify;
 
-use super::sync_pacer::AnswerPace;
+use super::sync_pacer::SyncPacer;
 use super::observe;
 use super::control_stats::{ControlStats, DatagramKind};
 use super::operator_records::OperatorRecords;
@@ -65,7 +65,7 @@
     /// About how long it is, in bytes, if it is an answer.
     pub fn answer_bytes(&self) -> Option<usize> {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => Some(AnswerPace::expected_bytes(note)),
+            Self::Note(_, note) if note.echo.is_some() => Some(SyncPacer::expected_bytes(note)),
             _ => None,
         }
     }
@@ -90,7 +90,7 @@
 pub struct GatewaySinks {
     /// Datagrams for other boxes that nobody asked for, and asks.
     pub notes: Sender<PeerDatagram>,
-    /// Answers to other boxes' asks; they wait for the rest. [`AnswerPace`] bounds them.
+    /// Answers to other boxes' asks; they wait for the rest. [`SyncPacer`] bounds them.
     pub answers: UnboundedSender<PeerDatagram>,
     /// Verdicts for the store.
     pub verdicts: UnboundedSender<TrialVerdict>,
@@ -113,7 +113,7 @@
     /// Whether the store may have this box's record of where it hears notes.
     pub listed: AtomicBool,
     /// What answers to other boxes may take of the link.
-    pub answers: AnswerPace,
+    pub answers: SyncPacer,
     /// What control has cost so far.
     pub stats: ControlStats,
 }
@@ -124,7 +124,7 @@
         state: RouteState,
         sinks: GatewaySinks,
         clock: Arc<BoxClock>,
-        answers: AnswerPace,
+        answers: SyncPacer,
     ) -> Self {
         Self {
             state: Mutex::new(state),
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use super::sync_pacer::AnswerPace;
+use super::sync_pacer::SyncPacer;
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
 use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, NOTES_QUEUED};
 use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_PART};
@@ -90,7 +90,7 @@
     let receivers = GatewayReceivers { site, lead: lead_receiver };
     let state = RouteState::new(route_settings(&settings));
     let clock = Arc::new(BoxClock::start()?);
-    let answers = AnswerPace::new(settings.capacity.link_mbps);
+    let answers = SyncPacer::new(settings.capacity.link_mbps);
     let driver = Arc::new(GatewayDriver::new(state, sinks, clock, answers));
     let store = StoreClient::new(&settings.store, settings.entry.ip())?;
 
--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -28,12 +28,12 @@
 
 /// What answers may take of a box's link, and how many bytes of them wait.
 #[derive(Debug)]
-pub struct AnswerPace {
+pub struct SyncPacer {
     bytes_per_s: f64,
     waiting: AtomicUsize,
 }
 
-impl AnswerPace {
+impl SyncPacer {
     /// The pace for a link of so many megabits a second.
     pub fn new(link_mbps: f64) -> Self {
         let bytes_per_s = (link_mbps * 1e6 / 8.0 * ANSWER_SHARE).max(1.0);
@@ -80,7 +80,7 @@
     }
 
     /// Notes that an answer was sent.
-    pub fn note_sent(&mut self, bytes: usize, pace: &AnswerPace, now: BoxTime) {
+    pub fn note_sent(&mut self, bytes: usize, pace: &SyncPacer, now: BoxTime) {
         let begin = self.free_at.max(now).as_micros();
         self.free_at = BoxTime::from_micros(begin + pace.takes_us(bytes));
     }
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -1,13 +1,13 @@
 //! How many answers to other boxes wait at a box.
 
-use ravenspoke_box::gateway::sync_pacer::{AnswerPace, ANSWER_WAIT_BYTES};
+use ravenspoke_box::gateway::sync_pacer::{SyncPacer, ANSWER_WAIT_BYTES};
 
 /// Bytes of an answer that tells a thousand replicas.
 const LONG_ANSWER: usize = 16_600;
 
 /// Long answers that may wait with a link of so many megabits a second.
 fn waiting(link_mbps: f64) -> usize {
-    let pace = AnswerPace::new(link_mbps);
+    let pace = SyncPacer::new(link_mbps);
     let mut count = 0;
     while pace.has_room() {
         pace.note_queued(LONG_ANSWER);
@@ -25,7 +25,7 @@
 
 #[test]
 fn there_is_room_again_when_an_answer_was_sent() {
-    let pace = AnswerPace::new(0.1);
+    let pace = SyncPacer::new(0.1);
     pace.note_queued(LONG_ANSWER);
     assert!(!pace.has_room());
     pace.note_taken(LONG_ANSWER);
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ravenspoke_box::clock::{BoxClock, SuspensionWatch};
-use ravenspoke_box::gateway::sync_pacer::AnswerPace;
+use ravenspoke_box::gateway::sync_pacer::SyncPacer;
 use ravenspoke_box::gateway::driver::{GatewayDriver, GatewaySinks};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::event::RouteEvent;
@@ -82,7 +82,7 @@
         lead: unbounded_channel().0,
     };
     let driver =
-        GatewayDriver::new(RouteState::new(settings), sinks, clock, AnswerPace::new(100.0));
+        GatewayDriver::new(RouteState::new(settings), sinks, clock, SyncPacer::new(100.0));
     let plan = Some(RoutePlan { version: 1, ..RoutePlan::default() });
     driver.feed(RouteEvent::PlanRead {
         asked_at: driver.now(),
