--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
-use super::sync_pacer::AnswerSlot;
+use super::sync_pacer::SyncSlot;
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
@@ -66,7 +66,7 @@
     mut answers: UnboundedReceiver<PeerDatagram>,
 ) {
     let mut pages = PackedPages::default();
-    let mut slot = AnswerSlot::default();
+    let mut slot = SyncSlot::default();
     loop {
         let busy = slot.until_free(driver.now());
         let datagram = tokio::select! {
--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -69,11 +69,11 @@
 
 /// When the link is free for the next answer.
 #[derive(Debug, Default)]
-pub struct AnswerSlot {
+pub struct SyncSlot {
     free_at: BoxTime,
 }
 
-impl AnswerSlot {
+impl SyncSlot {
     /// Until it is free.
     pub fn until_free(&self, now: BoxTime) -> Duration {
         Duration::from_micros(self.free_at.as_micros().saturating_sub(now.as_micros()))
