--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::time::BoxTime;
 
 /// Part of a box's link that answers to other boxes take, at most: the rest is for callers and replicas.
-pub const ANSWER_SHARE: f64 = 0.25;
+pub const SYNC_LINK_SHARE: f64 = 0.25;
 
 /// An answer waits for no longer than this, in milliseconds.
 pub const ANSWER_WAIT_MS: u64 = 250;
@@ -36,7 +36,7 @@
 impl SyncPacer {
     /// The pace for a link of so many megabits a second.
     pub fn new(link_mbps: f64) -> Self {
-        let bytes_per_s = (link_mbps * 1e6 / 8.0 * ANSWER_SHARE).max(1.0);
+        let bytes_per_s = (link_mbps * 1e6 / 8.0 * SYNC_LINK_SHARE).max(1.0);
         Self { bytes_per_s, waiting: AtomicUsize::new(0) }
     }
 
