--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -14,7 +14,7 @@
 pub const SYNC_LINK_SHARE: f64 = 0.25;
 
 /// An answer waits for no longer than this, in milliseconds.
-pub const ANSWER_WAIT_MS: u64 = 250;
+pub const SYNC_QUEUE_MS: u64 = 250;
 
 /// Bytes of answers that wait, at most, however fast the link is: unpacked, what waits takes some twenty times its bytes in
 /// memory.
@@ -47,7 +47,7 @@
 
     /// Whether another answer would be sent soon.
     pub fn has_room(&self) -> bool {
-        let limit = self.bytes_per_s * ANSWER_WAIT_MS as f64 / 1_000.0;
+        let limit = self.bytes_per_s * SYNC_QUEUE_MS as f64 / 1_000.0;
         (self.waiting.load(Ordering::Relaxed) as f64) < limit.min(ANSWER_WAIT_BYTES)
     }
 
