--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -18,7 +18,7 @@
 
 /// Bytes of answers that wait, at most, however fast the link is: unpacked, what waits takes some twenty times its bytes in
 /// memory.
-pub const ANSWER_WAIT_BYTES: f64 = 512_000.0;
+pub const SYNC_QUEUE_BYTES: f64 = 512_000.0;
 
 /// Bytes of an answer without replicas' entries.
 const BARE_BYTES: usize = 600;
@@ -48,7 +48,7 @@
     /// Whether another answer would be sent soon.
     pub fn has_room(&self) -> bool {
         let limit = self.bytes_per_s * SYNC_QUEUE_MS as f64 / 1_000.0;
-        (self.waiting.load(Ordering::Relaxed) as f64) < limit.min(ANSWER_WAIT_BYTES)
+        (self.waiting.load(Ordering::Relaxed) as f64) < limit.min(SYNC_QUEUE_BYTES)
     }
 
     /// Notes an answer that waits.
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -1,6 +1,6 @@
 //! How many answers to other boxes wait at a box.
 
-use ravenspoke_box::gateway::sync_pacer::{SyncPacer, ANSWER_WAIT_BYTES};
+use ravenspoke_box::gateway::sync_pacer::{SyncPacer, SYNC_QUEUE_BYTES};
 
 /// Bytes of an answer that tells a thousand replicas.
 const LONG_ANSWER: usize = 16_600;
@@ -19,7 +19,7 @@
 #[test]
 fn a_slow_link_bounds_what_waits_by_time_and_a_fast_one_by_memory() {
     assert_eq!(waiting(10.0), 5);
-    let most = ANSWER_WAIT_BYTES as usize / LONG_ANSWER + 1;
+    let most = SYNC_QUEUE_BYTES as usize / LONG_ANSWER + 1;
     assert_eq!((waiting(100.0), waiting(10_000.0)), (most, most));
 }
 
