--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -21,7 +21,7 @@
 pub const SYNC_QUEUE_BYTES: f64 = 512_000.0;
 
 /// Bytes of an answer without replicas' entries.
-const BARE_BYTES: usize = 600;
+const BASE_BYTES: usize = 600;
 
 /// Bytes of an entry in an answer, deflated.
 const ENTRY_BYTES: usize = 16;
@@ -42,7 +42,7 @@
 
     /// About how long an answer is, in bytes.
     pub fn expected_bytes(note: &GossipMessage) -> usize {
-        BARE_BYTES + ENTRY_BYTES * note.changes.len()
+        BASE_BYTES + ENTRY_BYTES * note.changes.len()
     }
 
     /// Whether another answer would be sent soon.
