--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -212,7 +212,7 @@
     /// Queues a datagram; where too many wait it is dropped and counted.
     fn queue(&self, datagram: PeerDatagram) {
         if let Some(bytes) = datagram.answer_bytes() {
-            self.answers.note_queued(bytes);
+            self.answers.add_queued(bytes);
             // The receiver lives as long as the process.
             return drop(self.sinks.answers.send(datagram));
         }
--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -52,7 +52,7 @@
     }
 
     /// Notes an answer that waits.
-    pub fn note_queued(&self, bytes: usize) {
+    pub fn add_queued(&self, bytes: usize) {
         self.waiting.fetch_add(bytes, Ordering::Relaxed);
     }
 
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -10,7 +10,7 @@
     let pace = SyncPacer::new(link_mbps);
     let mut count = 0;
     while pace.has_room() {
-        pace.note_queued(LONG_ANSWER);
+        pace.add_queued(LONG_ANSWER);
         count += 1;
     }
     count
@@ -26,7 +26,7 @@
 #[test]
 fn there_is_room_again_when_an_answer_was_sent() {
     let pace = SyncPacer::new(0.1);
-    pace.note_queued(LONG_ANSWER);
+    pace.add_queued(LONG_ANSWER);
     assert!(!pace.has_room());
     pace.note_taken(LONG_ANSWER);
     assert!(pace.has_room());
