--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -80,7 +80,7 @@
         let answer = datagram.answer_bytes();
         let bytes = send_datagram(&driver, &socket, &mut pages, datagram).await;
         if let Some(expected) = answer {
-            driver.answers.note_taken(expected);
+            driver.answers.remove_queued(expected);
             slot.note_sent(bytes, &driver.answers, driver.now());
         }
     }
--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -57,7 +57,7 @@
     }
 
     /// Notes that it no longer waits.
-    pub fn note_taken(&self, bytes: usize) {
+    pub fn remove_queued(&self, bytes: usize) {
         self.waiting.fetch_sub(bytes, Ordering::Relaxed);
     }
 
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -28,6 +28,6 @@
     let pace = SyncPacer::new(0.1);
     pace.add_queued(LONG_ANSWER);
     assert!(!pace.has_room());
-    pace.note_taken(LONG_ANSWER);
+    pace.remove_queued(LONG_ANSWER);
     assert!(pace.has_room());
 }
