--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -81,7 +81,7 @@
         let bytes = send_datagram(&driver, &socket, &mut pages, datagram).await;
         if let Some(expected) = answer {
             driver.answers.remove_queued(expected);
-            slot.note_sent(bytes, &driver.answers, driver.now());
+            slot.add_sent(bytes, &driver.answers, driver.now());
         }
     }
 }
--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -80,7 +80,7 @@
     }
 
     /// Notes that an answer was sent.
-    pub fn note_sent(&mut self, bytes: usize, pace: &SyncPacer, now: BoxTime) {
+    pub fn add_sent(&mut self, bytes: usize, pace: &SyncPacer, now: BoxTime) {
         let begin = self.free_at.max(now).as_micros();
         self.free_at = BoxTime::from_micros(begin + pace.takes_us(bytes));
     }
