--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -62,7 +62,7 @@
     }
 
     /// How long an answer of so many bytes takes at this pace, in microseconds.
-    fn takes_us(&self, bytes: usize) -> u64 {
+    fn send_time_us(&self, bytes: usize) -> u64 {
         (bytes as f64 / self.bytes_per_s * 1e6) as u64
     }
 }
@@ -82,6 +82,6 @@
     /// Notes that an answer was sent.
     pub fn add_sent(&mut self, bytes: usize, pace: &SyncPacer, now: BoxTime) {
         let begin = self.free_at.max(now).as_micros();
-        self.free_at = BoxTime::from_micros(begin + pace.takes_us(bytes));
+        self.free_at = BoxTime::from_micros(begin + pace.send_time_us(bytes));
     }
 }
