--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -30,14 +30,14 @@
 #[derive(Debug)]
 pub struct SyncPacer {
     bytes_per_s: f64,
-    waiting: AtomicUsize,
+    queued: AtomicUsize,
 }
 
 impl SyncPacer {
     /// The pace for a link of so many megabits a second.
     pub fn new(link_mbps: f64) -> Self {
         let bytes_per_s = (link_mbps * 1e6 / 8.0 * SYNC_LINK_SHARE).max(1.0);
-        Self { bytes_per_s, waiting: AtomicUsize::new(0) }
+        Self { bytes_per_s, queued: AtomicUsize::new(0) }
     }
 
     /// About how long an answer is, in bytes.
@@ -48,17 +48,17 @@
     /// Whether another answer would be sent soon.
     pub fn has_room(&self) -> bool {
         let limit = self.bytes_per_s * SYNC_QUEUE_MS as f64 / 1_000.0;
-        (self.waiting.load(Ordering::Relaxed) as f64) < limit.min(SYNC_QUEUE_BYTES)
+        (self.queued.load(Ordering::Relaxed) as f64) < limit.min(SYNC_QUEUE_BYTES)
     }
 
     /// Notes an answer that waits.
     pub fn add_queued(&self, bytes: usize) {
-        self.waiting.fetch_add(bytes, Ordering::Relaxed);
+        self.queued.fetch_add(bytes, Ordering::Relaxed);
     }
 
     /// Notes that it no longer waits.
     pub fn remove_queued(&self, bytes: usize) {
-        self.waiting.fetch_sub(bytes, Ordering::Relaxed);
+        self.queued.fetch_sub(bytes, Ordering::Relaxed);
     }
 
     /// How long an answer of so many bytes takes at this pace, in microseconds.
