--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -41,8 +41,8 @@
     }
 
     /// About how long an answer is, in bytes.
-    pub fn expected_bytes(note: &GossipMessage) -> usize {
-        BASE_BYTES + ENTRY_BYTES * note.changes.len()
+    pub fn expected_bytes(message: &GossipMessage) -> usize {
+        BASE_BYTES + ENTRY_BYTES * message.changes.len()
     }
 
     /// Whether another answer would be sent soon.
