--- a/crates/box/src/gateway/sync_pacer.rs
+++ b/crates/box/src/gateway/sync_pacer.rs
@@ -80,8 +80,8 @@
     }
 
     /// Notes that an answer was sent.
-    pub fn add_sent(&mut self, bytes: usize, pace: &SyncPacer, now: BoxTime) {
+    pub fn add_sent(&mut self, bytes: usize, pacer: &SyncPacer, now: BoxTime) {
         let begin = self.free_at.max(now).as_micros();
-        self.free_at = BoxTime::from_micros(begin + pace.send_time_us(bytes));
+        self.free_at = BoxTime::from_micros(begin + pacer.send_time_us(bytes));
     }
 }
--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -7,10 +7,10 @@
 
 /// Long answers that may wait with a link of so many megabits a second.
 fn waiting(link_mbps: f64) -> usize {
-    let pace = SyncPacer::new(link_mbps);
+    let pacer = SyncPacer::new(link_mbps);
     let mut count = 0;
-    while pace.has_room() {
-        pace.add_queued(LONG_ANSWER);
+    while pacer.has_room() {
+        pacer.add_queued(LONG_ANSWER);
         count += 1;
     }
     count
@@ -25,9 +25,9 @@
 
 #[test]
 fn there_is_room_again_when_an_answer_was_sent() {
-    let pace = SyncPacer::new(0.1);
-    pace.add_queued(LONG_ANSWER);
-    assert!(!pace.has_room());
-    pace.remove_queued(LONG_ANSWER);
-    assert!(pace.has_room());
+    let pacer = SyncPacer::new(0.1);
+    pacer.add_queued(LONG_ANSWER);
+    assert!(!pacer.has_room());
+    pacer.remove_queued(LONG_ANSWER);
+    assert!(pacer.has_room());
 }
