--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -89,15 +89,15 @@
 /// Channels that effects are handed to.
 pub struct GatewaySinks {
     /// Datagrams for other boxes that nobody asked for, and asks.
-    pub notes: Sender<PeerDatagram>,
+    pub gossip: Sender<PeerDatagram>,
     /// Answers to other boxes' asks; they wait for the rest. [`SyncPacer`] bounds them.
-    pub answers: UnboundedSender<PeerDatagram>,
+    pub sync_responses: UnboundedSender<PeerDatagram>,
     /// Verdicts for the store.
     pub verdicts: UnboundedSender<TrialVerdict>,
     /// Marks of trials for the store.
-    pub marks: UnboundedSender<TrialCheckpoint>,
+    pub checkpoints: UnboundedSender<TrialCheckpoint>,
     /// What this box is to do for all.
-    pub lead: UnboundedSender<LeaderOrder>,
+    pub leader_orders: UnboundedSender<LeaderOrder>,
 }
 
 /// The reducer's state, its clocks and its sinks.
@@ -214,10 +214,10 @@
         if let Some(bytes) = datagram.answer_bytes() {
             self.answers.add_queued(bytes);
             // The receiver lives as long as the process.
-            return drop(self.sinks.answers.send(datagram));
+            return drop(self.sinks.sync_responses.send(datagram));
         }
         let kind = datagram.kind();
-        if self.sinks.notes.try_send(datagram).is_err() {
+        if self.sinks.gossip.try_send(datagram).is_err() {
             self.stats.count_dropped(kind);
         }
     }
@@ -232,9 +232,9 @@
             }
             RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
-            RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.marks.send(mark)),
+            RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.checkpoints.send(mark)),
             RouteEffect::AcceptCallers => self.callers_due.notify_one(),
-            RouteEffect::RunLeaderStep(order) => drop(self.sinks.lead.send(order)),
+            RouteEffect::RunLeaderStep(order) => drop(self.sinks.leader_orders.send(order)),
             RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
             _ => {}
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -69,25 +69,25 @@
     let metrics = metrics_exporter_prometheus::PrometheusBuilder::new()
         .install_recorder()
         .map_err(|error| ProcessError::Metrics(error.to_string()))?;
-    let (note_sender, note_receiver) = channel(NOTES_QUEUED);
-    let (answer_sender, answer_receiver) = unbounded_channel();
+    let (gossip_sender, gossip_receiver) = channel(NOTES_QUEUED);
+    let (response_sender, response_receiver) = unbounded_channel();
     let (verdict_sender, verdict_receiver) = unbounded_channel();
-    let (mark_sender, mark_receiver) = unbounded_channel();
-    let (lead_sender, lead_receiver) = unbounded_channel();
+    let (checkpoint_sender, checkpoint_receiver) = unbounded_channel();
+    let (order_sender, order_receiver) = unbounded_channel();
     let sinks = GatewaySinks {
-        notes: note_sender,
-        answers: answer_sender,
+        gossip: gossip_sender,
+        sync_responses: response_sender,
         verdicts: verdict_sender,
-        marks: mark_sender,
-        lead: lead_sender,
+        checkpoints: checkpoint_sender,
+        leader_orders: order_sender,
     };
     let site = SiteReceivers {
-        notes: note_receiver,
-        answers: answer_receiver,
+        gossip: gossip_receiver,
+        sync_responses: response_receiver,
         verdicts: verdict_receiver,
-        marks: mark_receiver,
+        checkpoints: checkpoint_receiver,
     };
-    let receivers = GatewayReceivers { site, lead: lead_receiver };
+    let receivers = GatewayReceivers { site, leader_orders: order_receiver };
     let state = RouteState::new(route_settings(&settings));
     let clock = Arc::new(BoxClock::start()?);
     let answers = SyncPacer::new(settings.capacity.link_mbps);
@@ -99,7 +99,7 @@
     let listener = ListeningEntry::bind(settings.entry).await;
     let listener = listener.map_err(|error| listen_error(settings.entry, "entry", &error))?;
 
-    follow_leader(&settings, &driver, &store, receivers.lead)?;
+    follow_leader(&settings, &driver, &store, receivers.leader_orders)?;
     follow_site(&settings, &driver, &store, socket, receivers.site);
     let entry = GatewayEntry::start(&settings, &driver, listener);
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
@@ -138,15 +138,15 @@
 /// Receivers of the sinks that effects are handed to.
 struct GatewayReceivers {
     site: SiteReceivers,
-    lead: UnboundedReceiver<LeaderOrder>,
+    leader_orders: UnboundedReceiver<LeaderOrder>,
 }
 
 /// Those of what is told to other boxes and to the store.
 struct SiteReceivers {
-    notes: Receiver<PeerDatagram>,
-    answers: UnboundedReceiver<PeerDatagram>,
+    gossip: Receiver<PeerDatagram>,
+    sync_responses: UnboundedReceiver<PeerDatagram>,
     verdicts: UnboundedReceiver<TrialVerdict>,
-    marks: UnboundedReceiver<TrialCheckpoint>,
+    checkpoints: UnboundedReceiver<TrialCheckpoint>,
 }
 
 /// Starts the tasks of what one box does for all, where the platform has any of it.
@@ -173,12 +173,12 @@
 ) {
     let socket = Arc::new(socket);
     tokio::spawn(gossip::hear_notes(driver.clone(), socket.clone()));
-    tokio::spawn(gossip::send_notes(driver.clone(), socket, receivers.notes, receivers.answers));
+    tokio::spawn(gossip::send_notes(driver.clone(), socket, receivers.gossip, receivers.sync_responses));
     tokio::spawn(follow::follow_operator(driver.clone(), store.clone()));
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
     tokio::spawn(verdicts::write_verdicts(driver.clone(), store.clone(), receivers.verdicts));
-    tokio::spawn(checkpoints::write_marks(driver.clone(), store.clone(), receivers.marks));
+    tokio::spawn(checkpoints::write_marks(driver.clone(), store.clone(), receivers.checkpoints));
     tokio::spawn(follow::follow_boxes(
         driver.clone(),
         store.clone(),
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -75,11 +75,11 @@
         regions: std::collections::BTreeMap::new(),
     };
     let sinks = GatewaySinks {
-        notes: channel(1).0,
-        answers: unbounded_channel().0,
+        gossip: channel(1).0,
+        sync_responses: unbounded_channel().0,
         verdicts: unbounded_channel().0,
-        marks: unbounded_channel().0,
-        lead: unbounded_channel().0,
+        checkpoints: unbounded_channel().0,
+        leader_orders: unbounded_channel().0,
     };
     let driver =
         GatewayDriver::new(RouteState::new(settings), sinks, clock, SyncPacer::new(100.0));
