--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -113,7 +113,7 @@
     /// Whether the store may have this box's record of where it hears notes.
     pub listed: AtomicBool,
     /// What answers to other boxes may take of the link.
-    pub answers: SyncPacer,
+    pub sync_pacer: SyncPacer,
     /// What control has cost so far.
     pub stats: ControlStats,
 }
@@ -124,7 +124,7 @@
         state: RouteState,
         sinks: GatewaySinks,
         clock: Arc<BoxClock>,
-        answers: SyncPacer,
+        sync_pacer: SyncPacer,
     ) -> Self {
         Self {
             state: Mutex::new(state),
@@ -134,7 +134,7 @@
             operator: Mutex::default(),
             callers_due: Notify::new(),
             listed: AtomicBool::new(false),
-            answers,
+            sync_pacer,
             stats: ControlStats::default(),
         }
     }
@@ -212,7 +212,7 @@
     /// Queues a datagram; where too many wait it is dropped and counted.
     fn queue(&self, datagram: PeerDatagram) {
         if let Some(bytes) = datagram.answer_bytes() {
-            self.answers.add_queued(bytes);
+            self.sync_pacer.add_queued(bytes);
             // The receiver lives as long as the process.
             return drop(self.sinks.sync_responses.send(datagram));
         }
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -31,7 +31,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
-                Ok(HeardDatagram::Ask(ask)) if driver.answers.has_room() => {
+                Ok(HeardDatagram::Ask(ask)) if driver.sync_pacer.has_room() => {
                     driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
@@ -80,8 +80,8 @@
         let answer = datagram.answer_bytes();
         let bytes = send_datagram(&driver, &socket, &mut pages, datagram).await;
         if let Some(expected) = answer {
-            driver.answers.remove_queued(expected);
-            slot.add_sent(bytes, &driver.answers, driver.now());
+            driver.sync_pacer.remove_queued(expected);
+            slot.add_sent(bytes, &driver.sync_pacer, driver.now());
         }
     }
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -90,8 +90,8 @@
     let receivers = GatewayReceivers { site, leader_orders: order_receiver };
     let state = RouteState::new(route_settings(&settings));
     let clock = Arc::new(BoxClock::start()?);
-    let answers = SyncPacer::new(settings.capacity.link_mbps);
-    let driver = Arc::new(GatewayDriver::new(state, sinks, clock, answers));
+    let sync_pacer = SyncPacer::new(settings.capacity.link_mbps);
+    let driver = Arc::new(GatewayDriver::new(state, sinks, clock, sync_pacer));
     let store = StoreClient::new(&settings.store, settings.entry.ip())?;
 
     let socket = UdpSocket::bind(settings.notes).await;
