--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -50,22 +50,22 @@
 /// A datagram for other boxes.
 pub enum PeerDatagram {
     /// A note, for each of these addresses.
-    Note(Vec<String>, Box<GossipMessage>),
+    Gossip(Vec<String>, Box<GossipMessage>),
     /// Word of a placed prompt, for each of these addresses.
     Placement(Vec<String>, PlacementUpdate),
     /// An ask, for this address.
-    Ask(String, SyncRequest),
+    SyncRequest(String, SyncRequest),
     /// A question for counts of usage, for each of these addresses.
     UsageRequest(Vec<String>, UsageRequest),
     /// Counts of usage, for this address.
-    Usage(String, UsageResponse),
+    UsageResponse(String, UsageResponse),
 }
 
 impl PeerDatagram {
     /// About how long it is, in bytes, if it is an answer.
     pub fn answer_bytes(&self) -> Option<usize> {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => Some(SyncPacer::expected_bytes(note)),
+            Self::Gossip(_, note) if note.echo.is_some() => Some(SyncPacer::expected_bytes(note)),
             _ => None,
         }
     }
@@ -73,11 +73,11 @@
     /// What it is.
     pub fn kind(&self) -> DatagramKind {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => DatagramKind::SyncResponse,
-            Self::Note(..) => DatagramKind::Gossip,
+            Self::Gossip(_, note) if note.echo.is_some() => DatagramKind::SyncResponse,
+            Self::Gossip(..) => DatagramKind::Gossip,
             Self::Placement(..) => DatagramKind::Placement,
-            Self::Ask(..) => DatagramKind::SyncRequest,
-            Self::UsageRequest(..) | Self::Usage(..) => DatagramKind::Usage,
+            Self::SyncRequest(..) => DatagramKind::SyncRequest,
+            Self::UsageRequest(..) | Self::UsageResponse(..) => DatagramKind::Usage,
         }
     }
 }
@@ -226,17 +226,17 @@
         observe::log_effect(&effect);
         match effect {
             // The receivers live as long as the process.
-            RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Note(to, note)),
+            RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Gossip(to, note)),
             RouteEffect::SendPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
-            RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::Ask(to, ask)),
+            RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::SyncRequest(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
             RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.checkpoints.send(mark)),
             RouteEffect::AcceptCallers => self.callers_due.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.leader_orders.send(order)),
             RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
-            RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::Usage(to, note)),
+            RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::UsageResponse(to, note)),
             _ => {}
         }
     }
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -95,11 +95,11 @@
 ) -> usize {
     let kind = datagram.kind();
     let (targets, bytes) = match datagram {
-        PeerDatagram::Note(targets, note) => (targets, encode_with_records(driver, pages, &note)),
+        PeerDatagram::Gossip(targets, note) => (targets, encode_with_records(driver, pages, &note)),
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
-        PeerDatagram::Ask(target, ask) => (vec![target], encode_ask(&ask)),
+        PeerDatagram::SyncRequest(target, ask) => (vec![target], encode_ask(&ask)),
         PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_ask(&ask)),
-        PeerDatagram::Usage(target, note) => (vec![target], encode_usage(&note)),
+        PeerDatagram::UsageResponse(target, note) => (vec![target], encode_usage(&note)),
     };
     for target in &targets {
         let same_zone = driver.state().is_in_same_zone(target);
