--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -63,7 +63,7 @@
 
 impl PeerDatagram {
     /// About how long it is, in bytes, if it is an answer.
-    pub fn answer_bytes(&self) -> Option<usize> {
+    pub fn sync_response_bytes(&self) -> Option<usize> {
         match self {
             Self::Gossip(_, note) if note.echo.is_some() => Some(SyncPacer::expected_bytes(note)),
             _ => None,
@@ -211,7 +211,7 @@
 
     /// Queues a datagram; where too many wait it is dropped and counted.
     fn queue(&self, datagram: PeerDatagram) {
-        if let Some(bytes) = datagram.answer_bytes() {
+        if let Some(bytes) = datagram.sync_response_bytes() {
             self.sync_pacer.add_queued(bytes);
             // The receiver lives as long as the process.
             return drop(self.sinks.sync_responses.send(datagram));
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -77,7 +77,7 @@
         };
         // The senders live as long as the process.
         let Some(datagram) = datagram else { return };
-        let answer = datagram.answer_bytes();
+        let answer = datagram.sync_response_bytes();
         let bytes = send_datagram(&driver, &socket, &mut pages, datagram).await;
         if let Some(expected) = answer {
             driver.sync_pacer.remove_queued(expected);
