--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -84,7 +84,7 @@
 
 /// Other datagrams that wait to be sent, at most: what a minute of calm brings. On a link that is full the newest are
 /// dropped; notes repeat what they say.
-pub const NOTES_QUEUED: usize = 256;
+pub const GOSSIP_QUEUE_LIMIT: usize = 256;
 
 /// Channels that effects are handed to.
 pub struct GatewaySinks {
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -26,7 +26,7 @@
 
 use super::sync_pacer::SyncPacer;
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
-use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, NOTES_QUEUED};
+use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, GOSSIP_QUEUE_LIMIT};
 use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_PART};
 use super::exchange::GatewayTools;
 use super::listen::ListeningEntry;
@@ -69,7 +69,7 @@
     let metrics = metrics_exporter_prometheus::PrometheusBuilder::new()
         .install_recorder()
         .map_err(|error| ProcessError::Metrics(error.to_string()))?;
-    let (gossip_sender, gossip_receiver) = channel(NOTES_QUEUED);
+    let (gossip_sender, gossip_receiver) = channel(GOSSIP_QUEUE_LIMIT);
     let (response_sender, response_receiver) = unbounded_channel();
     let (verdict_sender, verdict_receiver) = unbounded_channel();
     let (checkpoint_sender, checkpoint_receiver) = unbounded_channel();
