--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -35,7 +35,7 @@
     /// End it with a refusal.
     Refuse(RouteRefusal),
     /// Break the answer off.
-    BreakOff(RefusalReason),
+    Abort(RefusalReason),
 }
 
 /// A request of this box, as its task and the log know it.
@@ -202,7 +202,7 @@
                 RouteEffect::Send(_, order) => step = Some(RequestStep::Send(Box::new(order))),
                 RouteEffect::Relay(_) => step = Some(RequestStep::Relay),
                 RouteEffect::Refuse(_, refusal, _) => step = Some(RequestStep::Refuse(refusal)),
-                RouteEffect::AbortResponse(_, reason) => step = Some(RequestStep::BreakOff(reason)),
+                RouteEffect::AbortResponse(_, reason) => step = Some(RequestStep::Abort(reason)),
                 other => self.hand_on(other),
             }
         }
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -54,7 +54,7 @@
     /// Applies an event of the request. One that leaves it no further step has ended it.
     pub fn feed(&mut self, event: RouteEvent) -> Option<RequestStep> {
         let step = self.driver.feed_request(&self.name, event);
-        self.ended |= matches!(step, Some(RequestStep::Refuse(_) | RequestStep::BreakOff(_)));
+        self.ended |= matches!(step, Some(RequestStep::Refuse(_) | RequestStep::Abort(_)));
         step
     }
 
