--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -109,7 +109,7 @@
     /// The operator's records, for boxes that ask for them.
     operator: Mutex<OperatorRecords>,
     /// Tells that callers are to be served.
-    pub callers_due: Notify,
+    pub accept_callers: Notify,
     /// Whether the store may have this box's record of where it hears notes.
     pub listed: AtomicBool,
     /// What answers to other boxes may take of the link.
@@ -132,7 +132,7 @@
             clock,
             next_ticket: AtomicU64::new(1),
             operator: Mutex::default(),
-            callers_due: Notify::new(),
+            accept_callers: Notify::new(),
             listed: AtomicBool::new(false),
             sync_pacer,
             stats: ControlStats::default(),
@@ -233,7 +233,7 @@
             RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::SyncRequest(to, ask)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
             RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.checkpoints.send(mark)),
-            RouteEffect::AcceptCallers => self.callers_due.notify_one(),
+            RouteEffect::AcceptCallers => self.accept_callers.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.leader_orders.send(order)),
             RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
             RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::UsageResponse(to, note)),
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -242,7 +242,7 @@
 
 /// Serves callers from when the box knows the site, unless it stops before.
 async fn open_entry(driver: Arc<GatewayDriver>, phase: watch::Sender<EntryPhase>) {
-    driver.callers_due.notified().await;
+    driver.accept_callers.notified().await;
     let opened = phase.send_if_modified(|phase| {
         let starting = *phase == EntryPhase::Starting;
         *phase = (*phase).max(EntryPhase::Open);
