--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -111,7 +111,7 @@
     /// Tells that callers are to be served.
     pub accept_callers: Notify,
     /// Whether the store may have this box's record of where it hears notes.
-    pub listed: AtomicBool,
+    pub registered: AtomicBool,
     /// What answers to other boxes may take of the link.
     pub sync_pacer: SyncPacer,
     /// What control has cost so far.
@@ -133,7 +133,7 @@
             next_ticket: AtomicU64::new(1),
             operator: Mutex::default(),
             accept_callers: Notify::new(),
-            listed: AtomicBool::new(false),
+            registered: AtomicBool::new(false),
             sync_pacer,
             stats: ControlStats::default(),
         }
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -152,7 +152,7 @@
         follower.wait_for_turn().await;
         if told != Some(follower.era()) {
             // Whether or not an answer comes, the record may be there.
-            driver.listed.store(true, Ordering::Relaxed);
+            driver.registered.store(true, Ordering::Relaxed);
             if follower.append(None, &own).await.is_none() {
                 follower.wait_to_retry().await;
                 continue;
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -280,7 +280,7 @@
     entry.stop();
     tokio::join!(
         async {
-            if driver.listed.load(Ordering::Relaxed) {
+            if driver.registered.load(Ordering::Relaxed) {
                 follow::forget_box(driver.clone(), store, &settings.name).await;
             }
         },
