--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -189,7 +189,7 @@
     /// Applies an event that is no request's, and hands its effects on.
     pub fn feed(&self, event: RouteEvent) {
         for effect in self.apply(event) {
-            self.hand_on(effect);
+            self.dispatch(effect);
         }
     }
 
@@ -203,7 +203,7 @@
                 RouteEffect::Relay(_) => step = Some(RequestStep::Relay),
                 RouteEffect::Refuse(_, refusal, _) => step = Some(RequestStep::Refuse(refusal)),
                 RouteEffect::AbortResponse(_, reason) => step = Some(RequestStep::Abort(reason)),
-                other => self.hand_on(other),
+                other => self.dispatch(other),
             }
         }
         step
@@ -222,7 +222,7 @@
         }
     }
 
-    fn hand_on(&self, effect: RouteEffect) {
+    fn dispatch(&self, effect: RouteEffect) {
         observe::log_effect(&effect);
         match effect {
             // The receivers live as long as the process.
