--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -226,17 +226,17 @@
         observe::log_effect(&effect);
         match effect {
             // The receivers live as long as the process.
-            RouteEffect::SendGossip(to, note) => self.queue(PeerDatagram::Gossip(to, note)),
+            RouteEffect::SendGossip(to, message) => self.queue(PeerDatagram::Gossip(to, message)),
             RouteEffect::SendPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
-            RouteEffect::SendSyncRequest(to, ask) => self.queue(PeerDatagram::SyncRequest(to, ask)),
+            RouteEffect::SendSyncRequest(to, request) => self.queue(PeerDatagram::SyncRequest(to, request)),
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
-            RouteEffect::WriteCheckpoint(mark) => drop(self.sinks.checkpoints.send(mark)),
+            RouteEffect::WriteCheckpoint(checkpoint) => drop(self.sinks.checkpoints.send(checkpoint)),
             RouteEffect::AcceptCallers => self.accept_callers.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.leader_orders.send(order)),
-            RouteEffect::RequestUsage(to, ask) => self.queue(PeerDatagram::UsageRequest(to, ask)),
-            RouteEffect::SendUsage(to, note) => self.queue(PeerDatagram::UsageResponse(to, note)),
+            RouteEffect::RequestUsage(to, request) => self.queue(PeerDatagram::UsageRequest(to, request)),
+            RouteEffect::SendUsage(to, message) => self.queue(PeerDatagram::UsageResponse(to, message)),
             _ => {}
         }
     }
