--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -65,7 +65,7 @@
     /// About how long it is, in bytes, if it is an answer.
     pub fn sync_response_bytes(&self) -> Option<usize> {
         match self {
-            Self::Gossip(_, note) if note.echo.is_some() => Some(SyncPacer::expected_bytes(note)),
+            Self::Gossip(_, message) if message.echo.is_some() => Some(SyncPacer::expected_bytes(message)),
             _ => None,
         }
     }
