--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -73,7 +73,7 @@
     /// What it is.
     pub fn kind(&self) -> DatagramKind {
         match self {
-            Self::Gossip(_, note) if note.echo.is_some() => DatagramKind::SyncResponse,
+            Self::Gossip(_, message) if message.echo.is_some() => DatagramKind::SyncResponse,
             Self::Gossip(..) => DatagramKind::Gossip,
             Self::Placement(..) => DatagramKind::Placement,
             Self::SyncRequest(..) => DatagramKind::SyncRequest,
