--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -16,7 +16,7 @@
 
 use super::driver::GatewayDriver;
 use super::observe;
-use super::operator_records::take_read;
+use super::operator_records::apply_read;
 use super::topic_follower::{TopicFollower, TopicNews, RETRY_MS};
 
 /// A reader's read waits this long for a record, in milliseconds: the price of a call against the age
@@ -64,7 +64,7 @@
                 // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
                 let from = began_at.filter(|_| news.whole_to.is_none());
                 let to = next.unwrap_or_default();
-                unread = !take_read(&driver, asked_at, from, to, &news.records);
+                unread = !apply_read(&driver, asked_at, from, to, &news.records);
                 // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
                 if driver.state().plan_as_of() < Some(asked_at) {
                     follower.pause_unrenewed().await;
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -88,7 +88,7 @@
 
 /// Takes what this box read of the operator's records from `from` on, or all newest ones without it: all that there was
 /// at `asked_at` up to `read_to`. Returns false if one can't be decoded.
-pub fn take_read(
+pub fn apply_read(
     driver: &GatewayDriver,
     asked_at: BoxTime,
     from: Option<TopicPosition>,
