--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -98,7 +98,7 @@
     let orders = zone_orders(records);
     // Before the plan: whoever has the plan of an offset must know the zones as of it.
     driver.feed(RouteEvent::EvacuationsRead(EvacuationRead { from, to: read_to, orders }));
-    let Some(taken) = take_operator(driver, read_to, records) else { return false };
+    let Some(taken) = apply_records(driver, read_to, records) else { return false };
     driver.feed(RouteEvent::PlanRead { asked_at, read_to, plan: taken.plan });
     true
 }
@@ -111,7 +111,7 @@
 
 /// Takes the operator's records up to a position; `None` if one can't be decoded: it may be a newer plan, so nothing is
 /// renewed.
-fn take_operator(
+fn apply_records(
     driver: &GatewayDriver,
     read_to: TopicPosition,
     records: &[KeyedRecord],
@@ -153,7 +153,7 @@
     if follows && note.known > known {
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
         driver.feed(RouteEvent::EvacuationsReceived(note.evacuation.clone()));
-        if let Some(taken) = take_operator(driver, note.known.read_to, records) {
+        if let Some(taken) = apply_records(driver, note.known.read_to, records) {
             driver.feed(RouteEvent::PlanReceived { as_of, known: note.known, plan: taken.plan });
         }
     }
