--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -17,7 +17,7 @@
 };
 use super::observe;
 use super::control_stats::DatagramKind;
-use super::operator_records::take_told;
+use super::operator_records::apply_received;
 
 /// Largest datagram, in bytes.
 pub const NOTE_LIMIT: usize = 60_000;
@@ -41,7 +41,7 @@
                 }
                 Ok(HeardDatagram::Note(note, records)) => {
                     if let Some(records) = records {
-                        take_told(&driver, &note, &records);
+                        apply_received(&driver, &note, &records);
                     }
                     driver.feed(RouteEvent::GossipReceived(note));
                 }
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -142,7 +142,7 @@
 }
 
 /// Takes records that another box told in answer to an ask.
-pub fn take_told(driver: &GatewayDriver, note: &GossipMessage, records: &[KeyedRecord]) {
+pub fn apply_received(driver: &GatewayDriver, note: &GossipMessage, records: &[KeyedRecord]) {
     let (as_of, known) = {
         let state = driver.state();
         (state.message_as_of(note, driver.now()), state.plan_position())
