--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -104,7 +104,7 @@
 }
 
 /// Records of the operator that were taken, all but the plan.
-struct TakenRecords {
+struct AppliedRecords {
     /// The plan, if one is among them.
     plan: Option<RoutePlan>,
 }
@@ -115,7 +115,7 @@
     driver: &GatewayDriver,
     read_to: TopicPosition,
     records: &[KeyedRecord],
-) -> Option<TakenRecords> {
+) -> Option<AppliedRecords> {
     let mut orders = Vec::new();
     let mut plan = None;
     let mut sound = true;
@@ -138,7 +138,7 @@
     if !orders.is_empty() {
         driver.feed(RouteEvent::OrdersRead { read_to, orders });
     }
-    Some(TakenRecords { plan })
+    Some(AppliedRecords { plan })
 }
 
 /// Takes records that another box told in answer to an ask.
