--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -128,7 +128,7 @@
     let mut operator = driver.operator();
     let records = operator.since(ask.known);
     if bare.len() + records.as_bytes().len() + RECORDS_FRAME > NOTE_LIMIT {
-        operator.note_untold(ask.known.read_to, NOTE_LIMIT);
+        operator.log_oversized(ask.known.read_to, NOTE_LIMIT);
         return bare;
     }
     encode_note(note, Some(records), page)
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -70,7 +70,7 @@
     }
 
     /// Logs, once, that what was packed last is too long to be told to boxes that have read to `read_to`.
-    pub fn note_untold(&mut self, read_to: TopicPosition, limit: usize) {
+    pub fn log_oversized(&mut self, read_to: TopicPosition, limit: usize) {
         if !std::mem::replace(&mut self.untold, true) {
             observe::log_oversized_records(self.packed.1.as_bytes().len(), limit, read_to);
         }
