--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -24,7 +24,7 @@
     /// What was told last, with the positions of its records: hundreds of boxes ask for the same.
     packed: (Vec<TopicPosition>, PackedRecords),
     /// Whether it was logged that these are too long to be told.
-    untold: bool,
+    oversize_logged: bool,
 }
 
 /// A record that holds a plan.
@@ -64,14 +64,14 @@
         if positions != self.packed.0 {
             let records: Vec<KeyedRecord> = wanted.into_iter().cloned().collect();
             self.packed = (positions, PackedRecords::pack(&records));
-            self.untold = false;
+            self.oversize_logged = false;
         }
         &self.packed.1
     }
 
     /// Logs, once, that what was packed last is too long to be told to boxes that have read to `read_to`.
     pub fn log_oversized(&mut self, read_to: TopicPosition, limit: usize) {
-        if !std::mem::replace(&mut self.untold, true) {
+        if !std::mem::replace(&mut self.oversize_logged, true) {
             observe::log_oversized_records(self.packed.1.as_bytes().len(), limit, read_to);
         }
     }
