--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -118,7 +118,7 @@
 ) -> Option<AppliedRecords> {
     let mut orders = Vec::new();
     let mut plan = None;
-    let mut sound = true;
+    let mut decoded = true;
     for record in records {
         let Some(value) = &record.value else { continue };
         match read_operator(&record.key, value) {
@@ -127,11 +127,11 @@
             Ok(OperatorRecord::Other) => {}
             Err(error) => {
                 observe::log_bad_record(&error);
-                sound = false;
+                decoded = false;
             }
         }
     }
-    if !sound {
+    if !decoded {
         return None;
     }
     driver.operator().take(records, plan.as_ref().map(|plan| plan.version));
