--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -36,7 +36,7 @@
 
 impl OperatorRecords {
     /// Takes records that were read or told, with the version of the plan among them.
-    pub fn take(&mut self, records: &[KeyedRecord], plan_version: Option<u64>) {
+    pub fn merge(&mut self, records: &[KeyedRecord], plan_version: Option<u64>) {
         for record in records {
             let known = self.newest.get(&record.key);
             if known.is_none_or(|known| known.at < record.at) {
@@ -134,7 +134,7 @@
     if !decoded {
         return None;
     }
-    driver.operator().take(records, plan.as_ref().map(|plan| plan.version));
+    driver.operator().merge(records, plan.as_ref().map(|plan| plan.version));
     if !orders.is_empty() {
         driver.feed(RouteEvent::OrdersRead { read_to, orders });
     }
