--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -126,7 +126,7 @@
         return bare;
     };
     let mut operator = driver.operator();
-    let records = operator.since(ask.known);
+    let records = operator.records_after(ask.known);
     if bare.len() + records.as_bytes().len() + RECORDS_FRAME > NOTE_LIMIT {
         operator.log_oversized(ask.known.read_to, NOTE_LIMIT);
         return bare;
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -54,7 +54,7 @@
 
     /// What a box that knows so much lacks, as a datagram holds it: a newer plan, and all other newest records behind
     /// its position.
-    pub fn since(&mut self, known: PlanPosition) -> &PackedRecords {
+    pub fn records_after(&mut self, known: PlanPosition) -> &PackedRecords {
         let plan = self.plan.as_ref().filter(|plan| plan.version > known.version);
         let plan = plan.map(|plan| &plan.record);
         let others = self.newest.values().filter(|record| !is_plan_key(&record.key));
