--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -142,19 +142,19 @@
 }
 
 /// Takes records that another box told in answer to an ask.
-pub fn apply_received(driver: &GatewayDriver, note: &GossipMessage, records: &[KeyedRecord]) {
+pub fn apply_received(driver: &GatewayDriver, message: &GossipMessage, records: &[KeyedRecord]) {
     let (as_of, known) = {
         let state = driver.state();
-        (state.message_as_of(note, driver.now()), state.plan_position())
+        (state.message_as_of(message, driver.now()), state.plan_position())
     };
     let Some(as_of) = as_of else { return };
     // What it told begins where this box had read to when it asked: nothing is left out.
-    let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
-    if follows && note.known > known {
+    let follows = message.echo.as_ref().is_some_and(|request| request.known <= known);
+    if follows && message.known > known {
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
-        driver.feed(RouteEvent::EvacuationsReceived(note.evacuation.clone()));
-        if let Some(taken) = apply_records(driver, note.known.read_to, records) {
-            driver.feed(RouteEvent::PlanReceived { as_of, known: note.known, plan: taken.plan });
+        driver.feed(RouteEvent::EvacuationsReceived(message.evacuation.clone()));
+        if let Some(applied) = apply_records(driver, message.known.read_to, records) {
+            driver.feed(RouteEvent::PlanReceived { as_of, known: message.known, plan: applied.plan });
         }
     }
 }
