--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -98,8 +98,8 @@
     let orders = zone_orders(records);
     // Before the plan: whoever has the plan of an offset must know the zones as of it.
     driver.feed(RouteEvent::EvacuationsRead(EvacuationRead { from, to: read_to, orders }));
-    let Some(taken) = apply_records(driver, read_to, records) else { return false };
-    driver.feed(RouteEvent::PlanRead { asked_at, read_to, plan: taken.plan });
+    let Some(applied) = apply_records(driver, read_to, records) else { return false };
+    driver.feed(RouteEvent::PlanRead { asked_at, read_to, plan: applied.plan });
     true
 }
 
