--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -15,12 +15,12 @@
 use super::verdicts::append_unless;
 
 /// Reads marks when this box has heard of a trial that was under way before.
-pub(super) struct MarkReader {
+pub(super) struct CheckpointReader {
     driver: Arc<GatewayDriver>,
     follower: TopicFollower,
 }
 
-impl MarkReader {
+impl CheckpointReader {
     pub(super) fn new(driver: Arc<GatewayDriver>, store: StoreClient) -> Self {
         Self {
             follower: TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true),
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::driver::GatewayDriver;
-use super::checkpoints::MarkReader;
+use super::checkpoints::CheckpointReader;
 use super::observe;
 use super::topic_follower::TopicFollower;
 
@@ -26,7 +26,7 @@
 
 /// Reads verdicts while a trial is under way.
 pub async fn follow_verdicts(driver: Arc<GatewayDriver>, store: StoreClient) {
-    let mut marks = MarkReader::new(driver.clone(), store.clone());
+    let mut marks = CheckpointReader::new(driver.clone(), store.clone());
     let mut follower = TopicFollower::new(driver.clone(), store, VERDICT_TOPIC, |_, _| true);
     let mut next = None;
     let mut read_at = driver.now();
