--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -41,7 +41,7 @@
 }
 
 /// Writes marks that are due, each only if the store knows of no more.
-pub async fn write_marks(
+pub async fn write_checkpoints(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     mut due: UnboundedReceiver<TrialCheckpoint>,
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -178,7 +178,7 @@
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
     tokio::spawn(verdicts::write_verdicts(driver.clone(), store.clone(), receivers.verdicts));
-    tokio::spawn(checkpoints::write_marks(driver.clone(), store.clone(), receivers.checkpoints));
+    tokio::spawn(checkpoints::write_checkpoints(driver.clone(), store.clone(), receivers.checkpoints));
     tokio::spawn(follow::follow_boxes(
         driver.clone(),
         store.clone(),
