--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -34,7 +34,7 @@
             return;
         }
         match self.follower.read(&mut None, 0).await {
-            Some(news) => drop(take_marks(&self.driver, news.asked_at, &news.records)),
+            Some(news) => drop(apply_checkpoints(&self.driver, news.asked_at, &news.records)),
             None => self.follower.wait_to_retry().await,
         }
     }
@@ -51,7 +51,7 @@
         let (key, value) = write_mark(&mark);
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, standing| {
-            let standing = take_marks(&driver, asked_at, standing);
+            let standing = apply_checkpoints(&driver, asked_at, standing);
             standing.iter().any(|other| tells_more(other, &mark))
         });
         if taken.await {
@@ -60,7 +60,7 @@
     }
 }
 
-fn take_marks(
+fn apply_checkpoints(
     driver: &GatewayDriver,
     asked_at: BoxTime,
     records: &[KeyedRecord],
