--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -52,7 +52,7 @@
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, standing| {
             let standing = apply_checkpoints(&driver, asked_at, standing);
-            standing.iter().any(|other| tells_more(other, &mark))
+            standing.iter().any(|other| supersedes(other, &mark))
         });
         if taken.await {
             driver.feed(RouteEvent::CheckpointStored(mark));
@@ -78,7 +78,7 @@
 }
 
 /// Whether a mark that stands leaves nothing to write.
-fn tells_more(standing: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
+fn supersedes(standing: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
     let same = standing.service == wanted.service && standing.version == wanted.version;
     let (phase, age) = (standing.progress.phase, standing.progress.age_ms);
     let later = phase > wanted.progress.phase;
