--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -82,7 +82,7 @@
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, standing| {
             let standing = take_verdicts(&driver, asked_at, standing);
-            standing.iter().any(|other| goes_before(other, &verdict))
+            standing.iter().any(|other| supersedes(other, &verdict))
         });
         if taken.await {
             driver.feed(RouteEvent::VerdictStored(verdict));
@@ -113,7 +113,7 @@
 }
 
 /// Whether a verdict that stands leaves nothing to write.
-fn goes_before(standing: &TrialVerdict, wanted: &TrialVerdict) -> bool {
+fn supersedes(standing: &TrialVerdict, wanted: &TrialVerdict) -> bool {
     let same = standing.service == wanted.service && standing.version == wanted.version;
     same && (standing.state != TrialState::Running || wanted.state == TrialState::Running)
 }
