--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Reads and writes the store's marks of trials under way: how far they have come outlives every box.
+//! Reads and writes the store's checkpoints of trials under way: how far they have come outlives every box.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use super::topic_follower::TopicFollower;
 use super::verdicts::append_unless;
 
-/// Reads marks when this box has heard of a trial that was under way before.
+/// Reads checkpoints when this box has heard of a trial that was under way before.
 pub(super) struct CheckpointReader {
     driver: Arc<GatewayDriver>,
     follower: TopicFollower,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Reads all marks, if any is unread.
+    /// Reads all checkpoints, if any is unread.
     pub(super) async fn read_if_due(&mut self) {
         if !self.driver.state().has_unread_checkpoints() {
             return;
@@ -40,7 +40,7 @@
     }
 }
 
-/// Writes marks that are due, each only if the store knows of no more.
+/// Writes checkpoints that are due, each only if the store knows of no more.
 pub async fn write_checkpoints(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -65,16 +65,16 @@
     asked_at: BoxTime,
     records: &[KeyedRecord],
 ) -> Vec<TrialCheckpoint> {
-    let mut marks = Vec::new();
+    let mut checkpoints = Vec::new();
     for record in records {
         let Some(value) = &record.value else { continue };
         match read_mark(&record.key, value) {
-            Ok(mark) => marks.push(mark),
+            Ok(mark) => checkpoints.push(mark),
             Err(error) => observe::log_bad_record(&error),
         }
     }
-    driver.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints: marks.clone() });
-    marks
+    driver.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints: checkpoints.clone() });
+    checkpoints
 }
 
 /// Whether a mark that stands leaves nothing to write.
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -26,7 +26,7 @@
 
 /// Reads verdicts while a trial is under way.
 pub async fn follow_verdicts(driver: Arc<GatewayDriver>, store: StoreClient) {
-    let mut marks = CheckpointReader::new(driver.clone(), store.clone());
+    let mut checkpoints = CheckpointReader::new(driver.clone(), store.clone());
     let mut follower = TopicFollower::new(driver.clone(), store, VERDICT_TOPIC, |_, _| true);
     let mut next = None;
     let mut read_at = driver.now();
@@ -48,7 +48,7 @@
             }
         }
         // Only a verdict tells whether the trial was under way before.
-        marks.read_if_due().await;
+        checkpoints.read_if_due().await;
         tokio::time::sleep(Duration::from_millis(VERDICT_LOOK_MS)).await;
     }
 }
