--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -47,15 +47,15 @@
     mut due: UnboundedReceiver<TrialCheckpoint>,
 ) {
     let mut follower = TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true);
-    while let Some(mark) = due.recv().await {
-        let (key, value) = write_mark(&mark);
+    while let Some(checkpoint) = due.recv().await {
+        let (key, value) = write_mark(&checkpoint);
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, standing| {
             let standing = apply_checkpoints(&driver, asked_at, standing);
-            standing.iter().any(|other| supersedes(other, &mark))
+            standing.iter().any(|other| supersedes(other, &checkpoint))
         });
         if taken.await {
-            driver.feed(RouteEvent::CheckpointStored(mark));
+            driver.feed(RouteEvent::CheckpointStored(checkpoint));
         }
     }
 }
@@ -69,7 +69,7 @@
     for record in records {
         let Some(value) = &record.value else { continue };
         match read_mark(&record.key, value) {
-            Ok(mark) => checkpoints.push(mark),
+            Ok(checkpoint) => checkpoints.push(checkpoint),
             Err(error) => observe::log_bad_record(&error),
         }
     }
@@ -77,7 +77,7 @@
     checkpoints
 }
 
-/// Whether a mark that stands leaves nothing to write.
+/// Whether a checkpoint that stands leaves nothing to write.
 fn supersedes(standing: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
     let same = standing.service == wanted.service && standing.version == wanted.version;
     let (phase, age) = (standing.progress.phase, standing.progress.age_ms);
