--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -50,9 +50,9 @@
     while let Some(checkpoint) = due.recv().await {
         let (key, value) = write_mark(&checkpoint);
         let record = KeyedRecord::new(key, Some(value));
-        let taken = append_unless(&mut follower, &record, |asked_at, standing| {
-            let standing = apply_checkpoints(&driver, asked_at, standing);
-            standing.iter().any(|other| supersedes(other, &checkpoint))
+        let taken = append_unless(&mut follower, &record, |asked_at, stored| {
+            let stored = apply_checkpoints(&driver, asked_at, stored);
+            stored.iter().any(|other| supersedes(other, &checkpoint))
         });
         if taken.await {
             driver.feed(RouteEvent::CheckpointStored(checkpoint));
@@ -78,10 +78,10 @@
 }
 
 /// Whether a checkpoint that stands leaves nothing to write.
-fn supersedes(standing: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
-    let same = standing.service == wanted.service && standing.version == wanted.version;
-    let (phase, age) = (standing.progress.phase, standing.progress.age_ms);
+fn supersedes(stored: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
+    let same = stored.service == wanted.service && stored.version == wanted.version;
+    let (phase, age) = (stored.progress.phase, stored.progress.age_ms);
     let later = phase > wanted.progress.phase;
     let equal = phase == wanted.progress.phase && age >= wanted.progress.age_ms;
-    same && (later || equal) && !wanted.progress.names_earlier_carry(standing.progress)
+    same && (later || equal) && !wanted.progress.names_earlier_carry(stored.progress)
 }
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -80,9 +80,9 @@
     while let Some(verdict) = due.recv().await {
         let (key, value) = write_verdict(&verdict);
         let record = KeyedRecord::new(key, Some(value));
-        let taken = append_unless(&mut follower, &record, |asked_at, standing| {
-            let standing = take_verdicts(&driver, asked_at, standing);
-            standing.iter().any(|other| supersedes(other, &verdict))
+        let taken = append_unless(&mut follower, &record, |asked_at, stored| {
+            let stored = take_verdicts(&driver, asked_at, stored);
+            stored.iter().any(|other| supersedes(other, &verdict))
         });
         if taken.await {
             driver.feed(RouteEvent::VerdictStored(verdict));
@@ -113,7 +113,7 @@
 }
 
 /// Whether a verdict that stands leaves nothing to write.
-fn supersedes(standing: &TrialVerdict, wanted: &TrialVerdict) -> bool {
-    let same = standing.service == wanted.service && standing.version == wanted.version;
-    same && (standing.state != TrialState::Running || wanted.state == TrialState::Running)
+fn supersedes(stored: &TrialVerdict, wanted: &TrialVerdict) -> bool {
+    let same = stored.service == wanted.service && stored.version == wanted.version;
+    same && (stored.state != TrialState::Running || wanted.state == TrialState::Running)
 }
