--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -43,7 +43,7 @@
         {
             read_at = driver.now();
             match follower.read(&mut next, 0).await {
-                Some(news) => drop(take_verdicts(&driver, news.asked_at, &news.records)),
+                Some(news) => drop(apply_verdicts(&driver, news.asked_at, &news.records)),
                 None => follower.wait_to_retry().await,
             }
         }
@@ -53,7 +53,7 @@
     }
 }
 
-fn take_verdicts(
+fn apply_verdicts(
     driver: &GatewayDriver,
     asked_at: BoxTime,
     records: &[KeyedRecord],
@@ -81,7 +81,7 @@
         let (key, value) = write_verdict(&verdict);
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, stored| {
-            let stored = take_verdicts(&driver, asked_at, stored);
+            let stored = apply_verdicts(&driver, asked_at, stored);
             stored.iter().any(|other| supersedes(other, &verdict))
         });
         if taken.await {
