--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -16,7 +16,7 @@
 use super::topic_follower::TopicFollower;
 
 /// Verdicts are read this often, in milliseconds, while a trial is under way.
-pub const VERDICT_EVERY_MS: u64 = 2_000;
+pub const VERDICT_INTERVAL_MS: u64 = 2_000;
 
 /// A box looks this often whether verdicts have to be read, in milliseconds.
 pub const VERDICT_LOOK_MS: u64 = 50;
@@ -39,7 +39,7 @@
         // Readers tell the others of later ones.
         let reads = driver.state().has_running_trial() && driver.state().is_reader(driver.now());
         if unread
-            || (reads && driver.clock().since(read_at) >= Duration::from_millis(VERDICT_EVERY_MS))
+            || (reads && driver.clock().since(read_at) >= Duration::from_millis(VERDICT_INTERVAL_MS))
         {
             read_at = driver.now();
             match follower.read(&mut next, 0).await {
