--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -19,7 +19,7 @@
 pub const VERDICT_INTERVAL_MS: u64 = 2_000;
 
 /// A box looks this often whether verdicts have to be read, in milliseconds.
-pub const VERDICT_LOOK_MS: u64 = 50;
+pub const VERDICT_POLL_MS: u64 = 50;
 
 /// Times that an append is tried when the topic grows meanwhile.
 pub const APPEND_TRIES: usize = 4;
@@ -49,7 +49,7 @@
         }
         // Only a verdict tells whether the trial was under way before.
         checkpoints.read_if_due().await;
-        tokio::time::sleep(Duration::from_millis(VERDICT_LOOK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(VERDICT_POLL_MS)).await;
     }
 }
 
