--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -22,7 +22,7 @@
 pub const VERDICT_POLL_MS: u64 = 50;
 
 /// Times that an append is tried when the topic grows meanwhile.
-pub const APPEND_TRIES: usize = 4;
+pub const APPEND_ATTEMPTS: usize = 4;
 
 /// Reads verdicts while a trial is under way.
 pub async fn follow_verdicts(driver: Arc<GatewayDriver>, store: StoreClient) {
@@ -97,7 +97,7 @@
     record: &KeyedRecord,
     stands: impl Fn(BoxTime, &[KeyedRecord]) -> bool,
 ) -> bool {
-    for _ in 0..APPEND_TRIES {
+    for _ in 0..APPEND_ATTEMPTS {
         let Some(listed) = follower.list().await else { return false };
         let listing = listed.value;
         if stands(listed.asked_at, &listing.records) {
