--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -80,11 +80,11 @@
     while let Some(verdict) = due.recv().await {
         let (key, value) = write_verdict(&verdict);
         let record = KeyedRecord::new(key, Some(value));
-        let taken = append_unless(&mut follower, &record, |asked_at, stored| {
+        let appended = append_unless(&mut follower, &record, |asked_at, stored| {
             let stored = apply_verdicts(&driver, asked_at, stored);
             stored.iter().any(|other| supersedes(other, &verdict))
         });
-        if taken.await {
+        if appended.await {
             driver.feed(RouteEvent::VerdictStored(verdict));
         }
     }
