--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -50,11 +50,11 @@
     while let Some(checkpoint) = due.recv().await {
         let (key, value) = write_mark(&checkpoint);
         let record = KeyedRecord::new(key, Some(value));
-        let taken = append_unless(&mut follower, &record, |asked_at, stored| {
+        let appended = append_unless(&mut follower, &record, |asked_at, stored| {
             let stored = apply_checkpoints(&driver, asked_at, stored);
             stored.iter().any(|other| supersedes(other, &checkpoint))
         });
-        if taken.await {
+        if appended.await {
             driver.feed(RouteEvent::CheckpointStored(checkpoint));
         }
     }
