--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -26,7 +26,7 @@
 const RECORDS_FRAME: usize = 8;
 
 /// Hears other boxes' notes.
-pub async fn hear_notes(driver: Arc<GatewayDriver>, socket: Arc<UdpSocket>) {
+pub async fn receive_datagrams(driver: Arc<GatewayDriver>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; NOTE_LIMIT];
     loop {
         match socket.recv_from(&mut buffer).await {
