--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -59,7 +59,7 @@
 }
 
 /// Sends notes and asks to other boxes, and answers where nothing else waits.
-pub async fn send_notes(
+pub async fn send_datagrams(
     driver: Arc<GatewayDriver>,
     socket: Arc<UdpSocket>,
     mut notes: Receiver<PeerDatagram>,
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -173,7 +173,7 @@
 ) {
     let socket = Arc::new(socket);
     tokio::spawn(gossip::receive_datagrams(driver.clone(), socket.clone()));
-    tokio::spawn(gossip::send_notes(driver.clone(), socket, receivers.gossip, receivers.sync_responses));
+    tokio::spawn(gossip::send_datagrams(driver.clone(), socket, receivers.gossip, receivers.sync_responses));
     tokio::spawn(follow::follow_operator(driver.clone(), store.clone()));
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
