--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -20,14 +20,14 @@
 use super::operator_records::apply_received;
 
 /// Largest datagram, in bytes.
-pub const NOTE_LIMIT: usize = 60_000;
+pub const DATAGRAM_LIMIT: usize = 60_000;
 
 /// Bytes around the records in a datagram, at most: their tag and length.
 const RECORDS_FRAME: usize = 8;
 
 /// Hears other boxes' notes.
 pub async fn receive_datagrams(driver: Arc<GatewayDriver>, socket: Arc<UdpSocket>) {
-    let mut buffer = vec![0; NOTE_LIMIT];
+    let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
@@ -127,8 +127,8 @@
     };
     let mut operator = driver.operator();
     let records = operator.records_after(ask.known);
-    if bare.len() + records.as_bytes().len() + RECORDS_FRAME > NOTE_LIMIT {
-        operator.log_oversized(ask.known.read_to, NOTE_LIMIT);
+    if bare.len() + records.as_bytes().len() + RECORDS_FRAME > DATAGRAM_LIMIT {
+        operator.log_oversized(ask.known.read_to, DATAGRAM_LIMIT);
         return bare;
     }
     encode_note(note, Some(records), page)
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -16,7 +16,7 @@
 use ravenspoke_core::time::BoxTime;
 
 /// Largest datagram, in bytes; one of the operator's records may come with a listing's page.
-const NOTE_LIMIT: usize = ravenspoke_box::gateway::gossip::NOTE_LIMIT;
+const DATAGRAM_LIMIT: usize = ravenspoke_box::gateway::gossip::DATAGRAM_LIMIT;
 
 /// A position in the store's third era.
 fn at(offset: u64) -> TopicPosition {
@@ -130,7 +130,7 @@
 fn a_page_of_a_listing_fits_into_a_datagram() {
     let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
     let note = GossipMessage { changes, ..answer() };
-    assert!(encode_note(&note, None, None).len() < NOTE_LIMIT);
+    assert!(encode_note(&note, None, None).len() < DATAGRAM_LIMIT);
 }
 
 proptest! {
@@ -173,8 +173,8 @@
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
     let datagram = encode_note(&note, Some(&packed), None);
 
-    assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * NOTE_LIMIT));
-    assert!(datagram.len() < NOTE_LIMIT, "{} bytes", datagram.len());
+    assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * DATAGRAM_LIMIT));
+    assert!(datagram.len() < DATAGRAM_LIMIT, "{} bytes", datagram.len());
     let heard = decode_datagram(&datagram).expect("a datagram");
     assert_eq!(heard, HeardDatagram::Note(Box::new(note), Some(vec![record])));
 }
