--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -23,7 +23,7 @@
 pub const DATAGRAM_LIMIT: usize = 60_000;
 
 /// Bytes around the records in a datagram, at most: their tag and length.
-const RECORDS_FRAME: usize = 8;
+const RECORDS_OVERHEAD: usize = 8;
 
 /// Hears other boxes' notes.
 pub async fn receive_datagrams(driver: Arc<GatewayDriver>, socket: Arc<UdpSocket>) {
@@ -127,7 +127,7 @@
     };
     let mut operator = driver.operator();
     let records = operator.records_after(ask.known);
-    if bare.len() + records.as_bytes().len() + RECORDS_FRAME > DATAGRAM_LIMIT {
+    if bare.len() + records.as_bytes().len() + RECORDS_OVERHEAD > DATAGRAM_LIMIT {
         operator.log_oversized(ask.known.read_to, DATAGRAM_LIMIT);
         return bare;
     }
