--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -13,7 +13,7 @@
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
     decode_datagram, encode_ask, encode_note, encode_placement, encode_usage, encode_usage_ask,
-    HeardDatagram,
+    DecodedDatagram,
 };
 use super::observe;
 use super::control_stats::DatagramKind;
@@ -31,25 +31,25 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
-                Ok(HeardDatagram::Ask(ask)) if driver.sync_pacer.has_room() => {
+                Ok(DecodedDatagram::Ask(ask)) if driver.sync_pacer.has_room() => {
                     driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
-                Ok(HeardDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
-                Ok(HeardDatagram::Placement(placement)) => {
+                Ok(DecodedDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
+                Ok(DecodedDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
-                Ok(HeardDatagram::Note(note, records)) => {
+                Ok(DecodedDatagram::Note(note, records)) => {
                     if let Some(records) = records {
                         apply_received(&driver, &note, &records);
                     }
                     driver.feed(RouteEvent::GossipReceived(note));
                 }
-                Ok(HeardDatagram::UsageRequest(ask)) => {
+                Ok(DecodedDatagram::UsageRequest(ask)) => {
                     driver.feed(RouteEvent::UsageRequested(ask))
                 }
-                Ok(HeardDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
-                Ok(HeardDatagram::Empty) => observe::log_bad_gossip("it is empty"),
+                Ok(DecodedDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
+                Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("it is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
             // A box that is gone answers a note with an error on this socket.
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -159,7 +159,7 @@
 
 /// What a datagram says.
 #[derive(Clone, Debug, PartialEq)]
-pub enum HeardDatagram {
+pub enum DecodedDatagram {
     /// A note, with the records that this box asked for, if they are not left out.
     Note(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
     /// An ask.
@@ -178,19 +178,19 @@
 ///
 /// # Errors
 /// [`PackedError`], if the bytes are no datagram of a box.
-pub fn decode_datagram(bytes: &[u8]) -> Result<HeardDatagram, PackedError> {
+pub fn decode_datagram(bytes: &[u8]) -> Result<DecodedDatagram, PackedError> {
     let wire = WireDatagram::decode(bytes)?;
     if let Some(ask) = wire.ask {
-        return Ok(HeardDatagram::Ask(read_ask(ask)));
+        return Ok(DecodedDatagram::Ask(read_ask(ask)));
     }
     if let Some(placement) = wire.placement {
-        return Ok(HeardDatagram::Placement(read_placement(placement)));
+        return Ok(DecodedDatagram::Placement(read_placement(placement)));
     }
     if let Some(ask) = wire.usage_ask {
-        return Ok(HeardDatagram::UsageRequest(read_usage_ask(ask)));
+        return Ok(DecodedDatagram::UsageRequest(read_usage_ask(ask)));
     }
     if let Some(usage) = wire.usage {
-        return Ok(HeardDatagram::Usage(read_usage(usage)));
+        return Ok(DecodedDatagram::Usage(read_usage(usage)));
     }
     let records =
         wire.records.map(|bytes| PackedRecords::from_bytes(bytes).unpack()).transpose()?;
@@ -200,11 +200,11 @@
         }
         note => note,
     };
-    let Some(mut note) = note.map(read_note) else { return Ok(HeardDatagram::Empty) };
+    let Some(mut note) = note.map(read_note) else { return Ok(DecodedDatagram::Empty) };
     if !wire.packed_page.is_empty() {
         note.changes.extend(pages::unpack(&wire.packed_page)?);
     }
-    Ok(HeardDatagram::Note(Box::new(note), records))
+    Ok(DecodedDatagram::Note(Box::new(note), records))
 }
 
 fn write_note(note: &GossipMessage, changes: &[BackendChange]) -> WireNote {
