--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -31,15 +31,15 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
-                Ok(DecodedDatagram::Ask(ask)) if driver.sync_pacer.has_room() => {
+                Ok(DecodedDatagram::SyncRequest(ask)) if driver.sync_pacer.has_room() => {
                     driver.feed(RouteEvent::SyncRequested(ask));
                 }
                 // Who asked asks another box.
-                Ok(DecodedDatagram::Ask(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
+                Ok(DecodedDatagram::SyncRequest(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
                 Ok(DecodedDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
-                Ok(DecodedDatagram::Note(note, records)) => {
+                Ok(DecodedDatagram::Gossip(note, records)) => {
                     if let Some(records) = records {
                         apply_received(&driver, &note, &records);
                     }
@@ -48,7 +48,7 @@
                 Ok(DecodedDatagram::UsageRequest(ask)) => {
                     driver.feed(RouteEvent::UsageRequested(ask))
                 }
-                Ok(DecodedDatagram::Usage(note)) => driver.feed(RouteEvent::UsageReceived(note)),
+                Ok(DecodedDatagram::UsageResponse(note)) => driver.feed(RouteEvent::UsageReceived(note)),
                 Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("it is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -161,15 +161,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedDatagram {
     /// A note, with the records that this box asked for, if they are not left out.
-    Note(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
+    Gossip(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
     /// An ask.
-    Ask(SyncRequest),
+    SyncRequest(SyncRequest),
     /// A prompt that was placed.
     Placement(PlacementUpdate),
     /// A question for counts of usage.
     UsageRequest(UsageRequest),
     /// Counts of usage.
-    Usage(UsageResponse),
+    UsageResponse(UsageResponse),
     /// Nothing.
     Empty,
 }
@@ -181,7 +181,7 @@
 pub fn decode_datagram(bytes: &[u8]) -> Result<DecodedDatagram, PackedError> {
     let wire = WireDatagram::decode(bytes)?;
     if let Some(ask) = wire.ask {
-        return Ok(DecodedDatagram::Ask(read_ask(ask)));
+        return Ok(DecodedDatagram::SyncRequest(read_ask(ask)));
     }
     if let Some(placement) = wire.placement {
         return Ok(DecodedDatagram::Placement(read_placement(placement)));
@@ -190,7 +190,7 @@
         return Ok(DecodedDatagram::UsageRequest(read_usage_ask(ask)));
     }
     if let Some(usage) = wire.usage {
-        return Ok(DecodedDatagram::Usage(read_usage(usage)));
+        return Ok(DecodedDatagram::UsageResponse(read_usage(usage)));
     }
     let records =
         wire.records.map(|bytes| PackedRecords::from_bytes(bytes).unpack()).transpose()?;
@@ -204,7 +204,7 @@
     if !wire.packed_page.is_empty() {
         note.changes.extend(pages::unpack(&wire.packed_page)?);
     }
-    Ok(DecodedDatagram::Note(Box::new(note), records))
+    Ok(DecodedDatagram::Gossip(Box::new(note), records))
 }
 
 fn write_note(note: &GossipMessage, changes: &[BackendChange]) -> WireNote {
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -106,14 +106,14 @@
 fn an_answer_is_read_as_it_was_written() {
     let note = answer();
     let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Note(Box::new(note), None));
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
 fn a_note_that_answers_nothing_has_no_word_of_entries() {
     let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
     let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Note(Box::new(note), None));
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
@@ -122,7 +122,7 @@
         let entries = EntryQuery { known_to, ..ask().entries };
         let ask = SyncRequest { entries, ..ask() };
         let heard = decode_datagram(&encode_ask(&ask)).expect("a datagram");
-        assert_eq!(heard, DecodedDatagram::Ask(ask));
+        assert_eq!(heard, DecodedDatagram::SyncRequest(ask));
     }
 }
 
@@ -176,7 +176,7 @@
     assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * DATAGRAM_LIMIT));
     assert!(datagram.len() < DATAGRAM_LIMIT, "{} bytes", datagram.len());
     let heard = decode_datagram(&datagram).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Note(Box::new(note), Some(vec![record])));
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), Some(vec![record])));
 }
 
 #[test]
