--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -12,7 +12,7 @@
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
-    decode_datagram, encode_ask, encode_note, encode_placement, encode_usage, encode_usage_ask,
+    decode_datagram, encode_ask, encode_gossip, encode_placement, encode_usage, encode_usage_ask,
     DecodedDatagram,
 };
 use super::observe;
@@ -121,7 +121,7 @@
     note: &GossipMessage,
 ) -> Vec<u8> {
     let page = pages.of(note);
-    let bare = encode_note(note, None, page);
+    let bare = encode_gossip(note, None, page);
     let Some(ask) = note.echo.as_ref().filter(|ask| ask.known < note.known) else {
         return bare;
     };
@@ -131,5 +131,5 @@
         operator.log_oversized(ask.known.read_to, DATAGRAM_LIMIT);
         return bare;
     }
-    encode_note(note, Some(records), page)
+    encode_gossip(note, Some(records), page)
 }
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -114,7 +114,7 @@
 
 /// Encodes a note as a datagram, with the records that the ask it answers wants, if they are not left out. `page` is what
 /// was packed of its changes, if that was.
-pub fn encode_note(
+pub fn encode_gossip(
     note: &GossipMessage,
     records: Option<&PackedRecords>,
     page: Option<&[u8]>,
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -4,7 +4,7 @@
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_box::gateway::gossip_wire::packed::{PackedError, INFLATED_LIMIT};
 use ravenspoke_box::gateway::gossip_wire::records::PackedRecords;
-use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_ask, encode_note, DecodedDatagram};
+use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_ask, encode_gossip, DecodedDatagram};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_PER_MESSAGE};
@@ -105,14 +105,14 @@
 #[test]
 fn an_answer_is_read_as_it_was_written() {
     let note = answer();
-    let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
+    let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
 fn a_note_that_answers_nothing_has_no_word_of_entries() {
     let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
-    let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
+    let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
@@ -130,7 +130,7 @@
 fn a_page_of_a_listing_fits_into_a_datagram() {
     let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
     let note = GossipMessage { changes, ..answer() };
-    assert!(encode_note(&note, None, None).len() < DATAGRAM_LIMIT);
+    assert!(encode_gossip(&note, None, None).len() < DATAGRAM_LIMIT);
 }
 
 proptest! {
@@ -142,7 +142,7 @@
 
     #[test]
     fn a_cut_datagram_is_borne(length in 0_usize..300) {
-        let bytes = encode_note(&answer(), None, None);
+        let bytes = encode_gossip(&answer(), None, None);
         drop(decode_datagram(&bytes[..length.min(bytes.len())]));
     }
 }
@@ -171,7 +171,7 @@
         GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..answer() };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
-    let datagram = encode_note(&note, Some(&packed), None);
+    let datagram = encode_gossip(&note, Some(&packed), None);
 
     assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * DATAGRAM_LIMIT));
     assert!(datagram.len() < DATAGRAM_LIMIT, "{} bytes", datagram.len());
