--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -134,7 +134,7 @@
 }
 
 /// Encodes an ask as a datagram.
-pub fn encode_ask(ask: &SyncRequest) -> Vec<u8> {
+pub fn encode_sync_request(ask: &SyncRequest) -> Vec<u8> {
     let ask = Some(write_ask(ask));
     WireDatagram { ask, ..WireDatagram::default() }.encode_to_vec()
 }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -4,7 +4,7 @@
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_box::gateway::gossip_wire::packed::{PackedError, INFLATED_LIMIT};
 use ravenspoke_box::gateway::gossip_wire::records::PackedRecords;
-use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_ask, encode_gossip, DecodedDatagram};
+use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_sync_request, encode_gossip, DecodedDatagram};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_PER_MESSAGE};
@@ -121,7 +121,7 @@
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
         let entries = EntryQuery { known_to, ..ask().entries };
         let ask = SyncRequest { entries, ..ask() };
-        let heard = decode_datagram(&encode_ask(&ask)).expect("a datagram");
+        let heard = decode_datagram(&encode_sync_request(&ask)).expect("a datagram");
         assert_eq!(heard, DecodedDatagram::SyncRequest(ask));
     }
 }
