--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -12,7 +12,7 @@
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
-    decode_datagram, encode_sync_request, encode_gossip, encode_placement, encode_usage, encode_usage_ask,
+    decode_datagram, encode_sync_request, encode_gossip, encode_placement, encode_usage_response, encode_usage_ask,
     DecodedDatagram,
 };
 use super::observe;
@@ -99,7 +99,7 @@
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
         PeerDatagram::SyncRequest(target, ask) => (vec![target], encode_sync_request(&ask)),
         PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_ask(&ask)),
-        PeerDatagram::UsageResponse(target, note) => (vec![target], encode_usage(&note)),
+        PeerDatagram::UsageResponse(target, note) => (vec![target], encode_usage_response(&note)),
     };
     for target in &targets {
         let same_zone = driver.state().is_in_same_zone(target);
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -152,7 +152,7 @@
 }
 
 /// Encodes counts of usage as a datagram.
-pub fn encode_usage(note: &UsageResponse) -> Vec<u8> {
+pub fn encode_usage_response(note: &UsageResponse) -> Vec<u8> {
     let usage = Some(write_usage(note));
     WireDatagram { usage, ..WireDatagram::default() }.encode_to_vec()
 }
