--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -12,7 +12,7 @@
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
-    decode_datagram, encode_sync_request, encode_gossip, encode_placement, encode_usage_response, encode_usage_ask,
+    decode_datagram, encode_sync_request, encode_gossip, encode_placement, encode_usage_response, encode_usage_request,
     DecodedDatagram,
 };
 use super::observe;
@@ -98,7 +98,7 @@
         PeerDatagram::Gossip(targets, note) => (targets, encode_with_records(driver, pages, &note)),
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
         PeerDatagram::SyncRequest(target, ask) => (vec![target], encode_sync_request(&ask)),
-        PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_ask(&ask)),
+        PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_request(&ask)),
         PeerDatagram::UsageResponse(target, note) => (vec![target], encode_usage_response(&note)),
     };
     for target in &targets {
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -146,7 +146,7 @@
 }
 
 /// Encodes a question for counts of usage as a datagram.
-pub fn encode_usage_ask(ask: &UsageRequest) -> Vec<u8> {
+pub fn encode_usage_request(ask: &UsageRequest) -> Vec<u8> {
     let usage_ask = Some(write_usage_ask(ask));
     WireDatagram { usage_ask, ..WireDatagram::default() }.encode_to_vec()
 }
