--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -31,28 +31,28 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, _)) => match decode_datagram(&buffer[..length]) {
-                Ok(DecodedDatagram::SyncRequest(ask)) if driver.sync_pacer.has_room() => {
-                    driver.feed(RouteEvent::SyncRequested(ask));
+                Ok(DecodedDatagram::SyncRequest(request)) if driver.sync_pacer.has_room() => {
+                    driver.feed(RouteEvent::SyncRequested(request));
                 }
                 // Who asked asks another box.
                 Ok(DecodedDatagram::SyncRequest(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
                 Ok(DecodedDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
-                Ok(DecodedDatagram::Gossip(note, records)) => {
+                Ok(DecodedDatagram::Gossip(message, records)) => {
                     if let Some(records) = records {
-                        apply_received(&driver, &note, &records);
+                        apply_received(&driver, &message, &records);
                     }
-                    driver.feed(RouteEvent::GossipReceived(note));
+                    driver.feed(RouteEvent::GossipReceived(message));
                 }
-                Ok(DecodedDatagram::UsageRequest(ask)) => {
-                    driver.feed(RouteEvent::UsageRequested(ask))
+                Ok(DecodedDatagram::UsageRequest(request)) => {
+                    driver.feed(RouteEvent::UsageRequested(request))
                 }
-                Ok(DecodedDatagram::UsageResponse(note)) => driver.feed(RouteEvent::UsageReceived(note)),
+                Ok(DecodedDatagram::UsageResponse(response)) => driver.feed(RouteEvent::UsageReceived(response)),
                 Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("it is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
-            // A box that is gone answers a note with an error on this socket.
+            // A box that is gone answers a message with an error on this socket.
             Err(error) => observe::log_socket_failed("notes", &error),
         }
     }
