--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -62,8 +62,8 @@
 pub async fn send_datagrams(
     driver: Arc<GatewayDriver>,
     socket: Arc<UdpSocket>,
-    mut notes: Receiver<PeerDatagram>,
-    mut answers: UnboundedReceiver<PeerDatagram>,
+    mut gossip: Receiver<PeerDatagram>,
+    mut responses: UnboundedReceiver<PeerDatagram>,
 ) {
     let mut pages = PackedPages::default();
     let mut slot = SyncSlot::default();
@@ -71,15 +71,15 @@
         let busy = slot.until_free(driver.now());
         let datagram = tokio::select! {
             biased;
-            datagram = notes.recv() => datagram,
-            datagram = answers.recv(), if busy.is_zero() => datagram,
+            datagram = gossip.recv() => datagram,
+            datagram = responses.recv(), if busy.is_zero() => datagram,
             () = tokio::time::sleep(busy), if !busy.is_zero() => continue,
         };
         // The senders live as long as the process.
         let Some(datagram) = datagram else { return };
-        let answer = datagram.sync_response_bytes();
+        let response_bytes = datagram.sync_response_bytes();
         let bytes = send_datagram(&driver, &socket, &mut pages, datagram).await;
-        if let Some(expected) = answer {
+        if let Some(expected) = response_bytes {
             driver.sync_pacer.remove_queued(expected);
             slot.add_sent(bytes, &driver.sync_pacer, driver.now());
         }
