--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -95,11 +95,11 @@
 ) -> usize {
     let kind = datagram.kind();
     let (targets, bytes) = match datagram {
-        PeerDatagram::Gossip(targets, note) => (targets, encode_with_records(driver, pages, &note)),
+        PeerDatagram::Gossip(targets, message) => (targets, encode_with_records(driver, pages, &message)),
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
-        PeerDatagram::SyncRequest(target, ask) => (vec![target], encode_sync_request(&ask)),
-        PeerDatagram::UsageRequest(targets, ask) => (targets, encode_usage_request(&ask)),
-        PeerDatagram::UsageResponse(target, note) => (vec![target], encode_usage_response(&note)),
+        PeerDatagram::SyncRequest(target, request) => (vec![target], encode_sync_request(&request)),
+        PeerDatagram::UsageRequest(targets, request) => (targets, encode_usage_request(&request)),
+        PeerDatagram::UsageResponse(target, response) => (vec![target], encode_usage_response(&response)),
     };
     for target in &targets {
         let same_zone = driver.state().is_in_same_zone(target);
