--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -118,18 +118,18 @@
 fn encode_with_records(
     driver: &GatewayDriver,
     pages: &mut PackedPages,
-    note: &GossipMessage,
+    message: &GossipMessage,
 ) -> Vec<u8> {
-    let page = pages.of(note);
-    let bare = encode_gossip(note, None, page);
-    let Some(ask) = note.echo.as_ref().filter(|ask| ask.known < note.known) else {
-        return bare;
+    let page = pages.of(message);
+    let without_records = encode_gossip(message, None, page);
+    let Some(request) = message.echo.as_ref().filter(|request| request.known < message.known) else {
+        return without_records;
     };
     let mut operator = driver.operator();
-    let records = operator.records_after(ask.known);
-    if bare.len() + records.as_bytes().len() + RECORDS_OVERHEAD > DATAGRAM_LIMIT {
-        operator.log_oversized(ask.known.read_to, DATAGRAM_LIMIT);
-        return bare;
+    let records = operator.records_after(request.known);
+    if without_records.len() + records.as_bytes().len() + RECORDS_OVERHEAD > DATAGRAM_LIMIT {
+        operator.log_oversized(request.known.read_to, DATAGRAM_LIMIT);
+        return without_records;
     }
-    encode_gossip(note, Some(records), page)
+    encode_gossip(message, Some(records), page)
 }
