--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -146,9 +146,9 @@
 }
 
 /// Encodes a question for counts of usage as a datagram.
-pub fn encode_usage_request(ask: &UsageRequest) -> Vec<u8> {
-    let usage_ask = Some(write_usage_ask(ask));
-    WireDatagram { usage_ask, ..WireDatagram::default() }.encode_to_vec()
+pub fn encode_usage_request(usage_request: &UsageRequest) -> Vec<u8> {
+    let usage_request = Some(write_usage_ask(usage_request));
+    WireDatagram { usage_request, ..WireDatagram::default() }.encode_to_vec()
 }
 
 /// Encodes counts of usage as a datagram.
