--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -152,8 +152,8 @@
 }
 
 /// Encodes counts of usage as a datagram.
-pub fn encode_usage_response(note: &UsageResponse) -> Vec<u8> {
-    let usage = Some(write_usage(note));
+pub fn encode_usage_response(response: &UsageResponse) -> Vec<u8> {
+    let usage = Some(write_usage(response));
     WireDatagram { usage, ..WireDatagram::default() }.encode_to_vec()
 }
 
