--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -36,7 +36,7 @@
     WirePace, WirePlacement,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
-use usage::{read_usage, read_usage_ask, write_usage, write_usage_ask, WireUsage, WireUsageAsk};
+use usage::{read_usage, read_usage_request, write_usage, write_usage_request, WireUsage, WireUsageRequest};
 
 /// A note from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
 /// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
@@ -104,7 +104,7 @@
     #[prost(bytes = "vec", tag = "6")]
     packed_note: Vec<u8>,
     #[prost(message, optional, tag = "7")]
-    usage_ask: Option<WireUsageAsk>,
+    usage_request: Option<WireUsageRequest>,
     #[prost(message, optional, tag = "8")]
     usage: Option<WireUsage>,
     /// The note's changes to replicas' entries, deflated, where they are a page of a listing.
@@ -147,7 +147,7 @@
 
 /// Encodes a question for counts of usage as a datagram.
 pub fn encode_usage_request(usage_request: &UsageRequest) -> Vec<u8> {
-    let usage_request = Some(write_usage_ask(usage_request));
+    let usage_request = Some(write_usage_request(usage_request));
     WireDatagram { usage_request, ..WireDatagram::default() }.encode_to_vec()
 }
 
@@ -186,8 +186,8 @@
     if let Some(placement) = wire.placement {
         return Ok(DecodedDatagram::Placement(read_placement(placement)));
     }
-    if let Some(ask) = wire.usage_ask {
-        return Ok(DecodedDatagram::UsageRequest(read_usage_ask(ask)));
+    if let Some(usage_request) = wire.usage_request {
+        return Ok(DecodedDatagram::UsageRequest(read_usage_request(usage_request)));
     }
     if let Some(usage) = wire.usage {
         return Ok(DecodedDatagram::UsageResponse(read_usage(usage)));
--- a/crates/box/src/gateway/gossip_wire/usage.rs
+++ b/crates/box/src/gateway/gossip_wire/usage.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::leader::usage::{UsageReport, UsageRequest, UsageResponse};
 
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WireUsageAsk {
+pub(super) struct WireUsageRequest {
     #[prost(uint64, tag = "1")]
     window: u64,
     #[prost(string, tag = "2")]
@@ -21,11 +21,11 @@
     counts: std::collections::BTreeMap<String, u64>,
 }
 
-pub(super) fn write_usage_ask(ask: &UsageRequest) -> WireUsageAsk {
-    WireUsageAsk { window: ask.window, gossip_address: ask.gossip_address.clone() }
+pub(super) fn write_usage_request(request: &UsageRequest) -> WireUsageRequest {
+    WireUsageRequest { window: request.window, gossip_address: request.gossip_address.clone() }
 }
 
-pub(super) fn read_usage_ask(wire: WireUsageAsk) -> UsageRequest {
+pub(super) fn read_usage_request(wire: WireUsageRequest) -> UsageRequest {
     UsageRequest { window: wire.window, gossip_address: wire.gossip_address }
 }
 
