--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -36,7 +36,7 @@
     WirePace, WirePlacement,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
-use usage::{read_usage, read_usage_request, write_usage, write_usage_request, WireUsage, WireUsageRequest};
+use usage::{read_usage_response, read_usage_request, write_usage_response, write_usage_request, WireUsageResponse, WireUsageRequest};
 
 /// A note from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
 /// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
@@ -106,7 +106,7 @@
     #[prost(message, optional, tag = "7")]
     usage_request: Option<WireUsageRequest>,
     #[prost(message, optional, tag = "8")]
-    usage: Option<WireUsage>,
+    usage: Option<WireUsageResponse>,
     /// The note's changes to replicas' entries, deflated, where they are a page of a listing.
     #[prost(bytes = "vec", tag = "9")]
     packed_page: Vec<u8>,
@@ -153,7 +153,7 @@
 
 /// Encodes counts of usage as a datagram.
 pub fn encode_usage_response(response: &UsageResponse) -> Vec<u8> {
-    let usage = Some(write_usage(response));
+    let usage = Some(write_usage_response(response));
     WireDatagram { usage, ..WireDatagram::default() }.encode_to_vec()
 }
 
@@ -190,7 +190,7 @@
         return Ok(DecodedDatagram::UsageRequest(read_usage_request(usage_request)));
     }
     if let Some(usage) = wire.usage {
-        return Ok(DecodedDatagram::UsageResponse(read_usage(usage)));
+        return Ok(DecodedDatagram::UsageResponse(read_usage_response(usage)));
     }
     let records =
         wire.records.map(|bytes| PackedRecords::from_bytes(bytes).unpack()).transpose()?;
--- a/crates/box/src/gateway/gossip_wire/usage.rs
+++ b/crates/box/src/gateway/gossip_wire/usage.rs
@@ -12,7 +12,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WireUsage {
+pub(super) struct WireUsageResponse {
     #[prost(string, tag = "1")]
     gossip_address: String,
     #[prost(uint64, tag = "2")]
@@ -29,12 +29,12 @@
     UsageRequest { window: wire.window, gossip_address: wire.gossip_address }
 }
 
-pub(super) fn write_usage(note: &UsageResponse) -> WireUsage {
-    let UsageReport { window, counts } = note.usage.clone();
-    WireUsage { gossip_address: note.gossip_address.clone(), window, counts }
+pub(super) fn write_usage_response(response: &UsageResponse) -> WireUsageResponse {
+    let UsageReport { window, counts } = response.usage.clone();
+    WireUsageResponse { gossip_address: response.gossip_address.clone(), window, counts }
 }
 
-pub(super) fn read_usage(wire: WireUsage) -> UsageResponse {
+pub(super) fn read_usage_response(wire: WireUsageResponse) -> UsageResponse {
     let usage = UsageReport { window: wire.window, counts: wire.counts };
     UsageResponse { gossip_address: wire.gossip_address, usage }
 }
