--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -21,7 +21,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
-use sync::{read_ask, read_word, write_ask, write_word, WireAsk, WireEntryWord};
+use sync::{read_sync_request, read_word, write_sync_request, write_word, WireSyncRequest, WireEntryWord};
 use packed::{deflate, inflate, PackedError};
 use peer::{
     read_budget, read_card, read_evacuation, read_summary, write_budget, write_card,
@@ -65,7 +65,7 @@
     #[prost(uint64, optional, tag = "13")]
     read_age_ms: Option<u64>,
     #[prost(message, optional, tag = "14")]
-    echo: Option<WireAsk>,
+    echo: Option<WireSyncRequest>,
     #[prost(message, repeated, tag = "15")]
     loads: Vec<WireLoad>,
     #[prost(message, repeated, tag = "16")]
@@ -94,7 +94,7 @@
     #[prost(message, optional, tag = "1")]
     note: Option<WireNote>,
     #[prost(message, optional, tag = "2")]
-    ask: Option<WireAsk>,
+    ask: Option<WireSyncRequest>,
     /// The operator's records that the answered ask wants, packed; not set where they are left out.
     #[prost(bytes = "vec", optional, tag = "5")]
     records: Option<Vec<u8>>,
@@ -135,7 +135,7 @@
 
 /// Encodes an ask as a datagram.
 pub fn encode_sync_request(ask: &SyncRequest) -> Vec<u8> {
-    let ask = Some(write_ask(ask));
+    let ask = Some(write_sync_request(ask));
     WireDatagram { ask, ..WireDatagram::default() }.encode_to_vec()
 }
 
@@ -181,7 +181,7 @@
 pub fn decode_datagram(bytes: &[u8]) -> Result<DecodedDatagram, PackedError> {
     let wire = WireDatagram::decode(bytes)?;
     if let Some(ask) = wire.ask {
-        return Ok(DecodedDatagram::SyncRequest(read_ask(ask)));
+        return Ok(DecodedDatagram::SyncRequest(read_sync_request(ask)));
     }
     if let Some(placement) = wire.placement {
         return Ok(DecodedDatagram::Placement(read_placement(placement)));
@@ -220,7 +220,7 @@
         others: note.others.clone(),
         read_age_ms: note.read_age_ms,
         evacuation: Some(write_evacuation(&note.evacuation)),
-        echo: note.echo.as_ref().map(write_ask),
+        echo: note.echo.as_ref().map(write_sync_request),
         loads: note.loads.iter().map(write_load).collect(),
         duty_holders: note.duty_holders.iter().map(write_summary).collect(),
         entries: note.echo.as_ref().map(|_| write_word(note.entries)),
@@ -242,7 +242,7 @@
         era: wire.era,
         read_age_ms: wire.read_age_ms,
         evacuation: wire.evacuation.map(read_evacuation).unwrap_or_default(),
-        echo: wire.echo.map(read_ask),
+        echo: wire.echo.map(read_sync_request),
         changes: wire.changes.into_iter().map(read_change).collect(),
         trials: wire.trials.into_iter().map(read_trial).collect(),
         verdicts: wire.verdicts.into_iter().map(read_verdict).collect(),
--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -8,7 +8,7 @@
 use super::position::{read_known, read_position, write_known, WireKnownPlan, WirePosition};
 
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WireAsk {
+pub(super) struct WireSyncRequest {
     #[prost(string, tag = "1")]
     gossip_address: String,
     #[prost(fixed64, tag = "2")]
@@ -42,8 +42,8 @@
     page_gone_from: Option<WirePosition>,
 }
 
-pub(super) fn write_ask(ask: &SyncRequest) -> WireAsk {
-    WireAsk {
+pub(super) fn write_sync_request(ask: &SyncRequest) -> WireSyncRequest {
+    WireSyncRequest {
         gossip_address: ask.gossip_address.clone(),
         incarnation: ask.incarnation,
         asked_at: ask.asked_at.as_micros(),
@@ -54,7 +54,7 @@
     }
 }
 
-pub(super) fn read_ask(ask: WireAsk) -> SyncRequest {
+pub(super) fn read_sync_request(ask: WireSyncRequest) -> SyncRequest {
     SyncRequest {
         gossip_address: ask.gossip_address,
         incarnation: ask.incarnation,
