--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -1,6 +1,6 @@
 //! Datagrams between boxes, in protobuf.
 //!
-//! A datagram is a note or an ask; a long note is [`packed`]. `replica`, `trial`, `peer`, `ask`, `position` and
+//! A datagram is a note or an sync_request; a long note is [`packed`]. `replica`, `trial`, `peer`, `sync_request`, `position` and
 //! [`records`] hold the messages of its parts.
 
 
@@ -94,8 +94,8 @@
     #[prost(message, optional, tag = "1")]
     note: Option<WireNote>,
     #[prost(message, optional, tag = "2")]
-    ask: Option<WireSyncRequest>,
-    /// The operator's records that the answered ask wants, packed; not set where they are left out.
+    sync_request: Option<WireSyncRequest>,
+    /// The operator's records that the answered sync_request wants, packed; not set where they are left out.
     #[prost(bytes = "vec", optional, tag = "5")]
     records: Option<Vec<u8>>,
     #[prost(message, optional, tag = "4")]
@@ -112,7 +112,7 @@
     packed_page: Vec<u8>,
 }
 
-/// Encodes a note as a datagram, with the records that the ask it answers wants, if they are not left out. `page` is what
+/// Encodes a note as a datagram, with the records that the sync_request it answers wants, if they are not left out. `page` is what
 /// was packed of its changes, if that was.
 pub fn encode_gossip(
     note: &GossipMessage,
@@ -133,10 +133,10 @@
     WireDatagram { packed_note: deflate(&bytes), ..datagram }.encode_to_vec()
 }
 
-/// Encodes an ask as a datagram.
-pub fn encode_sync_request(ask: &SyncRequest) -> Vec<u8> {
-    let ask = Some(write_sync_request(ask));
-    WireDatagram { ask, ..WireDatagram::default() }.encode_to_vec()
+/// Encodes an sync_request as a datagram.
+pub fn encode_sync_request(sync_request: &SyncRequest) -> Vec<u8> {
+    let sync_request = Some(write_sync_request(sync_request));
+    WireDatagram { sync_request, ..WireDatagram::default() }.encode_to_vec()
 }
 
 /// Encodes word of a prompt that was placed as a datagram.
@@ -162,7 +162,7 @@
 pub enum DecodedDatagram {
     /// A note, with the records that this box asked for, if they are not left out.
     Gossip(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
-    /// An ask.
+    /// An sync_request.
     SyncRequest(SyncRequest),
     /// A prompt that was placed.
     Placement(PlacementUpdate),
@@ -180,8 +180,8 @@
 /// [`PackedError`], if the bytes are no datagram of a box.
 pub fn decode_datagram(bytes: &[u8]) -> Result<DecodedDatagram, PackedError> {
     let wire = WireDatagram::decode(bytes)?;
-    if let Some(ask) = wire.ask {
-        return Ok(DecodedDatagram::SyncRequest(read_sync_request(ask)));
+    if let Some(sync_request) = wire.sync_request {
+        return Ok(DecodedDatagram::SyncRequest(read_sync_request(sync_request)));
     }
     if let Some(placement) = wire.placement {
         return Ok(DecodedDatagram::Placement(read_placement(placement)));
