--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -42,28 +42,28 @@
     page_gone_from: Option<WirePosition>,
 }
 
-pub(super) fn write_sync_request(ask: &SyncRequest) -> WireSyncRequest {
+pub(super) fn write_sync_request(request: &SyncRequest) -> WireSyncRequest {
     WireSyncRequest {
-        gossip_address: ask.gossip_address.clone(),
-        incarnation: ask.incarnation,
-        asked_at: ask.asked_at.as_micros(),
-        known: Some(write_known(ask.known)),
-        entries_to: ask.entries.known_to.map(Into::into),
-        page_from: Some(ask.entries.page_from.into()),
-        has_backends: ask.entries.has_backends,
+        gossip_address: request.gossip_address.clone(),
+        incarnation: request.incarnation,
+        asked_at: request.asked_at.as_micros(),
+        known: Some(write_known(request.known)),
+        entries_to: request.entries.known_to.map(Into::into),
+        page_from: Some(request.entries.page_from.into()),
+        has_backends: request.entries.has_backends,
     }
 }
 
-pub(super) fn read_sync_request(ask: WireSyncRequest) -> SyncRequest {
+pub(super) fn read_sync_request(request: WireSyncRequest) -> SyncRequest {
     SyncRequest {
-        gossip_address: ask.gossip_address,
-        incarnation: ask.incarnation,
-        asked_at: BoxTime::from_micros(ask.asked_at),
-        known: read_known(ask.known),
+        gossip_address: request.gossip_address,
+        incarnation: request.incarnation,
+        asked_at: BoxTime::from_micros(request.asked_at),
+        known: read_known(request.known),
         entries: EntryQuery {
-            known_to: ask.entries_to.map(Into::into),
-            page_from: read_position(ask.page_from),
-            has_backends: ask.has_backends,
+            known_to: request.entries_to.map(Into::into),
+            page_from: read_position(request.page_from),
+            has_backends: request.has_backends,
         },
     }
 }
