--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -21,7 +21,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
-use sync::{read_sync_request, read_word, write_sync_request, write_word, WireSyncRequest, WireEntryWord};
+use sync::{read_sync_request, read_coverage, write_sync_request, write_coverage, WireSyncRequest, WireEntryCoverage};
 use packed::{deflate, inflate, PackedError};
 use peer::{
     read_budget, read_card, read_evacuation, read_summary, write_budget, write_card,
@@ -71,7 +71,7 @@
     #[prost(message, repeated, tag = "16")]
     duty_holders: Vec<WireSummary>,
     #[prost(message, optional, tag = "17")]
-    entries: Option<WireEntryWord>,
+    entries: Option<WireEntryCoverage>,
     #[prost(message, repeated, tag = "18")]
     budgets: Vec<WireBudget>,
     #[prost(message, repeated, tag = "19")]
@@ -223,7 +223,7 @@
         echo: note.echo.as_ref().map(write_sync_request),
         loads: note.loads.iter().map(write_load).collect(),
         duty_holders: note.duty_holders.iter().map(write_summary).collect(),
-        entries: note.echo.as_ref().map(|_| write_word(note.entries)),
+        entries: note.echo.as_ref().map(|_| write_coverage(note.entries)),
         down: note.down.iter().map(write_down).collect(),
         limits: note.limits.iter().map(write_limit).collect(),
         ends: note.ends.iter().map(write_end).collect(),
@@ -249,7 +249,7 @@
         others: wire.others,
         loads: wire.loads.into_iter().map(read_load).collect(),
         duty_holders: wire.duty_holders.into_iter().map(read_summary).collect(),
-        entries: wire.entries.map(read_word).unwrap_or_default(),
+        entries: wire.entries.map(read_coverage).unwrap_or_default(),
         down: wire.down.into_iter().map(read_down).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
         ends: wire.ends.into_iter().map(read_end).collect(),
--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -28,7 +28,7 @@
 
 /// How far an answer shows the replicas' entries.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct WireEntryWord {
+pub(super) struct WireEntryCoverage {
     #[prost(message, optional, tag = "5")]
     known_to: Option<WirePosition>,
     #[prost(uint64, optional, tag = "2")]
@@ -68,23 +68,23 @@
     }
 }
 
-pub(super) fn write_word(word: EntryCoverage) -> WireEntryWord {
-    WireEntryWord {
-        known_to: word.known_to.map(Into::into),
-        age_ms: word.age_ms,
-        page_end: word.page.map(|page| page.end.into()),
-        page_next: word.page.and_then(|page| page.next).map(Into::into),
-        page_gone_from: word.page.map(|page| page.tombstones_from.into()),
+pub(super) fn write_coverage(coverage: EntryCoverage) -> WireEntryCoverage {
+    WireEntryCoverage {
+        known_to: coverage.known_to.map(Into::into),
+        age_ms: coverage.age_ms,
+        page_end: coverage.page.map(|page| page.end.into()),
+        page_next: coverage.page.and_then(|page| page.next).map(Into::into),
+        page_gone_from: coverage.page.map(|page| page.tombstones_from.into()),
     }
 }
 
-pub(super) fn read_word(word: WireEntryWord) -> EntryCoverage {
-    let next = word.page_next.map(Into::into);
-    let page = word.page_end.map(|end| {
+pub(super) fn read_coverage(coverage: WireEntryCoverage) -> EntryCoverage {
+    let next = coverage.page_next.map(Into::into);
+    let page = coverage.page_end.map(|end| {
         let end = end.into();
-        let tombstones_from = word.page_gone_from.map_or(end, Into::into);
+        let tombstones_from = coverage.page_gone_from.map_or(end, Into::into);
         ListingPage { end, next, tombstones_from }
     });
-    let known_to = word.known_to.map(Into::into);
-    EntryCoverage { known_to, age_ms: word.age_ms, page }
+    let known_to = coverage.known_to.map(Into::into);
+    EntryCoverage { known_to, age_ms: coverage.age_ms, page }
 }
