--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -39,7 +39,7 @@
     #[prost(message, optional, tag = "7")]
     page_next: Option<WirePosition>,
     #[prost(message, optional, tag = "8")]
-    page_gone_from: Option<WirePosition>,
+    page_tombstones_from: Option<WirePosition>,
 }
 
 pub(super) fn write_sync_request(request: &SyncRequest) -> WireSyncRequest {
@@ -74,7 +74,7 @@
         age_ms: coverage.age_ms,
         page_end: coverage.page.map(|page| page.end.into()),
         page_next: coverage.page.and_then(|page| page.next).map(Into::into),
-        page_gone_from: coverage.page.map(|page| page.tombstones_from.into()),
+        page_tombstones_from: coverage.page.map(|page| page.tombstones_from.into()),
     }
 }
 
@@ -82,7 +82,7 @@
     let next = coverage.page_next.map(Into::into);
     let page = coverage.page_end.map(|end| {
         let end = end.into();
-        let tombstones_from = coverage.page_gone_from.map_or(end, Into::into);
+        let tombstones_from = coverage.page_tombstones_from.map_or(end, Into::into);
         ListingPage { end, next, tombstones_from }
     });
     let known_to = coverage.known_to.map(Into::into);
