--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -43,7 +43,7 @@
 const PACK_FROM: usize = 256;
 
 #[derive(Clone, PartialEq, Message)]
-struct WireNote {
+struct WireGossip {
     #[prost(string, tag = "1")]
     name: String,
     #[prost(uint64, tag = "3")]
@@ -92,7 +92,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireDatagram {
     #[prost(message, optional, tag = "1")]
-    note: Option<WireNote>,
+    note: Option<WireGossip>,
     #[prost(message, optional, tag = "2")]
     sync_request: Option<WireSyncRequest>,
     /// The operator's records that the answered sync_request wants, packed; not set where they are left out.
@@ -102,7 +102,7 @@
     placement: Option<WirePlacement>,
     /// The note, deflated, in place of `note`.
     #[prost(bytes = "vec", tag = "6")]
-    packed_note: Vec<u8>,
+    packed_gossip: Vec<u8>,
     #[prost(message, optional, tag = "7")]
     usage_request: Option<WireUsageRequest>,
     #[prost(message, optional, tag = "8")]
@@ -120,7 +120,7 @@
     page: Option<&[u8]>,
 ) -> Vec<u8> {
     let changes = if page.is_some() { &[][..] } else { &note.changes };
-    let note = write_note(note, changes);
+    let note = write_gossip(note, changes);
     let bytes = note.encode_to_vec();
     let datagram = WireDatagram {
         records: records.map(|records| records.as_bytes().to_vec()),
@@ -130,7 +130,7 @@
     if bytes.len() < PACK_FROM {
         return WireDatagram { note: Some(note), ..datagram }.encode_to_vec();
     }
-    WireDatagram { packed_note: deflate(&bytes), ..datagram }.encode_to_vec()
+    WireDatagram { packed_gossip: deflate(&bytes), ..datagram }.encode_to_vec()
 }
 
 /// Encodes an sync_request as a datagram.
@@ -195,20 +195,20 @@
     let records =
         wire.records.map(|bytes| PackedRecords::from_bytes(bytes).unpack()).transpose()?;
     let note = match wire.note {
-        None if !wire.packed_note.is_empty() => {
-            Some(WireNote::decode(inflate(&wire.packed_note)?.as_slice())?)
+        None if !wire.packed_gossip.is_empty() => {
+            Some(WireGossip::decode(inflate(&wire.packed_gossip)?.as_slice())?)
         }
         note => note,
     };
-    let Some(mut note) = note.map(read_note) else { return Ok(DecodedDatagram::Empty) };
+    let Some(mut note) = note.map(read_gossip) else { return Ok(DecodedDatagram::Empty) };
     if !wire.packed_page.is_empty() {
         note.changes.extend(pages::unpack(&wire.packed_page)?);
     }
     Ok(DecodedDatagram::Gossip(Box::new(note), records))
 }
 
-fn write_note(note: &GossipMessage, changes: &[BackendChange]) -> WireNote {
-    WireNote {
+fn write_gossip(note: &GossipMessage, changes: &[BackendChange]) -> WireGossip {
+    WireGossip {
         name: note.name.clone(),
         number: note.number,
         card: Some(write_card(&note.card)),
@@ -233,7 +233,7 @@
     }
 }
 
-fn read_note(wire: WireNote) -> GossipMessage {
+fn read_gossip(wire: WireGossip) -> GossipMessage {
     GossipMessage {
         name: wire.name,
         number: wire.number,
