--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -1,6 +1,6 @@
 //! Datagrams between boxes, in protobuf.
 //!
-//! A datagram is a note or an sync_request; a long note is [`packed`]. `replica`, `trial`, `peer`, `sync_request`, `position` and
+//! A datagram is a gossip or an sync_request; a long gossip is [`packed`]. `replica`, `trial`, `peer`, `sync_request`, `position` and
 //! [`records`] hold the messages of its parts.
 
 
@@ -38,7 +38,7 @@
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
 use usage::{read_usage_response, read_usage_request, write_usage_response, write_usage_request, WireUsageResponse, WireUsageRequest};
 
-/// A note from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
+/// A gossip from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
 /// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
 const PACK_FROM: usize = 256;
 
@@ -92,7 +92,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireDatagram {
     #[prost(message, optional, tag = "1")]
-    note: Option<WireGossip>,
+    gossip: Option<WireGossip>,
     #[prost(message, optional, tag = "2")]
     sync_request: Option<WireSyncRequest>,
     /// The operator's records that the answered sync_request wants, packed; not set where they are left out.
@@ -100,35 +100,35 @@
     records: Option<Vec<u8>>,
     #[prost(message, optional, tag = "4")]
     placement: Option<WirePlacement>,
-    /// The note, deflated, in place of `note`.
+    /// The gossip, deflated, in place of `gossip`.
     #[prost(bytes = "vec", tag = "6")]
     packed_gossip: Vec<u8>,
     #[prost(message, optional, tag = "7")]
     usage_request: Option<WireUsageRequest>,
     #[prost(message, optional, tag = "8")]
     usage: Option<WireUsageResponse>,
-    /// The note's changes to replicas' entries, deflated, where they are a page of a listing.
+    /// The gossip's changes to replicas' entries, deflated, where they are a page of a listing.
     #[prost(bytes = "vec", tag = "9")]
     packed_page: Vec<u8>,
 }
 
-/// Encodes a note as a datagram, with the records that the sync_request it answers wants, if they are not left out. `page` is what
+/// Encodes a gossip as a datagram, with the records that the sync_request it answers wants, if they are not left out. `page` is what
 /// was packed of its changes, if that was.
 pub fn encode_gossip(
-    note: &GossipMessage,
+    gossip: &GossipMessage,
     records: Option<&PackedRecords>,
     page: Option<&[u8]>,
 ) -> Vec<u8> {
-    let changes = if page.is_some() { &[][..] } else { &note.changes };
-    let note = write_gossip(note, changes);
-    let bytes = note.encode_to_vec();
+    let changes = if page.is_some() { &[][..] } else { &gossip.changes };
+    let gossip = write_gossip(gossip, changes);
+    let bytes = gossip.encode_to_vec();
     let datagram = WireDatagram {
         records: records.map(|records| records.as_bytes().to_vec()),
         packed_page: page.unwrap_or_default().to_vec(),
         ..WireDatagram::default()
     };
     if bytes.len() < PACK_FROM {
-        return WireDatagram { note: Some(note), ..datagram }.encode_to_vec();
+        return WireDatagram { gossip: Some(gossip), ..datagram }.encode_to_vec();
     }
     WireDatagram { packed_gossip: deflate(&bytes), ..datagram }.encode_to_vec()
 }
@@ -160,7 +160,7 @@
 /// What a datagram says.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedDatagram {
-    /// A note, with the records that this box asked for, if they are not left out.
+    /// A gossip, with the records that this box asked for, if they are not left out.
     Gossip(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
     /// An sync_request.
     SyncRequest(SyncRequest),
@@ -194,42 +194,42 @@
     }
     let records =
         wire.records.map(|bytes| PackedRecords::from_bytes(bytes).unpack()).transpose()?;
-    let note = match wire.note {
+    let gossip = match wire.gossip {
         None if !wire.packed_gossip.is_empty() => {
             Some(WireGossip::decode(inflate(&wire.packed_gossip)?.as_slice())?)
         }
-        note => note,
+        gossip => gossip,
     };
-    let Some(mut note) = note.map(read_gossip) else { return Ok(DecodedDatagram::Empty) };
+    let Some(mut gossip) = gossip.map(read_gossip) else { return Ok(DecodedDatagram::Empty) };
     if !wire.packed_page.is_empty() {
-        note.changes.extend(pages::unpack(&wire.packed_page)?);
+        gossip.changes.extend(pages::unpack(&wire.packed_page)?);
     }
-    Ok(DecodedDatagram::Gossip(Box::new(note), records))
+    Ok(DecodedDatagram::Gossip(Box::new(gossip), records))
 }
 
-fn write_gossip(note: &GossipMessage, changes: &[BackendChange]) -> WireGossip {
+fn write_gossip(gossip: &GossipMessage, changes: &[BackendChange]) -> WireGossip {
     WireGossip {
-        name: note.name.clone(),
-        number: note.number,
-        card: Some(write_card(&note.card)),
-        known: Some(write_known(note.known)),
-        era: note.era,
+        name: gossip.name.clone(),
+        number: gossip.number,
+        card: Some(write_card(&gossip.card)),
+        known: Some(write_known(gossip.known)),
+        era: gossip.era,
         changes: changes.iter().map(write_change).collect(),
-        trials: note.trials.iter().map(write_trial).collect(),
-        verdicts: note.verdicts.iter().map(write_verdict).collect(),
-        others: note.others.clone(),
-        read_age_ms: note.read_age_ms,
-        evacuation: Some(write_evacuation(&note.evacuation)),
-        echo: note.echo.as_ref().map(write_sync_request),
-        loads: note.loads.iter().map(write_load).collect(),
-        duty_holders: note.duty_holders.iter().map(write_summary).collect(),
-        entries: note.echo.as_ref().map(|_| write_coverage(note.entries)),
-        down: note.down.iter().map(write_down).collect(),
-        limits: note.limits.iter().map(write_limit).collect(),
-        ends: note.ends.iter().map(write_end).collect(),
-        contents: note.contents.iter().map(write_content).collect(),
-        budgets: note.budgets.iter().map(write_budget).collect(),
-        paces: note.paces.iter().map(write_pace).collect(),
+        trials: gossip.trials.iter().map(write_trial).collect(),
+        verdicts: gossip.verdicts.iter().map(write_verdict).collect(),
+        others: gossip.others.clone(),
+        read_age_ms: gossip.read_age_ms,
+        evacuation: Some(write_evacuation(&gossip.evacuation)),
+        echo: gossip.echo.as_ref().map(write_sync_request),
+        loads: gossip.loads.iter().map(write_load).collect(),
+        duty_holders: gossip.duty_holders.iter().map(write_summary).collect(),
+        entries: gossip.echo.as_ref().map(|_| write_coverage(gossip.entries)),
+        down: gossip.down.iter().map(write_down).collect(),
+        limits: gossip.limits.iter().map(write_limit).collect(),
+        ends: gossip.ends.iter().map(write_end).collect(),
+        contents: gossip.contents.iter().map(write_content).collect(),
+        budgets: gossip.budgets.iter().map(write_budget).collect(),
+        paces: gossip.paces.iter().map(write_pace).collect(),
     }
 }
 
