--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -43,16 +43,16 @@
 
 impl PackedPages {
     /// The packed entries of an answer, if they are many.
-    pub fn of(&mut self, note: &GossipMessage) -> Option<&[u8]> {
-        note.echo.as_ref().filter(|_| note.changes.len() >= KEPT_FROM)?;
-        let key = PageKey::of(&note.changes)?;
+    pub fn of(&mut self, message: &GossipMessage) -> Option<&[u8]> {
+        message.echo.as_ref().filter(|_| message.changes.len() >= KEPT_FROM)?;
+        let key = PageKey::of(&message.changes)?;
         let place = match self.0.iter().position(|(known, _)| *known == key) {
             Some(place) => place,
             None => {
                 if self.0.len() >= PAGES_KEPT {
                     self.0.pop_front();
                 }
-                self.0.push_back((key, pack(&note.changes)));
+                self.0.push_back((key, pack(&message.changes)));
                 self.0.len() - 1
             }
         };
