--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -27,7 +27,7 @@
     read_budget, read_card, read_evacuation, read_summary, write_budget, write_card,
     write_evacuation, write_summary, WireBudget, WireCard, WireEvacuation, WireSummary,
 };
-use position::{read_known, write_known, WireKnownPlan};
+use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
 use replica::{
     read_change, read_content, read_down, read_end, read_limit, read_load, read_pace,
@@ -51,7 +51,7 @@
     #[prost(message, optional, tag = "4")]
     card: Option<WireCard>,
     #[prost(message, optional, tag = "25")]
-    known: Option<WireKnownPlan>,
+    known: Option<WirePlanPosition>,
     #[prost(uint64, tag = "26")]
     era: u64,
     #[prost(message, repeated, tag = "9")]
@@ -212,7 +212,7 @@
         name: gossip.name.clone(),
         number: gossip.number,
         card: Some(write_card(&gossip.card)),
-        known: Some(write_known(gossip.known)),
+        known: Some(write_plan_position(gossip.known)),
         era: gossip.era,
         changes: changes.iter().map(write_change).collect(),
         trials: gossip.trials.iter().map(write_trial).collect(),
@@ -238,7 +238,7 @@
         name: wire.name,
         number: wire.number,
         card: wire.card.map(read_card).unwrap_or_default(),
-        known: read_known(wire.known),
+        known: read_plan_position(wire.known),
         era: wire.era,
         read_age_ms: wire.read_age_ms,
         evacuation: wire.evacuation.map(read_evacuation).unwrap_or_default(),
--- a/crates/box/src/gateway/gossip_wire/position.rs
+++ b/crates/box/src/gateway/gossip_wire/position.rs
@@ -13,7 +13,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct WireKnownPlan {
+pub(super) struct WirePlanPosition {
     #[prost(uint64, tag = "1")]
     version: u64,
     #[prost(message, optional, tag = "2")]
@@ -37,11 +37,11 @@
     wire.map(Into::into).unwrap_or_default()
 }
 
-pub(super) fn write_known(known: PlanPosition) -> WireKnownPlan {
-    WireKnownPlan { version: known.version, read_to: Some(known.read_to.into()) }
+pub(super) fn write_plan_position(known: PlanPosition) -> WirePlanPosition {
+    WirePlanPosition { version: known.version, read_to: Some(known.read_to.into()) }
 }
 
-pub(super) fn read_known(wire: Option<WireKnownPlan>) -> PlanPosition {
+pub(super) fn read_plan_position(wire: Option<WirePlanPosition>) -> PlanPosition {
     let wire = wire.unwrap_or_default();
     PlanPosition { version: wire.version, read_to: read_position(wire.read_to) }
 }
--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::route::peers::{EntryCoverage, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
-use super::position::{read_known, read_position, write_known, WireKnownPlan, WirePosition};
+use super::position::{read_plan_position, read_position, write_plan_position, WirePlanPosition, WirePosition};
 
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireSyncRequest {
@@ -17,7 +17,7 @@
     #[prost(uint64, tag = "3")]
     asked_at: u64,
     #[prost(message, optional, tag = "9")]
-    known: Option<WireKnownPlan>,
+    known: Option<WirePlanPosition>,
     #[prost(message, optional, tag = "10")]
     entries_to: Option<WirePosition>,
     #[prost(message, optional, tag = "11")]
@@ -47,7 +47,7 @@
         gossip_address: request.gossip_address.clone(),
         incarnation: request.incarnation,
         asked_at: request.asked_at.as_micros(),
-        known: Some(write_known(request.known)),
+        known: Some(write_plan_position(request.known)),
         entries_to: request.entries.known_to.map(Into::into),
         page_from: Some(request.entries.page_from.into()),
         has_backends: request.entries.has_backends,
@@ -59,7 +59,7 @@
         gossip_address: request.gossip_address,
         incarnation: request.incarnation,
         asked_at: BoxTime::from_micros(request.asked_at),
-        known: read_known(request.known),
+        known: read_plan_position(request.known),
         entries: EntryQuery {
             known_to: request.entries_to.map(Into::into),
             page_from: read_position(request.page_from),
