--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -40,7 +40,7 @@
 
 /// A gossip from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
 /// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
-const PACK_FROM: usize = 256;
+const DEFLATE_FROM_BYTES: usize = 256;
 
 #[derive(Clone, PartialEq, Message)]
 struct WireGossip {
@@ -127,7 +127,7 @@
         packed_page: page.unwrap_or_default().to_vec(),
         ..WireDatagram::default()
     };
-    if bytes.len() < PACK_FROM {
+    if bytes.len() < DEFLATE_FROM_BYTES {
         return WireDatagram { gossip: Some(gossip), ..datagram }.encode_to_vec();
     }
     WireDatagram { packed_gossip: deflate(&bytes), ..datagram }.encode_to_vec()
