--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -11,7 +11,7 @@
 use super::replica::{read_change, write_change, WireChange};
 
 /// Pages that are kept, at most: all of ten thousand replicas, and some that have changed since.
-const PAGES_KEPT: usize = 32;
+const PAGE_CACHE_LIMIT: usize = 32;
 
 /// Answers with so many entries are kept: shorter ones differ from each other, and are packed soon.
 const KEPT_FROM: usize = 100;
@@ -49,7 +49,7 @@
         let place = match self.0.iter().position(|(known, _)| *known == key) {
             Some(place) => place,
             None => {
-                if self.0.len() >= PAGES_KEPT {
+                if self.0.len() >= PAGE_CACHE_LIMIT {
                     self.0.pop_front();
                 }
                 self.0.push_back((key, pack(&message.changes)));
