--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -14,7 +14,7 @@
 const PAGE_CACHE_LIMIT: usize = 32;
 
 /// Answers with so many entries are kept: shorter ones differ from each other, and are packed soon.
-const KEPT_FROM: usize = 100;
+const CACHED_FROM_ENTRIES: usize = 100;
 
 #[derive(Clone, PartialEq, Message)]
 struct WireChanges {
@@ -44,7 +44,7 @@
 impl PackedPages {
     /// The packed entries of an answer, if they are many.
     pub fn of(&mut self, message: &GossipMessage) -> Option<&[u8]> {
-        message.echo.as_ref().filter(|_| message.changes.len() >= KEPT_FROM)?;
+        message.echo.as_ref().filter(|_| message.changes.len() >= CACHED_FROM_ENTRIES)?;
         let key = PageKey::of(&message.changes)?;
         let place = match self.0.iter().position(|(known, _)| *known == key) {
             Some(place) => place,
