--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -24,8 +24,8 @@
 use sync::{read_sync_request, read_coverage, write_sync_request, write_coverage, WireSyncRequest, WireEntryCoverage};
 use packed::{deflate, inflate, PackedError};
 use peer::{
-    read_budget, read_card, read_evacuation, read_summary, write_budget, write_card,
-    write_evacuation, write_summary, WireBudget, WireCard, WireEvacuation, WireSummary,
+    read_budget, read_peer_info, read_evacuation, read_summary, write_budget, write_peer_info,
+    write_evacuation, write_summary, WireBudget, WirePeerInfo, WireEvacuation, WireSummary,
 };
 use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
@@ -49,7 +49,7 @@
     #[prost(uint64, tag = "3")]
     number: u64,
     #[prost(message, optional, tag = "4")]
-    card: Option<WireCard>,
+    card: Option<WirePeerInfo>,
     #[prost(message, optional, tag = "25")]
     known: Option<WirePlanPosition>,
     #[prost(uint64, tag = "26")]
@@ -211,7 +211,7 @@
     WireGossip {
         name: gossip.name.clone(),
         number: gossip.number,
-        card: Some(write_card(&gossip.card)),
+        card: Some(write_peer_info(&gossip.card)),
         known: Some(write_plan_position(gossip.known)),
         era: gossip.era,
         changes: changes.iter().map(write_change).collect(),
@@ -237,7 +237,7 @@
     GossipMessage {
         name: wire.name,
         number: wire.number,
-        card: wire.card.map(read_card).unwrap_or_default(),
+        card: wire.card.map(read_peer_info).unwrap_or_default(),
         known: read_plan_position(wire.known),
         era: wire.era,
         read_age_ms: wire.read_age_ms,
--- a/crates/box/src/gateway/gossip_wire/peer.rs
+++ b/crates/box/src/gateway/gossip_wire/peer.rs
@@ -12,14 +12,14 @@
     #[prost(string, tag = "1")]
     name: String,
     #[prost(message, optional, tag = "2")]
-    card: Option<WireCard>,
+    card: Option<WirePeerInfo>,
     #[prost(uint64, tag = "3")]
     age_ms: u64,
 }
 
 /// What a box says of itself.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WireCard {
+pub(super) struct WirePeerInfo {
     #[prost(fixed64, tag = "1")]
     incarnation: u64,
     #[prost(string, tag = "2")]
@@ -79,7 +79,7 @@
 pub(super) fn write_summary(summary: &PeerSummary) -> WireSummary {
     WireSummary {
         name: summary.name.clone(),
-        card: Some(write_card(&summary.card)),
+        card: Some(write_peer_info(&summary.card)),
         age_ms: summary.age_ms,
     }
 }
@@ -87,13 +87,13 @@
 pub(super) fn read_summary(summary: WireSummary) -> PeerSummary {
     PeerSummary {
         name: summary.name,
-        card: summary.card.map(read_card).unwrap_or_default(),
+        card: summary.card.map(read_peer_info).unwrap_or_default(),
         age_ms: summary.age_ms,
     }
 }
 
-pub(super) fn write_card(card: &PeerInfo) -> WireCard {
-    WireCard {
+pub(super) fn write_peer_info(card: &PeerInfo) -> WirePeerInfo {
+    WirePeerInfo {
         incarnation: card.incarnation,
         gossip_address: card.gossip_address.clone(),
         entry_address: card.entry_address.clone(),
@@ -105,7 +105,7 @@
     }
 }
 
-pub(super) fn read_card(card: WireCard) -> PeerInfo {
+pub(super) fn read_peer_info(card: WirePeerInfo) -> PeerInfo {
     PeerInfo {
         incarnation: card.incarnation,
         gossip_address: card.gossip_address,
