--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -30,10 +30,10 @@
 use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
 use replica::{
-    read_change, read_content, read_down, read_end, read_limit, read_load, read_pace,
+    read_change, read_content, read_down, read_end, read_limit, read_load, read_latency,
     read_placement, write_change, write_content, write_down, write_end, write_limit, write_load,
-    write_pace, write_placement, WireChange, WireContent, WireDown, WireEnd, WireLimit, WireLoad,
-    WirePace, WirePlacement,
+    write_latency, write_placement, WireChange, WireContent, WireDown, WireEnd, WireLimit, WireLoad,
+    WireLatency, WirePlacement,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
 use usage::{read_usage_response, read_usage_request, write_usage_response, write_usage_request, WireUsageResponse, WireUsageRequest};
@@ -75,7 +75,7 @@
     #[prost(message, repeated, tag = "18")]
     budgets: Vec<WireBudget>,
     #[prost(message, repeated, tag = "19")]
-    paces: Vec<WirePace>,
+    paces: Vec<WireLatency>,
     #[prost(message, optional, tag = "20")]
     evacuation: Option<WireEvacuation>,
     #[prost(message, repeated, tag = "21")]
@@ -229,7 +229,7 @@
         ends: gossip.ends.iter().map(write_end).collect(),
         contents: gossip.contents.iter().map(write_content).collect(),
         budgets: gossip.budgets.iter().map(write_budget).collect(),
-        paces: gossip.paces.iter().map(write_pace).collect(),
+        paces: gossip.paces.iter().map(write_latency).collect(),
     }
 }
 
@@ -255,6 +255,6 @@
         ends: wire.ends.into_iter().map(read_end).collect(),
         contents: wire.contents.into_iter().map(read_content).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
-        paces: wire.paces.into_iter().map(read_pace).collect(),
+        paces: wire.paces.into_iter().map(read_latency).collect(),
     }
 }
--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -68,7 +68,7 @@
 
 /// Paces of a service's models.
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WirePace {
+pub(super) struct WireLatency {
     #[prost(string, tag = "1")]
     service: String,
     #[prost(message, repeated, tag = "2")]
@@ -87,17 +87,17 @@
     begin_answers: u32,
 }
 
-pub(super) fn write_pace(note: &LatencyUpdate) -> WirePace {
+pub(super) fn write_latency(note: &LatencyUpdate) -> WireLatency {
     let models = note.models.iter().map(|pace| WireModelPace {
         token_ms: pace.token.ms as f32,
         token_answers: pace.token.answers as u32,
         begin_ms: pace.begin.ms as f32,
         begin_answers: pace.begin.answers as u32,
     });
-    WirePace { service: note.service.clone(), models: models.collect() }
+    WireLatency { service: note.service.clone(), models: models.collect() }
 }
 
-pub(super) fn read_pace(wire: WirePace) -> LatencyUpdate {
+pub(super) fn read_latency(wire: WireLatency) -> LatencyUpdate {
     let time = |ms, answers| LatencyEstimate { ms: f64::from(ms), answers: f64::from(answers) };
     let models = wire.models.into_iter().map(|pace| ModelLatency {
         token: time(pace.token_ms, pace.token_answers),
