--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -30,9 +30,9 @@
 use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
 use replica::{
-    read_change, read_content, read_down, read_end, read_limit, read_load, read_latency,
-    read_placement, write_change, write_content, write_down, write_end, write_limit, write_load,
-    write_latency, write_placement, WireChange, WireContent, WireDown, WireEnd, WireLimit, WireLoad,
+    read_change, read_content, read_unreachable, read_end, read_limit, read_load, read_latency,
+    read_placement, write_change, write_content, write_unreachable, write_end, write_limit, write_load,
+    write_latency, write_placement, WireChange, WireContent, WireUnreachable, WireEnd, WireLimit, WireLoad,
     WireLatency, WirePlacement,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
@@ -79,7 +79,7 @@
     #[prost(message, optional, tag = "20")]
     evacuation: Option<WireEvacuation>,
     #[prost(message, repeated, tag = "21")]
-    down: Vec<WireDown>,
+    down: Vec<WireUnreachable>,
     #[prost(message, repeated, tag = "22")]
     limits: Vec<WireLimit>,
     #[prost(message, repeated, tag = "23")]
@@ -224,7 +224,7 @@
         loads: gossip.loads.iter().map(write_load).collect(),
         duty_holders: gossip.duty_holders.iter().map(write_summary).collect(),
         entries: gossip.echo.as_ref().map(|_| write_coverage(gossip.entries)),
-        down: gossip.down.iter().map(write_down).collect(),
+        down: gossip.down.iter().map(write_unreachable).collect(),
         limits: gossip.limits.iter().map(write_limit).collect(),
         ends: gossip.ends.iter().map(write_end).collect(),
         contents: gossip.contents.iter().map(write_content).collect(),
@@ -250,7 +250,7 @@
         loads: wire.loads.into_iter().map(read_load).collect(),
         duty_holders: wire.duty_holders.into_iter().map(read_summary).collect(),
         entries: wire.entries.map(read_coverage).unwrap_or_default(),
-        down: wire.down.into_iter().map(read_down).collect(),
+        down: wire.down.into_iter().map(read_unreachable).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
         ends: wire.ends.into_iter().map(read_end).collect(),
         contents: wire.contents.into_iter().map(read_content).collect(),
--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -153,18 +153,18 @@
 
 /// A replica that could not be reached.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct WireDown {
+pub(super) struct WireUnreachable {
     #[prost(fixed64, tag = "1")]
     replica: u64,
     #[prost(uint64, tag = "2")]
     age_ms: u64,
 }
 
-pub(super) fn write_down(told: &UnreachableUpdate) -> WireDown {
-    WireDown { replica: told.replica, age_ms: told.age_ms }
+pub(super) fn write_unreachable(told: &UnreachableUpdate) -> WireUnreachable {
+    WireUnreachable { replica: told.replica, age_ms: told.age_ms }
 }
 
-pub(super) fn read_down(wire: WireDown) -> UnreachableUpdate {
+pub(super) fn read_unreachable(wire: WireUnreachable) -> UnreachableUpdate {
     UnreachableUpdate { replica: wire.replica, age_ms: wire.age_ms }
 }
 
