--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -189,7 +189,7 @@
 
 /// A replica's end while it worked on a request.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub(super) struct WireEnd {
+pub(super) struct WireCrash {
     #[prost(fixed64, tag = "1")]
     content: u64,
     #[prost(fixed64, tag = "2")]
@@ -200,13 +200,13 @@
     age_ms: u64,
 }
 
-pub(super) fn write_end(told: &CrashUpdate) -> WireEnd {
+pub(super) fn write_crash(told: &CrashUpdate) -> WireCrash {
     let CrashUpdate { content, request, replica, age_ms } = *told;
-    WireEnd { content, request, replica, age_ms }
+    WireCrash { content, request, replica, age_ms }
 }
 
-pub(super) fn read_end(wire: WireEnd) -> CrashUpdate {
-    let WireEnd { content, request, replica, age_ms } = wire;
+pub(super) fn read_crash(wire: WireCrash) -> CrashUpdate {
+    let WireCrash { content, request, replica, age_ms } = wire;
     CrashUpdate { content, request, replica, age_ms }
 }
 
