--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -30,9 +30,9 @@
 use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
 use replica::{
-    read_change, read_content, read_unreachable, read_crash, read_limit, read_load, read_latency,
-    read_placement, write_change, write_content, write_unreachable, write_crash, write_limit, write_load,
-    write_latency, write_placement, WireChange, WireContent, WireUnreachable, WireCrash, WireLimit, WireLoad,
+    read_change, read_poison, read_unreachable, read_crash, read_limit, read_load, read_latency,
+    read_placement, write_change, write_poison, write_unreachable, write_crash, write_limit, write_load,
+    write_latency, write_placement, WireChange, WirePoison, WireUnreachable, WireCrash, WireLimit, WireLoad,
     WireLatency, WirePlacement,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
@@ -85,7 +85,7 @@
     #[prost(message, repeated, tag = "23")]
     ends: Vec<WireCrash>,
     #[prost(message, repeated, tag = "24")]
-    contents: Vec<WireContent>,
+    contents: Vec<WirePoison>,
 }
 
 /// A datagram is one of these.
@@ -227,7 +227,7 @@
         down: gossip.down.iter().map(write_unreachable).collect(),
         limits: gossip.limits.iter().map(write_limit).collect(),
         ends: gossip.ends.iter().map(write_crash).collect(),
-        contents: gossip.contents.iter().map(write_content).collect(),
+        contents: gossip.contents.iter().map(write_poison).collect(),
         budgets: gossip.budgets.iter().map(write_budget).collect(),
         paces: gossip.paces.iter().map(write_latency).collect(),
     }
@@ -253,7 +253,7 @@
         down: wire.down.into_iter().map(read_unreachable).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
         ends: wire.ends.into_iter().map(read_crash).collect(),
-        contents: wire.contents.into_iter().map(read_content).collect(),
+        contents: wire.contents.into_iter().map(read_poison).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
         paces: wire.paces.into_iter().map(read_latency).collect(),
     }
--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -211,7 +211,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-pub(super) struct WireContent {
+pub(super) struct WirePoison {
     #[prost(fixed64, tag = "1")]
     content: u64,
     #[prost(uint64, tag = "2")]
@@ -220,13 +220,13 @@
     answered: bool,
 }
 
-pub(super) fn write_content(told: &PoisonUpdate) -> WireContent {
+pub(super) fn write_poison(told: &PoisonUpdate) -> WirePoison {
     let PoisonUpdate { content, age_ms, answered } = *told;
-    WireContent { content, age_ms, answered }
+    WirePoison { content, age_ms, answered }
 }
 
-pub(super) fn read_content(wire: WireContent) -> PoisonUpdate {
-    let WireContent { content, age_ms, answered } = wire;
+pub(super) fn read_poison(wire: WirePoison) -> PoisonUpdate {
+    let WirePoison { content, age_ms, answered } = wire;
     PoisonUpdate { content, age_ms, answered }
 }
 
