--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -72,11 +72,11 @@
     #[prost(string, tag = "1")]
     service: String,
     #[prost(message, repeated, tag = "2")]
-    models: Vec<WireModelPace>,
+    models: Vec<WireModelLatency>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct WireModelPace {
+struct WireModelLatency {
     #[prost(float, tag = "1")]
     token_ms: f32,
     #[prost(uint32, tag = "2")]
@@ -88,7 +88,7 @@
 }
 
 pub(super) fn write_latency(note: &LatencyUpdate) -> WireLatency {
-    let models = note.models.iter().map(|pace| WireModelPace {
+    let models = note.models.iter().map(|pace| WireModelLatency {
         token_ms: pace.token.ms as f32,
         token_answers: pace.token.answers as u32,
         begin_ms: pace.begin.ms as f32,
