--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -88,20 +88,20 @@
 }
 
 pub(super) fn write_latency(note: &LatencyUpdate) -> WireLatency {
-    let models = note.models.iter().map(|pace| WireModelLatency {
-        token_ms: pace.token.ms as f32,
-        token_answers: pace.token.answers as u32,
-        begin_ms: pace.begin.ms as f32,
-        begin_answers: pace.begin.answers as u32,
+    let models = note.models.iter().map(|latency| WireModelLatency {
+        token_ms: latency.token.ms as f32,
+        token_answers: latency.token.answers as u32,
+        begin_ms: latency.begin.ms as f32,
+        begin_answers: latency.begin.answers as u32,
     });
     WireLatency { service: note.service.clone(), models: models.collect() }
 }
 
 pub(super) fn read_latency(wire: WireLatency) -> LatencyUpdate {
     let time = |ms, answers| LatencyEstimate { ms: f64::from(ms), answers: f64::from(answers) };
-    let models = wire.models.into_iter().map(|pace| ModelLatency {
-        token: time(pace.token_ms, pace.token_answers),
-        begin: time(pace.begin_ms, pace.begin_answers),
+    let models = wire.models.into_iter().map(|latency| ModelLatency {
+        token: time(latency.token_ms, latency.token_answers),
+        begin: time(latency.begin_ms, latency.begin_answers),
     });
     LatencyUpdate { service: wire.service, models: models.collect() }
 }
