--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -87,14 +87,14 @@
     begin_answers: u32,
 }
 
-pub(super) fn write_latency(note: &LatencyUpdate) -> WireLatency {
-    let models = note.models.iter().map(|latency| WireModelLatency {
+pub(super) fn write_latency(update: &LatencyUpdate) -> WireLatency {
+    let models = update.models.iter().map(|latency| WireModelLatency {
         token_ms: latency.token.ms as f32,
         token_answers: latency.token.answers as u32,
         begin_ms: latency.begin.ms as f32,
         begin_answers: latency.begin.answers as u32,
     });
-    WireLatency { service: note.service.clone(), models: models.collect() }
+    WireLatency { service: update.service.clone(), models: models.collect() }
 }
 
 pub(super) fn read_latency(wire: WireLatency) -> LatencyUpdate {
