--- a/crates/box/src/gateway/gossip_wire/peer.rs
+++ b/crates/box/src/gateway/gossip_wire/peer.rs
@@ -66,9 +66,9 @@
     EvacuationDigest { known_to: read_position(wire.known_to), zones: wire.zones }
 }
 
-pub(super) fn write_budget(told: &BudgetUpdate) -> WireBudget {
-    let SendCount { requests, sends } = told.count;
-    WireBudget { service: told.service.clone(), requests, sends }
+pub(super) fn write_budget(update: &BudgetUpdate) -> WireBudget {
+    let SendCount { requests, sends } = update.count;
+    WireBudget { service: update.service.clone(), requests, sends }
 }
 
 pub(super) fn read_budget(wire: WireBudget) -> BudgetUpdate {
--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -138,16 +138,16 @@
     BackendChange { id: change.id, at: read_position(change.at), entry }
 }
 
-pub(super) fn write_load(told: &LoadUpdate) -> WireLoad {
-    WireLoad { replica: told.replica, load: told.load, waiting: told.waiting, age_ms: told.age_ms }
+pub(super) fn write_load(update: &LoadUpdate) -> WireLoad {
+    WireLoad { replica: update.replica, load: update.load, waiting: update.waiting, age_ms: update.age_ms }
 }
 
-pub(super) fn read_load(told: WireLoad) -> LoadUpdate {
+pub(super) fn read_load(update: WireLoad) -> LoadUpdate {
     LoadUpdate {
-        replica: told.replica,
-        load: told.load,
-        waiting: told.waiting,
-        age_ms: told.age_ms,
+        replica: update.replica,
+        load: update.load,
+        waiting: update.waiting,
+        age_ms: update.age_ms,
     }
 }
 
@@ -160,8 +160,8 @@
     age_ms: u64,
 }
 
-pub(super) fn write_unreachable(told: &UnreachableUpdate) -> WireUnreachable {
-    WireUnreachable { replica: told.replica, age_ms: told.age_ms }
+pub(super) fn write_unreachable(update: &UnreachableUpdate) -> WireUnreachable {
+    WireUnreachable { replica: update.replica, age_ms: update.age_ms }
 }
 
 pub(super) fn read_unreachable(wire: WireUnreachable) -> UnreachableUpdate {
@@ -179,8 +179,8 @@
     age_ms: u64,
 }
 
-pub(super) fn write_limit(told: &LimitUpdate) -> WireLimit {
-    WireLimit { replica: told.replica, per_s: told.per_s, age_ms: told.age_ms }
+pub(super) fn write_limit(update: &LimitUpdate) -> WireLimit {
+    WireLimit { replica: update.replica, per_s: update.per_s, age_ms: update.age_ms }
 }
 
 pub(super) fn read_limit(wire: WireLimit) -> LimitUpdate {
@@ -200,8 +200,8 @@
     age_ms: u64,
 }
 
-pub(super) fn write_crash(told: &CrashUpdate) -> WireCrash {
-    let CrashUpdate { content, request, replica, age_ms } = *told;
+pub(super) fn write_crash(update: &CrashUpdate) -> WireCrash {
+    let CrashUpdate { content, request, replica, age_ms } = *update;
     WireCrash { content, request, replica, age_ms }
 }
 
@@ -220,8 +220,8 @@
     answered: bool,
 }
 
-pub(super) fn write_poison(told: &PoisonUpdate) -> WirePoison {
-    let PoisonUpdate { content, age_ms, answered } = *told;
+pub(super) fn write_poison(update: &PoisonUpdate) -> WirePoison {
+    let PoisonUpdate { content, age_ms, answered } = *update;
     WirePoison { content, age_ms, answered }
 }
 
@@ -230,10 +230,10 @@
     PoisonUpdate { content, age_ms, answered }
 }
 
-pub(super) fn write_placement(told: PlacementUpdate) -> WirePlacement {
-    WirePlacement { replica: told.replica, shared: told.shared, work_ms: told.work_ms }
+pub(super) fn write_placement(update: PlacementUpdate) -> WirePlacement {
+    WirePlacement { replica: update.replica, shared: update.shared, work_ms: update.work_ms }
 }
 
-pub(super) fn read_placement(told: WirePlacement) -> PlacementUpdate {
-    PlacementUpdate { replica: told.replica, shared: told.shared, work_ms: told.work_ms }
+pub(super) fn read_placement(update: WirePlacement) -> PlacementUpdate {
+    PlacementUpdate { replica: update.replica, shared: update.shared, work_ms: update.work_ms }
 }
