--- a/crates/box/src/gateway/gossip_wire/peer.rs
+++ b/crates/box/src/gateway/gossip_wire/peer.rs
@@ -58,8 +58,8 @@
     zones: Vec<String>,
 }
 
-pub(super) fn write_evacuation(word: &EvacuationDigest) -> WireEvacuation {
-    WireEvacuation { known_to: Some(word.known_to.into()), zones: word.zones.clone() }
+pub(super) fn write_evacuation(digest: &EvacuationDigest) -> WireEvacuation {
+    WireEvacuation { known_to: Some(digest.known_to.into()), zones: digest.zones.clone() }
 }
 
 pub(super) fn read_evacuation(wire: WireEvacuation) -> EvacuationDigest {
