--- a/crates/box/src/gateway/gossip_wire/trial.rs
+++ b/crates/box/src/gateway/gossip_wire/trial.rs
@@ -67,13 +67,13 @@
     #[prost(string, tag = "1")]
     route: String,
     #[prost(message, optional, tag = "2")]
-    fresh: Option<WireTally>,
+    fresh: Option<WireStats>,
     #[prost(message, optional, tag = "3")]
-    base: Option<WireTally>,
+    base: Option<WireStats>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
-struct WireTally {
+struct WireStats {
     #[prost(float, tag = "1")]
     runs: f32,
     #[prost(float, tag = "2")]
@@ -97,32 +97,32 @@
     state: u32,
 }
 
-fn write_tally(tally: &VersionStats) -> WireTally {
-    WireTally {
-        runs: tally.runs as f32,
-        bad: tally.bad as f32,
-        timed: tally.timed as f32,
-        log_sum: tally.log_sum as f32,
-        log_square: tally.log_square as f32,
+fn write_stats(stats: &VersionStats) -> WireStats {
+    WireStats {
+        runs: stats.runs as f32,
+        bad: stats.bad as f32,
+        timed: stats.timed as f32,
+        log_sum: stats.log_sum as f32,
+        log_square: stats.log_square as f32,
     }
 }
 
-fn read_tally(tally: Option<WireTally>) -> VersionStats {
-    let tally = tally.unwrap_or_default();
+fn read_stats(stats: Option<WireStats>) -> VersionStats {
+    let stats = stats.unwrap_or_default();
     VersionStats {
-        runs: f64::from(tally.runs),
-        bad: f64::from(tally.bad),
-        timed: f64::from(tally.timed),
-        log_sum: f64::from(tally.log_sum),
-        log_square: f64::from(tally.log_square),
+        runs: f64::from(stats.runs),
+        bad: f64::from(stats.bad),
+        timed: f64::from(stats.timed),
+        log_sum: f64::from(stats.log_sum),
+        log_square: f64::from(stats.log_square),
     }
 }
 
 pub(super) fn write_trial(trial: &TrialUpdate) -> WireTrial {
-    let route = |(route, tally): (&String, &TrialStats)| WireRoute {
+    let route = |(route, stats): (&String, &TrialStats)| WireRoute {
         route: route.clone(),
-        fresh: Some(write_tally(&tally.fresh)),
-        base: Some(write_tally(&tally.base)),
+        fresh: Some(write_stats(&stats.fresh)),
+        base: Some(write_stats(&stats.base)),
     };
     WireTrial {
         service: trial.service.clone(),
@@ -153,8 +153,8 @@
         carries_at_ms: marked.carries_at_ms,
     };
     let route = |row: WireRoute| {
-        let tally = TrialStats { fresh: read_tally(row.fresh), base: read_tally(row.base) };
-        (row.route, tally)
+        let stats = TrialStats { fresh: read_stats(row.fresh), base: read_stats(row.base) };
+        (row.route, stats)
     };
     TrialUpdate {
         service: trial.service,
