--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -19,7 +19,7 @@
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
 use super::relay::{relay_stream, StreamSource};
-use super::unknown_headers::StrangeHeaders;
+use super::unknown_headers::UnknownHeaders;
 
 /// Largest answer that is no stream, in bytes; it is read whole before any of it is passed on.
 pub const ANSWER_LIMIT: usize = 4 << 20;
@@ -31,7 +31,7 @@
     /// Connections to replicas.
     pub pool: Arc<ReplicaPool>,
     /// Headers of replicas that this box does not know.
-    pub strange: StrangeHeaders,
+    pub strange: UnknownHeaders,
 }
 
 /// A caller's request, read whole.
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -32,7 +32,7 @@
 use super::listen::ListeningEntry;
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
-use super::unknown_headers::StrangeHeaders;
+use super::unknown_headers::UnknownHeaders;
 use super::{follow, leader, checkpoints, gossip, observe, control_stats, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
@@ -205,7 +205,7 @@
     ) -> Self {
         let pool = Arc::new(ReplicaPool::new(driver.shared_clock()));
         tokio::spawn(run_ticks(driver.clone(), pool.clone()));
-        let strange = StrangeHeaders::default();
+        let strange = UnknownHeaders::default();
         let tools = Arc::new(GatewayTools { driver: driver.clone(), pool, strange });
         let callers = Arc::new(CallerCount::default());
         let (phase, phases) = watch::channel(EntryPhase::Starting);
--- a/crates/box/src/gateway/unknown_headers.rs
+++ b/crates/box/src/gateway/unknown_headers.rs
@@ -19,9 +19,9 @@
 
 /// Names of unknown headers that were logged.
 #[derive(Debug, Default)]
-pub struct StrangeHeaders(Mutex<BTreeSet<String>>);
+pub struct UnknownHeaders(Mutex<BTreeSet<String>>);
 
-impl StrangeHeaders {
+impl UnknownHeaders {
     /// Logs what an answer of `replica` carries and was not logged yet.
     pub fn note(&self, replica: &str, answer: &HeaderMap) {
         for (name, value) in headers::unknown_headers(answer) {
