--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -247,7 +247,7 @@
     if !headers::answers_request(&caller.headers, &head.headers) {
         return Err(broken("the answer is another request's".to_owned()));
     }
-    tools.strange.note(&order.replica_id, &head.headers);
+    tools.strange.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
     if order.kind.is_stream() && head.status.is_success() {
         return Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Stream(body, link) });
--- a/crates/box/src/gateway/unknown_headers.rs
+++ b/crates/box/src/gateway/unknown_headers.rs
@@ -23,7 +23,7 @@
 
 impl UnknownHeaders {
     /// Logs what an answer of `replica` carries and was not logged yet.
-    pub fn note(&self, replica: &str, answer: &HeaderMap) {
+    pub fn log_new(&self, replica: &str, answer: &HeaderMap) {
         for (name, value) in headers::unknown_headers(answer) {
             if self.is_new(name.as_str()) {
                 let value = String::from_utf8_lossy(value.as_bytes());
