--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -31,7 +31,7 @@
     /// Connections to replicas.
     pub pool: Arc<ReplicaPool>,
     /// Headers of replicas that this box does not know.
-    pub strange: UnknownHeaders,
+    pub unknown_headers: UnknownHeaders,
 }
 
 /// A caller's request, read whole.
@@ -247,7 +247,7 @@
     if !headers::answers_request(&caller.headers, &head.headers) {
         return Err(broken("the answer is another request's".to_owned()));
     }
-    tools.strange.log_new(&order.replica_id, &head.headers);
+    tools.unknown_headers.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
     if order.kind.is_stream() && head.status.is_success() {
         return Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Stream(body, link) });
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -205,8 +205,8 @@
     ) -> Self {
         let pool = Arc::new(ReplicaPool::new(driver.shared_clock()));
         tokio::spawn(run_ticks(driver.clone(), pool.clone()));
-        let strange = UnknownHeaders::default();
-        let tools = Arc::new(GatewayTools { driver: driver.clone(), pool, strange });
+        let unknown_headers = UnknownHeaders::default();
+        let tools = Arc::new(GatewayTools { driver: driver.clone(), pool, unknown_headers });
         let callers = Arc::new(CallerCount::default());
         let (phase, phases) = watch::channel(EntryPhase::Starting);
         let entry = CallerEntry {
