--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -12,7 +12,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use super::exchange::{serve_request, GatewayTools};
+use super::exchange::{serve_request, GatewayContext};
 use super::listen::ListeningEntry;
 use super::observe;
 
@@ -80,7 +80,7 @@
 /// Takes callers' connections, within the limit, and serves each in a task of its own.
 pub struct CallerEntry {
     /// What requests are served with.
-    pub tools: Arc<GatewayTools>,
+    pub tools: Arc<GatewayContext>,
     /// Open connections.
     pub count: Arc<CallerCount>,
     /// How many there may be.
@@ -153,7 +153,7 @@
 
 async fn serve_caller(
     stream: TcpStream,
-    tools: Arc<GatewayTools>,
+    tools: Arc<GatewayContext>,
     phase: watch::Receiver<EntryPhase>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
@@ -196,7 +196,7 @@
 }
 
 /// Waits until the box serves, or refuses since it stops. Gives how long that took.
-async fn wait_to_serve(tools: &GatewayTools, mut phase: watch::Receiver<EntryPhase>) -> Duration {
+async fn wait_to_serve(tools: &GatewayContext, mut phase: watch::Receiver<EntryPhase>) -> Duration {
     if *phase.borrow() > EntryPhase::Starting {
         return Duration::ZERO;
     }
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -25,7 +25,7 @@
 pub const ANSWER_LIMIT: usize = 4 << 20;
 
 /// What requests are served with.
-pub struct GatewayTools {
+pub struct GatewayContext {
     /// Decides.
     pub driver: Arc<GatewayDriver>,
     /// Connections to replicas.
@@ -100,7 +100,7 @@
 
 /// Reads a caller's request, within the plan's limits.
 async fn read_whole(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     request: Request<Incoming>,
 ) -> Result<(http::request::Parts, Bytes), UnreadRequest> {
     let (head, body) = request.into_parts();
@@ -127,7 +127,7 @@
 /// # Errors
 /// [`BrokenAnswer`], if the caller's request can't be read.
 pub async fn serve_request(
-    tools: Arc<GatewayTools>,
+    tools: Arc<GatewayContext>,
     request: Request<Incoming>,
     waited: Duration,
 ) -> Result<Response<CallerBody>, BrokenAnswer> {
@@ -184,7 +184,7 @@
 
 /// Sends the request to a replica and waits for its answer, as long as the order says.
 pub async fn attempt(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     caller: &BufferedRequest,
     guard: &mut RequestGuard,
     order: &SendOrder,
@@ -233,7 +233,7 @@
 
 /// Sends the request to the order's replica, and reads the answer: whole, or a stream's head.
 async fn ask_replica(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     caller: &BufferedRequest,
     ticket: RequestTicket,
     order: &SendOrder,
@@ -260,7 +260,7 @@
 
 /// Sends `request` on an idle connection, or a new one where none is left that takes it.
 async fn send_request(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     order: &SendOrder,
     address: SocketAddr,
     ticket: RequestTicket,
@@ -292,7 +292,7 @@
 }
 
 async fn open(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     order: &SendOrder,
     address: SocketAddr,
 ) -> Result<ReplicaLink, FailedAttempt> {
@@ -302,14 +302,14 @@
 }
 
 /// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
-pub(super) fn give_back(tools: &GatewayTools, link: ReplicaLink, answer: &HeaderMap) {
+pub(super) fn give_back(tools: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
     let kept_ms = headers::kept_idle_ms(answer);
     let pool = tools.pool.clone();
     tokio::spawn(async move { pool.give_back(link, kept_ms).await });
 }
 
 fn replica_request(
-    tools: &GatewayTools,
+    tools: &GatewayContext,
     caller: &BufferedRequest,
     order: &SendOrder,
     resume_after: Option<&str>,
@@ -324,7 +324,7 @@
 }
 
 fn pass_on(
-    tools: Arc<GatewayTools>,
+    tools: Arc<GatewayContext>,
     caller: BufferedRequest,
     mut guard: RequestGuard,
     order: Box<SendOrder>,
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -28,7 +28,7 @@
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
 use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, GOSSIP_QUEUE_LIMIT};
 use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_PART};
-use super::exchange::GatewayTools;
+use super::exchange::GatewayContext;
 use super::listen::ListeningEntry;
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
@@ -206,7 +206,7 @@
         let pool = Arc::new(ReplicaPool::new(driver.shared_clock()));
         tokio::spawn(run_ticks(driver.clone(), pool.clone()));
         let unknown_headers = UnknownHeaders::default();
-        let tools = Arc::new(GatewayTools { driver: driver.clone(), pool, unknown_headers });
+        let tools = Arc::new(GatewayContext { driver: driver.clone(), pool, unknown_headers });
         let callers = Arc::new(CallerCount::default());
         let (phase, phases) = watch::channel(EntryPhase::Starting);
         let entry = CallerEntry {
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -14,14 +14,14 @@
 use super::driver::RequestStep;
 use super::event_splitter::EventCutter;
 use super::exchange::{
-    attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayTools, RequestGuard,
+    attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
 };
 use super::observe;
 use super::pool::ReplicaLink;
 
 /// A stream under way. Dropped when the caller leaves, which closes the replica's connection.
 struct StreamRelay {
-    tools: Arc<GatewayTools>,
+    tools: Arc<GatewayContext>,
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
@@ -48,7 +48,7 @@
 
 /// The body of a stream for the caller.
 pub(super) fn relay_stream(
-    tools: Arc<GatewayTools>,
+    tools: Arc<GatewayContext>,
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
