--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -96,7 +96,7 @@
 }
 
 /// The holder's tools.
-struct LeaderTools {
+struct LeaderContext {
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     cloud: CloudClient,
@@ -109,14 +109,14 @@
     cloud: CloudClient,
     mut due: UnboundedReceiver<LeaderOrder>,
 ) {
-    let tools = Arc::new(LeaderTools { driver, store, cloud });
+    let tools = Arc::new(LeaderContext { driver, store, cloud });
     while let Some(order) = due.recv().await {
         let tools = tools.clone();
         tokio::spawn(async move { tools.carry_out(order).await });
     }
 }
 
-impl LeaderTools {
+impl LeaderContext {
     /// Whether an order may still be begun: its lease stands.
     fn may_begin(&self, order: &LeaderOrder) -> bool {
         self.driver.now() < order.until
