--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -80,7 +80,7 @@
 /// Takes callers' connections, within the limit, and serves each in a task of its own.
 pub struct CallerEntry {
     /// What requests are served with.
-    pub tools: Arc<GatewayContext>,
+    pub context: Arc<GatewayContext>,
     /// Open connections.
     pub count: Arc<CallerCount>,
     /// How many there may be.
@@ -132,9 +132,9 @@
             return;
         }
         let counted = CountedCaller::new(&self.count);
-        let (tools, phase) = (self.tools.clone(), self.phase.clone());
+        let (context, phase) = (self.context.clone(), self.phase.clone());
         tokio::spawn(async move {
-            serve_caller(stream, tools, phase).await;
+            serve_caller(stream, context, phase).await;
             drop(counted);
         });
     }
@@ -153,20 +153,20 @@
 
 async fn serve_caller(
     stream: TcpStream,
-    tools: Arc<GatewayContext>,
+    context: Arc<GatewayContext>,
     phase: watch::Receiver<EntryPhase>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
         observe::log_socket_failed("entry", &error);
     }
-    let wait = wait_to_serve(&tools, phase.clone()).await;
-    let first = FirstWait::new(wait, tools.driver.now());
-    let limits = tools.driver.state().plan().limits;
+    let wait = wait_to_serve(&context, phase.clone()).await;
+    let first = FirstWait::new(wait, context.driver.now());
+    let limits = context.driver.state().plan().limits;
     let idle_ms = limits.idle_ms + IDLE_SLACK_MS;
     let buffer = BUFFER_BYTES.max(BUFFER_HEADS * limits.header_bytes);
     let phase_now = phase.clone();
     let service = service_fn(move |request| {
-        let answer = serve_request(tools.clone(), request, first.take(tools.driver.now()));
+        let answer = serve_request(context.clone(), request, first.take(context.driver.now()));
         let phase = phase_now.clone();
         async move {
             let mut answer = answer.await;
@@ -196,14 +196,14 @@
 }
 
 /// Waits until the box serves, or refuses since it stops. Gives how long that took.
-async fn wait_to_serve(tools: &GatewayContext, mut phase: watch::Receiver<EntryPhase>) -> Duration {
+async fn wait_to_serve(context: &GatewayContext, mut phase: watch::Receiver<EntryPhase>) -> Duration {
     if *phase.borrow() > EntryPhase::Starting {
         return Duration::ZERO;
     }
-    let came_at = tools.driver.now();
+    let came_at = context.driver.now();
     // The sender lives as long as the process.
     let _ = phase.wait_for(|phase| *phase > EntryPhase::Starting).await;
-    tools.driver.clock().since(came_at)
+    context.driver.clock().since(came_at)
 }
 
 /// How long a connection waited, and its first request with it.
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -100,11 +100,11 @@
 
 /// Reads a caller's request, within the plan's limits.
 async fn read_whole(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     request: Request<Incoming>,
 ) -> Result<(http::request::Parts, Bytes), UnreadRequest> {
     let (head, body) = request.into_parts();
-    let limits = tools.driver.state().plan().limits;
+    let limits = context.driver.state().plan().limits;
     if head_bytes(&head) > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
         return Err(UnreadRequest::TooLarge(status, "the head is too large"));
@@ -127,11 +127,11 @@
 /// # Errors
 /// [`BrokenAnswer`], if the caller's request can't be read.
 pub async fn serve_request(
-    tools: Arc<GatewayContext>,
+    context: Arc<GatewayContext>,
     request: Request<Incoming>,
     waited: Duration,
 ) -> Result<Response<CallerBody>, BrokenAnswer> {
-    let (head, body) = match read_whole(&tools, request).await {
+    let (head, body) = match read_whole(&context, request).await {
         Ok(read) => read,
         Err(UnreadRequest::TooLarge(status, text)) => return Ok(plain_answer(status, text)),
         Err(UnreadRequest::Broken(broken)) => return Err(broken),
@@ -143,7 +143,7 @@
     if waited_ms > 0 {
         observe::log_request_waited(&ask.id, waited_ms);
     }
-    let driver = tools.driver.clone();
+    let driver = context.driver.clone();
     let name = RequestName { ticket: driver.next_ticket(), id: ask.id.clone() };
     let mut guard = RequestGuard { driver, name, began: Instant::now(), ended: false };
     let mut step = guard.feed(RouteEvent::RequestArrived(guard.name.ticket, ask));
@@ -155,11 +155,11 @@
             Some(RequestStep::Refuse(refusal)) => return Ok(refuse(refusal)),
             _ => return Err(BrokenAnswer("the reducer gave no step")),
         };
-        match attempt(&tools, &caller, &mut guard, &order, None).await {
+        match attempt(&context, &caller, &mut guard, &order, None).await {
             AttemptOutcome::Answer(answer) => {
                 step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, answer.decoded));
                 if matches!(step, Some(RequestStep::Relay)) {
-                    return Ok(pass_on(tools, caller, guard, order, *answer));
+                    return Ok(pass_on(context, caller, guard, order, *answer));
                 }
             }
             AttemptOutcome::Ended(next) => step = next,
@@ -184,19 +184,19 @@
 
 /// Sends the request to a replica and waits for its answer, as long as the order says.
 pub async fn attempt(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     caller: &BufferedRequest,
     guard: &mut RequestGuard,
     order: &SendOrder,
     resume_after: Option<&str>,
 ) -> AttemptOutcome {
     let began = Instant::now();
-    let asked = ask_replica(tools, caller, guard.name.ticket, order, resume_after);
+    let asked = ask_replica(context, caller, guard.name.ticket, order, resume_after);
     tokio::pin!(asked);
     let patience = Duration::from_millis(order.head_ms);
     let (failure, why) = loop {
-        let left = tools.driver.until(order.deadline);
-        match tools.driver.clock().within(left.min(patience), asked.as_mut()).await {
+        let left = context.driver.until(order.deadline);
+        match context.driver.clock().within(left.min(patience), asked.as_mut()).await {
             Some(Ok(answer)) => {
                 observe::log_head_received(&guard.name, &answer.decoded, began.elapsed());
                 return AttemptOutcome::Answer(Box::new(answer));
@@ -233,7 +233,7 @@
 
 /// Sends the request to the order's replica, and reads the answer: whole, or a stream's head.
 async fn ask_replica(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     caller: &BufferedRequest,
     ticket: RequestTicket,
     order: &SendOrder,
@@ -241,38 +241,38 @@
 ) -> Result<ReplicaAnswer, FailedAttempt> {
     let address: SocketAddr =
         order.address.parse().map_err(|_| never("the entry has no address".to_owned()))?;
-    let request = || replica_request(tools, caller, order, resume_after);
-    let (response, link) = send_request(tools, order, address, ticket, request).await?;
+    let request = || replica_request(context, caller, order, resume_after);
+    let (response, link) = send_request(context, order, address, ticket, request).await?;
     let (head, body) = response.into_parts();
     if !headers::answers_request(&caller.headers, &head.headers) {
         return Err(broken("the answer is another request's".to_owned()));
     }
-    tools.unknown_headers.log_new(&order.replica_id, &head.headers);
+    context.unknown_headers.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
     if order.kind.is_stream() && head.status.is_success() {
         return Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Stream(body, link) });
     }
     let whole = Limited::new(body, ANSWER_LIMIT).collect().await;
     let whole = whole.map_err(|error| broken(error.to_string()))?.to_bytes();
-    give_back(tools, link, &head.headers);
+    give_back(context, link, &head.headers);
     Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Whole(whole) })
 }
 
 /// Sends `request` on an idle connection, or a new one where none is left that takes it.
 async fn send_request(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     order: &SendOrder,
     address: SocketAddr,
     ticket: RequestTicket,
     request: impl Fn() -> Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, ReplicaLink), FailedAttempt> {
-    let mut link = match tools.pool.take(address, order.kind.repeatable()) {
+    let mut link = match context.pool.take(address, order.kind.repeatable()) {
         Some(link) => link,
-        None => open(tools, order, address).await?,
+        None => open(context, order, address).await?,
     };
     loop {
         // Last thing before the write: opening a connection may have taken a while.
-        if !tools.driver.state().may_write(ticket, tools.driver.now()) {
+        if !context.driver.state().may_write(ticket, context.driver.now()) {
             let why = "the replica may get nothing more since it was chosen";
             return Err((AttemptFailure::Withdrawn, why.to_owned()));
         }
@@ -287,34 +287,34 @@
         if !link.used {
             return Err(never(error.into_error().to_string()));
         }
-        link = open(tools, order, address).await?;
+        link = open(context, order, address).await?;
     }
 }
 
 async fn open(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     order: &SendOrder,
     address: SocketAddr,
 ) -> Result<ReplicaLink, FailedAttempt> {
-    let limit = tools.driver.until(order.deadline);
-    let opened = tools.pool.open(address, limit).await;
+    let limit = context.driver.until(order.deadline);
+    let opened = context.pool.open(address, limit).await;
     opened.map_err(|error| never(error.to_string()))
 }
 
 /// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
-pub(super) fn give_back(tools: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
+pub(super) fn give_back(context: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
     let kept_ms = headers::kept_idle_ms(answer);
-    let pool = tools.pool.clone();
+    let pool = context.pool.clone();
     tokio::spawn(async move { pool.give_back(link, kept_ms).await });
 }
 
 fn replica_request(
-    tools: &GatewayContext,
+    context: &GatewayContext,
     caller: &BufferedRequest,
     order: &SendOrder,
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
-    let left_ms = tools.driver.until(order.deadline).as_millis() as u64;
+    let left_ms = context.driver.until(order.deadline).as_millis() as u64;
     let mut request = Request::new(Full::new(caller.body.clone()));
     *request.method_mut() = caller.method.clone();
     *request.uri_mut() = caller.uri.clone();
@@ -324,7 +324,7 @@
 }
 
 fn pass_on(
-    tools: Arc<GatewayContext>,
+    context: Arc<GatewayContext>,
     caller: BufferedRequest,
     mut guard: RequestGuard,
     order: Box<SendOrder>,
@@ -340,7 +340,7 @@
         }
         AnswerBody::Stream(body, link) => {
             let source = StreamSource { body, link, headers: answer.head.headers };
-            relay_stream(tools, caller, guard, order, source)
+            relay_stream(context, caller, guard, order, source)
         }
     };
     let mut response = Response::new(body);
--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -95,7 +95,7 @@
     }
 }
 
-/// The holder's tools.
+/// The holder's context.
 struct LeaderContext {
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -109,10 +109,10 @@
     cloud: CloudClient,
     mut due: UnboundedReceiver<LeaderOrder>,
 ) {
-    let tools = Arc::new(LeaderContext { driver, store, cloud });
+    let context = Arc::new(LeaderContext { driver, store, cloud });
     while let Some(order) = due.recv().await {
-        let tools = tools.clone();
-        tokio::spawn(async move { tools.carry_out(order).await });
+        let context = context.clone();
+        tokio::spawn(async move { context.carry_out(order).await });
     }
 }
 
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -206,11 +206,11 @@
         let pool = Arc::new(ReplicaPool::new(driver.shared_clock()));
         tokio::spawn(run_ticks(driver.clone(), pool.clone()));
         let unknown_headers = UnknownHeaders::default();
-        let tools = Arc::new(GatewayContext { driver: driver.clone(), pool, unknown_headers });
+        let context = Arc::new(GatewayContext { driver: driver.clone(), pool, unknown_headers });
         let callers = Arc::new(CallerCount::default());
         let (phase, phases) = watch::channel(EntryPhase::Starting);
         let entry = CallerEntry {
-            tools,
+            context,
             count: callers.clone(),
             limit: (settings.descriptors as f64 * CALLER_PART) as usize,
             full: AtomicBool::new(false),
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -21,7 +21,7 @@
 
 /// A stream under way. Dropped when the caller leaves, which closes the replica's connection.
 struct StreamRelay {
-    tools: Arc<GatewayContext>,
+    context: Arc<GatewayContext>,
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
@@ -48,14 +48,14 @@
 
 /// The body of a stream for the caller.
 pub(super) fn relay_stream(
-    tools: Arc<GatewayContext>,
+    context: Arc<GatewayContext>,
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
     source: StreamSource,
 ) -> CallerBody {
     let (cutter, source) = (EventCutter::default(), Some(source));
-    let relay = StreamRelay { tools, caller, guard, order, cutter, source };
+    let relay = StreamRelay { context, caller, guard, order, cutter, source };
     let pieces = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next_events().await {
@@ -116,8 +116,8 @@
         let Some(source) = &mut self.source else {
             return StreamPiece::Broken("no replica");
         };
-        let left = self.tools.driver.until(self.order.deadline);
-        match self.tools.driver.clock().within(left.min(patience), source.body.frame()).await {
+        let left = self.context.driver.until(self.order.deadline);
+        match self.context.driver.clock().within(left.min(patience), source.body.frame()).await {
             Some(Some(Ok(frame))) => StreamPiece::Bytes(frame.into_data().unwrap_or_default()),
             Some(Some(Err(_))) => StreamPiece::Broken("it broke off"),
             Some(None) => StreamPiece::End,
@@ -138,7 +138,7 @@
             self.order = order;
             let last = self.cutter.last_id().map(str::to_owned);
             let outcome =
-                attempt(&self.tools, &self.caller, &mut self.guard, &self.order, last.as_deref());
+                attempt(&self.context, &self.caller, &mut self.guard, &self.order, last.as_deref());
             match outcome.await {
                 AttemptOutcome::Answer(answer) => {
                     step = self.guard.feed(RouteEvent::HeadReceived(ticket, answer.decoded));
@@ -158,7 +158,7 @@
 
     fn end(&mut self) {
         if let Some(source) = self.source.take() {
-            give_back(&self.tools, source.link, &source.headers);
+            give_back(&self.context, source.link, &source.headers);
         }
         self.guard.finish(http::StatusCode::OK.as_u16());
     }
