--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::responses::{plain_answer, refuse, whole_body, BrokenAnswer, CallerBody};
+use super::responses::{plain_answer, refuse, whole_body, AbortedResponse, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
@@ -95,7 +95,7 @@
     /// It is too large: the status and the words of the answer.
     TooLarge(StatusCode, &'static str),
     /// It did not come whole.
-    Broken(BrokenAnswer),
+    Broken(AbortedResponse),
 }
 
 /// Reads a caller's request, within the plan's limits.
@@ -116,7 +116,7 @@
             Err(UnreadRequest::TooLarge(status, "the body is too large"))
         }
         Err(_) => {
-            let broken = BrokenAnswer("the request's body did not come whole");
+            let broken = AbortedResponse("the request's body did not come whole");
             Err(UnreadRequest::Broken(broken))
         }
     }
@@ -125,12 +125,12 @@
 /// Serves a request that has waited at this box before.
 ///
 /// # Errors
-/// [`BrokenAnswer`], if the caller's request can't be read.
+/// [`AbortedResponse`], if the caller's request can't be read.
 pub async fn serve_request(
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
     waited: Duration,
-) -> Result<Response<CallerBody>, BrokenAnswer> {
+) -> Result<Response<CallerBody>, AbortedResponse> {
     let (head, body) = match read_whole(&context, request).await {
         Ok(read) => read,
         Err(UnreadRequest::TooLarge(status, text)) => return Ok(plain_answer(status, text)),
@@ -153,7 +153,7 @@
         let order = match step {
             Some(RequestStep::Send(order)) => order,
             Some(RequestStep::Refuse(refusal)) => return Ok(refuse(refusal)),
-            _ => return Err(BrokenAnswer("the reducer gave no step")),
+            _ => return Err(AbortedResponse("the reducer gave no step")),
         };
         match attempt(&context, &caller, &mut guard, &order, None).await {
             AttemptOutcome::Answer(answer) => {
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Frame, Incoming};
 use ravenspoke_core::route::event::{AttemptFailure, RouteEvent, SendOrder};
 
-use super::responses::{BrokenAnswer, CallerBody};
+use super::responses::{AbortedResponse, CallerBody};
 use super::driver::RequestStep;
 use super::event_splitter::EventCutter;
 use super::exchange::{
@@ -69,7 +69,7 @@
 
 impl StreamRelay {
     /// The next whole events; `None` at the end.
-    async fn next_events(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    async fn next_events(&mut self) -> Result<Option<Bytes>, AbortedResponse> {
         loop {
             let began = Instant::now();
             let patience = Duration::from_millis(self.order.pause_ms);
@@ -96,7 +96,7 @@
                 }
                 StreamPiece::TimeUp => {
                     self.guard.feed(RouteEvent::DeadlinePassed(self.guard.name.ticket));
-                    return Err(BrokenAnswer("the time is up"));
+                    return Err(AbortedResponse("the time is up"));
                 }
             };
             self.note_failed(AttemptFailure::Broken, why, began);
@@ -127,13 +127,13 @@
     }
 
     /// Goes on at another replica, behind the last whole event.
-    async fn resume(&mut self, mut step: Option<RequestStep>) -> Result<(), BrokenAnswer> {
+    async fn resume(&mut self, mut step: Option<RequestStep>) -> Result<(), AbortedResponse> {
         self.source = None;
         self.cutter.drop_part();
         let ticket = self.guard.name.ticket;
         loop {
             let Some(RequestStep::Send(order)) = step else {
-                return Err(BrokenAnswer("no replica could go on"));
+                return Err(AbortedResponse("no replica could go on"));
             };
             self.order = order;
             let last = self.cutter.last_id().map(str::to_owned);
@@ -146,7 +146,7 @@
                         continue;
                     }
                     let AnswerBody::Stream(body, link) = answer.body else {
-                        return Err(BrokenAnswer("what goes on is no stream"));
+                        return Err(AbortedResponse("what goes on is no stream"));
                     };
                     self.source = Some(StreamSource { body, link, headers: answer.head.headers });
                     return Ok(());
--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -9,10 +9,10 @@
 /// Why an answer breaks off: its connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer was broken off: {0}")]
-pub struct BrokenAnswer(pub &'static str);
+pub struct AbortedResponse(pub &'static str);
 
 /// Body of an answer to a caller.
-pub type CallerBody = UnsyncBoxBody<Bytes, BrokenAnswer>;
+pub type CallerBody = UnsyncBoxBody<Bytes, AbortedResponse>;
 
 /// A body that is there whole.
 pub(super) fn whole_body(bytes: Bytes) -> CallerBody {
