--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::responses::{plain_answer, refuse, whole_body, AbortedResponse, CallerBody};
+use super::responses::{text_response, refuse, whole_body, AbortedResponse, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
@@ -133,7 +133,7 @@
 ) -> Result<Response<CallerBody>, AbortedResponse> {
     let (head, body) = match read_whole(&context, request).await {
         Ok(read) => read,
-        Err(UnreadRequest::TooLarge(status, text)) => return Ok(plain_answer(status, text)),
+        Err(UnreadRequest::TooLarge(status, text)) => return Ok(text_response(status, text)),
         Err(UnreadRequest::Broken(broken)) => return Err(broken),
     };
     let ask = headers::read_request(&head);
--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -20,7 +20,7 @@
 }
 
 /// An answer of a few words.
-pub(super) fn plain_answer(status: StatusCode, text: &'static str) -> Response<CallerBody> {
+pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<CallerBody> {
     let mut response = Response::new(whole_body(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -29,7 +29,7 @@
 /// The answer that a refusal is.
 pub(super) fn refuse(refusal: RouteRefusal) -> Response<CallerBody> {
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = plain_answer(status, refusal.reason.slug());
+    let mut response = text_response(status, refusal.reason.slug());
     if let Some(retry_after_ms) = refusal.retry_after_ms {
         let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
