--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::responses::{text_response, refuse, whole_body, AbortedResponse, CallerBody};
+use super::responses::{text_response, refusal_response, whole_body, AbortedResponse, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
@@ -152,7 +152,7 @@
     loop {
         let order = match step {
             Some(RequestStep::Send(order)) => order,
-            Some(RequestStep::Refuse(refusal)) => return Ok(refuse(refusal)),
+            Some(RequestStep::Refuse(refusal)) => return Ok(refusal_response(refusal)),
             _ => return Err(AbortedResponse("the reducer gave no step")),
         };
         match attempt(&context, &caller, &mut guard, &order, None).await {
--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -27,7 +27,7 @@
 }
 
 /// The answer that a refusal is.
-pub(super) fn refuse(refusal: RouteRefusal) -> Response<CallerBody> {
+pub(super) fn refusal_response(refusal: RouteRefusal) -> Response<CallerBody> {
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = text_response(status, refusal.reason.slug());
     if let Some(retry_after_ms) = refusal.retry_after_ms {
