--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,7 +14,7 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::responses::{text_response, refusal_response, whole_body, AbortedResponse, CallerBody};
+use super::responses::{text_response, refusal_response, full_body, AbortedResponse, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
@@ -336,7 +336,7 @@
     let body = match answer.body {
         AnswerBody::Whole(bytes) => {
             guard.finish(status.as_u16());
-            whole_body(bytes)
+            full_body(bytes)
         }
         AnswerBody::Stream(body, link) => {
             let source = StreamSource { body, link, headers: answer.head.headers };
--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -15,13 +15,13 @@
 pub type CallerBody = UnsyncBoxBody<Bytes, AbortedResponse>;
 
 /// A body that is there whole.
-pub(super) fn whole_body(bytes: Bytes) -> CallerBody {
+pub(super) fn full_body(bytes: Bytes) -> CallerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// An answer of a few words.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<CallerBody> {
-    let mut response = Response::new(whole_body(Bytes::from_static(text.as_bytes())));
+    let mut response = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
