--- a/crates/box/src/gateway/event_splitter.rs
+++ b/crates/box/src/gateway/event_splitter.rs
@@ -12,12 +12,12 @@
 
 /// Bytes that came, and what is whole of them.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     pending: BytesMut,
     last_id: Option<String>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds bytes, and gives the whole events that they complete.
     ///
     /// # Errors
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -12,7 +12,7 @@
 
 use super::responses::{AbortedResponse, CallerBody};
 use super::driver::RequestStep;
-use super::event_splitter::EventCutter;
+use super::event_splitter::EventSplitter;
 use super::exchange::{
     attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
 };
@@ -25,7 +25,7 @@
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     source: Option<StreamSource>,
 }
 
@@ -54,7 +54,7 @@
     order: Box<SendOrder>,
     source: StreamSource,
 ) -> CallerBody {
-    let (cutter, source) = (EventCutter::default(), Some(source));
+    let (cutter, source) = (EventSplitter::default(), Some(source));
     let relay = StreamRelay { context, caller, guard, order, cutter, source };
     let pieces = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
