--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -25,7 +25,7 @@
     caller: BufferedRequest,
     guard: RequestGuard,
     order: Box<SendOrder>,
-    cutter: EventSplitter,
+    splitter: EventSplitter,
     source: Option<StreamSource>,
 }
 
@@ -54,8 +54,8 @@
     order: Box<SendOrder>,
     source: StreamSource,
 ) -> CallerBody {
-    let (cutter, source) = (EventSplitter::default(), Some(source));
-    let relay = StreamRelay { context, caller, guard, order, cutter, source };
+    let (splitter, source) = (EventSplitter::default(), Some(source));
+    let relay = StreamRelay { context, caller, guard, order, splitter, source };
     let pieces = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
         match relay.next_events().await {
@@ -74,12 +74,12 @@
             let began = Instant::now();
             let patience = Duration::from_millis(self.order.pause_ms);
             let why = match self.next_piece(patience).await {
-                StreamPiece::Bytes(bytes) => match self.cutter.push(&bytes) {
+                StreamPiece::Bytes(bytes) => match self.splitter.push(&bytes) {
                     Ok(Some(events)) => return Ok(Some(events)),
                     Ok(None) => continue,
                     Err(_) => "an event is too long",
                 },
-                StreamPiece::End if self.cutter.has_part() => "it ended within an event",
+                StreamPiece::End if self.splitter.has_part() => "it ended within an event",
                 StreamPiece::End => {
                     self.end();
                     return Ok(None);
@@ -129,14 +129,14 @@
     /// Goes on at another replica, behind the last whole event.
     async fn resume(&mut self, mut step: Option<RequestStep>) -> Result<(), AbortedResponse> {
         self.source = None;
-        self.cutter.drop_part();
+        self.splitter.drop_part();
         let ticket = self.guard.name.ticket;
         loop {
             let Some(RequestStep::Send(order)) = step else {
                 return Err(AbortedResponse("no replica could go on"));
             };
             self.order = order;
-            let last = self.cutter.last_id().map(str::to_owned);
+            let last = self.splitter.last_id().map(str::to_owned);
             let outcome =
                 attempt(&self.context, &self.caller, &mut self.guard, &self.order, last.as_deref());
             match outcome.await {
