--- a/crates/box/src/gateway/event_splitter.rs
+++ b/crates/box/src/gateway/event_splitter.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether a part of an event waits for its end.
-    pub fn has_part(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -79,7 +79,7 @@
                     Ok(None) => continue,
                     Err(_) => "an event is too long",
                 },
-                StreamPiece::End if self.splitter.has_part() => "it ended within an event",
+                StreamPiece::End if self.splitter.has_partial() => "it ended within an event",
                 StreamPiece::End => {
                     self.end();
                     return Ok(None);
