--- a/crates/box/src/gateway/event_splitter.rs
+++ b/crates/box/src/gateway/event_splitter.rs
@@ -42,7 +42,7 @@
     }
 
     /// Drops the part of an event that will never end.
-    pub fn drop_part(&mut self) {
+    pub fn drop_partial(&mut self) {
         self.pending.clear();
     }
 
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -129,7 +129,7 @@
     /// Goes on at another replica, behind the last whole event.
     async fn resume(&mut self, mut step: Option<RequestStep>) -> Result<(), AbortedResponse> {
         self.source = None;
-        self.splitter.drop_part();
+        self.splitter.drop_partial();
         let ticket = self.guard.name.ticket;
         loop {
             let Some(RequestStep::Send(order)) = step else {
