--- a/crates/box/src/gateway/event_splitter.rs
+++ b/crates/box/src/gateway/event_splitter.rs
@@ -25,7 +25,7 @@
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
         let searched = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.pending, searched) else {
+        let Some(end) = last_boundary(&self.pending, searched) else {
             let long = self.pending.len() > EVENT_LIMIT;
             return if long { Err(EventTooLong) } else { Ok(None) };
         };
@@ -53,7 +53,7 @@
 }
 
 /// Offset behind the last blank line.
-fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
+fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let ends = |at: &usize| {
         let head = &bytes[..*at];
         head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
