--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -22,7 +22,7 @@
 use super::unknown_headers::UnknownHeaders;
 
 /// Largest answer that is no stream, in bytes; it is read whole before any of it is passed on.
-pub const ANSWER_LIMIT: usize = 4 << 20;
+pub const RESPONSE_LIMIT: usize = 4 << 20;
 
 /// What requests are served with.
 pub struct GatewayContext {
@@ -252,7 +252,7 @@
     if order.kind.is_stream() && head.status.is_success() {
         return Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Stream(body, link) });
     }
-    let whole = Limited::new(body, ANSWER_LIMIT).collect().await;
+    let whole = Limited::new(body, RESPONSE_LIMIT).collect().await;
     let whole = whole.map_err(|error| broken(error.to_string()))?.to_bytes();
     give_back(context, link, &head.headers);
     Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Whole(whole) })
