--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -76,7 +76,7 @@
 }
 
 /// A replica's answer.
-pub struct ReplicaAnswer {
+pub struct ReplicaResponse {
     pub(super) head: http::response::Parts,
     pub(super) decoded: AnswerHead,
     pub(super) body: AnswerBody,
@@ -177,7 +177,7 @@
 /// What an attempt led to.
 pub enum AttemptOutcome {
     /// An answer to this request.
-    Answer(Box<ReplicaAnswer>),
+    Answer(Box<ReplicaResponse>),
     /// None; the reducer's next step.
     Ended(Option<RequestStep>),
 }
@@ -238,7 +238,7 @@
     ticket: RequestTicket,
     order: &SendOrder,
     resume_after: Option<&str>,
-) -> Result<ReplicaAnswer, FailedAttempt> {
+) -> Result<ReplicaResponse, FailedAttempt> {
     let address: SocketAddr =
         order.address.parse().map_err(|_| never("the entry has no address".to_owned()))?;
     let request = || replica_request(context, caller, order, resume_after);
@@ -250,12 +250,12 @@
     context.unknown_headers.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
     if order.kind.is_stream() && head.status.is_success() {
-        return Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Stream(body, link) });
+        return Ok(ReplicaResponse { head, decoded, body: AnswerBody::Stream(body, link) });
     }
     let whole = Limited::new(body, RESPONSE_LIMIT).collect().await;
     let whole = whole.map_err(|error| broken(error.to_string()))?.to_bytes();
     give_back(context, link, &head.headers);
-    Ok(ReplicaAnswer { head, decoded, body: AnswerBody::Whole(whole) })
+    Ok(ReplicaResponse { head, decoded, body: AnswerBody::Whole(whole) })
 }
 
 /// Sends `request` on an idle connection, or a new one where none is left that takes it.
@@ -328,7 +328,7 @@
     caller: BufferedRequest,
     mut guard: RequestGuard,
     order: Box<SendOrder>,
-    answer: ReplicaAnswer,
+    answer: ReplicaResponse,
 ) -> Response<CallerBody> {
     let is_stream = matches!(answer.body, AnswerBody::Stream(..));
     let status = answer.head.status;
