--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -79,11 +79,11 @@
 pub struct ReplicaResponse {
     pub(super) head: http::response::Parts,
     pub(super) decoded: AnswerHead,
-    pub(super) body: AnswerBody,
+    pub(super) body: ReplicaBody,
 }
 
 /// Body of a replica's answer.
-pub enum AnswerBody {
+pub enum ReplicaBody {
     /// Read whole.
     Whole(Bytes),
     /// A stream that goes on.
@@ -250,12 +250,12 @@
     context.unknown_headers.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
     if order.kind.is_stream() && head.status.is_success() {
-        return Ok(ReplicaResponse { head, decoded, body: AnswerBody::Stream(body, link) });
+        return Ok(ReplicaResponse { head, decoded, body: ReplicaBody::Stream(body, link) });
     }
     let whole = Limited::new(body, RESPONSE_LIMIT).collect().await;
     let whole = whole.map_err(|error| broken(error.to_string()))?.to_bytes();
     give_back(context, link, &head.headers);
-    Ok(ReplicaResponse { head, decoded, body: AnswerBody::Whole(whole) })
+    Ok(ReplicaResponse { head, decoded, body: ReplicaBody::Whole(whole) })
 }
 
 /// Sends `request` on an idle connection, or a new one where none is left that takes it.
@@ -330,15 +330,15 @@
     order: Box<SendOrder>,
     answer: ReplicaResponse,
 ) -> Response<CallerBody> {
-    let is_stream = matches!(answer.body, AnswerBody::Stream(..));
+    let is_stream = matches!(answer.body, ReplicaBody::Stream(..));
     let status = answer.head.status;
     let caller_headers = headers::caller_headers(&answer.head.headers, is_stream);
     let body = match answer.body {
-        AnswerBody::Whole(bytes) => {
+        ReplicaBody::Whole(bytes) => {
             guard.finish(status.as_u16());
             full_body(bytes)
         }
-        AnswerBody::Stream(body, link) => {
+        ReplicaBody::Stream(body, link) => {
             let source = StreamSource { body, link, headers: answer.head.headers };
             relay_stream(context, caller, guard, order, source)
         }
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use super::driver::RequestStep;
 use super::event_splitter::EventSplitter;
 use super::exchange::{
-    attempt, give_back, AnswerBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
+    attempt, give_back, ReplicaBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
 };
 use super::observe;
 use super::pool::ReplicaLink;
@@ -145,7 +145,7 @@
                     if !matches!(step, Some(RequestStep::Relay)) {
                         continue;
                     }
-                    let AnswerBody::Stream(body, link) = answer.body else {
+                    let ReplicaBody::Stream(body, link) = answer.body else {
                         return Err(AbortedResponse("what goes on is no stream"));
                     };
                     self.source = Some(StreamSource { body, link, headers: answer.head.headers });
