--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -91,7 +91,7 @@
 }
 
 /// Why a caller's request was not read whole.
-enum UnreadRequest {
+enum ReadFailure {
     /// It is too large: the status and the words of the answer.
     TooLarge(StatusCode, &'static str),
     /// It did not come whole.
@@ -102,22 +102,22 @@
 async fn read_whole(
     context: &GatewayContext,
     request: Request<Incoming>,
-) -> Result<(http::request::Parts, Bytes), UnreadRequest> {
+) -> Result<(http::request::Parts, Bytes), ReadFailure> {
     let (head, body) = request.into_parts();
     let limits = context.driver.state().plan().limits;
     if head_bytes(&head) > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        return Err(UnreadRequest::TooLarge(status, "the head is too large"));
+        return Err(ReadFailure::TooLarge(status, "the head is too large"));
     }
     match Limited::new(body, limits.body_bytes).collect().await {
         Ok(body) => Ok((head, body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(UnreadRequest::TooLarge(status, "the body is too large"))
+            Err(ReadFailure::TooLarge(status, "the body is too large"))
         }
         Err(_) => {
             let broken = AbortedResponse("the request's body did not come whole");
-            Err(UnreadRequest::Broken(broken))
+            Err(ReadFailure::Broken(broken))
         }
     }
 }
@@ -133,8 +133,8 @@
 ) -> Result<Response<CallerBody>, AbortedResponse> {
     let (head, body) = match read_whole(&context, request).await {
         Ok(read) => read,
-        Err(UnreadRequest::TooLarge(status, text)) => return Ok(text_response(status, text)),
-        Err(UnreadRequest::Broken(broken)) => return Err(broken),
+        Err(ReadFailure::TooLarge(status, text)) => return Ok(text_response(status, text)),
+        Err(ReadFailure::Broken(broken)) => return Err(broken),
     };
     let ask = headers::read_request(&head);
     let content = xxhash_rust::xxh3::xxh3_64_with_seed(&body, ask.content);
