--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -156,7 +156,7 @@
             _ => return Err(AbortedResponse("the reducer gave no step")),
         };
         match attempt(&context, &caller, &mut guard, &order, None).await {
-            AttemptOutcome::Answer(answer) => {
+            AttemptOutcome::Response(response) => {
                 step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, answer.decoded));
                 if matches!(step, Some(RequestStep::Relay)) {
                     return Ok(pass_on(context, caller, guard, order, *answer));
@@ -177,7 +177,7 @@
 /// What an attempt led to.
 pub enum AttemptOutcome {
     /// An answer to this request.
-    Answer(Box<ReplicaResponse>),
+    Response(Box<ReplicaResponse>),
     /// None; the reducer's next step.
     Ended(Option<RequestStep>),
 }
@@ -199,7 +199,7 @@
         match context.driver.clock().within(left.min(patience), asked.as_mut()).await {
             Some(Ok(answer)) => {
                 observe::log_head_received(&guard.name, &answer.decoded, began.elapsed());
-                return AttemptOutcome::Answer(Box::new(answer));
+                return AttemptOutcome::Response(Box::new(answer));
             }
             Some(Err(failed)) => break failed,
             None if left <= patience => {
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -140,7 +140,7 @@
             let outcome =
                 attempt(&self.context, &self.caller, &mut self.guard, &self.order, last.as_deref());
             match outcome.await {
-                AttemptOutcome::Answer(answer) => {
+                AttemptOutcome::Response(response) => {
                     step = self.guard.feed(RouteEvent::HeadReceived(ticket, answer.decoded));
                     if !matches!(step, Some(RequestStep::Relay)) {
                         continue;
