--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -136,17 +136,17 @@
         Err(ReadFailure::TooLarge(status, text)) => return Ok(text_response(status, text)),
         Err(ReadFailure::Broken(broken)) => return Err(broken),
     };
-    let ask = headers::read_request(&head);
-    let content = xxhash_rust::xxh3::xxh3_64_with_seed(&body, ask.content);
+    let request = headers::read_request(&head);
+    let content = xxhash_rust::xxh3::xxh3_64_with_seed(&body, request.content);
     let waited_ms = waited.as_millis() as u64;
-    let ask = CallerRequest { body_bytes: body.len(), content, waited_ms, ..ask };
+    let request = CallerRequest { body_bytes: body.len(), content, waited_ms, ..request };
     if waited_ms > 0 {
-        observe::log_request_waited(&ask.id, waited_ms);
+        observe::log_request_waited(&request.id, waited_ms);
     }
     let driver = context.driver.clone();
-    let name = RequestName { ticket: driver.next_ticket(), id: ask.id.clone() };
+    let name = RequestName { ticket: driver.next_ticket(), id: request.id.clone() };
     let mut guard = RequestGuard { driver, name, began: Instant::now(), ended: false };
-    let mut step = guard.feed(RouteEvent::RequestArrived(guard.name.ticket, ask));
+    let mut step = guard.feed(RouteEvent::RequestArrived(guard.name.ticket, request));
     let caller =
         BufferedRequest { method: head.method, uri: head.uri, headers: head.headers, body };
     loop {
@@ -157,9 +157,9 @@
         };
         match attempt(&context, &caller, &mut guard, &order, None).await {
             AttemptOutcome::Response(response) => {
-                step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, answer.decoded));
+                step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, response.decoded));
                 if matches!(step, Some(RequestStep::Relay)) {
-                    return Ok(pass_on(context, caller, guard, order, *answer));
+                    return Ok(pass_on(context, caller, guard, order, *response));
                 }
             }
             AttemptOutcome::Ended(next) => step = next,
