--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -191,18 +191,18 @@
     resume_after: Option<&str>,
 ) -> AttemptOutcome {
     let began = Instant::now();
-    let asked = ask_replica(context, caller, guard.name.ticket, order, resume_after);
-    tokio::pin!(asked);
-    let patience = Duration::from_millis(order.head_ms);
+    let call = ask_replica(context, caller, guard.name.ticket, order, resume_after);
+    tokio::pin!(call);
+    let stall_limit = Duration::from_millis(order.head_ms);
     let (failure, why) = loop {
         let left = context.driver.until(order.deadline);
-        match context.driver.clock().within(left.min(patience), asked.as_mut()).await {
-            Some(Ok(answer)) => {
-                observe::log_head_received(&guard.name, &answer.decoded, began.elapsed());
-                return AttemptOutcome::Response(Box::new(answer));
+        match context.driver.clock().within(left.min(stall_limit), call.as_mut()).await {
+            Some(Ok(response)) => {
+                observe::log_head_received(&guard.name, &response.decoded, began.elapsed());
+                return AttemptOutcome::Response(Box::new(response));
             }
-            Some(Err(failed)) => break failed,
-            None if left <= patience => {
+            Some(Err(failure)) => break failure,
+            None if left <= stall_limit => {
                 return AttemptOutcome::Ended(
                     guard.feed(RouteEvent::DeadlinePassed(guard.name.ticket)),
                 );
