--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -191,7 +191,7 @@
     resume_after: Option<&str>,
 ) -> AttemptOutcome {
     let began = Instant::now();
-    let call = ask_replica(context, caller, guard.name.ticket, order, resume_after);
+    let call = call_replica(context, caller, guard.name.ticket, order, resume_after);
     tokio::pin!(call);
     let stall_limit = Duration::from_millis(order.head_ms);
     let (failure, why) = loop {
@@ -232,7 +232,7 @@
 }
 
 /// Sends the request to the order's replica, and reads the answer: whole, or a stream's head.
-async fn ask_replica(
+async fn call_replica(
     context: &GatewayContext,
     caller: &BufferedRequest,
     ticket: RequestTicket,
