--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -159,7 +159,7 @@
             AttemptOutcome::Response(response) => {
                 step = guard.feed(RouteEvent::HeadReceived(guard.name.ticket, response.decoded));
                 if matches!(step, Some(RequestStep::Relay)) {
-                    return Ok(pass_on(context, caller, guard, order, *response));
+                    return Ok(respond(context, caller, guard, order, *response));
                 }
             }
             AttemptOutcome::Ended(next) => step = next,
@@ -323,7 +323,7 @@
     request
 }
 
-fn pass_on(
+fn respond(
     context: Arc<GatewayContext>,
     caller: BufferedRequest,
     mut guard: RequestGuard,
