--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -223,7 +223,7 @@
 /// A failure with what is known of its cause.
 type FailedAttempt = (AttemptFailure, String);
 
-fn never(why: String) -> FailedAttempt {
+fn never_sent(why: String) -> FailedAttempt {
     (AttemptFailure::NeverSent, why)
 }
 
@@ -240,7 +240,7 @@
     resume_after: Option<&str>,
 ) -> Result<ReplicaResponse, FailedAttempt> {
     let address: SocketAddr =
-        order.address.parse().map_err(|_| never("the entry has no address".to_owned()))?;
+        order.address.parse().map_err(|_| never_sent("the entry has no address".to_owned()))?;
     let request = || replica_request(context, caller, order, resume_after);
     let (response, link) = send_request(context, order, address, ticket, request).await?;
     let (head, body) = response.into_parts();
@@ -285,7 +285,7 @@
             return Err(broken(error.into_error().to_string()));
         }
         if !link.used {
-            return Err(never(error.into_error().to_string()));
+            return Err(never_sent(error.into_error().to_string()));
         }
         link = open(context, order, address).await?;
     }
@@ -298,7 +298,7 @@
 ) -> Result<ReplicaLink, FailedAttempt> {
     let limit = context.driver.until(order.deadline);
     let opened = context.pool.open(address, limit).await;
-    opened.map_err(|error| never(error.to_string()))
+    opened.map_err(|error| never_sent(error.to_string()))
 }
 
 /// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
