--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -254,7 +254,7 @@
     }
     let whole = Limited::new(body, RESPONSE_LIMIT).collect().await;
     let whole = whole.map_err(|error| broken(error.to_string()))?.to_bytes();
-    give_back(context, link, &head.headers);
+    put_back(context, link, &head.headers);
     Ok(ReplicaResponse { head, decoded, body: ReplicaBody::Whole(whole) })
 }
 
@@ -302,10 +302,10 @@
 }
 
 /// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
-pub(super) fn give_back(context: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
+pub(super) fn put_back(context: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
     let kept_ms = headers::kept_idle_ms(answer);
     let pool = context.pool.clone();
-    tokio::spawn(async move { pool.give_back(link, kept_ms).await });
+    tokio::spawn(async move { pool.put_back(link, kept_ms).await });
 }
 
 fn replica_request(
--- a/crates/box/src/gateway/pool.rs
+++ b/crates/box/src/gateway/pool.rs
@@ -122,7 +122,7 @@
     }
 
     /// Takes a connection back after a whole answer, once it is proven clean.
-    pub async fn give_back(&self, mut link: ReplicaLink, kept_ms: Option<u64>) {
+    pub async fn put_back(&self, mut link: ReplicaLink, kept_ms: Option<u64>) {
         let kept_ms = kept_ms.map_or(IDLE_MS, |kept| kept.saturating_sub(IDLE_MARGIN_MS));
         let ready = tokio::time::timeout(Duration::from_millis(READY_MS), link.sender.ready());
         if kept_ms == 0 || !matches!(ready.await, Ok(Ok(()))) {
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -14,7 +14,7 @@
 use super::driver::RequestStep;
 use super::event_splitter::EventSplitter;
 use super::exchange::{
-    attempt, give_back, ReplicaBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
+    attempt, put_back, ReplicaBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
 };
 use super::observe;
 use super::pool::ReplicaLink;
@@ -158,7 +158,7 @@
 
     fn end(&mut self) {
         if let Some(source) = self.source.take() {
-            give_back(&self.context, source.link, &source.headers);
+            put_back(&self.context, source.link, &source.headers);
         }
         self.guard.finish(http::StatusCode::OK.as_u16());
     }
