--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -302,8 +302,8 @@
 }
 
 /// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
-pub(super) fn put_back(context: &GatewayContext, link: ReplicaLink, answer: &HeaderMap) {
-    let kept_ms = headers::kept_idle_ms(answer);
+pub(super) fn put_back(context: &GatewayContext, link: ReplicaLink, response: &HeaderMap) {
+    let kept_ms = headers::kept_idle_ms(response);
     let pool = context.pool.clone();
     tokio::spawn(async move { pool.put_back(link, kept_ms).await });
 }
