--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -141,14 +141,14 @@
                 attempt(&self.context, &self.caller, &mut self.guard, &self.order, last.as_deref());
             match outcome.await {
                 AttemptOutcome::Response(response) => {
-                    step = self.guard.feed(RouteEvent::HeadReceived(ticket, answer.decoded));
+                    step = self.guard.feed(RouteEvent::HeadReceived(ticket, response.decoded));
                     if !matches!(step, Some(RequestStep::Relay)) {
                         continue;
                     }
-                    let ReplicaBody::Stream(body, link) = answer.body else {
+                    let ReplicaBody::Stream(body, link) = response.body else {
                         return Err(AbortedResponse("what goes on is no stream"));
                     };
-                    self.source = Some(StreamSource { body, link, headers: answer.head.headers });
+                    self.source = Some(StreamSource { body, link, headers: response.head.headers });
                     return Ok(());
                 }
                 AttemptOutcome::Ended(next) => step = next,
