--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -72,8 +72,8 @@
     async fn next_events(&mut self) -> Result<Option<Bytes>, AbortedResponse> {
         loop {
             let began = Instant::now();
-            let patience = Duration::from_millis(self.order.pause_ms);
-            let why = match self.next_piece(patience).await {
+            let stall_limit = Duration::from_millis(self.order.pause_ms);
+            let why = match self.next_piece(stall_limit).await {
                 StreamPiece::Bytes(bytes) => match self.splitter.push(&bytes) {
                     Ok(Some(events)) => return Ok(Some(events)),
                     Ok(None) => continue,
