--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -112,16 +112,16 @@
         observe::log_attempt_failed(&self.guard.name, failure, why, began.elapsed());
     }
 
-    async fn next_piece(&mut self, patience: Duration) -> StreamPiece {
+    async fn next_piece(&mut self, stall_limit: Duration) -> StreamPiece {
         let Some(source) = &mut self.source else {
             return StreamPiece::Broken("no replica");
         };
         let left = self.context.driver.until(self.order.deadline);
-        match self.context.driver.clock().within(left.min(patience), source.body.frame()).await {
+        match self.context.driver.clock().within(left.min(stall_limit), source.body.frame()).await {
             Some(Some(Ok(frame))) => StreamPiece::Bytes(frame.into_data().unwrap_or_default()),
             Some(Some(Err(_))) => StreamPiece::Broken("it broke off"),
             Some(None) => StreamPiece::End,
-            None if left <= patience => StreamPiece::TimeUp,
+            None if left <= stall_limit => StreamPiece::TimeUp,
             None => StreamPiece::Paused,
         }
     }
