--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -42,8 +42,8 @@
     Bytes(Bytes),
     End,
     Broken(&'static str),
-    Paused,
-    TimeUp,
+    Stalled,
+    DeadlinePassed,
 }
 
 /// The body of a stream for the caller.
@@ -85,7 +85,7 @@
                     return Ok(None);
                 }
                 StreamPiece::Broken(why) => why,
-                StreamPiece::Paused => {
+                StreamPiece::Stalled => {
                     let step = self.guard.feed(RouteEvent::AttemptStalled(self.guard.name.ticket));
                     if step.is_none() {
                         continue;
@@ -94,7 +94,7 @@
                     self.resume(step).await?;
                     continue;
                 }
-                StreamPiece::TimeUp => {
+                StreamPiece::DeadlinePassed => {
                     self.guard.feed(RouteEvent::DeadlinePassed(self.guard.name.ticket));
                     return Err(AbortedResponse("the time is up"));
                 }
@@ -121,8 +121,8 @@
             Some(Some(Ok(frame))) => StreamPiece::Bytes(frame.into_data().unwrap_or_default()),
             Some(Some(Err(_))) => StreamPiece::Broken("it broke off"),
             Some(None) => StreamPiece::End,
-            None if left <= stall_limit => StreamPiece::TimeUp,
-            None => StreamPiece::Paused,
+            None if left <= stall_limit => StreamPiece::DeadlinePassed,
+            None => StreamPiece::Stalled,
         }
     }
 
