--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -90,7 +90,7 @@
                     if step.is_none() {
                         continue;
                     }
-                    self.note_failed(AttemptFailure::Silent, "no event in time", began);
+                    self.log_failed(AttemptFailure::Silent, "no event in time", began);
                     self.resume(step).await?;
                     continue;
                 }
@@ -99,7 +99,7 @@
                     return Err(AbortedResponse("the time is up"));
                 }
             };
-            self.note_failed(AttemptFailure::Broken, why, began);
+            self.log_failed(AttemptFailure::Broken, why, began);
             // Closed before the reducer is asked, so that no two replicas work on the request.
             self.source = None;
             let failed = RouteEvent::AttemptFailed(self.guard.name.ticket, AttemptFailure::Broken);
@@ -108,7 +108,7 @@
         }
     }
 
-    fn note_failed(&self, failure: AttemptFailure, why: &str, began: Instant) {
+    fn log_failed(&self, failure: AttemptFailure, why: &str, began: Instant) {
         observe::log_attempt_failed(&self.guard.name, failure, why, began.elapsed());
     }
 
