--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -17,7 +17,7 @@
 use super::driver::GatewayDriver;
 use super::observe;
 use super::operator_records::apply_read;
-use super::topic_follower::{TopicFollower, TopicNews, RETRY_MS};
+use super::topic_follower::{TopicFollower, TopicUpdate, RETRY_MS};
 
 /// A reader's read waits this long for a record, in milliseconds: the price of a call against the age
 /// of what is known. A store that drops its history may answer nothing for a second and then cut who
@@ -77,7 +77,7 @@
 
 /// As of when a read shows the topic. One that found nothing was held for the whole wait before it was
 /// answered; any other may have been answered at once.
-fn shown_at(driver: &GatewayDriver, news: &TopicNews) -> BoxTime {
+fn shown_at(driver: &GatewayDriver, news: &TopicUpdate) -> BoxTime {
     let held = driver.now().millis_since(news.asked_at) >= news.wait_ms;
     if held && news.whole_to.is_none() && news.records.is_empty() {
         return news.asked_at.plus_millis(news.wait_ms);
@@ -113,7 +113,7 @@
     }
 }
 
-fn take_backends(driver: &GatewayDriver, news: TopicNews) {
+fn take_backends(driver: &GatewayDriver, news: TopicUpdate) {
     let (mut changes, mut spoilt) = (Vec::new(), Vec::new());
     for record in news.records {
         let entry = record.value.as_ref().map(|value| read_backend(&record.key, value)).transpose();
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -152,7 +152,7 @@
         &mut self,
         next: &mut Option<TopicPosition>,
         wait_ms: u64,
-    ) -> Option<TopicNews> {
+    ) -> Option<TopicUpdate> {
         // What was read in a former era, the store may have lost.
         *next = next.filter(|next| next.era >= self.era());
         if let Some(from) = *next {
@@ -164,7 +164,7 @@
                     *next = (read.end >= from).then_some(read.next.max(next.unwrap_or_default()));
                     if next.is_some() {
                         let records = read.records;
-                        return Some(TopicNews { asked_at, wait_ms, whole_to: None, records });
+                        return Some(TopicUpdate { asked_at, wait_ms, whole_to: None, records });
                     }
                 }
             }
@@ -173,7 +173,7 @@
         let AnsweredCall { asked_at, wait_ms, value } = self.list().await?;
         *next = Some(value.end);
         let whole_to = Some(value.end);
-        Some(TopicNews { asked_at, wait_ms, whole_to, records: value.records })
+        Some(TopicUpdate { asked_at, wait_ms, whole_to, records: value.records })
     }
 
     /// The next answer of the reads that are open and those that begin now, from `from` on.
@@ -326,7 +326,7 @@
 }
 
 /// What a read showed.
-pub(super) struct TopicNews {
+pub(super) struct TopicUpdate {
     /// When it began.
     pub(super) asked_at: BoxTime,
     /// How long the store was to wait for a record, in milliseconds.
