--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -48,7 +48,7 @@
 pub const ERA_LOOK_MS: u64 = 1_000;
 
 /// Whether a box with this state has to call the store for a topic now.
-type TurnCheck = fn(&RouteState, BoxTime) -> bool;
+type DueCheck = fn(&RouteState, BoxTime) -> bool;
 
 /// Reads the store for one topic, and knows whether it can be reached.
 pub(super) struct TopicFollower {
@@ -56,7 +56,7 @@
     store: StoreClient,
     topic: &'static str,
     /// Whether calls are due, the first ones and those beside a late one.
-    due: TurnCheck,
+    due: DueCheck,
     /// Reads that are open, each with the position that it began at.
     reads: OpenCalls<(TopicPosition, TopicRead)>,
     /// When the store was lost, if it is.
@@ -75,7 +75,7 @@
         driver: Arc<GatewayDriver>,
         store: StoreClient,
         topic: &'static str,
-        due: TurnCheck,
+        due: DueCheck,
     ) -> Self {
         Self {
             driver,
