--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -40,7 +40,7 @@
     let mut unread = false;
     let mut passed_over = None;
     loop {
-        follower.wait_for_turn().await;
+        follower.wait_until_due().await;
         // Other boxes may have told more than this one has read.
         let told = driver.state().read_to();
         next =
@@ -91,7 +91,7 @@
         TopicFollower::new(driver.clone(), store, BACKEND_TOPIC, RouteState::must_read_entries);
     let mut next = None;
     loop {
-        follower.wait_for_turn().await;
+        follower.wait_until_due().await;
         let reader = driver.state().is_reader(driver.now());
         // Other boxes may have told more than this one has read.
         next = next.max(driver.state().entries_to());
@@ -149,7 +149,7 @@
     let mut told = None;
     let mut next = None;
     loop {
-        follower.wait_for_turn().await;
+        follower.wait_until_due().await;
         if told != Some(follower.era()) {
             // Whether or not an answer comes, the record may be there.
             driver.registered.store(true, Ordering::Relaxed);
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -106,7 +106,7 @@
 
     /// Waits until calls are due. Reads that were left open are dropped after a longer wait: nobody listened, and how
     /// they ended says nothing of the store as it is now.
-    pub(super) async fn wait_for_turn(&mut self) {
+    pub(super) async fn wait_until_due(&mut self) {
         let began = self.driver.now();
         while !(self.due)(&self.driver.state(), self.driver.now()) {
             let starts = !self.driver.state().is_synced();
