--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -67,7 +67,7 @@
                 unread = !apply_read(&driver, asked_at, from, to, &news.records);
                 // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
                 if driver.state().plan_as_of() < Some(asked_at) {
-                    follower.pause_unrenewed().await;
+                    follower.pause_before_reread().await;
                 }
             }
             None => follower.wait_to_retry().await,
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -301,7 +301,7 @@
     }
 
     /// Waits as after a failed call that was the first.
-    pub(super) async fn pause_unrenewed(&mut self) {
+    pub(super) async fn pause_before_reread(&mut self) {
         let (least_ms, _) = self.retry_span();
         tokio::time::sleep(Duration::from_millis(least_ms)).await;
     }
