--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -21,7 +21,7 @@
 pub const DUE_POLL_MS: u64 = 200;
 
 /// While it starts and knows nothing, it looks this often, in milliseconds: callers wait.
-pub const START_LOOK_MS: u64 = 20;
+pub const START_POLL_MS: u64 = 20;
 
 /// A failed call is tried again after this, in milliseconds; twice as long each further time.
 pub const RETRY_MS: u64 = 250;
@@ -110,7 +110,7 @@
         let began = self.driver.now();
         while !(self.due)(&self.driver.state(), self.driver.now()) {
             let starts = !self.driver.state().is_synced();
-            let look_ms = if starts { START_LOOK_MS } else { DUE_POLL_MS };
+            let look_ms = if starts { START_POLL_MS } else { DUE_POLL_MS };
             tokio::time::sleep(Duration::from_millis(look_ms)).await;
         }
         if self.driver.clock().since(began) > Duration::from_millis(CALL_MS) {
