--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -38,7 +38,7 @@
 pub const RETRY_LIMIT_MS: u64 = 8_000;
 
 /// A box that waits for its next try looks this often whether it must try sooner, in milliseconds.
-pub const RETRY_LOOK_MS: u64 = 50;
+pub const RETRY_POLL_MS: u64 = 50;
 
 /// Pause between two tries of a box that others could not tell what they have read, in milliseconds: a confirmed plan
 /// must be in force within two or three seconds.
@@ -212,7 +212,7 @@
                 let (store, pulse) = self.store.watched();
                 calls.begin(self.driver.now(), wait_ms, pulse, call(store, wait_ms));
             }
-            let look = calls.until_late().max(Duration::from_millis(RETRY_LOOK_MS));
+            let look = calls.until_late().max(Duration::from_millis(RETRY_POLL_MS));
             match calls.next(look).await {
                 CallStep::Answered(answer) => {
                     self.note_answered();
@@ -294,7 +294,7 @@
     pub(super) async fn wait_to_retry(&mut self) {
         let mut pause_ms = self.pause_ms();
         while !self.pause_is_over(pause_ms) {
-            tokio::time::sleep(Duration::from_millis(RETRY_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(RETRY_POLL_MS)).await;
             pause_ms = self.pause_ms();
         }
         self.retry_ms = pause_ms * 2;
