--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -45,7 +45,7 @@
 pub const RETRY_BEHIND_MS: u64 = 500;
 
 /// A box looks this often whether the store has come back from a copy, in milliseconds, to write again what it wrote.
-pub const ERA_LOOK_MS: u64 = 1_000;
+pub const ERA_POLL_MS: u64 = 1_000;
 
 /// Whether a box with this state has to call the store for a topic now.
 type DueCheck = fn(&RouteState, BoxTime) -> bool;
@@ -100,7 +100,7 @@
     pub(super) async fn wait_for_era(&mut self, known: Option<u64>, limit: Duration) {
         let until = self.driver.now().plus_millis(limit.as_millis() as u64);
         while known == Some(self.era()) && self.driver.now() < until {
-            tokio::time::sleep(Duration::from_millis(ERA_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(ERA_POLL_MS)).await;
         }
     }
 
