--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -62,7 +62,7 @@
             Some(news) => {
                 let asked_at = shown_at(&driver, &news);
                 // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
-                let from = began_at.filter(|_| news.whole_to.is_none());
+                let from = began_at.filter(|_| news.listed_to.is_none());
                 let to = next.unwrap_or_default();
                 unread = !apply_read(&driver, asked_at, from, to, &news.records);
                 // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
@@ -79,7 +79,7 @@
 /// answered; any other may have been answered at once.
 fn shown_at(driver: &GatewayDriver, news: &TopicUpdate) -> BoxTime {
     let held = driver.now().millis_since(news.asked_at) >= news.wait_ms;
-    if held && news.whole_to.is_none() && news.records.is_empty() {
+    if held && news.listed_to.is_none() && news.records.is_empty() {
         return news.asked_at.plus_millis(news.wait_ms);
     }
     news.asked_at
@@ -125,7 +125,7 @@
             Err(()) => spoilt.push(change(None)),
         }
     }
-    driver.feed(match news.whole_to {
+    driver.feed(match news.listed_to {
         Some(end) => RouteEvent::BackendsListed { end, listed: changes },
         None => RouteEvent::BackendsChanged(changes),
     });
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -164,7 +164,7 @@
                     *next = (read.end >= from).then_some(read.next.max(next.unwrap_or_default()));
                     if next.is_some() {
                         let records = read.records;
-                        return Some(TopicUpdate { asked_at, wait_ms, whole_to: None, records });
+                        return Some(TopicUpdate { asked_at, wait_ms, listed_to: None, records });
                     }
                 }
             }
@@ -172,8 +172,8 @@
         self.reads = OpenCalls::default();
         let AnsweredCall { asked_at, wait_ms, value } = self.list().await?;
         *next = Some(value.end);
-        let whole_to = Some(value.end);
-        Some(TopicUpdate { asked_at, wait_ms, whole_to, records: value.records })
+        let listed_to = Some(value.end);
+        Some(TopicUpdate { asked_at, wait_ms, listed_to, records: value.records })
     }
 
     /// The next answer of the reads that are open and those that begin now, from `from` on.
@@ -332,6 +332,6 @@
     /// How long the store was to wait for a record, in milliseconds.
     pub(super) wait_ms: u64,
     /// Where the topic ended, if these are all its keys.
-    pub(super) whole_to: Option<TopicPosition>,
+    pub(super) listed_to: Option<TopicPosition>,
     pub(super) records: Vec<KeyedRecord>,
 }
