--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -302,18 +302,18 @@
 
     /// Waits as after a failed call that was the first.
     pub(super) async fn pause_before_reread(&mut self) {
-        let (least_ms, _) = self.retry_span();
+        let (least_ms, _) = self.retry_bounds();
         tokio::time::sleep(Duration::from_millis(least_ms)).await;
     }
 
     /// Pause before the next try as things stand, in milliseconds.
     fn pause_ms(&self) -> u64 {
-        let (least, most) = self.retry_span();
+        let (least, most) = self.retry_bounds();
         self.retry_ms.clamp(least, most)
     }
 
     /// The shortest and the longest pause before the next try, in milliseconds.
-    fn retry_span(&self) -> (u64, u64) {
+    fn retry_bounds(&self) -> (u64, u64) {
         let (state, now) = (self.driver.state(), self.driver.now());
         if state.is_reader(now) {
             (RETRY_MS, RETRY_READER_LIMIT_MS)
