--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -238,7 +238,7 @@
     fn may_try_again(&mut self) -> bool {
         let pause_ms = self.pause_ms();
         let tries =
-            self.pause_is_over(pause_ms) && (self.due)(&self.driver.state(), self.driver.now());
+            self.pause_elapsed(pause_ms) && (self.due)(&self.driver.state(), self.driver.now());
         if tries {
             self.retry_ms = pause_ms * 2;
         }
@@ -246,7 +246,7 @@
     }
 
     /// Whether a pause of so long, and a part of it by chance, has passed since the last failure.
-    fn pause_is_over(&self, pause_ms: u64) -> bool {
+    fn pause_elapsed(&self, pause_ms: u64) -> bool {
         let pause = Duration::from_millis(pause_ms).mul_f64(1.0 + self.jitter / 4.0);
         self.driver.clock().since(self.failed_at) >= pause
     }
@@ -293,7 +293,7 @@
     /// reader, or hears that it is behind, waits no longer than such a box does.
     pub(super) async fn wait_to_retry(&mut self) {
         let mut pause_ms = self.pause_ms();
-        while !self.pause_is_over(pause_ms) {
+        while !self.pause_elapsed(pause_ms) {
             tokio::time::sleep(Duration::from_millis(RETRY_POLL_MS)).await;
             pause_ms = self.pause_ms();
         }
