--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -215,7 +215,7 @@
             let look = calls.until_late().max(Duration::from_millis(RETRY_POLL_MS));
             match calls.next(look).await {
                 CallStep::Answered(answer) => {
-                    self.note_answered();
+                    self.record_answer();
                     return Ok(answer);
                 }
                 CallStep::Failed(StoreError::Gone, _) => return Err(StoreError::Gone),
@@ -252,7 +252,7 @@
     }
 
     /// Notes that the store answers.
-    fn note_answered(&mut self) {
+    fn record_answer(&mut self) {
         self.retry_ms = RETRY_MS;
         self.note_era();
         if let Some(at) = self.lost_at.take() {
