--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -220,14 +220,14 @@
                 }
                 CallStep::Failed(StoreError::Gone, _) => return Err(StoreError::Gone),
                 CallStep::Failed(error, after) => {
-                    self.note_failed(&error, after);
+                    self.record_failure(&error, after);
                     if calls.is_empty() {
                         return Err(error);
                     }
                 }
                 CallStep::Nothing => {
                     if let Some(after) = calls.newly_late() {
-                        self.note_failed(&"no answer yet", after);
+                        self.record_failure(&"no answer yet", after);
                     }
                 }
             }
@@ -273,7 +273,7 @@
     }
 
     /// Notes a call that failed, or is late, `after` it began.
-    fn note_failed(&mut self, why: &dyn std::fmt::Display, after: Duration) {
+    fn record_failure(&mut self, why: &dyn std::fmt::Display, after: Duration) {
         observe::count_store_error();
         (self.failed_at, self.jitter) = (self.driver.now(), rand::random());
         self.driver.feed(RouteEvent::StoreFailed);
