--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -254,7 +254,7 @@
     /// Notes that the store answers.
     fn record_answer(&mut self) {
         self.retry_ms = RETRY_MS;
-        self.note_era();
+        self.record_era();
         if let Some(at) = self.lost_at.take() {
             observe::log_store_regained(self.topic, self.driver.clock().since(at));
             self.driver.feed(RouteEvent::StoreRecovered);
@@ -262,7 +262,7 @@
     }
 
     /// Notes the era that the store names.
-    fn note_era(&mut self) {
+    fn record_era(&mut self) {
         if let Some(value) = self.store.era().take_unread() {
             observe::log_invalid_era(&value);
         }
