--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -50,12 +50,12 @@
 pub(super) struct OpenCalls<T> {
     open: Vec<OpenCall<T>>,
     /// Whether it was told that the last one is late.
-    told_late: bool,
+    late_reported: bool,
 }
 
 impl<T> Default for OpenCalls<T> {
     fn default() -> Self {
-        Self { open: Vec::new(), told_late: false }
+        Self { open: Vec::new(), late_reported: false }
     }
 }
 
@@ -70,7 +70,7 @@
     ) {
         let (began, answer) = (Instant::now(), answer.boxed());
         self.open.push(OpenCall { asked_at, wait_ms, began, pulse, answer });
-        self.told_late = false;
+        self.late_reported = false;
     }
 
     /// Whether none is open.
@@ -85,8 +85,8 @@
 
     /// How long the last one has been open, if it is late and this was not told yet.
     pub(super) fn newly_late(&mut self) -> Option<Duration> {
-        let last = self.open.last().filter(|call| !self.told_late && call.is_late())?;
-        self.told_late = true;
+        let last = self.open.last().filter(|call| !self.late_reported && call.is_late())?;
+        self.late_reported = true;
         Some(last.began.elapsed())
     }
 
