--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -34,7 +34,7 @@
             return;
         }
         match self.follower.read(&mut None, 0).await {
-            Some(news) => drop(apply_checkpoints(&self.driver, news.asked_at, &news.records)),
+            Some(update) => drop(apply_checkpoints(&self.driver, update.asked_at, &update.records)),
             None => self.follower.wait_to_retry().await,
         }
     }
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -59,12 +59,12 @@
                     observe::log_read_discarded(next.unwrap_or_default(), read_to);
                 }
             }
-            Some(news) => {
-                let asked_at = shown_at(&driver, &news);
+            Some(update) => {
+                let asked_at = shown_at(&driver, &update);
                 // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
-                let from = began_at.filter(|_| news.listed_to.is_none());
+                let from = began_at.filter(|_| update.listed_to.is_none());
                 let to = next.unwrap_or_default();
-                unread = !apply_read(&driver, asked_at, from, to, &news.records);
+                unread = !apply_read(&driver, asked_at, from, to, &update.records);
                 // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
                 if driver.state().plan_as_of() < Some(asked_at) {
                     follower.pause_before_reread().await;
@@ -77,12 +77,12 @@
 
 /// As of when a read shows the topic. One that found nothing was held for the whole wait before it was
 /// answered; any other may have been answered at once.
-fn shown_at(driver: &GatewayDriver, news: &TopicUpdate) -> BoxTime {
-    let held = driver.now().millis_since(news.asked_at) >= news.wait_ms;
-    if held && news.listed_to.is_none() && news.records.is_empty() {
-        return news.asked_at.plus_millis(news.wait_ms);
+fn shown_at(driver: &GatewayDriver, update: &TopicUpdate) -> BoxTime {
+    let held = driver.now().millis_since(update.asked_at) >= update.wait_ms;
+    if held && update.listed_to.is_none() && update.records.is_empty() {
+        return update.asked_at.plus_millis(update.wait_ms);
     }
-    news.asked_at
+    update.asked_at
 }
 
 /// Follows the replicas' entries.
@@ -96,13 +96,13 @@
         // Other boxes may have told more than this one has read.
         next = next.max(driver.state().entries_to());
         let wait_ms = if reader { READER_WAIT_MS } else { 0 };
-        let Some(news) = follower.read(&mut next, wait_ms).await else {
+        let Some(update) = follower.read(&mut next, wait_ms).await else {
             follower.wait_to_retry().await;
             continue;
         };
-        let as_of = shown_at(&driver, &news);
-        let empty = news.records.is_empty();
-        take_backends(&driver, news);
+        let as_of = shown_at(&driver, &update);
+        let empty = update.records.is_empty();
+        take_backends(&driver, update);
         if let Some(to) = next {
             driver.feed(RouteEvent::EntriesRead { as_of, to });
         }
@@ -113,9 +113,9 @@
     }
 }
 
-fn take_backends(driver: &GatewayDriver, news: TopicUpdate) {
+fn take_backends(driver: &GatewayDriver, update: TopicUpdate) {
     let (mut changes, mut spoilt) = (Vec::new(), Vec::new());
-    for record in news.records {
+    for record in update.records {
         let entry = record.value.as_ref().map(|value| read_backend(&record.key, value)).transpose();
         let entry = entry.map_err(|error| observe::log_bad_record(&error));
         let change = |entry| BackendChange { id: record.key, at: record.at, entry };
@@ -125,7 +125,7 @@
             Err(()) => spoilt.push(change(None)),
         }
     }
-    driver.feed(match news.listed_to {
+    driver.feed(match update.listed_to {
         Some(end) => RouteEvent::BackendsListed { end, listed: changes },
         None => RouteEvent::BackendsChanged(changes),
     });
@@ -159,11 +159,11 @@
             }
             told = Some(follower.era());
         }
-        let Some(news) = follower.read(&mut next, 0).await else {
+        let Some(update) = follower.read(&mut next, 0).await else {
             follower.wait_to_retry().await;
             continue;
         };
-        let values = news.records.into_iter().filter_map(|row| row.value);
+        let values = update.records.into_iter().filter_map(|row| row.value);
         let addresses: Vec<String> =
             values.map(|value| String::from_utf8_lossy(&value).into_owned()).collect();
         driver.feed(RouteEvent::PeersDiscovered(addresses));
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -43,7 +43,7 @@
         {
             read_at = driver.now();
             match follower.read(&mut next, 0).await {
-                Some(news) => drop(apply_verdicts(&driver, news.asked_at, &news.records)),
+                Some(update) => drop(apply_verdicts(&driver, update.asked_at, &update.records)),
                 None => follower.wait_to_retry().await,
             }
         }
