--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -102,7 +102,7 @@
         };
         let as_of = shown_at(&driver, &update);
         let empty = update.records.is_empty();
-        take_backends(&driver, update);
+        apply_backends(&driver, update);
         if let Some(to) = next {
             driver.feed(RouteEvent::EntriesRead { as_of, to });
         }
@@ -113,7 +113,7 @@
     }
 }
 
-fn take_backends(driver: &GatewayDriver, update: TopicUpdate) {
+fn apply_backends(driver: &GatewayDriver, update: TopicUpdate) {
     let (mut changes, mut spoilt) = (Vec::new(), Vec::new());
     for record in update.records {
         let entry = record.value.as_ref().map(|value| read_backend(&record.key, value)).transpose();
