--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -172,7 +172,7 @@
 }
 
 /// Takes this box's record out of the store, at the planned stop.
-pub async fn forget_box(driver: Arc<GatewayDriver>, store: StoreClient, name: &str) {
+pub async fn deregister_box(driver: Arc<GatewayDriver>, store: StoreClient, name: &str) {
     let record = KeyedRecord::new(name.to_owned(), None);
     let mut follower = TopicFollower::new(driver, store, BOX_TOPIC, |_, _| true);
     // A call that fails is logged; a box that starts and asks here in vain asks another. The process does not
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -281,7 +281,7 @@
     tokio::join!(
         async {
             if driver.registered.load(Ordering::Relaxed) {
-                follow::forget_box(driver.clone(), store, &settings.name).await;
+                follow::deregister_box(driver.clone(), store, &settings.name).await;
             }
         },
         serve_out(settings, driver, &mut entry),
