--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -60,7 +60,7 @@
                 }
             }
             Some(update) => {
-                let asked_at = shown_at(&driver, &update);
+                let asked_at = current_as_of(&driver, &update);
                 // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
                 let from = began_at.filter(|_| update.listed_to.is_none());
                 let to = next.unwrap_or_default();
@@ -77,7 +77,7 @@
 
 /// As of when a read shows the topic. One that found nothing was held for the whole wait before it was
 /// answered; any other may have been answered at once.
-fn shown_at(driver: &GatewayDriver, update: &TopicUpdate) -> BoxTime {
+fn current_as_of(driver: &GatewayDriver, update: &TopicUpdate) -> BoxTime {
     let held = driver.now().millis_since(update.asked_at) >= update.wait_ms;
     if held && update.listed_to.is_none() && update.records.is_empty() {
         return update.asked_at.plus_millis(update.wait_ms);
@@ -100,7 +100,7 @@
             follower.wait_to_retry().await;
             continue;
         };
-        let as_of = shown_at(&driver, &update);
+        let as_of = current_as_of(&driver, &update);
         let empty = update.records.is_empty();
         apply_backends(&driver, update);
         if let Some(to) = next {
