--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -30,7 +30,7 @@
 
 /// Other boxes' records are read this often, in milliseconds; notes are quicker, this mends what they
 /// can't.
-pub const BOX_EVERY_MS: u64 = 60_000;
+pub const BOX_LIST_INTERVAL_MS: u64 = 60_000;
 
 /// Follows the operator's plan and orders.
 pub async fn follow_operator(driver: Arc<GatewayDriver>, store: StoreClient) {
@@ -167,7 +167,7 @@
         let addresses: Vec<String> =
             values.map(|value| String::from_utf8_lossy(&value).into_owned()).collect();
         driver.feed(RouteEvent::PeersDiscovered(addresses));
-        follower.wait_for_era(told, Duration::from_millis(BOX_EVERY_MS)).await;
+        follower.wait_for_era(told, Duration::from_millis(BOX_LIST_INTERVAL_MS)).await;
     }
 }
 
