--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -114,7 +114,7 @@
 }
 
 fn apply_backends(driver: &GatewayDriver, update: TopicUpdate) {
-    let (mut changes, mut spoilt) = (Vec::new(), Vec::new());
+    let (mut changes, mut invalid) = (Vec::new(), Vec::new());
     for record in update.records {
         let entry = record.value.as_ref().map(|value| read_backend(&record.key, value)).transpose();
         let entry = entry.map_err(|error| observe::log_bad_record(&error));
@@ -122,15 +122,15 @@
         match entry {
             Ok(entry) => changes.push(change(entry)),
             // Another writer's: it names no replica to use, and what it replaced is not used on.
-            Err(()) => spoilt.push(change(None)),
+            Err(()) => invalid.push(change(None)),
         }
     }
     driver.feed(match update.listed_to {
         Some(end) => RouteEvent::BackendsListed { end, listed: changes },
         None => RouteEvent::BackendsChanged(changes),
     });
-    if !spoilt.is_empty() {
-        driver.feed(RouteEvent::BackendsInvalidated(spoilt));
+    if !invalid.is_empty() {
+        driver.feed(RouteEvent::BackendsInvalidated(invalid));
     }
 }
 
