--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -37,23 +37,23 @@
     let mut follower =
         TopicFollower::new(driver.clone(), store, OPERATOR_TOPIC, RouteState::must_read_plan);
     let mut next = None;
-    let mut unread = false;
-    let mut passed_over = None;
+    let mut undecoded = false;
+    let mut discarded = None;
     loop {
         follower.wait_until_due().await;
-        // Other boxes may have told more than this one has read.
-        let told = driver.state().read_to();
+        // Other boxes may have known_to more than this one has read.
+        let known_to = driver.state().read_to();
         next =
-            if unread { None } else { next.max((told > TopicPosition::default()).then_some(told)) };
-        // Who is no reader reads only what there is: it has heard of more, or nobody told it anything.
+            if undecoded { None } else { next.max((known_to > TopicPosition::default()).then_some(known_to)) };
+        // Who is no reader reads only what there is: it has heard of more, or nobody known_to it anything.
         let waits = driver.state().long_polls_plan(driver.now());
         let wait_ms = if waits { READER_WAIT_MS } else { 0 };
         let began_at = next;
         match follower.read(&mut next, wait_ms).await {
-            // It was under way while another box told more.
+            // It was under way while another box known_to more.
             Some(_) if next.is_some_and(|next| next < driver.state().read_to()) => {
                 let read_to = driver.state().read_to();
-                if std::mem::replace(&mut passed_over, next) == next {
+                if std::mem::replace(&mut discarded, next) == next {
                     tokio::time::sleep(Duration::from_millis(RETRY_MS)).await;
                 } else {
                     observe::log_read_discarded(next.unwrap_or_default(), read_to);
@@ -64,7 +64,7 @@
                 // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
                 let from = began_at.filter(|_| update.listed_to.is_none());
                 let to = next.unwrap_or_default();
-                unread = !apply_read(&driver, asked_at, from, to, &update.records);
+                undecoded = !apply_read(&driver, asked_at, from, to, &update.records);
                 // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
                 if driver.state().plan_as_of() < Some(asked_at) {
                     follower.pause_before_reread().await;
