--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -145,19 +145,19 @@
     let mut follower =
         TopicFollower::new(driver.clone(), store, BOX_TOPIC, RouteState::must_read_box_list);
     let own = KeyedRecord::new(name, Some(address.into_bytes()));
-    // The era in which the store was told.
-    let mut told = None;
+    // The era in which the store was registered_in.
+    let mut registered_in = None;
     let mut next = None;
     loop {
         follower.wait_until_due().await;
-        if told != Some(follower.era()) {
+        if registered_in != Some(follower.era()) {
             // Whether or not an answer comes, the record may be there.
             driver.registered.store(true, Ordering::Relaxed);
             if follower.append(None, &own).await.is_none() {
                 follower.wait_to_retry().await;
                 continue;
             }
-            told = Some(follower.era());
+            registered_in = Some(follower.era());
         }
         let Some(update) = follower.read(&mut next, 0).await else {
             follower.wait_to_retry().await;
@@ -167,7 +167,7 @@
         let addresses: Vec<String> =
             values.map(|value| String::from_utf8_lossy(&value).into_owned()).collect();
         driver.feed(RouteEvent::PeersDiscovered(addresses));
-        follower.wait_for_era(told, Duration::from_millis(BOX_LIST_INTERVAL_MS)).await;
+        follower.wait_for_era(registered_in, Duration::from_millis(BOX_LIST_INTERVAL_MS)).await;
     }
 }
 
