--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -27,7 +27,7 @@
 const PRODUCER: &str = "leader";
 
 /// A box asks for the lease this many times in its length: two asks in a row may be lost.
-pub const ASKS_IN_LEASE: u64 = 3;
+pub const REQUESTS_PER_LEASE: u64 = 3;
 
 /// A box looks this often whether it asks for the lease, in milliseconds.
 pub const LEASE_LOOK_MS: u64 = 100;
@@ -55,7 +55,7 @@
             joined.take().unwrap_or_else(|| (member(&name, incarnation, lease_ms), 0));
         let heard = ask_for_lease(&driver, &store, &member, generation).await;
         joined = Some((member, heard.unwrap_or(generation)));
-        tokio::time::sleep(Duration::from_millis(lease_ms / ASKS_IN_LEASE)).await;
+        tokio::time::sleep(Duration::from_millis(lease_ms / REQUESTS_PER_LEASE)).await;
     }
 }
 
