--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -30,7 +30,7 @@
 pub const REQUESTS_PER_LEASE: u64 = 3;
 
 /// A box looks this often whether it asks for the lease, in milliseconds.
-pub const LEASE_LOOK_MS: u64 = 100;
+pub const LEASE_POLL_MS: u64 = 100;
 
 /// This box as one of those that ask for the lease. Each life of its process is another.
 fn member(name: &str, incarnation: u64, ttl_ms: u64) -> GroupMember {
@@ -47,7 +47,7 @@
             if let Some(member) = joined.take() {
                 leave(&driver, &store, &member).await;
             }
-            tokio::time::sleep(Duration::from_millis(LEASE_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(LEASE_POLL_MS)).await;
             continue;
         }
         let lease_ms = driver.state().lease_ms();
