--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -112,7 +112,7 @@
     let context = Arc::new(LeaderContext { driver, store, cloud });
     while let Some(order) = due.recv().await {
         let context = context.clone();
-        tokio::spawn(async move { context.carry_out(order).await });
+        tokio::spawn(async move { context.execute(order).await });
     }
 }
 
@@ -122,7 +122,7 @@
         self.driver.now() < order.until
     }
 
-    async fn carry_out(&self, order: LeaderOrder) {
+    async fn execute(&self, order: LeaderOrder) {
         if !self.may_begin(&order) {
             return;
         }
