--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -103,7 +103,7 @@
 }
 
 /// Carries the holder's steps out, each on its own: a call that is not answered must not hold up others.
-pub async fn carry_out_steps(
+pub async fn execute_orders(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     cloud: CloudClient,
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -159,7 +159,7 @@
     let Some(leader) = &settings.leader else { return Ok(()) };
     let cloud = CloudClient::new(&leader.cloud, &settings.name, settings.entry.ip())?;
     tokio::spawn(leader::follow_lease(driver.clone(), store.clone(), settings.name.clone()));
-    tokio::spawn(leader::carry_out_steps(driver.clone(), store.clone(), cloud, due));
+    tokio::spawn(leader::execute_orders(driver.clone(), store.clone(), cloud, due));
     Ok(())
 }
 
