--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -143,7 +143,7 @@
         let next = self.store.begin_epoch(LEADER_TOPIC, epoch).await?;
         self.driver.stats.count_call(LEADER_TOPIC, StoreCall::List);
         let listing = self.store.newest(LEADER_TOPIC).await?;
-        let left = listing.records.iter().filter_map(read_left).collect();
+        let left = listing.records.iter().filter_map(decode_record).collect();
         self.driver.feed(RouteEvent::LeaderRecordsRead { token, next, left });
         Ok(())
     }
@@ -176,7 +176,7 @@
     }
 }
 
-fn read_left(record: &KeyedRecord) -> Option<LeaderRecord> {
+fn decode_record(record: &KeyedRecord) -> Option<LeaderRecord> {
     let value = record.value.as_ref()?;
     read_leader(&record.key, value).unwrap_or_else(|error| {
         observe::log_bad_record(&error);
