--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -53,13 +53,13 @@
         let lease_ms = driver.state().lease_ms();
         let (member, generation) =
             joined.take().unwrap_or_else(|| (member(&name, incarnation, lease_ms), 0));
-        let heard = request_lease(&driver, &store, &member, generation).await;
-        joined = Some((member, heard.unwrap_or(generation)));
+        let answered = request_lease(&driver, &store, &member, generation).await;
+        joined = Some((member, answered.unwrap_or(generation)));
         tokio::time::sleep(Duration::from_millis(lease_ms / REQUESTS_PER_LEASE)).await;
     }
 }
 
-/// Asks once. Gives the generation that was heard, if an answer came.
+/// Asks once. Gives the generation that was answered, if an answer came.
 async fn request_lease(
     driver: &GatewayDriver,
     store: &StoreClient,
