--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -128,7 +128,7 @@
         }
         let done = match &order.step {
             LeaderStep::TakeOver => self.take_over(order.token).await,
-            LeaderStep::WriteRecord(kept) => self.keep(order.token, kept).await,
+            LeaderStep::WriteRecord(numbered) => self.write_record(order.token, numbered).await,
             LeaderStep::Call(call) => return self.call(&order, call).await,
         };
         if let Err(error) = done {
@@ -149,11 +149,11 @@
     }
 
     /// Writes a record for the next holder.
-    async fn keep(&self, token: u64, kept: &NumberedRecord) -> Result<(), StoreError> {
+    async fn write_record(&self, token: u64, numbered: &NumberedRecord) -> Result<(), StoreError> {
         self.driver.stats.count_call(LEADER_TOPIC, StoreCall::Append);
-        let number = kept.number;
+        let number = numbered.number;
         let epoch = ProducerEpoch { producer: PRODUCER, epoch: token, sequence: number };
-        let (key, value) = write_leader(&kept.record);
+        let (key, value) = write_leader(&numbered.record);
         let record = KeyedRecord::new(key, Some(value));
         match self.store.append_in_epoch(LEADER_TOPIC, epoch, Some(&record)).await {
             Ok(()) => self.driver.feed(RouteEvent::RecordStored { token, number }),
