--- a/crates/box/src/gateway/listen.rs
+++ b/crates/box/src/gateway/listen.rs
@@ -34,14 +34,14 @@
     /// What the system says.
     pub fn close(self) -> std::io::Result<Vec<TcpStream>> {
         let listener = self.0.into_std()?;
-        let mut waiting = Vec::new();
+        let mut pending = Vec::new();
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
                     stream.set_nonblocking(true)?;
-                    waiting.push(TcpStream::from_std(stream)?);
+                    pending.push(TcpStream::from_std(stream)?);
                 }
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(waiting),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(pending),
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => {}
                 Err(error) => return Err(error),
             }
