--- a/crates/box/src/gateway/directory.rs
+++ b/crates/box/src/gateway/directory.rs
@@ -33,11 +33,11 @@
 #[rocket::async_trait]
 impl Handler for ResolveHandler {
     async fn handle<'r>(&self, request: &'r Request<'_>, _data: Data<'r>) -> Outcome<'r> {
-        let named = self.driver.state().advertised_addresses(self.driver.now());
-        if named.is_empty() {
+        let addresses = self.driver.state().advertised_addresses(self.driver.now());
+        if addresses.is_empty() {
             return Outcome::from(request, Status::ServiceUnavailable);
         }
-        Outcome::from(request, (ContentType::JSON, addresses_answer(named, self.keep_ms)))
+        Outcome::from(request, (ContentType::JSON, addresses_answer(addresses, self.keep_ms)))
     }
 }
 
