--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -28,7 +28,7 @@
 pub const IDLE_SLACK_MS: u64 = 5_000;
 
 /// Part of the process's descriptors that callers may take.
-pub const CALLER_PART: f64 = 0.6;
+pub const CALLER_SHARE: f64 = 0.6;
 
 /// Open connections of callers.
 #[derive(Default)]
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -27,7 +27,7 @@
 use super::sync_pacer::SyncPacer;
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
 use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, GOSSIP_QUEUE_LIMIT};
-use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_PART};
+use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_SHARE};
 use super::exchange::GatewayContext;
 use super::listen::ListeningEntry;
 use super::pool::ReplicaPool;
@@ -212,7 +212,7 @@
         let entry = CallerEntry {
             context,
             count: callers.clone(),
-            limit: (settings.descriptors as f64 * CALLER_PART) as usize,
+            limit: (settings.descriptors as f64 * CALLER_SHARE) as usize,
             full: AtomicBool::new(false),
             phase: phases,
         };
