--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -160,7 +160,7 @@
         observe::log_socket_failed("entry", &error);
     }
     let wait = wait_to_serve(&context, phase.clone()).await;
-    let first = FirstWait::new(wait, context.driver.now());
+    let first = StartWait::new(wait, context.driver.now());
     let limits = context.driver.state().plan().limits;
     let idle_ms = limits.idle_ms + IDLE_SLACK_MS;
     let buffer = BUFFER_BYTES.max(BUFFER_HEADS * limits.header_bytes);
@@ -207,12 +207,12 @@
 }
 
 /// How long a connection waited, and its first request with it.
-struct FirstWait {
+struct StartWait {
     wait_ms: AtomicU64,
     served_from: BoxTime,
 }
 
-impl FirstWait {
+impl StartWait {
     /// A wait that is over now.
     fn new(wait: Duration, now: BoxTime) -> Self {
         Self { wait_ms: AtomicU64::new(wait.as_millis() as u64), served_from: now }
