--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -96,7 +96,7 @@
     pub async fn run(self, listener: ListeningEntry) {
         self.accept(&listener).await;
         match listener.close() {
-            Ok(waiting) => waiting.into_iter().for_each(|stream| self.take(stream)),
+            Ok(waiting) => waiting.into_iter().for_each(|stream| self.admit(stream)),
             Err(error) => observe::log_socket_failed("entry", &error),
         }
         observe::log_entry_closed(self.count.open());
@@ -111,7 +111,7 @@
                 accepted = listener.accept() => accepted,
             };
             match accepted {
-                Ok(stream) => self.take(stream),
+                Ok(stream) => self.admit(stream),
                 Err(error) => {
                     // Out of descriptors, or the caller was gone at once: the next may do better.
                     observe::log_socket_failed("entry", &error);
@@ -121,7 +121,7 @@
         }
     }
 
-    fn take(&self, stream: TcpStream) {
+    fn admit(&self, stream: TcpStream) {
         let full = self.count.open() >= self.limit;
         let was_full = self.full.swap(full, Ordering::Relaxed);
         if full {
