--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -200,10 +200,10 @@
     if *phase.borrow() > EntryPhase::Starting {
         return Duration::ZERO;
     }
-    let came_at = context.driver.now();
+    let connected_at = context.driver.now();
     // The sender lives as long as the process.
     let _ = phase.wait_for(|phase| *phase > EntryPhase::Starting).await;
-    context.driver.clock().since(came_at)
+    context.driver.clock().since(connected_at)
 }
 
 /// How long a connection waited, and its first request with it.
