--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -221,7 +221,7 @@
     /// The wait of a request that is read now. One that comes later than what had come has not waited.
     fn take(&self, now: BoxTime) -> Duration {
         let wait_ms = self.wait_ms.swap(0, Ordering::Relaxed);
-        let had_come = now.millis_since(self.served_from) < FIRST_REQUEST_MS;
-        Duration::from_millis(if had_come { wait_ms } else { 0 })
+        let was_waiting = now.millis_since(self.served_from) < FIRST_REQUEST_MS;
+        Duration::from_millis(if was_waiting { wait_ms } else { 0 })
     }
 }
