--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -96,7 +96,7 @@
     pub async fn run(self, listener: ListeningEntry) {
         self.accept(&listener).await;
         match listener.close() {
-            Ok(waiting) => waiting.into_iter().for_each(|stream| self.admit(stream)),
+            Ok(pending) => pending.into_iter().for_each(|stream| self.admit(stream)),
             Err(error) => observe::log_socket_failed("entry", &error),
         }
         observe::log_entry_closed(self.count.open());
