--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -51,7 +51,7 @@
 
 /// Callers may send to an address for this much longer than they keep an answer about it, in milliseconds: the answer
 /// takes a while to them, and their requests to the box.
-pub const KNOWN_MARGIN_MS: u64 = 200;
+pub const ADDRESS_MARGIN_MS: u64 = 200;
 
 /// While stopping, the box looks this often whether anything is left to do, in milliseconds.
 pub const STOP_LOOK_MS: u64 = 50;
@@ -294,7 +294,7 @@
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     // Callers keep an answer about addresses for its time, some of them longer; then they look for another.
-    let known_ms = (settings.keep_ms + KNOWN_MARGIN_MS).min(limit_ms);
+    let known_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
     stop.until(known_ms).await;
     entry.close_resting();
     stop.until_empty(STOP_ACCEPT_MS.max(known_ms).min(limit_ms)).await;
