--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -54,7 +54,7 @@
 pub const ADDRESS_MARGIN_MS: u64 = 200;
 
 /// While stopping, the box looks this often whether anything is left to do, in milliseconds.
-pub const STOP_LOOK_MS: u64 = 50;
+pub const STOP_POLL_MS: u64 = 50;
 
 /// Runs a box until its planned stop is over.
 ///
@@ -382,14 +382,14 @@
 impl StopWait<'_> {
     async fn until(&self, most_ms: u64) {
         while !self.over(most_ms) {
-            tokio::time::sleep(Duration::from_millis(STOP_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
     /// Waits until all that is open has ended, or the time is up.
     async fn until_empty(&self, most_ms: u64) {
         while !self.empty() && !self.over(most_ms) {
-            tokio::time::sleep(Duration::from_millis(STOP_LOOK_MS)).await;
+            tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
