--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -44,7 +44,7 @@
 pub const START_TICK_MS: u64 = 40;
 
 /// Idle connections are looked at this often, in milliseconds.
-pub const SWEEP_EVERY_MS: u64 = 1_000;
+pub const SWEEP_INTERVAL_MS: u64 = 1_000;
 
 /// Kept back from the time between the signal to stop and the kill, in milliseconds.
 pub const GRACE_MARGIN_MS: u64 = 500;
@@ -351,7 +351,7 @@
             observe::log_suspension(length);
         }
         driver.feed(RouteEvent::Tick);
-        if swept.elapsed() >= Duration::from_millis(SWEEP_EVERY_MS) {
+        if swept.elapsed() >= Duration::from_millis(SWEEP_INTERVAL_MS) {
             swept = Instant::now();
             pool.sweep();
         }
