--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -99,7 +99,7 @@
     let listener = ListeningEntry::bind(settings.entry).await;
     let listener = listener.map_err(|error| listen_error(settings.entry, "entry", &error))?;
 
-    follow_leader(&settings, &driver, &store, receivers.leader_orders)?;
+    spawn_leader_tasks(&settings, &driver, &store, receivers.leader_orders)?;
     follow_site(&settings, &driver, &store, socket, receivers.site);
     let entry = GatewayEntry::start(&settings, &driver, listener);
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
@@ -150,7 +150,7 @@
 }
 
 /// Starts the tasks of what one box does for all, where the platform has any of it.
-fn follow_leader(
+fn spawn_leader_tasks(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
     store: &StoreClient,
