--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -100,7 +100,7 @@
     let listener = listener.map_err(|error| listen_error(settings.entry, "entry", &error))?;
 
     spawn_leader_tasks(&settings, &driver, &store, receivers.leader_orders)?;
-    follow_site(&settings, &driver, &store, socket, receivers.site);
+    spawn_site_tasks(&settings, &driver, &store, socket, receivers.site);
     let entry = GatewayEntry::start(&settings, &driver, listener);
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
     observe::log_started(&settings.name, settings.entry, &settings.seeds);
@@ -164,7 +164,7 @@
 }
 
 /// Starts the tasks that read the store and talk to other boxes.
-fn follow_site(
+fn spawn_site_tasks(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
     store: &StoreClient,
