--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -102,7 +102,7 @@
     spawn_leader_tasks(&settings, &driver, &store, receivers.leader_orders)?;
     spawn_site_tasks(&settings, &driver, &store, socket, receivers.site);
     let entry = GatewayEntry::start(&settings, &driver, listener);
-    launch_answers(&settings, &driver, metrics, metrics_port).await?;
+    launch_endpoints(&settings, &driver, metrics, metrics_port).await?;
     observe::log_started(&settings.name, settings.entry, &settings.seeds);
     if !settings.unread_seeds.is_empty() {
         observe::log_invalid_seeds(&settings.unread_seeds);
@@ -254,7 +254,7 @@
 }
 
 /// Serves the directory, readiness, and metrics where a port is given for them.
-async fn launch_answers(
+async fn launch_endpoints(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
     metrics: PrometheusHandle,
