--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -227,7 +227,7 @@
     }
 
     /// Closes connections without a request.
-    fn close_resting(&self) {
+    fn close_idle(&self) {
         self.phase.send_replace(EntryPhase::Closing);
     }
 
@@ -296,7 +296,7 @@
     // Callers keep an answer about addresses for its time, some of them longer; then they look for another.
     let known_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
     stop.until(known_ms).await;
-    entry.close_resting();
+    entry.close_idle();
     stop.until_empty(STOP_ACCEPT_MS.max(known_ms).min(limit_ms)).await;
     entry.close().await;
     stop.until_empty(limit_ms).await;
