--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -284,13 +284,13 @@
                 follow::deregister_box(driver.clone(), store, &settings.name).await;
             }
         },
-        serve_out(settings, driver, &mut entry),
+        drain(settings, driver, &mut entry),
     );
     observe::log_exit(entry.callers.open(), driver.state().in_flight());
 }
 
 /// Serves what callers send until they know of the stop, then what is open.
-async fn serve_out(settings: &GatewaySettings, driver: &GatewayDriver, entry: &mut GatewayEntry) {
+async fn drain(settings: &GatewaySettings, driver: &GatewayDriver, entry: &mut GatewayEntry) {
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     // Callers keep an answer about addresses for its time, some of them longer; then they look for another.
