--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -192,7 +192,7 @@
 /// The entry that callers connect to, and what is done with their connections.
 struct GatewayEntry {
     callers: Arc<CallerCount>,
-    taking: JoinHandle<()>,
+    accepting: JoinHandle<()>,
     phase: watch::Sender<EntryPhase>,
 }
 
@@ -217,8 +217,8 @@
             phase: phases,
         };
         tokio::spawn(open_entry(driver.clone(), phase.clone()));
-        let taking = tokio::spawn(entry.run(listener));
-        Self { callers, taking, phase }
+        let accepting = tokio::spawn(entry.run(listener));
+        Self { callers, accepting, phase }
     }
 
     /// Answers end their connections from now on.
@@ -234,7 +234,7 @@
     /// Refuses further connections, so that a caller tries another address at once.
     async fn close(&mut self) {
         self.phase.send_replace(EntryPhase::Closed);
-        if let Err(error) = (&mut self.taking).await {
+        if let Err(error) = (&mut self.accepting).await {
             observe::log_socket_failed("entry", &std::io::Error::other(error));
         }
     }
