--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -216,7 +216,7 @@
             full: AtomicBool::new(false),
             phase: phases,
         };
-        tokio::spawn(open_entry(driver.clone(), phase.clone()));
+        tokio::spawn(open_when_synced(driver.clone(), phase.clone()));
         let accepting = tokio::spawn(entry.run(listener));
         Self { callers, accepting, phase }
     }
@@ -241,7 +241,7 @@
 }
 
 /// Serves callers from when the box knows the site, unless it stops before.
-async fn open_entry(driver: Arc<GatewayDriver>, phase: watch::Sender<EntryPhase>) {
+async fn open_when_synced(driver: Arc<GatewayDriver>, phase: watch::Sender<EntryPhase>) {
     driver.accept_callers.notified().await;
     let opened = phase.send_if_modified(|phase| {
         let starting = *phase == EntryPhase::Starting;
