--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -294,10 +294,10 @@
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     // Callers keep an answer about addresses for its time, some of them longer; then they look for another.
-    let known_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
-    stop.until(known_ms).await;
+    let advertised_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
+    stop.until(advertised_ms).await;
     entry.close_idle();
-    stop.until_empty(STOP_ACCEPT_MS.max(known_ms).min(limit_ms)).await;
+    stop.until_empty(STOP_ACCEPT_MS.max(advertised_ms).min(limit_ms)).await;
     entry.close().await;
     stop.until_empty(limit_ms).await;
 }
