--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -380,15 +380,15 @@
 }
 
 impl StopWait<'_> {
-    async fn until(&self, most_ms: u64) {
-        while !self.over(most_ms) {
+    async fn until(&self, limit_ms: u64) {
+        while !self.over(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
     /// Waits until all that is open has ended, or the time is up.
-    async fn until_empty(&self, most_ms: u64) {
-        while !self.empty() && !self.over(most_ms) {
+    async fn until_empty(&self, limit_ms: u64) {
+        while !self.empty() && !self.over(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
@@ -397,7 +397,7 @@
         self.callers.open() == 0 && self.driver.state().in_flight() == 0
     }
 
-    fn over(&self, most_ms: u64) -> bool {
-        self.driver.clock().since(self.began) >= Duration::from_millis(most_ms)
+    fn over(&self, limit_ms: u64) -> bool {
+        self.driver.clock().since(self.began) >= Duration::from_millis(limit_ms)
     }
 }
