--- a/crates/box/src/gateway/reload.rs
+++ b/crates/box/src/gateway/reload.rs
@@ -11,7 +11,7 @@
 use super::observe;
 
 /// The settings file is looked at this often, in milliseconds; it may change without a signal.
-pub const SETTINGS_EVERY_MS: u64 = 3_000;
+pub const SETTINGS_POLL_MS: u64 = 3_000;
 
 /// Takes changes of the settings' bounds, at a signal or when the file is found changed.
 pub async fn follow_settings(driver: Arc<GatewayDriver>, file: PathBuf, mut hangup: Signal) {
@@ -19,7 +19,7 @@
     loop {
         let asked = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(Duration::from_millis(SETTINGS_EVERY_MS)) => false,
+            () = tokio::time::sleep(Duration::from_millis(SETTINGS_POLL_MS)) => false,
         };
         let text = match std::fs::read_to_string(&file) {
             Ok(text) => text,
