--- a/crates/box/src/gateway/reload.rs
+++ b/crates/box/src/gateway/reload.rs
@@ -30,14 +30,14 @@
         };
         let changed = text != last;
         if asked || changed {
-            take_settings(&driver, &file, &text, changed);
+            apply_settings(&driver, &file, &text, changed);
         }
         last = text;
     }
 }
 
 /// Takes the bounds of settings that are sound, if the file has changed, and logs how that went.
-fn take_settings(driver: &GatewayDriver, file: &Path, text: &str, changed: bool) {
+fn apply_settings(driver: &GatewayDriver, file: &Path, text: &str, changed: bool) {
     match read_settings(&file.display().to_string(), text) {
         Ok(settings) => {
             if changed {
