--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -19,10 +19,10 @@
 use tokio::sync::mpsc::{Sender, UnboundedSender};
 use tokio::sync::Notify;
 
-use super::sync_pacer::SyncPacer;
-use super::observe;
 use super::control_stats::{ControlStats, DatagramKind};
+use super::observe;
 use super::operator_records::OperatorRecords;
+use super::sync_pacer::SyncPacer;
 use crate::clock::BoxClock;
 
 /// What the reducer tells the task of one request.
@@ -65,7 +65,9 @@
     /// About how long it is, in bytes, if it is an answer.
     pub fn sync_response_bytes(&self) -> Option<usize> {
         match self {
-            Self::Gossip(_, message) if message.echo.is_some() => Some(SyncPacer::expected_bytes(message)),
+            Self::Gossip(_, message) if message.echo.is_some() => {
+                Some(SyncPacer::expected_bytes(message))
+            }
             _ => None,
         }
     }
@@ -230,13 +232,21 @@
             RouteEffect::SendPlacement(to, placement) => {
                 self.queue(PeerDatagram::Placement(to, placement));
             }
-            RouteEffect::SendSyncRequest(to, request) => self.queue(PeerDatagram::SyncRequest(to, request)),
+            RouteEffect::SendSyncRequest(to, request) => {
+                self.queue(PeerDatagram::SyncRequest(to, request))
+            }
             RouteEffect::WriteVerdict(verdict) => drop(self.sinks.verdicts.send(verdict)),
-            RouteEffect::WriteCheckpoint(checkpoint) => drop(self.sinks.checkpoints.send(checkpoint)),
+            RouteEffect::WriteCheckpoint(checkpoint) => {
+                drop(self.sinks.checkpoints.send(checkpoint))
+            }
             RouteEffect::AcceptCallers => self.accept_callers.notify_one(),
             RouteEffect::RunLeaderStep(order) => drop(self.sinks.leader_orders.send(order)),
-            RouteEffect::RequestUsage(to, request) => self.queue(PeerDatagram::UsageRequest(to, request)),
-            RouteEffect::SendUsage(to, message) => self.queue(PeerDatagram::UsageResponse(to, message)),
+            RouteEffect::RequestUsage(to, request) => {
+                self.queue(PeerDatagram::UsageRequest(to, request))
+            }
+            RouteEffect::SendUsage(to, message) => {
+                self.queue(PeerDatagram::UsageResponse(to, message))
+            }
             _ => {}
         }
     }
--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -196,7 +196,10 @@
 }
 
 /// Waits until the box serves, or refuses since it stops. Gives how long that took.
-async fn wait_to_serve(context: &GatewayContext, mut phase: watch::Receiver<EntryPhase>) -> Duration {
+async fn wait_to_serve(
+    context: &GatewayContext,
+    mut phase: watch::Receiver<EntryPhase>,
+) -> Duration {
     if *phase.borrow() > EntryPhase::Starting {
         return Duration::ZERO;
     }
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -14,11 +14,11 @@
     AnswerHead, AttemptFailure, CallerRequest, RouteEvent, SendOrder,
 };
 
-use super::responses::{text_response, refusal_response, full_body, AbortedResponse, CallerBody};
 use super::driver::{GatewayDriver, RequestName, RequestStep};
 use super::observe;
 use super::pool::{ReplicaLink, ReplicaPool};
 use super::relay::{relay_stream, StreamSource};
+use super::responses::{full_body, refusal_response, text_response, AbortedResponse, CallerBody};
 use super::unknown_headers::UnknownHeaders;
 
 /// Largest answer that is no stream, in bytes; it is read whole before any of it is passed on.
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -43,8 +43,11 @@
         follower.wait_until_due().await;
         // Other boxes may have known_to more than this one has read.
         let known_to = driver.state().read_to();
-        next =
-            if undecoded { None } else { next.max((known_to > TopicPosition::default()).then_some(known_to)) };
+        next = if undecoded {
+            None
+        } else {
+            next.max((known_to > TopicPosition::default()).then_some(known_to))
+        };
         // Who is no reader reads only what there is: it has heard of more, or nobody known_to it anything.
         let waits = driver.state().long_polls_plan(driver.now());
         let wait_ms = if waits { READER_WAIT_MS } else { 0 };
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -8,16 +8,16 @@
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc::{Receiver, UnboundedReceiver};
 
-use super::sync_pacer::SyncSlot;
+use super::control_stats::DatagramKind;
 use super::driver::{GatewayDriver, PeerDatagram};
 use super::gossip_wire::pages::PackedPages;
 use super::gossip_wire::{
-    decode_datagram, encode_sync_request, encode_gossip, encode_placement, encode_usage_response, encode_usage_request,
-    DecodedDatagram,
+    decode_datagram, encode_gossip, encode_placement, encode_sync_request, encode_usage_request,
+    encode_usage_response, DecodedDatagram,
 };
 use super::observe;
-use super::control_stats::DatagramKind;
 use super::operator_records::apply_received;
+use super::sync_pacer::SyncSlot;
 
 /// Largest datagram, in bytes.
 pub const DATAGRAM_LIMIT: usize = 60_000;
@@ -35,7 +35,9 @@
                     driver.feed(RouteEvent::SyncRequested(request));
                 }
                 // Who asked asks another box.
-                Ok(DecodedDatagram::SyncRequest(_)) => driver.stats.count_dropped(DatagramKind::SyncResponse),
+                Ok(DecodedDatagram::SyncRequest(_)) => {
+                    driver.stats.count_dropped(DatagramKind::SyncResponse)
+                }
                 Ok(DecodedDatagram::Placement(placement)) => {
                     driver.feed(RouteEvent::PlacementReceived(placement));
                 }
@@ -48,7 +50,9 @@
                 Ok(DecodedDatagram::UsageRequest(request)) => {
                     driver.feed(RouteEvent::UsageRequested(request))
                 }
-                Ok(DecodedDatagram::UsageResponse(response)) => driver.feed(RouteEvent::UsageReceived(response)),
+                Ok(DecodedDatagram::UsageResponse(response)) => {
+                    driver.feed(RouteEvent::UsageReceived(response))
+                }
                 Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("it is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
@@ -95,11 +99,15 @@
 ) -> usize {
     let kind = datagram.kind();
     let (targets, bytes) = match datagram {
-        PeerDatagram::Gossip(targets, message) => (targets, encode_with_records(driver, pages, &message)),
+        PeerDatagram::Gossip(targets, message) => {
+            (targets, encode_with_records(driver, pages, &message))
+        }
         PeerDatagram::Placement(targets, placement) => (targets, encode_placement(placement)),
         PeerDatagram::SyncRequest(target, request) => (vec![target], encode_sync_request(&request)),
         PeerDatagram::UsageRequest(targets, request) => (targets, encode_usage_request(&request)),
-        PeerDatagram::UsageResponse(target, response) => (vec![target], encode_usage_response(&response)),
+        PeerDatagram::UsageResponse(target, response) => {
+            (vec![target], encode_usage_response(&response))
+        }
     };
     for target in &targets {
         let same_zone = driver.state().is_in_same_zone(target);
@@ -122,7 +130,8 @@
 ) -> Vec<u8> {
     let page = pages.of(message);
     let without_records = encode_gossip(message, None, page);
-    let Some(request) = message.echo.as_ref().filter(|request| request.known < message.known) else {
+    let Some(request) = message.echo.as_ref().filter(|request| request.known < message.known)
+    else {
         return without_records;
     };
     let mut operator = driver.operator();
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -3,7 +3,6 @@
 //! A datagram is a gossip or an sync_request; a long gossip is [`packed`]. `replica`, `trial`, `peer`, `sync_request`, `position` and
 //! [`records`] hold the messages of its parts.
 
-
 pub mod packed;
 pub mod pages;
 mod peer;
@@ -21,22 +20,28 @@
 use ravenspoke_core::route::peers::{GossipMessage, SyncRequest};
 use ravenspoke_core::route::placement::PlacementUpdate;
 
-use sync::{read_sync_request, read_coverage, write_sync_request, write_coverage, WireSyncRequest, WireEntryCoverage};
 use packed::{deflate, inflate, PackedError};
 use peer::{
-    read_budget, read_peer_info, read_evacuation, read_summary, write_budget, write_peer_info,
-    write_evacuation, write_summary, WireBudget, WirePeerInfo, WireEvacuation, WireSummary,
+    read_budget, read_evacuation, read_peer_info, read_summary, write_budget, write_evacuation,
+    write_peer_info, write_summary, WireBudget, WireEvacuation, WirePeerInfo, WireSummary,
 };
 use position::{read_plan_position, write_plan_position, WirePlanPosition};
 use records::PackedRecords;
 use replica::{
-    read_change, read_poison, read_unreachable, read_crash, read_limit, read_load, read_latency,
-    read_placement, write_change, write_poison, write_unreachable, write_crash, write_limit, write_load,
-    write_latency, write_placement, WireChange, WirePoison, WireUnreachable, WireCrash, WireLimit, WireLoad,
-    WireLatency, WirePlacement,
+    read_change, read_crash, read_latency, read_limit, read_load, read_placement, read_poison,
+    read_unreachable, write_change, write_crash, write_latency, write_limit, write_load,
+    write_placement, write_poison, write_unreachable, WireChange, WireCrash, WireLatency,
+    WireLimit, WireLoad, WirePlacement, WirePoison, WireUnreachable,
+};
+use sync::{
+    read_coverage, read_sync_request, write_coverage, write_sync_request, WireEntryCoverage,
+    WireSyncRequest,
 };
 use trial::{read_trial, read_verdict, write_trial, write_verdict, WireTrial, WireVerdict};
-use usage::{read_usage_response, read_usage_request, write_usage_response, write_usage_request, WireUsageResponse, WireUsageRequest};
+use usage::{
+    read_usage_request, read_usage_response, write_usage_request, write_usage_response,
+    WireUsageRequest, WireUsageResponse,
+};
 
 /// A gossip from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
 /// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -139,7 +139,12 @@
 }
 
 pub(super) fn write_load(update: &LoadUpdate) -> WireLoad {
-    WireLoad { replica: update.replica, load: update.load, waiting: update.waiting, age_ms: update.age_ms }
+    WireLoad {
+        replica: update.replica,
+        load: update.load,
+        waiting: update.waiting,
+        age_ms: update.age_ms,
+    }
 }
 
 pub(super) fn read_load(update: WireLoad) -> LoadUpdate {
--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -5,7 +5,9 @@
 use ravenspoke_core::route::peers::{EntryCoverage, SyncRequest};
 use ravenspoke_core::time::BoxTime;
 
-use super::position::{read_plan_position, read_position, write_plan_position, WirePlanPosition, WirePosition};
+use super::position::{
+    read_plan_position, read_position, write_plan_position, WirePlanPosition, WirePosition,
+};
 
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireSyncRequest {
--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -16,9 +16,9 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::timeout;
 
+use super::control_stats::StoreCall;
 use super::driver::GatewayDriver;
 use super::observe;
-use super::control_stats::StoreCall;
 
 /// Group of the boxes that ask for the lease.
 const GROUP: &str = "leader";
--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -10,27 +10,27 @@
 //! of replicas are not known here.
 //! [`reload`] takes changes of the settings. [`process`] puts them together.
 
-pub mod sync_pacer;
-pub mod responses;
+pub mod checkpoints;
+pub mod control_stats;
 pub mod directory;
 pub mod driver;
 pub mod entry;
 pub mod event_splitter;
 pub mod exchange;
 pub mod follow;
+pub mod gossip;
+pub mod gossip_wire;
 pub mod leader;
 mod listen;
-pub mod checkpoints;
-pub mod gossip_wire;
-pub mod gossip;
 pub mod observe;
+pub mod operator_records;
 pub mod pool;
 pub mod process;
 pub mod relay;
 pub mod reload;
+pub mod responses;
 mod store_calls;
-mod unknown_headers;
-pub mod control_stats;
-pub mod operator_records;
+pub mod sync_pacer;
 mod topic_follower;
+mod unknown_headers;
 pub mod verdicts;
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -14,8 +14,8 @@
 use ravenspoke_core::route::leader::{CallOutcome, LeaderCall};
 use tracing::{error, info, warn};
 
-use super::driver::RequestName;
 use super::control_stats::ControlStats;
+use super::driver::RequestName;
 
 /// Logs what was decided of a request.
 pub fn log_request(name: &RequestName, effect: &RouteEffect) {
@@ -75,12 +75,7 @@
 }
 
 /// Logs that a replica's answer was no answer, or none came.
-pub fn log_attempt_failed(
-    name: &RequestName,
-    failure: AttemptFailure,
-    why: &str,
-    after: Duration,
-) {
+pub fn log_attempt_failed(name: &RequestName, failure: AttemptFailure, why: &str, after: Duration) {
     counter!("ravenspoke_attempts_failed_total").increment(1);
     let after_ms = after.as_millis() as u64;
     info!(event = 704, name = "attempt_failed", id = name.id, ?failure, why, after_ms);
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -154,7 +154,11 @@
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
         driver.feed(RouteEvent::EvacuationsReceived(message.evacuation.clone()));
         if let Some(applied) = apply_records(driver, message.known.read_to, records) {
-            driver.feed(RouteEvent::PlanReceived { as_of, known: message.known, plan: applied.plan });
+            driver.feed(RouteEvent::PlanReceived {
+                as_of,
+                known: message.known,
+                plan: applied.plan,
+            });
         }
     }
 }
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -24,7 +24,6 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use super::sync_pacer::SyncPacer;
 use super::directory::{metrics_routes, ready_routes, resolve_routes};
 use super::driver::{GatewayDriver, GatewaySinks, PeerDatagram, GOSSIP_QUEUE_LIMIT};
 use super::entry::{CallerCount, CallerEntry, EntryPhase, CALLER_SHARE};
@@ -32,8 +31,9 @@
 use super::listen::ListeningEntry;
 use super::pool::ReplicaPool;
 use super::reload::follow_settings;
+use super::sync_pacer::SyncPacer;
 use super::unknown_headers::UnknownHeaders;
-use super::{follow, leader, checkpoints, gossip, observe, control_stats, verdicts};
+use super::{checkpoints, control_stats, follow, gossip, leader, observe, verdicts};
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
 
@@ -173,12 +173,21 @@
 ) {
     let socket = Arc::new(socket);
     tokio::spawn(gossip::receive_datagrams(driver.clone(), socket.clone()));
-    tokio::spawn(gossip::send_datagrams(driver.clone(), socket, receivers.gossip, receivers.sync_responses));
+    tokio::spawn(gossip::send_datagrams(
+        driver.clone(),
+        socket,
+        receivers.gossip,
+        receivers.sync_responses,
+    ));
     tokio::spawn(follow::follow_operator(driver.clone(), store.clone()));
     tokio::spawn(follow::follow_backends(driver.clone(), store.clone()));
     tokio::spawn(verdicts::follow_verdicts(driver.clone(), store.clone()));
     tokio::spawn(verdicts::write_verdicts(driver.clone(), store.clone(), receivers.verdicts));
-    tokio::spawn(checkpoints::write_checkpoints(driver.clone(), store.clone(), receivers.checkpoints));
+    tokio::spawn(checkpoints::write_checkpoints(
+        driver.clone(),
+        store.clone(),
+        receivers.checkpoints,
+    ));
     tokio::spawn(follow::follow_boxes(
         driver.clone(),
         store.clone(),
@@ -355,7 +364,7 @@
             swept = Instant::now();
             pool.sweep();
         }
-        if logged.0.elapsed() >= Duration::from_millis(tally::LOG_INTERVAL_MS) {
+        if logged.0.elapsed() >= Duration::from_millis(control_stats::LOG_INTERVAL_MS) {
             logged.0 = Instant::now();
             logged.1.log_changes(&driver.stats);
         }
--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -10,14 +10,14 @@
 use hyper::body::{Frame, Incoming};
 use ravenspoke_core::route::event::{AttemptFailure, RouteEvent, SendOrder};
 
-use super::responses::{AbortedResponse, CallerBody};
 use super::driver::RequestStep;
 use super::event_splitter::EventSplitter;
 use super::exchange::{
-    attempt, put_back, ReplicaBody, AttemptOutcome, BufferedRequest, GatewayContext, RequestGuard,
+    attempt, put_back, AttemptOutcome, BufferedRequest, GatewayContext, ReplicaBody, RequestGuard,
 };
 use super::observe;
 use super::pool::ReplicaLink;
+use super::responses::{AbortedResponse, CallerBody};
 
 /// A stream under way. Dropped when the caller leaves, which closes the replica's connection.
 struct StreamRelay {
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -12,10 +12,10 @@
 use ravenspoke_core::route::RouteState;
 use ravenspoke_core::time::BoxTime;
 
+use super::control_stats::StoreCall;
 use super::driver::GatewayDriver;
 use super::observe::{self, StoreRole};
 use super::store_calls::{AnsweredCall, CallStep, OpenCalls};
-use super::control_stats::StoreCall;
 
 /// A box looks this often whether it must read itself, in milliseconds.
 pub const DUE_POLL_MS: u64 = 200;
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -10,8 +10,8 @@
 use ravenspoke_core::time::BoxTime;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::driver::GatewayDriver;
 use super::checkpoints::CheckpointReader;
+use super::driver::GatewayDriver;
 use super::observe;
 use super::topic_follower::TopicFollower;
 
@@ -39,7 +39,8 @@
         // Readers tell the others of later ones.
         let reads = driver.state().has_running_trial() && driver.state().is_reader(driver.now());
         if unread
-            || (reads && driver.clock().since(read_at) >= Duration::from_millis(VERDICT_INTERVAL_MS))
+            || (reads
+                && driver.clock().since(read_at) >= Duration::from_millis(VERDICT_INTERVAL_MS))
         {
             read_at = driver.now();
             match follower.read(&mut next, 0).await {
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use ravenspoke_box::clock::{BoxClock, SuspensionWatch};
-use ravenspoke_box::gateway::sync_pacer::SyncPacer;
 use ravenspoke_box::gateway::driver::{GatewayDriver, GatewaySinks};
+use ravenspoke_box::gateway::sync_pacer::SyncPacer;
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::peers::BoxCapacity;
@@ -81,8 +81,7 @@
         checkpoints: unbounded_channel().0,
         leader_orders: unbounded_channel().0,
     };
-    let driver =
-        GatewayDriver::new(RouteState::new(settings), sinks, clock, SyncPacer::new(100.0));
+    let driver = GatewayDriver::new(RouteState::new(settings), sinks, clock, SyncPacer::new(100.0));
     let plan = Some(RoutePlan { version: 1, ..RoutePlan::default() });
     driver.feed(RouteEvent::PlanRead {
         asked_at: driver.now(),
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -4,7 +4,9 @@
 use ravenspoke_adapter::store::KeyedRecord;
 use ravenspoke_box::gateway::gossip_wire::packed::{PackedError, INFLATED_LIMIT};
 use ravenspoke_box::gateway::gossip_wire::records::PackedRecords;
-use ravenspoke_box::gateway::gossip_wire::{decode_datagram, encode_sync_request, encode_gossip, DecodedDatagram};
+use ravenspoke_box::gateway::gossip_wire::{
+    decode_datagram, encode_gossip, encode_sync_request, DecodedDatagram,
+};
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage, CHANGES_PER_MESSAGE};
