--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -328,23 +328,23 @@
     caller: BufferedRequest,
     mut guard: RequestGuard,
     order: Box<SendOrder>,
-    answer: ReplicaResponse,
+    response: ReplicaResponse,
 ) -> Response<CallerBody> {
-    let is_stream = matches!(answer.body, ReplicaBody::Stream(..));
-    let status = answer.head.status;
-    let caller_headers = headers::caller_headers(&answer.head.headers, is_stream);
-    let body = match answer.body {
+    let is_stream = matches!(response.body, ReplicaBody::Stream(..));
+    let status = response.head.status;
+    let caller_headers = headers::caller_headers(&response.head.headers, is_stream);
+    let body = match response.body {
         ReplicaBody::Whole(bytes) => {
             guard.finish(status.as_u16());
             full_body(bytes)
         }
         ReplicaBody::Stream(body, link) => {
-            let source = StreamSource { body, link, headers: answer.head.headers };
+            let source = StreamSource { body, link, headers: response.head.headers };
             relay_stream(context, caller, guard, order, source)
         }
     };
-    let mut response = Response::new(body);
-    *response.status_mut() = status;
-    *response.headers_mut() = caller_headers;
+    let mut caller_response = Response::new(body);
+    *caller_response.status_mut() = status;
+    *caller_response.headers_mut() = caller_headers;
     response
 }
