--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -346,5 +346,5 @@
     let mut caller_response = Response::new(body);
     *caller_response.status_mut() = status;
     *caller_response.headers_mut() = caller_headers;
-    response
+    caller_response
 }
