--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -1,4 +1,5 @@
-//! Reads and writes the store's checkpoints of trials under way: how far they have come outlives every box.
+//! Reads and writes the checkpoints of running trials in the store, so that their progress survives
+//! a restart of all boxes.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use super::topic_follower::TopicFollower;
 use super::verdicts::append_unless;
 
-/// Reads checkpoints when this box has heard of a trial that was under way before.
+/// Reads checkpoints after this box has learned of a trial that was already running.
 pub(super) struct CheckpointReader {
     driver: Arc<GatewayDriver>,
     follower: TopicFollower,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Reads all checkpoints, if any is unread.
+    /// Reads all checkpoints, if a trial needs one.
     pub(super) async fn read_if_due(&mut self) {
         if !self.driver.state().has_unread_checkpoints() {
             return;
@@ -40,7 +41,7 @@
     }
 }
 
-/// Writes checkpoints that are due, each only if the store knows of no more.
+/// Writes checkpoints that are due, each only if the store has none with the same or more progress.
 pub async fn write_checkpoints(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -77,7 +78,7 @@
     checkpoints
 }
 
-/// Whether a checkpoint that stands leaves nothing to write.
+/// Whether a stored checkpoint makes the write unnecessary.
 fn supersedes(stored: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
     let same = stored.service == wanted.service && stored.version == wanted.version;
     let (phase, age) = (stored.progress.phase, stored.progress.age_ms);
