--- a/crates/box/src/gateway/control_stats.rs
+++ b/crates/box/src/gateway/control_stats.rs
@@ -1,25 +1,26 @@
-//! What control costs, counted by two labels each: calls of this box to the platform's store, and bytes of
-//! its datagrams to other boxes. Both have their price, and the store serves a limited number a second.
+//! Statistics of control traffic, each with two labels: calls of this box to the platform's store,
+//! and bytes of its datagrams to other boxes. Both cost money, and the store serves a limited
+//! number of calls a second.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
 
 use metrics::counter;
 
-/// Time between two lines of the log that tell the sums so far, in milliseconds: an operator finds what a
-/// busy store was asked for, at six lines of each kind a minute at most.
+/// Interval between log lines with the sums so far, in milliseconds. They show an operator what a
+/// busy store was called for, at six lines a minute of each kind at most.
 pub const LOG_INTERVAL_MS: u64 = 10_000;
 
-/// A kind of call to the store.
+/// Kind of a call to the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreCall {
-    /// The newest record of each key, a page each.
+    /// The newest record of each key, one call a page.
     List,
     /// Records from an offset on.
     Read,
-    /// A record is written.
+    /// A write of a record.
     Append,
-    /// The lease of what one box does for all is asked for, or given back.
+    /// A request for the leader's lease, or its release.
     Join,
 }
 
@@ -34,18 +35,18 @@
     }
 }
 
-/// A kind of datagram.
+/// Kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
-    /// A note that nobody asked for.
+    /// A gossip message that responds to no request.
     Gossip,
-    /// An ask.
+    /// A sync request.
     SyncRequest,
-    /// The answer to one.
+    /// A sync response.
     SyncResponse,
-    /// Word of a placed prompt.
+    /// The placement of a prompt.
     Placement,
-    /// A question for counts of usage, or the counts.
+    /// A request for usage counts, or the counts.
     Usage,
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-/// What control has cost so far.
+/// Cost of control traffic so far.
 #[derive(Debug, Default)]
 pub struct ControlStats {
     calls: LabelSums,
@@ -88,14 +89,14 @@
 }
 
 impl ControlStats {
-    /// Counts a call to the store, whatever becomes of it.
+    /// Counts a call to the store, whatever its outcome.
     pub fn count_call(&self, topic: &'static str, call: StoreCall) {
         counter!("ravenspoke_store_calls_total", "topic" => topic, "call" => call.label())
             .increment(1);
         self.calls.add((topic, call.label()), 1);
     }
 
-    /// Counts a datagram to a box of this box's availability zone or another.
+    /// Counts a datagram to a box in this box's availability zone or in another one.
     pub fn count_datagram(&self, kind: DatagramKind, same_zone: bool, bytes: usize) {
         let zone = if same_zone { "near" } else { "far" };
         counter!("ravenspoke_note_bytes_total", "kind" => kind.label(), "zone" => zone)
@@ -103,18 +104,18 @@
         self.bytes.add((kind.label(), zone), bytes as u64);
     }
 
-    /// Counts a datagram that was dropped, since too many waited to be sent.
+    /// Counts a datagram that was dropped because too many were queued.
     pub fn count_dropped(&self, kind: DatagramKind) {
         counter!("ravenspoke_notes_dropped_total", "kind" => kind.label()).increment(1);
         self.bytes.add((kind.label(), "dropped"), 1);
     }
 
-    /// Calls to the store so far, by topic and kind, as one line.
+    /// Calls to the store so far, by topic and kind, in one line.
     pub fn calls(&self) -> String {
         self.calls.summary()
     }
 
-    /// Bytes of datagrams so far, by kind and zone, and how many were dropped, as one line.
+    /// Bytes of datagrams so far by kind and zone, and the number of dropped ones, in one line.
     pub fn bytes(&self) -> String {
         self.bytes.summary()
     }
