--- a/crates/box/src/gateway/directory.rs
+++ b/crates/box/src/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! Answers about addresses, readiness, state and metrics.
+//! Endpoints for addresses, readiness, state and metrics.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use super::driver::GatewayDriver;
 
-/// Path of the state dump, beside the metrics.
+/// Path of the state dump, on the port of the metrics.
 pub const STATE_PATH: &str = "/state";
 
 #[derive(Clone)]
@@ -65,18 +65,18 @@
     }
 }
 
-/// Routes by which the platform asks whether the box is ready.
+/// Routes of the platform's readiness check.
 pub fn ready_routes(driver: &Arc<GatewayDriver>) -> Vec<Route> {
     vec![Route::new(Method::Get, READY_PATH, ReadyHandler(driver.clone()))]
 }
 
-/// Routes by which callers ask for addresses.
+/// Routes by which callers resolve the service to box addresses.
 pub fn resolve_routes(driver: &Arc<GatewayDriver>, keep_ms: u64) -> Vec<Route> {
     let handler = ResolveHandler { driver: driver.clone(), keep_ms };
     vec![Route::new(Method::Get, RESOLVE_PATH, handler)]
 }
 
-/// Routes of the metrics and the state dump.
+/// Routes of the metrics and of the state dump.
 pub fn metrics_routes(driver: &Arc<GatewayDriver>, handle: PrometheusHandle) -> Vec<Route> {
     vec![
         Route::new(Method::Get, "/metrics", MetricsHandler(handle)),
