--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: one lock around the reducer's state, one place that applies events.
+//! The driver: holds the reducer's state under one lock and is the only place that applies events.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -25,44 +25,44 @@
 use super::sync_pacer::SyncPacer;
 use crate::clock::BoxClock;
 
-/// What the reducer tells the task of one request.
+/// Next step of a request's task, as the reducer decides it.
 #[derive(Debug)]
 pub enum RequestStep {
-    /// Send it to this replica.
+    /// Send the request to this replica.
     Send(Box<SendOrder>),
-    /// Pass the answer on.
+    /// Forward the response.
     Relay,
-    /// End it with a refusal.
+    /// Refuse the request.
     Refuse(RouteRefusal),
-    /// Break the answer off.
+    /// Abort the response.
     Abort(RefusalReason),
 }
 
-/// A request of this box, as its task and the log know it.
+/// Identity of a request in its task and in the log.
 #[derive(Clone, Debug)]
 pub struct RequestName {
-    /// Number given by this box.
+    /// Number assigned by this box.
     pub ticket: RequestTicket,
-    /// Id given by the caller.
+    /// Id assigned by the caller.
     pub id: String,
 }
 
-/// A datagram for other boxes.
+/// A datagram to other boxes, with its addresses.
 pub enum PeerDatagram {
-    /// A note, for each of these addresses.
+    /// A gossip message, also one that responds to a sync request.
     Gossip(Vec<String>, Box<GossipMessage>),
-    /// Word of a placed prompt, for each of these addresses.
+    /// The placement of a prompt.
     Placement(Vec<String>, PlacementUpdate),
-    /// An ask, for this address.
+    /// A sync request.
     SyncRequest(String, SyncRequest),
-    /// A question for counts of usage, for each of these addresses.
+    /// A request for usage counts.
     UsageRequest(Vec<String>, UsageRequest),
-    /// Counts of usage, for this address.
+    /// The usage counts.
     UsageResponse(String, UsageResponse),
 }
 
 impl PeerDatagram {
-    /// About how long it is, in bytes, if it is an answer.
+    /// Expected length in bytes, if this is a sync response.
     pub fn sync_response_bytes(&self) -> Option<usize> {
         match self {
             Self::Gossip(_, message) if message.echo.is_some() => {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// What it is.
+    /// Kind of the datagram, for statistics.
     pub fn kind(&self) -> DatagramKind {
         match self {
             Self::Gossip(_, message) if message.echo.is_some() => DatagramKind::SyncResponse,
@@ -84,44 +84,45 @@
     }
 }
 
-/// Other datagrams that wait to be sent, at most: what a minute of calm brings. On a link that is full the newest are
-/// dropped; notes repeat what they say.
+/// Limit on queued datagrams other than sync responses, which is what a minute of normal traffic
+/// produces. On a saturated link new ones are dropped; later gossip messages repeat their contents.
 pub const GOSSIP_QUEUE_LIMIT: usize = 256;
 
-/// Channels that effects are handed to.
+/// Channels that effects are sent to.
 pub struct GatewaySinks {
-    /// Datagrams for other boxes that nobody asked for, and asks.
+    /// Gossip messages, sync requests and other datagrams except sync responses.
     pub gossip: Sender<PeerDatagram>,
-    /// Answers to other boxes' asks; they wait for the rest. [`SyncPacer`] bounds them.
+    /// Sync responses, sent only when no other datagram is queued. [`SyncPacer`] bounds their
+    /// number.
     pub sync_responses: UnboundedSender<PeerDatagram>,
-    /// Verdicts for the store.
+    /// Verdicts to write to the store.
     pub verdicts: UnboundedSender<TrialVerdict>,
-    /// Marks of trials for the store.
+    /// Checkpoints of trials to write to the store.
     pub checkpoints: UnboundedSender<TrialCheckpoint>,
-    /// What this box is to do for all.
+    /// Orders for this box as the leader.
     pub leader_orders: UnboundedSender<LeaderOrder>,
 }
 
-/// The reducer's state, its clocks and its sinks.
+/// The reducer's state with its clock and its sinks.
 pub struct GatewayDriver {
     state: Mutex<RouteState>,
     sinks: GatewaySinks,
     clock: Arc<BoxClock>,
     next_ticket: AtomicU64,
-    /// The operator's records, for boxes that ask for them.
+    /// The operator's records, for boxes that request them.
     operator: Mutex<OperatorRecords>,
-    /// Tells that callers are to be served.
+    /// Notified when callers are to be served.
     pub accept_callers: Notify,
-    /// Whether the store may have this box's record of where it hears notes.
+    /// Whether the store may hold this box's record with its gossip address.
     pub registered: AtomicBool,
-    /// What answers to other boxes may take of the link.
+    /// Limits the bandwidth of sync responses.
     pub sync_pacer: SyncPacer,
-    /// What control has cost so far.
+    /// Cost of control traffic so far.
     pub stats: ControlStats,
 }
 
 impl GatewayDriver {
-    /// A driver of `state`.
+    /// Creates a driver of `state`.
     pub fn new(
         state: RouteState,
         sinks: GatewaySinks,
@@ -146,32 +147,32 @@
         &self.clock
     }
 
-    /// The same clock, for what keeps it.
+    /// The box's clock, for owners that outlive the borrow.
     pub fn shared_clock(&self) -> Arc<BoxClock> {
         self.clock.clone()
     }
 
-    /// The time by it.
+    /// The current time of the box's clock.
     pub fn now(&self) -> BoxTime {
         self.clock.now()
     }
 
-    /// How long it is until `time`.
+    /// Time left until `time`.
     pub fn until(&self, time: BoxTime) -> Duration {
         self.clock.until(time)
     }
 
-    /// Looks at the state.
+    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, RouteState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The operator's records as this box knows them.
+    /// Locks the operator's records.
     pub fn operator(&self) -> MutexGuard<'_, OperatorRecords> {
         self.operator.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A number for a new request.
+    /// Ticket for a new request.
     pub fn next_ticket(&self) -> RequestTicket {
         RequestTicket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
@@ -184,18 +185,18 @@
 
     fn apply(&self, event: RouteEvent) -> Vec<RouteEffect> {
         let mut state = self.state();
-        // Stamped under the lock: a pause before it can't make an old time look current.
+        // Stamped under the lock, so that a wait for the lock can't make an old time look current.
         state.apply(self.stamp(), event)
     }
 
-    /// Applies an event that is no request's, and hands its effects on.
+    /// Applies an event that belongs to no request, and dispatches its effects.
     pub fn feed(&self, event: RouteEvent) {
         for effect in self.apply(event) {
             self.dispatch(effect);
         }
     }
 
-    /// Applies an event of a request, and gives what its task is to do.
+    /// Applies an event of a request, and returns the next step of its task.
     pub fn feed_request(&self, name: &RequestName, event: RouteEvent) -> Option<RequestStep> {
         let mut step = None;
         for effect in self.apply(event) {
@@ -211,7 +212,7 @@
         step
     }
 
-    /// Queues a datagram; where too many wait it is dropped and counted.
+    /// Queues a datagram. If the queue is full, the datagram is dropped and counted.
     fn queue(&self, datagram: PeerDatagram) {
         if let Some(bytes) = datagram.sync_response_bytes() {
             self.sync_pacer.add_queued(bytes);
