--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections, and closes them politely at the planned stop.
+//! Accepts callers' connections, and closes them without losing requests at the planned stop.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -16,26 +16,25 @@
 use super::listen::ListeningEntry;
 use super::observe;
 
-/// Read buffer of a connection, in bytes, where the plan does not allow larger heads.
+/// Minimum read buffer of a connection, in bytes.
 pub const BUFFER_BYTES: usize = 64 << 10;
 
-/// Heads of the largest size allowed that a read buffer holds: a head that is a little too large is
-/// read whole, and answered.
+/// Size of the read buffer as a multiple of the plan's head limit. A head slightly over the limit
+/// is still read whole and gets a response.
 pub const BUFFER_HEADS: usize = 2;
 
-/// A connection that rests longer than the plan allows is closed after this much more, in
-/// milliseconds.
+/// Time beyond the plan's idle timeout after which an idle connection is closed, in milliseconds.
 pub const IDLE_SLACK_MS: u64 = 5_000;
 
-/// Part of the process's descriptors that callers may take.
+/// Share of the process's file descriptors that callers may use.
 pub const CALLER_SHARE: f64 = 0.6;
 
-/// Open connections of callers.
+/// Number of open connections of callers.
 #[derive(Default)]
 pub struct CallerCount(AtomicUsize);
 
 impl CallerCount {
-    /// How many are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -56,43 +55,44 @@
     }
 }
 
-/// A request that was sent as its connection was opened is read within this time, in milliseconds.
+/// Time within which a request that was sent right after connecting is read, in milliseconds.
 pub const FIRST_REQUEST_MS: u64 = 100;
 
-/// Pause after a connection could not be accepted, in milliseconds.
+/// Pause after a failed accept, in milliseconds.
 const ACCEPT_PAUSE_MS: u64 = 10;
 
-/// What a box does with its callers' connections, from its start to its planned stop.
+/// Phases of the entry, from the start of the box to its planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EntryPhase {
-    /// It does not know the site yet: requests wait.
+    /// The box is not synced yet; requests wait.
     Starting,
-    /// Requests are served, and connections kept.
+    /// Requests are served and connections kept alive.
     Open,
-    /// The planned stop has begun: each connection ends with its next answer.
+    /// The planned stop has begun; each connection ends with its next response.
     Stopping,
-    /// Callers know of the stop: connections without a request are closed.
+    /// Callers have learned of the stop; connections without a request are closed.
     Closing,
-    /// No more connections are taken.
+    /// No connections are accepted.
     Closed,
 }
 
-/// Takes callers' connections, within the limit, and serves each in a task of its own.
+/// Accepts callers' connections up to the limit, and serves each one in its own task.
 pub struct CallerEntry {
-    /// What requests are served with.
+    /// Shared context of requests.
     pub context: Arc<GatewayContext>,
-    /// Open connections.
+    /// Number of open connections.
     pub count: Arc<CallerCount>,
-    /// How many there may be.
+    /// Maximum number of open connections.
     pub limit: usize,
-    /// Whether the last connection found too many open.
+    /// Whether the last connection was over the limit.
     pub full: AtomicBool,
-    /// What is done with them now.
+    /// Current phase of the entry.
     pub phase: watch::Receiver<EntryPhase>,
 }
 
 impl CallerEntry {
-    /// Takes connections until the entry is closed, those that the kernel holds by then as well.
+    /// Accepts connections until the entry is closed, including those pending in the kernel by
+    /// then.
     pub async fn run(self, listener: ListeningEntry) {
         self.accept(&listener).await;
         match listener.close() {
@@ -113,7 +113,8 @@
             match accepted {
                 Ok(stream) => self.admit(stream),
                 Err(error) => {
-                    // Out of descriptors, or the caller was gone at once: the next may do better.
+                    // Out of file descriptors, or the caller disconnected at once; the next accept
+                    // may succeed.
                     observe::log_socket_failed("entry", &error);
                     tokio::time::sleep(Duration::from_millis(ACCEPT_PAUSE_MS)).await;
                 }
@@ -140,8 +141,8 @@
     }
 }
 
-/// Waits until a connection without a request may be closed. One that was opened when others were closed already may
-/// have sent its request, which is still to be read.
+/// Waits until a connection without a request may be closed. A connection that was opened in the
+/// closing phase may carry a request that has not been read yet.
 async fn wait_to_close(mut phase: watch::Receiver<EntryPhase>) {
     let opened_in = *phase.borrow();
     // The sender lives as long as the process.
@@ -183,9 +184,9 @@
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let closes = tokio::select! {
-        // A request that has come is read before its connection is closed.
+        // A request that has arrived is read before its connection is closed.
         biased;
-        // How a caller's connection ends shows at its request.
+        // An error of the connection shows up in its request.
         _ = connection.as_mut() => false,
         () = wait_to_close(phase) => true,
     };
@@ -195,7 +196,7 @@
     }
 }
 
-/// Waits until the box serves, or refuses since it stops. Gives how long that took.
+/// Waits until the box serves requests, or refuses them because it stops. Returns the time waited.
 async fn wait_to_serve(
     context: &GatewayContext,
     mut phase: watch::Receiver<EntryPhase>,
@@ -209,19 +210,19 @@
     context.driver.clock().since(connected_at)
 }
 
-/// How long a connection waited, and its first request with it.
+/// Time that a connection waited for the box to start, and its first request with it.
 struct StartWait {
     wait_ms: AtomicU64,
     served_from: BoxTime,
 }
 
 impl StartWait {
-    /// A wait that is over now.
+    /// Creates a wait that ends now.
     fn new(wait: Duration, now: BoxTime) -> Self {
         Self { wait_ms: AtomicU64::new(wait.as_millis() as u64), served_from: now }
     }
 
-    /// The wait of a request that is read now. One that comes later than what had come has not waited.
+    /// Wait of a request that is read now. A request that arrives after the start has not waited.
     fn take(&self, now: BoxTime) -> Duration {
         let wait_ms = self.wait_ms.swap(0, Ordering::Relaxed);
         let was_waiting = now.millis_since(self.served_from) < FIRST_REQUEST_MS;
