--- a/crates/box/src/gateway/event_splitter.rs
+++ b/crates/box/src/gateway/event_splitter.rs
@@ -1,8 +1,8 @@
-//! Cuts a stream's bytes into whole events, so that a caller never has a part of one.
+//! Splits a stream's bytes into whole events, so that a caller never receives part of one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event, in bytes: a stream that sends more without an end is no stream of events.
+/// Maximum size of an event, in bytes. A longer run without an end is not an event stream.
 pub const EVENT_LIMIT: usize = 1 << 20;
 
 /// An event is longer than [`EVENT_LIMIT`].
@@ -10,7 +10,7 @@
 #[error("an event is longer than {EVENT_LIMIT} bytes")]
 pub struct EventTooLong;
 
-/// Bytes that came, and what is whole of them.
+/// Buffers the bytes of a partial event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -18,10 +18,10 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes, and gives the whole events that they complete.
+    /// Adds bytes, and returns the whole events that they complete.
     ///
     /// # Errors
-    /// [`EventTooLong`].
+    /// Returns [`EventTooLong`] if the partial event exceeds the limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, EventTooLong> {
         let searched = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
@@ -36,12 +36,12 @@
         Ok(Some(whole))
     }
 
-    /// Whether a part of an event waits for its end.
+    /// Whether a partial event is buffered.
     pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops the part of an event that will never end.
+    /// Drops the partial event after the stream broke.
     pub fn drop_partial(&mut self) {
         self.pending.clear();
     }
@@ -52,7 +52,7 @@
     }
 }
 
-/// Offset behind the last blank line.
+/// Offset after the last blank line.
 fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let ends = |at: &usize| {
         let head = &bytes[..*at];
