--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -1,4 +1,5 @@
-//! Serves one request: asks the reducer, sends it to replicas, and passes the answer on.
+//! Serves one request: asks the reducer for each step, sends the request to replicas, and returns
+//! the response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,20 +22,21 @@
 use super::responses::{full_body, refusal_response, text_response, AbortedResponse, CallerBody};
 use super::unknown_headers::UnknownHeaders;
 
-/// Largest answer that is no stream, in bytes; it is read whole before any of it is passed on.
+/// Maximum size of a response that is not a stream, in bytes. It is read whole before any of it is
+/// forwarded.
 pub const RESPONSE_LIMIT: usize = 4 << 20;
 
-/// What requests are served with.
+/// Shared context of requests.
 pub struct GatewayContext {
-    /// Decides.
+    /// Applies events to the reducer's state.
     pub driver: Arc<GatewayDriver>,
     /// Connections to replicas.
     pub pool: Arc<ReplicaPool>,
-    /// Headers of replicas that this box does not know.
+    /// Logs headers of replicas that the box does not know.
     pub unknown_headers: UnknownHeaders,
 }
 
-/// A caller's request, read whole.
+/// A caller's request with its whole body.
 pub struct BufferedRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
@@ -42,7 +44,7 @@
     pub(super) body: Bytes,
 }
 
-/// Tells the reducer when the task of a request is dropped: its caller has left.
+/// Reports a disconnected caller to the reducer when the task of its request is dropped.
 pub struct RequestGuard {
     pub(super) driver: Arc<GatewayDriver>,
     pub(super) name: RequestName,
@@ -51,14 +53,14 @@
 }
 
 impl RequestGuard {
-    /// Applies an event of the request. One that leaves it no further step has ended it.
+    /// Applies an event of the request. A refusal or an abort ends the request.
     pub fn feed(&mut self, event: RouteEvent) -> Option<RequestStep> {
         let step = self.driver.feed_request(&self.name, event);
         self.ended |= matches!(step, Some(RequestStep::Refuse(_) | RequestStep::Abort(_)));
         step
     }
 
-    /// Notes that the whole answer was passed on.
+    /// Records that the whole response was forwarded.
     pub fn finish(&mut self, status: u16) {
         self.feed(RouteEvent::ResponseFinished(self.name.ticket));
         self.ended = true;
@@ -75,30 +77,30 @@
     }
 }
 
-/// A replica's answer.
+/// A replica's response.
 pub struct ReplicaResponse {
     pub(super) head: http::response::Parts,
     pub(super) decoded: AnswerHead,
     pub(super) body: ReplicaBody,
 }
 
-/// Body of a replica's answer.
+/// Body of a replica's response.
 pub enum ReplicaBody {
-    /// Read whole.
+    /// A whole body.
     Whole(Bytes),
-    /// A stream that goes on.
+    /// A stream that is still open.
     Stream(Incoming, ReplicaLink),
 }
 
-/// Why a caller's request was not read whole.
+/// Reason why a caller's request could not be read.
 enum ReadFailure {
-    /// It is too large: the status and the words of the answer.
+    /// The request is too large; status and text of the response.
     TooLarge(StatusCode, &'static str),
-    /// It did not come whole.
+    /// The request was cut short.
     Broken(AbortedResponse),
 }
 
-/// Reads a caller's request, within the plan's limits.
+/// Reads a caller's request within the plan's limits.
 async fn read_whole(
     context: &GatewayContext,
     request: Request<Incoming>,
@@ -107,25 +109,25 @@
     let limits = context.driver.state().plan().limits;
     if head_bytes(&head) > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        return Err(ReadFailure::TooLarge(status, "the head is too large"));
+        return Err(ReadFailure::TooLarge(status, "the request head is too large"));
     }
     match Limited::new(body, limits.body_bytes).collect().await {
         Ok(body) => Ok((head, body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(ReadFailure::TooLarge(status, "the body is too large"))
+            Err(ReadFailure::TooLarge(status, "the request body is too large"))
         }
         Err(_) => {
-            let broken = AbortedResponse("the request's body did not come whole");
+            let broken = AbortedResponse("the request body was truncated");
             Err(ReadFailure::Broken(broken))
         }
     }
 }
 
-/// Serves a request that has waited at this box before.
+/// Serves a request that has waited for the box to start for `waited`.
 ///
 /// # Errors
-/// [`AbortedResponse`], if the caller's request can't be read.
+/// Returns [`AbortedResponse`] if the caller's request can't be read, or if no valid step is left.
 pub async fn serve_request(
     context: Arc<GatewayContext>,
     request: Request<Incoming>,
@@ -153,7 +155,7 @@
         let order = match step {
             Some(RequestStep::Send(order)) => order,
             Some(RequestStep::Refuse(refusal)) => return Ok(refusal_response(refusal)),
-            _ => return Err(AbortedResponse("the reducer gave no step")),
+            _ => return Err(AbortedResponse("the reducer returned no step for the request")),
         };
         match attempt(&context, &caller, &mut guard, &order, None).await {
             AttemptOutcome::Response(response) => {
@@ -167,22 +169,23 @@
     }
 }
 
-/// Bytes of a request's head, about as they came: without blanks and its first line's constant part.
+/// Approximate size of a request's head in bytes, without separators and the constant part of the
+/// request line.
 fn head_bytes(head: &http::request::Parts) -> usize {
     let target = head.uri.path_and_query().map_or(0, |target| target.as_str().len());
     let rows = head.headers.iter();
     target + rows.map(|(name, value)| name.as_str().len() + value.len()).sum::<usize>()
 }
 
-/// What an attempt led to.
+/// Outcome of an attempt.
 pub enum AttemptOutcome {
-    /// An answer to this request.
+    /// A response to this request.
     Response(Box<ReplicaResponse>),
-    /// None; the reducer's next step.
+    /// No response; the reducer's next step.
     Ended(Option<RequestStep>),
 }
 
-/// Sends the request to a replica and waits for its answer, as long as the order says.
+/// Sends the request to a replica and waits for its response within the limits of the order.
 pub async fn attempt(
     context: &GatewayContext,
     caller: &BufferedRequest,
@@ -209,9 +212,10 @@
             }
             None => {}
         }
-        // Silence alone ends nothing: the reducer names another replica, or the wait goes on.
+        // A stall does not end the attempt by itself: the reducer names another replica, or the
+        // wait continues.
         if let Some(step) = guard.feed(RouteEvent::AttemptStalled(guard.name.ticket)) {
-            let why = "no head in time";
+            let why = "no response head within the limit";
             observe::log_attempt_failed(&guard.name, AttemptFailure::Silent, why, began.elapsed());
             return AttemptOutcome::Ended(Some(step));
         }
@@ -220,7 +224,7 @@
     AttemptOutcome::Ended(guard.feed(RouteEvent::AttemptFailed(guard.name.ticket, failure)))
 }
 
-/// A failure with what is known of its cause.
+/// A failure with its cause.
 type FailedAttempt = (AttemptFailure, String);
 
 fn never_sent(why: String) -> FailedAttempt {
@@ -231,7 +235,7 @@
     (AttemptFailure::Broken, why)
 }
 
-/// Sends the request to the order's replica, and reads the answer: whole, or a stream's head.
+/// Sends the request to the order's replica, and reads the whole response or the head of a stream.
 async fn call_replica(
     context: &GatewayContext,
     caller: &BufferedRequest,
@@ -239,13 +243,15 @@
     order: &SendOrder,
     resume_after: Option<&str>,
 ) -> Result<ReplicaResponse, FailedAttempt> {
-    let address: SocketAddr =
-        order.address.parse().map_err(|_| never_sent("the entry has no address".to_owned()))?;
+    let address: SocketAddr = order
+        .address
+        .parse()
+        .map_err(|_| never_sent("the entry has no valid address".to_owned()))?;
     let request = || replica_request(context, caller, order, resume_after);
     let (response, link) = send_request(context, order, address, ticket, request).await?;
     let (head, body) = response.into_parts();
     if !headers::answers_request(&caller.headers, &head.headers) {
-        return Err(broken("the answer is another request's".to_owned()));
+        return Err(broken("the response belongs to another request".to_owned()));
     }
     context.unknown_headers.log_new(&order.replica_id, &head.headers);
     let decoded = headers::read_answer(&head);
@@ -258,7 +264,7 @@
     Ok(ReplicaResponse { head, decoded, body: ReplicaBody::Whole(whole) })
 }
 
-/// Sends `request` on an idle connection, or a new one where none is left that takes it.
+/// Sends `request` on an idle connection, or on a new one if no idle connection accepts it.
 async fn send_request(
     context: &GatewayContext,
     order: &SendOrder,
@@ -271,16 +277,17 @@
         None => open(context, order, address).await?,
     };
     loop {
-        // Last thing before the write: opening a connection may have taken a while.
+        // Checked right before the write, because opening a connection may have taken a while.
         if !context.driver.state().may_write(ticket, context.driver.now()) {
-            let why = "the replica may get nothing more since it was chosen";
+            let why = "the replica was withdrawn after it was chosen";
             return Err((AttemptFailure::Withdrawn, why.to_owned()));
         }
         let error = match link.sender.try_send_request(request()).await {
             Ok(response) => return Ok((response, link)),
             Err(error) => error,
         };
-        // Given back means that none of it was written; a connection kept idle may end so.
+        // A returned request means that none of it was written, as when the replica closed an idle
+        // connection.
         if error.message().is_none() {
             return Err(broken(error.into_error().to_string()));
         }
@@ -301,7 +308,8 @@
     opened.map_err(|error| never_sent(error.to_string()))
 }
 
-/// Gives a connection back in a task of its own: the caller's answer doesn't wait for the proof.
+/// Returns a connection to the pool in a separate task, so that the caller's response does not wait
+/// for the check of the connection.
 pub(super) fn put_back(context: &GatewayContext, link: ReplicaLink, response: &HeaderMap) {
     let kept_ms = headers::kept_idle_ms(response);
     let pool = context.pool.clone();
