--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -1,5 +1,5 @@
-//! Follows the platform's store, and writes this box's own record to it. Verdicts are in
-//! [`super::verdicts`]; the calls are [`super::topic_follower`]'s.
+//! Follows the topics of the platform's store, and writes this box's own record to it. Verdicts are
+//! in [`super::verdicts`]; the calls are made by [`super::topic_follower`].
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -19,17 +19,17 @@
 use super::operator_records::apply_read;
 use super::topic_follower::{TopicFollower, TopicUpdate, RETRY_MS};
 
-/// A reader's read waits this long for a record, in milliseconds: the price of a call against the age
-/// of what is known. A store that drops its history may answer nothing for a second and then cut who
-/// waits; a leaving replica must be known within two.
+/// Long-poll wait of a store reader, in milliseconds. It trades the cost of calls against the age
+/// of the data. A store that drops its history may answer nothing for a second and then cut waiting
+/// calls, and a leaving replica must be known within two seconds.
 pub const READER_WAIT_MS: u64 = 1_000;
 
-/// A reader of the entries pauses this long between two reads, in milliseconds: replicas come and go in
-/// crowds, and each would cost a call.
+/// Pause of a store reader between two reads of replica entries, in milliseconds. Many replicas
+/// start or stop at the same time, and without the pause each change would cost a call.
 pub const READER_PAUSE_MS: u64 = 350;
 
-/// Other boxes' records are read this often, in milliseconds; notes are quicker, this mends what they
-/// can't.
+/// Interval between reads of the list of boxes, in milliseconds. Gossip is faster; the list only
+/// repairs what gossip misses.
 pub const BOX_LIST_INTERVAL_MS: u64 = 60_000;
 
 /// Follows the operator's plan and orders.
@@ -41,19 +41,20 @@
     let mut discarded = None;
     loop {
         follower.wait_until_due().await;
-        // Other boxes may have known_to more than this one has read.
+        // Gossip may have brought the box further than its own reads.
         let known_to = driver.state().read_to();
         next = if undecoded {
             None
         } else {
             next.max((known_to > TopicPosition::default()).then_some(known_to))
         };
-        // Who is no reader reads only what there is: it has heard of more, or nobody known_to it anything.
+        // A box that does not read for others only fetches existing records, because gossip has
+        // shown it to be behind or it has received nothing.
         let waits = driver.state().long_polls_plan(driver.now());
         let wait_ms = if waits { READER_WAIT_MS } else { 0 };
         let began_at = next;
         match follower.read(&mut next, wait_ms).await {
-            // It was under way while another box known_to more.
+            // Gossip brought the box further while the read was in flight.
             Some(_) if next.is_some_and(|next| next < driver.state().read_to()) => {
                 let read_to = driver.state().read_to();
                 if std::mem::replace(&mut discarded, next) == next {
@@ -64,11 +65,13 @@
             }
             Some(update) => {
                 let asked_at = current_as_of(&driver, &update);
-                // What can't be decoded may be a newer plan: nothing is renewed, all is read anew.
+                // A record that can't be decoded may be a newer plan, so nothing is renewed and
+                // everything is read again.
                 let from = began_at.filter(|_| update.listed_to.is_none());
                 let to = next.unwrap_or_default();
                 undecoded = !apply_read(&driver, asked_at, from, to, &update.records);
-                // What it showed is not relied on: it can't be decoded, or the store has lost a plan.
+                // The read does not confirm the plan: a record can't be decoded, or the store has
+                // lost a plan.
                 if driver.state().plan_as_of() < Some(asked_at) {
                     follower.pause_before_reread().await;
                 }
@@ -78,8 +81,8 @@
     }
 }
 
-/// As of when a read shows the topic. One that found nothing was held for the whole wait before it was
-/// answered; any other may have been answered at once.
+/// The time as of which a read shows the topic. A read that found nothing and took the whole long
+/// poll is current as of the end of its wait; any other read may have been answered at once.
 fn current_as_of(driver: &GatewayDriver, update: &TopicUpdate) -> BoxTime {
     let held = driver.now().millis_since(update.asked_at) >= update.wait_ms;
     if held && update.listed_to.is_none() && update.records.is_empty() {
@@ -96,7 +99,7 @@
     loop {
         follower.wait_until_due().await;
         let reader = driver.state().is_reader(driver.now());
-        // Other boxes may have told more than this one has read.
+        // Gossip may have brought the box further than its own reads.
         next = next.max(driver.state().entries_to());
         let wait_ms = if reader { READER_WAIT_MS } else { 0 };
         let Some(update) = follower.read(&mut next, wait_ms).await else {
@@ -110,7 +113,7 @@
             driver.feed(RouteEvent::EntriesRead { as_of, to });
         }
         if !empty {
-            // What comes meanwhile is read in one call.
+            // Changes that arrive during the pause are read in one call.
             tokio::time::sleep(Duration::from_millis(READER_PAUSE_MS)).await;
         }
     }
@@ -124,7 +127,8 @@
         let change = |entry| BackendChange { id: record.key, at: record.at, entry };
         match entry {
             Ok(entry) => changes.push(change(entry)),
-            // Another writer's: it names no replica to use, and what it replaced is not used on.
+            // An invalid entry of another writer names no usable replica, and the entry that it
+            // replaced is not used any longer.
             Err(()) => invalid.push(change(None)),
         }
     }
@@ -137,8 +141,9 @@
     }
 }
 
-/// Tells the store where this box hears notes, and learns where others do. Readers do, for boxes that start
-/// and reach none of those they were told of; and boxes that hear nobody.
+/// Registers this box's gossip address in the store, and reads the addresses of other boxes. Store
+/// readers do so for boxes that start and can't reach any box they know of, and boxes that receive
+/// no gossip do so for themselves.
 pub async fn follow_boxes(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -148,13 +153,13 @@
     let mut follower =
         TopicFollower::new(driver.clone(), store, BOX_TOPIC, RouteState::must_read_box_list);
     let own = KeyedRecord::new(name, Some(address.into_bytes()));
-    // The era in which the store was registered_in.
+    // Store era in which this box is registered.
     let mut registered_in = None;
     let mut next = None;
     loop {
         follower.wait_until_due().await;
         if registered_in != Some(follower.era()) {
-            // Whether or not an answer comes, the record may be there.
+            // The record may be in the store even if no answer arrives.
             driver.registered.store(true, Ordering::Relaxed);
             if follower.append(None, &own).await.is_none() {
                 follower.wait_to_retry().await;
@@ -174,11 +179,11 @@
     }
 }
 
-/// Takes this box's record out of the store, at the planned stop.
+/// Removes this box's record from the store at the planned stop.
 pub async fn deregister_box(driver: Arc<GatewayDriver>, store: StoreClient, name: &str) {
     let record = KeyedRecord::new(name.to_owned(), None);
     let mut follower = TopicFollower::new(driver, store, BOX_TOPIC, |_, _| true);
-    // A call that fails is logged; a box that starts and asks here in vain asks another. The process does not
-    // outstay its grace for one that is late.
+    // A failed call is logged. A starting box that contacts this one in vain tries another. The
+    // timeout keeps a late call from exceeding the grace period.
     let _ = timeout(Duration::from_millis(CALL_MS), follower.append(None, &record)).await;
 }
