--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -1,4 +1,5 @@
-//! Hears and sends datagrams between boxes: notes, asks, and the operator's records that an ask wants.
+//! Receives and sends datagrams between boxes: gossip messages, sync requests and responses, and
+//! the operator's records in sync responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +20,13 @@
 use super::operator_records::apply_received;
 use super::sync_pacer::SyncSlot;
 
-/// Largest datagram, in bytes.
+/// Maximum size of a datagram, in bytes.
 pub const DATAGRAM_LIMIT: usize = 60_000;
 
-/// Bytes around the records in a datagram, at most: their tag and length.
+/// Maximum overhead of the records in a datagram, in bytes: their tag and length.
 const RECORDS_OVERHEAD: usize = 8;
 
-/// Hears other boxes' notes.
+/// Receives datagrams of other boxes and feeds them to the reducer.
 pub async fn receive_datagrams(driver: Arc<GatewayDriver>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; DATAGRAM_LIMIT];
     loop {
@@ -34,7 +35,7 @@
                 Ok(DecodedDatagram::SyncRequest(request)) if driver.sync_pacer.has_room() => {
                     driver.feed(RouteEvent::SyncRequested(request));
                 }
-                // Who asked asks another box.
+                // The requesting box asks another box.
                 Ok(DecodedDatagram::SyncRequest(_)) => {
                     driver.stats.count_dropped(DatagramKind::SyncResponse)
                 }
@@ -53,16 +54,16 @@
                 Ok(DecodedDatagram::UsageResponse(response)) => {
                     driver.feed(RouteEvent::UsageReceived(response))
                 }
-                Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("it is empty"),
+                Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("the datagram is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
-            // A box that is gone answers a message with an error on this socket.
+            // A datagram to a box that is gone results in an error on this socket.
             Err(error) => observe::log_socket_failed("notes", &error),
         }
     }
 }
 
-/// Sends notes and asks to other boxes, and answers where nothing else waits.
+/// Sends datagrams to other boxes. Sync responses are sent only when nothing else is queued.
 pub async fn send_datagrams(
     driver: Arc<GatewayDriver>,
     socket: Arc<UdpSocket>,
@@ -90,7 +91,7 @@
     }
 }
 
-/// Sends a datagram. Gives how long it was, in bytes.
+/// Sends a datagram. Returns its length in bytes.
 async fn send_datagram(
     driver: &GatewayDriver,
     socket: &UdpSocket,
@@ -121,8 +122,9 @@
     bytes.len()
 }
 
-/// Encodes a note with the records that the ask wants which it answers, if all fits into a datagram. Who gets
-/// its replicas' entries without them asks again, and who needs more than a datagram reads the store.
+/// Encodes a message with the operator's records that the sync request lacks, if all fit into a
+/// datagram. A box that receives replica entries without the records sends another request, and a
+/// box that needs more than a datagram reads the store.
 fn encode_with_records(
     driver: &GatewayDriver,
     pages: &mut PackedPages,
