--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -1,7 +1,8 @@
-//! Datagrams between boxes, in protobuf.
+//! Datagrams between boxes, encoded in protobuf.
 //!
-//! A datagram is a gossip or an sync_request; a long gossip is [`packed`]. `replica`, `trial`, `peer`, `sync_request`, `position` and
-//! [`records`] hold the messages of its parts.
+//! A datagram is a gossip message, a sync request, a placement, a usage request or its response.
+//! Long messages are [`packed`]. `replica`, `trial`, `peer`, `sync`, `usage`, `position` and
+//! [`records`] define the parts, and [`pages`] caches packed pages of replica entries.
 
 pub mod packed;
 pub mod pages;
@@ -43,8 +44,9 @@
     WireUsageRequest, WireUsageResponse,
 };
 
-/// A gossip from this length on is deflated, in bytes: 300 replicas' entries come from 26,597 to 4,714 bytes, word of
-/// seven other boxes from 769 to 385. Shorter ones repeat too little to gain.
+/// Length from which a gossip message is deflated, in bytes. The entries of 300 replicas shrink
+/// from 26,597 to 4,714 bytes, and the updates of seven other boxes from 769 to 385. Shorter
+/// messages repeat too little to gain.
 const DEFLATE_FROM_BYTES: usize = 256;
 
 #[derive(Clone, PartialEq, Message)]
@@ -93,32 +95,32 @@
     contents: Vec<WirePoison>,
 }
 
-/// A datagram is one of these.
+/// A datagram; one of its messages is set.
 #[derive(Clone, PartialEq, Message)]
 struct WireDatagram {
     #[prost(message, optional, tag = "1")]
     gossip: Option<WireGossip>,
     #[prost(message, optional, tag = "2")]
     sync_request: Option<WireSyncRequest>,
-    /// The operator's records that the answered sync_request wants, packed; not set where they are left out.
+    /// The operator's records that the sync request lacks, packed; not set where they are omitted.
     #[prost(bytes = "vec", optional, tag = "5")]
     records: Option<Vec<u8>>,
     #[prost(message, optional, tag = "4")]
     placement: Option<WirePlacement>,
-    /// The gossip, deflated, in place of `gossip`.
+    /// The deflated gossip message, in place of `gossip`.
     #[prost(bytes = "vec", tag = "6")]
     packed_gossip: Vec<u8>,
     #[prost(message, optional, tag = "7")]
     usage_request: Option<WireUsageRequest>,
     #[prost(message, optional, tag = "8")]
     usage: Option<WireUsageResponse>,
-    /// The gossip's changes to replicas' entries, deflated, where they are a page of a listing.
+    /// Deflated changes to replica entries, where they are a page of a listing.
     #[prost(bytes = "vec", tag = "9")]
     packed_page: Vec<u8>,
 }
 
-/// Encodes a gossip as a datagram, with the records that the sync_request it answers wants, if they are not left out. `page` is what
-/// was packed of its changes, if that was.
+/// Encodes a gossip message as a datagram, with the operator's records if they are given. `page`
+/// holds the packed changes if they were packed before.
 pub fn encode_gossip(
     gossip: &GossipMessage,
     records: Option<&PackedRecords>,
@@ -138,51 +140,51 @@
     WireDatagram { packed_gossip: deflate(&bytes), ..datagram }.encode_to_vec()
 }
 
-/// Encodes an sync_request as a datagram.
+/// Encodes a sync request as a datagram.
 pub fn encode_sync_request(sync_request: &SyncRequest) -> Vec<u8> {
     let sync_request = Some(write_sync_request(sync_request));
     WireDatagram { sync_request, ..WireDatagram::default() }.encode_to_vec()
 }
 
-/// Encodes word of a prompt that was placed as a datagram.
+/// Encodes the placement of a prompt as a datagram.
 pub fn encode_placement(placement: PlacementUpdate) -> Vec<u8> {
     let placement = Some(write_placement(placement));
     WireDatagram { placement, ..WireDatagram::default() }.encode_to_vec()
 }
 
-/// Encodes a question for counts of usage as a datagram.
+/// Encodes a request for usage counts as a datagram.
 pub fn encode_usage_request(usage_request: &UsageRequest) -> Vec<u8> {
     let usage_request = Some(write_usage_request(usage_request));
     WireDatagram { usage_request, ..WireDatagram::default() }.encode_to_vec()
 }
 
-/// Encodes counts of usage as a datagram.
+/// Encodes usage counts as a datagram.
 pub fn encode_usage_response(response: &UsageResponse) -> Vec<u8> {
     let usage = Some(write_usage_response(response));
     WireDatagram { usage, ..WireDatagram::default() }.encode_to_vec()
 }
 
-/// What a datagram says.
+/// Content of a datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodedDatagram {
-    /// A gossip, with the records that this box asked for, if they are not left out.
+    /// A gossip message, with the operator's records if it is a sync response that contains them.
     Gossip(Box<GossipMessage>, Option<Vec<KeyedRecord>>),
-    /// An sync_request.
+    /// A sync request.
     SyncRequest(SyncRequest),
-    /// A prompt that was placed.
+    /// The placement of a prompt.
     Placement(PlacementUpdate),
-    /// A question for counts of usage.
+    /// A request for usage counts.
     UsageRequest(UsageRequest),
-    /// Counts of usage.
+    /// Usage counts.
     UsageResponse(UsageResponse),
-    /// Nothing.
+    /// No content.
     Empty,
 }
 
 /// Decodes a datagram.
 ///
 /// # Errors
-/// [`PackedError`], if the bytes are no datagram of a box.
+/// Returns [`PackedError`] if the bytes are not a datagram of a box.
 pub fn decode_datagram(bytes: &[u8]) -> Result<DecodedDatagram, PackedError> {
     let wire = WireDatagram::decode(bytes)?;
     if let Some(sync_request) = wire.sync_request {
