--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -1,4 +1,5 @@
-//! Pages of the replicas' entries: packed once for all boxes that ask for the same.
+//! Cache of packed pages of replica entries: each page is packed once for all boxes that request
+//! it.
 
 use std::collections::VecDeque;
 
@@ -10,10 +11,12 @@
 use super::packed::{deflate, inflate, PackedError};
 use super::replica::{read_change, write_change, WireChange};
 
-/// Pages that are kept, at most: all of ten thousand replicas, and some that have changed since.
+/// Maximum number of cached pages: all pages of ten thousand replicas, and some that have changed
+/// since.
 const PAGE_CACHE_LIMIT: usize = 32;
 
-/// Answers with so many entries are kept: shorter ones differ from each other, and are packed soon.
+/// Number of entries from which a page is cached. Shorter pages differ from each other, and are
+/// packed quickly.
 const CACHED_FROM_ENTRIES: usize = 100;
 
 #[derive(Clone, PartialEq, Message)]
@@ -22,7 +25,7 @@
     changes: Vec<WireChange>,
 }
 
-/// What tells two pages apart: a change of one of its replicas moves that out of it.
+/// Identity of a page. A change of one of its replicas moves that replica to another page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PageKey {
     first: TopicPosition,
@@ -37,12 +40,12 @@
     }
 }
 
-/// Pages that were packed lately.
+/// Recently packed pages.
 #[derive(Debug, Default)]
 pub struct PackedPages(VecDeque<(PageKey, Vec<u8>)>);
 
 impl PackedPages {
-    /// The packed entries of an answer, if they are many.
+    /// The packed entries of a sync response, if there are enough to cache.
     pub fn of(&mut self, message: &GossipMessage) -> Option<&[u8]> {
         message.echo.as_ref().filter(|_| message.changes.len() >= CACHED_FROM_ENTRIES)?;
         let key = PageKey::of(&message.changes)?;
@@ -65,7 +68,7 @@
     deflate(&WireChanges { changes }.encode_to_vec())
 }
 
-/// The entries of a packed page.
+/// Unpacks the entries of a page.
 pub(super) fn unpack(bytes: &[u8]) -> Result<Vec<BackendChange>, PackedError> {
     let changes = WireChanges::decode(inflate(bytes)?.as_slice())?.changes;
     Ok(changes.into_iter().map(read_change).collect())
