--- a/crates/box/src/gateway/gossip_wire/peer.rs
+++ b/crates/box/src/gateway/gossip_wire/peer.rs
@@ -1,4 +1,4 @@
-//! What boxes say of themselves and of others.
+//! Messages about boxes: the sender's own information, and its summaries of others.
 
 use prost::Message;
 use ravenspoke_core::route::evacuation::EvacuationDigest;
@@ -17,7 +17,7 @@
     age_ms: u64,
 }
 
-/// What a box says of itself.
+/// A box's information about itself.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WirePeerInfo {
     #[prost(fixed64, tag = "1")]
@@ -38,7 +38,7 @@
     strong: bool,
 }
 
-/// Further sends of a box in a window.
+/// Retries of a box in a window, for the retry budget.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireBudget {
     #[prost(string, tag = "1")]
@@ -49,7 +49,7 @@
     sends: u32,
 }
 
-/// Availability zones under evacuation.
+/// Evacuated availability zones.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireEvacuation {
     #[prost(message, optional, tag = "3")]
