--- a/crates/box/src/gateway/gossip_wire/position.rs
+++ b/crates/box/src/gateway/gossip_wire/position.rs
@@ -1,4 +1,4 @@
-//! Positions in the store's topics, and how far a box knows the operator's records.
+//! Positions in the store's topics, and a box's position in the operator's records.
 
 use prost::Message;
 use ravenspoke_core::position::TopicPosition;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A position that a message may lack; the one before all then.
+/// Reads a position that a message may lack; the default is the position before all records.
 pub(super) fn read_position(wire: Option<WirePosition>) -> TopicPosition {
     wire.map(Into::into).unwrap_or_default()
 }
