--- a/crates/box/src/gateway/gossip_wire/records.rs
+++ b/crates/box/src/gateway/gossip_wire/records.rs
@@ -1,4 +1,4 @@
-//! The operator's records, as one box tells them to another: packed once for all that ask for the same.
+//! The operator's records in sync responses, packed once for all boxes that request the same ones.
 
 use prost::Message;
 use ravenspoke_adapter::store::KeyedRecord;
@@ -6,7 +6,7 @@
 use super::packed::{deflate, inflate, PackedError};
 use super::position::{read_position, WirePosition};
 
-/// A record of the operator; without a value, its key was dropped.
+/// A record of the operator. An empty value means that the key was deleted.
 #[derive(Clone, PartialEq, Message)]
 struct WireRecord {
     #[prost(string, tag = "1")]
@@ -23,12 +23,12 @@
     records: Vec<WireRecord>,
 }
 
-/// Records of the operator, packed.
+/// Packed records of the operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PackedRecords(Vec<u8>);
 
 impl PackedRecords {
-    /// Packs records; none give no bytes.
+    /// Packs records. An empty slice results in no bytes.
     pub fn pack(records: &[KeyedRecord]) -> Self {
         if records.is_empty() {
             return Self::default();
@@ -37,20 +37,20 @@
         Self(deflate(&WireRecords { records }.encode_to_vec()))
     }
 
-    /// Records as they came in a datagram.
+    /// Wraps packed records from a datagram.
     pub(super) fn from_bytes(bytes: Vec<u8>) -> Self {
         Self(bytes)
     }
 
-    /// Their bytes in a datagram.
+    /// The packed bytes for a datagram.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 
-    /// The records.
+    /// Unpacks the records.
     ///
     /// # Errors
-    /// [`PackedError`], if another box sent what is none.
+    /// Returns [`PackedError`] if the bytes are not packed records.
     pub fn unpack(&self) -> Result<Vec<KeyedRecord>, PackedError> {
         if self.0.is_empty() {
             return Ok(Vec::new());
