--- a/crates/box/src/gateway/gossip_wire/replica.rs
+++ b/crates/box/src/gateway/gossip_wire/replica.rs
@@ -1,4 +1,4 @@
-//! News of replicas and their loads, as notes carry them.
+//! Updates of replicas in gossip messages.
 
 use prost::Message;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
@@ -11,7 +11,7 @@
 
 use super::position::{read_position, WirePosition};
 
-/// A change to a replica's entry; without one, it is gone.
+/// A change to a replica's entry. Without an entry, the replica was removed.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireChange {
     #[prost(string, tag = "1")]
@@ -66,7 +66,7 @@
     work_ms: u32,
 }
 
-/// Paces of a service's models.
+/// Latency estimates of a service's models.
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireLatency {
     #[prost(string, tag = "1")]
@@ -156,7 +156,7 @@
     }
 }
 
-/// A replica that could not be reached.
+/// An unreachable replica.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(super) struct WireUnreachable {
     #[prost(fixed64, tag = "1")]
@@ -173,7 +173,7 @@
     UnreachableUpdate { replica: wire.replica, age_ms: wire.age_ms }
 }
 
-/// A limit that a replica names, or names no more.
+/// A rate limit that a replica names, or its removal.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(super) struct WireLimit {
     #[prost(fixed64, tag = "1")]
@@ -192,7 +192,7 @@
     LimitUpdate { replica: wire.replica, per_s: wire.per_s, age_ms: wire.age_ms }
 }
 
-/// A replica's end while it worked on a request.
+/// A crash of a replica while it ran a request.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(super) struct WireCrash {
     #[prost(fixed64, tag = "1")]
