--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -1,4 +1,4 @@
-//! What a box asks of another, and how far the answer shows the replicas' entries.
+//! Sync requests, and the range of replica entries that a sync response covers.
 
 use prost::Message;
 use ravenspoke_core::route::entry_sync::{EntryQuery, ListingPage};
@@ -15,7 +15,7 @@
     gossip_address: String,
     #[prost(fixed64, tag = "2")]
     incarnation: u64,
-    /// The asker's clock, in microseconds.
+    /// Clock of the requesting box, in microseconds.
     #[prost(uint64, tag = "3")]
     asked_at: u64,
     #[prost(message, optional, tag = "9")]
@@ -28,14 +28,14 @@
     has_backends: bool,
 }
 
-/// How far an answer shows the replicas' entries.
+/// The range of replica entries that a sync response covers.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub(super) struct WireEntryCoverage {
     #[prost(message, optional, tag = "5")]
     known_to: Option<WirePosition>,
     #[prost(uint64, optional, tag = "2")]
     age_ms: Option<u64>,
-    /// Set on the page of a listing, with where the next one begins.
+    /// Set on a page of a listing, with the start of the next page.
     #[prost(message, optional, tag = "6")]
     page_end: Option<WirePosition>,
     #[prost(message, optional, tag = "7")]
