--- a/crates/box/src/gateway/gossip_wire/trial.rs
+++ b/crates/box/src/gateway/gossip_wire/trial.rs
@@ -1,4 +1,4 @@
-//! Trials of new versions and their verdicts, as notes carry them.
+//! Trials of new versions and their verdicts in gossip messages.
 
 use prost::{Enumeration, Message};
 use ravenspoke_core::route::peers::TrialUpdate;
