--- a/crates/box/src/gateway/gossip_wire/usage.rs
+++ b/crates/box/src/gateway/gossip_wire/usage.rs
@@ -1,4 +1,4 @@
-//! Questions for counts of usage, and the counts.
+//! Requests for usage counts, and the counts.
 
 use prost::Message;
 use ravenspoke_core::route::leader::usage::{UsageReport, UsageRequest, UsageResponse};
