--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -1,4 +1,4 @@
-//! Asks the store for the lease of what one box does for all, and carries the holder's steps out.
+//! Requests the leader's lease from the store, and executes the leader's orders.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,25 +20,25 @@
 use super::driver::GatewayDriver;
 use super::observe;
 
-/// Group of the boxes that ask for the lease.
+/// Group of the boxes that request the lease.
 const GROUP: &str = "leader";
 
-/// Name of the holder as a writer of [`LEADER_TOPIC`].
+/// Producer name under which the leader writes to [`LEADER_TOPIC`].
 const PRODUCER: &str = "leader";
 
-/// A box asks for the lease this many times in its length: two asks in a row may be lost.
+/// Number of lease requests in the length of a lease, so that two requests in a row may be lost.
 pub const REQUESTS_PER_LEASE: u64 = 3;
 
-/// A box looks this often whether it asks for the lease, in milliseconds.
+/// Interval at which a box checks whether it should request the lease, in milliseconds.
 pub const LEASE_POLL_MS: u64 = 100;
 
-/// This box as one of those that ask for the lease. Each life of its process is another.
+/// This box as a member of the group. Each incarnation of its process is a separate member.
 fn member(name: &str, incarnation: u64, ttl_ms: u64) -> GroupMember {
     let name = format!("{name}-{incarnation:x}");
     GroupMember { group: GROUP, topic: LEADER_TOPIC, name, ttl_ms }
 }
 
-/// Asks for the lease while this box may have it, and gives it back when it may not.
+/// Requests the lease while this box may hold it, and releases it when it may not.
 pub async fn follow_lease(driver: Arc<GatewayDriver>, store: StoreClient, name: String) {
     let incarnation = driver.state().incarnation();
     let mut joined = None;
@@ -59,7 +59,7 @@
     }
 }
 
-/// Asks once. Gives the generation that was answered, if an answer came.
+/// Requests the lease once. Returns the group's generation if an answer came.
 async fn request_lease(
     driver: &GatewayDriver,
     store: &StoreClient,
@@ -80,7 +80,7 @@
             None
         }
         Err(_) => {
-            observe::log_lease_failed(&"no answer in time");
+            observe::log_lease_failed(&"no answer within the call timeout");
             None
         }
     }
@@ -95,14 +95,15 @@
     }
 }
 
-/// The holder's context.
+/// Context of the leader's orders.
 struct LeaderContext {
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     cloud: CloudClient,
 }
 
-/// Carries the holder's steps out, each on its own: a call that is not answered must not hold up others.
+/// Executes the leader's orders, each in its own task, so that an unanswered call does not delay
+/// others.
 pub async fn execute_orders(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -117,7 +118,7 @@
 }
 
 impl LeaderContext {
-    /// Whether an order may still be begun: its lease stands.
+    /// Whether an order may still begin, that is, its lease has not expired.
     fn may_begin(&self, order: &LeaderOrder) -> bool {
         self.driver.now() < order.until
     }
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Bars former holders from writing, and reads what they left.
+    /// Fences former leaders from writing, and reads the records that they wrote.
     async fn take_over(&self, token: u64) -> Result<(), StoreError> {
         self.driver.stats.count_call(LEADER_TOPIC, StoreCall::Append);
         let epoch = ProducerEpoch { producer: PRODUCER, epoch: token, sequence: 0 };
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// Writes a record for the next holder.
+    /// Writes a record for the next leader.
     async fn write_record(&self, token: u64, numbered: &NumberedRecord) -> Result<(), StoreError> {
         self.driver.stats.count_call(LEADER_TOPIC, StoreCall::Append);
         let number = numbered.number;
