--- a/crates/box/src/gateway/listen.rs
+++ b/crates/box/src/gateway/listen.rs
@@ -1,19 +1,21 @@
-//! The socket that callers connect to. The kernel completes their connections whether or not anybody accepts them: each is
-//! accepted before the socket is closed.
+//! The socket that callers connect to.
+//!
+//! The kernel completes connections before they are accepted, so all pending ones are accepted
+//! before the socket is closed.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// The entry's socket.
+/// The entry's listening socket.
 pub struct ListeningEntry(TcpListener);
 
 impl ListeningEntry {
-    /// Takes the address, and lets callers connect.
+    /// Binds the address and starts listening.
     ///
     /// # Errors
-    /// What the system says, as where another process listens there.
+    /// Returns the error of the operating system, for example if the address is in use.
     pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
         TcpListener::bind(address).await.map(Self)
     }
@@ -21,17 +23,17 @@
     /// Waits for a caller's connection.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the operating system.
     pub async fn accept(&self) -> std::io::Result<TcpStream> {
         let (stream, _) = self.0.accept().await?;
         Ok(stream)
     }
 
-    /// Refuses further connections. Gives those that nobody accepted yet: they would be reset, with the requests that
-    /// stand in them.
+    /// Closes the socket. Returns the pending connections: unaccepted, they would be reset together
+    /// with the requests that they carry.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the operating system.
     pub fn close(self) -> std::io::Result<Vec<TcpStream>> {
         let listener = self.0.into_std()?;
         let mut pending = Vec::new();
