--- a/crates/box/src/gateway/mod.rs
+++ b/crates/box/src/gateway/mod.rs
@@ -1,14 +1,21 @@
-//! A box that routes by host and prefix on the users' platform.
+//! The routing gateway: a box that routes requests by host and path prefix on the users' platform.
 //!
-//! [`driver`] holds the reducer's state. [`entry`] takes callers' connections, [`exchange`] serves one
-//! request, [`responses`] makes what its caller gets, [`relay`] passes a stream on and takes it up
-//! elsewhere when it breaks, [`event_splitter`] cuts it into whole events, [`pool`] keeps connections to
-//! replicas. [`follow`] follows the platform's store, `topic_follower` calls it for one topic, `store_calls`
-//! are its calls under way; [`verdicts`] are read and written there, and how far trials have come ([`checkpoints`]).
-//! [`control_stats`] counts what that and datagrams cost. [`gossip`] talks to other boxes in the datagrams of [`gossip_wire`], and [`operator_records`] tells them what the operator wrote.
-//! [`directory`] answers who asks for addresses, readiness, state and metrics. [`observe`] logs, and `strange` which headers
-//! of replicas are not known here.
-//! [`reload`] takes changes of the settings. [`process`] puts them together.
+//! [`driver`] holds the reducer's state and applies events to it. [`entry`] accepts callers'
+//! connections, [`exchange`] serves one request, [`responses`] builds the caller's response,
+//! [`relay`] forwards a stream and resumes it at another replica when it breaks, [`event_splitter`]
+//! splits it into whole events, and [`pool`] keeps connections to replicas.
+//!
+//! [`follow`] follows the topics of the platform's store. `topic_follower` calls the store for one
+//! topic, and `store_calls` holds its open calls. [`verdicts`] and [`checkpoints`] read and write
+//! the state of trials. [`leader`] holds the lease of the leader and executes its orders.
+//!
+//! [`gossip`] exchanges datagrams with other boxes, [`gossip_wire`] encodes them, [`sync_pacer`]
+//! limits the bandwidth of sync responses, and [`operator_records`] holds the operator's records
+//! for boxes that lack them. [`control_stats`] counts the cost of store calls and datagrams.
+//!
+//! [`directory`] serves addresses, readiness, state and metrics. [`observe`] writes logs and
+//! metrics, and `unknown_headers` logs headers of replicas that the box does not know. [`reload`]
+//! applies changed settings. [`process`] puts everything together.
 
 pub mod checkpoints;
 pub mod control_stats;
