--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -1,7 +1,7 @@
 //! Log events and metrics of a routing box. `docs/EVENTS.md` is the catalogue.
 //!
-//! A line for each decision that touches a request or changes what the box believes, with its inputs
-//! and their age. Lines go to a bounded buffer and never block; what it drops is counted.
+//! Each decision that affects a request or changes the box's state has a line with its inputs and
+//! their age. Lines go to a bounded buffer and never block; dropped lines are counted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use super::control_stats::ControlStats;
 use super::driver::RequestName;
 
-/// Logs what was decided of a request.
+/// Logs a decision about a request.
 pub fn log_request(name: &RequestName, effect: &RouteEffect) {
     let id = name.id.as_str();
     match effect {
@@ -74,14 +74,14 @@
     );
 }
 
-/// Logs that a replica's answer was no answer, or none came.
+/// Logs a failed attempt: its response was invalid, or none came.
 pub fn log_attempt_failed(name: &RequestName, failure: AttemptFailure, why: &str, after: Duration) {
     counter!("ravenspoke_attempts_failed_total").increment(1);
     let after_ms = after.as_millis() as u64;
     info!(event = 704, name = "attempt_failed", id = name.id, ?failure, why, after_ms);
 }
 
-/// Logs the head of a replica's answer: what the next decision rests on.
+/// Logs the head of a replica's response, which the next decision depends on.
 pub fn log_head_received(name: &RequestName, head: &AnswerHead, after: Duration) {
     let after_ms = after.as_millis() as u64;
     info!(
@@ -113,21 +113,21 @@
     warn!(event = 740, name = "header_unknown", header, value, replica);
 }
 
-/// Logs how a request ended whose answer was passed on.
+/// Logs the end of a request whose response was forwarded.
 pub fn log_response_finished(name: &RequestName, status: u16, took: Duration) {
     histogram!("ravenspoke_answer_seconds").record(took.as_secs_f64());
     let took_ms = took.as_millis() as u64;
     info!(event = 705, name = "answer_passed_on", id = name.id, status, took_ms);
 }
 
-/// Logs that the caller went away before the end.
+/// Logs that the caller disconnected before the end of the response.
 pub fn log_caller_disconnected(name: &RequestName, after: Duration) {
     counter!("ravenspoke_callers_left_total").increment(1);
     let after_ms = after.as_millis() as u64;
     info!(event = 706, name = "caller_left", id = name.id, after_ms);
 }
 
-/// Logs a change of what the box believes.
+/// Logs an effect that changes the box's state.
 pub fn log_effect(effect: &RouteEffect) {
     match effect {
         RouteEffect::PlanInForce { version, routes, age_ms } => {
@@ -224,37 +224,37 @@
     }
 }
 
-/// Logs that the process runs.
+/// Logs the start of the process.
 pub fn log_started(name: &str, address: SocketAddr, seeds: &[SocketAddr]) {
     info!(event = 720, name = "gateway_started", box_name = name, %address, ?seeds);
 }
 
-/// Logs that the settings were read anew.
+/// Logs that the settings were read again.
 pub fn log_reloaded(changed: bool) {
     info!(event = 721, name = "settings_read", changed);
 }
 
-/// Logs that the settings can't be read; the last ones serve.
+/// Logs that the settings can't be read; the last valid ones stay in force.
 pub fn log_reload_failed(why: &str) {
     warn!(event = 722, name = "settings_unreadable", why);
 }
 
-/// Logs seeds of the settings that are no addresses.
+/// Logs seeds of the settings that are not addresses.
 pub fn log_invalid_seeds(seeds: &[String]) {
     warn!(event = 724, name = "seeds_unreadable", ?seeds);
 }
 
-/// Counts a connection of a caller that is closed because too many are open.
+/// Counts a caller's connection that is closed because too many are open.
 pub fn count_rejected_caller() {
     counter!("ravenspoke_callers_turned_away_total").increment(1);
 }
 
-/// Logs that callers' connections are closed from now on: too many are open.
+/// Logs that callers' connections are closed from now on because too many are open.
 pub fn log_callers_full(limit: usize) {
     warn!(event = 725, name = "callers_full", limit);
 }
 
-/// Logs that a request came while the box started.
+/// Logs that a request arrived while the box was starting.
 pub fn log_request_waited(id: &str, waited_ms: u64) {
     info!(event = 728, name = "request_waited", id, waited_ms);
 }
@@ -264,54 +264,57 @@
     info!(event = 726, name = "callers_taken");
 }
 
-/// Logs that connections of callers are refused from now on, with those that are open still.
+/// Logs that new connections are refused from now on, with the number of open ones.
 pub fn log_entry_closed(open_connections: usize) {
     info!(event = 727, name = "callers_refused", open_connections);
 }
 
-/// Logs that the process ends.
+/// Logs the exit of the process.
 pub fn log_exit(open_connections: usize, in_flight: usize) {
     info!(event = 723, name = "gateway_exits", open_connections, in_hand = in_flight);
 }
 
-/// Logs that a call to the store failed, or is late, `after` it began, and what the box does about it.
+/// Logs that a call to the store failed or is late, `after` its start, and what the box does about
+/// it.
 pub fn log_store_lost(topic: &str, why: &dyn std::fmt::Display, after: Duration, role: StoreRole) {
     let after_ms = after.as_millis() as u64;
     let StoreRole { reads, tries } = role;
     warn!(event = 730, name = "store_lost", topic, after_ms, reads, tries, %why);
 }
 
-/// What a box that lost the store does about it.
+/// Role of a box that lost the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreRole {
-    /// Whether it reads for the other boxes.
+    /// Whether it reads the store for the other boxes.
     pub reads: bool,
-    /// Whether it tries again itself, or leaves that to boxes that answer it.
+    /// Whether it retries itself, or leaves that to boxes that respond to its sync requests.
     pub tries: bool,
 }
 
-/// Counts a call to the store that failed.
+/// Counts a failed call to the store.
 pub fn count_store_error() {
     counter!("ravenspoke_store_errors_total").increment(1);
 }
 
-/// Logs that other boxes must read the operator's records themselves: packed they don't fit into a datagram.
+/// Logs that other boxes must read the operator's records from the store, because the packed
+/// records don't fit into a datagram.
 pub fn log_oversized_records(bytes: usize, limit: usize, from: TopicPosition) {
     warn!(event = 737, name = "records_untold", bytes, limit, %from);
 }
 
-/// Logs that an answer of the store names no era, or one that can't be read.
+/// Logs that an answer of the store has no era, or an invalid one.
 pub fn log_invalid_era(value: &str) {
     warn!(event = 746, name = "store_era_unreadable", value);
 }
 
-/// Logs that what was read of the operator's records ends before what this box has heard of, and is passed over.
+/// Logs that a read of the operator's records ends before the position that gossip has brought this
+/// box to, and is discarded.
 pub fn log_read_discarded(end: TopicPosition, read_to: TopicPosition) {
     counter!("ravenspoke_reads_passed_over_total").increment(1);
     warn!(event = 747, name = "read_passed_over", %end, %read_to);
 }
 
-/// Logs how a call that one box makes for all ended.
+/// Logs the outcome of a call that the leader made.
 pub fn log_leader_call(call: &LeaderCall, token: u64, outcome: CallOutcome) {
     let kind = match call {
         LeaderCall::Report(_) => "report",
@@ -321,23 +324,23 @@
     info!(event = 750, name = "lead_called", token, ?outcome, ?call);
 }
 
-/// Logs that a step of the box that acts for all failed; it is taken again while the box has the lease.
+/// Logs that an order of the leader failed; it is retried while the box holds the lease.
 pub fn log_leader_step_failed(step: &'static str, why: &dyn std::fmt::Display) {
     warn!(event = 751, name = "lead_failed", step, %why);
 }
 
-/// Logs that the store gave no answer to an ask for the lease of what one box does for all.
+/// Logs that the store did not answer a request for the leader's lease.
 pub fn log_lease_failed(why: &dyn std::fmt::Display) {
     warn!(event = 752, name = "lease_unanswered", %why);
 }
 
-/// Logs that a reader has the store again.
+/// Logs that a follower reached the store again.
 pub fn log_store_regained(topic: &str, after: Duration) {
     let after_ms = after.as_millis() as u64;
     info!(event = 731, name = "store_regained", topic, after_ms);
 }
 
-/// What was last logged of the costs of control.
+/// The last logged costs of control traffic.
 #[derive(Debug, Default)]
 pub struct LoggedCosts {
     calls: String,
@@ -345,7 +348,7 @@
 }
 
 impl LoggedCosts {
-    /// Logs the calls to the store and the bytes of datagrams so far, where they have grown.
+    /// Logs the calls to the store and the bytes of datagrams so far, if they have changed.
     pub fn log_changes(&mut self, stats: &ControlStats) {
         let (calls, bytes) = (stats.calls(), stats.bytes());
         if calls != self.calls {
@@ -365,13 +368,13 @@
     error!(event = 732, name = "record_unreadable", why = %error);
 }
 
-/// Logs a note of another box that can't be decoded.
+/// Logs a datagram of another box that can't be decoded.
 pub fn log_bad_gossip(why: &str) {
     counter!("ravenspoke_bad_notes_total").increment(1);
     warn!(event = 733, name = "note_unreadable", why);
 }
 
-/// Logs that a socket of the box's own failed.
+/// Logs an error of one of the box's sockets.
 pub fn log_socket_failed(purpose: &str, error: &std::io::Error) {
     warn!(event = 734, name = "socket_failed", purpose, why = %error);
 }
