--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -1,4 +1,5 @@
-//! The operator's records as this box knows them, told to boxes that ask: few boxes read the store.
+//! The operator's records as this box knows them. Only few boxes read the store; the others receive
+//! the records in sync responses.
 
 use std::collections::BTreeMap;
 
@@ -19,11 +20,12 @@
 #[derive(Debug, Default)]
 pub struct OperatorRecords {
     newest: BTreeMap<String, KeyedRecord>,
-    /// The newest plan, which a store that came back from a copy may have lost.
+    /// The newest plan, which a store restored from an older copy may have lost.
     plan: Option<PlanRecord>,
-    /// What was told last, with the positions of its records: hundreds of boxes ask for the same.
+    /// The last packed records with their positions. They are cached because hundreds of boxes
+    /// request the same ones.
     packed: (Vec<TopicPosition>, PackedRecords),
-    /// Whether it was logged that these are too long to be told.
+    /// Whether it was logged that the packed records don't fit into a datagram.
     oversize_logged: bool,
 }
 
@@ -35,7 +37,7 @@
 }
 
 impl OperatorRecords {
-    /// Takes records that were read or told, with the version of the plan among them.
+    /// Merges records that were read or received, with the version of the plan among them.
     pub fn merge(&mut self, records: &[KeyedRecord], plan_version: Option<u64>) {
         for record in records {
             let known = self.newest.get(&record.key);
@@ -52,8 +54,8 @@
         }
     }
 
-    /// What a box that knows so much lacks, as a datagram holds it: a newer plan, and all other newest records behind
-    /// its position.
+    /// The packed records that a box at the position `known` lacks: a newer plan, and all other
+    /// newest records from its position on.
     pub fn records_after(&mut self, known: PlanPosition) -> &PackedRecords {
         let plan = self.plan.as_ref().filter(|plan| plan.version > known.version);
         let plan = plan.map(|plan| &plan.record);
@@ -69,7 +71,7 @@
         &self.packed.1
     }
 
-    /// Logs, once, that what was packed last is too long to be told to boxes that have read to `read_to`.
+    /// Logs, once, that the last packed records are too long for boxes that have read to `read_to`.
     pub fn log_oversized(&mut self, read_to: TopicPosition, limit: usize) {
         if !std::mem::replace(&mut self.oversize_logged, true) {
             observe::log_oversized_records(self.packed.1.as_bytes().len(), limit, read_to);
@@ -77,7 +79,7 @@
     }
 }
 
-/// The orders to evacuate zones among records of the operator.
+/// The evacuation orders among the operator's records.
 pub fn zone_orders(records: &[KeyedRecord]) -> Vec<ZoneOrder> {
     let order = |record: &KeyedRecord| {
         let zone = evacuation_zone(&record.key)?.to_owned();
@@ -86,8 +88,8 @@
     records.iter().filter_map(order).collect()
 }
 
-/// Takes what this box read of the operator's records from `from` on, or all newest ones without it: all that there was
-/// at `asked_at` up to `read_to`. Returns false if one can't be decoded.
+/// Applies the operator's records that this box read at `asked_at`: all records from `from` to
+/// `read_to`, or all newest ones if `from` is `None`. Returns false if one can't be decoded.
 pub fn apply_read(
     driver: &GatewayDriver,
     asked_at: BoxTime,
@@ -96,21 +98,22 @@
     records: &[KeyedRecord],
 ) -> bool {
     let orders = zone_orders(records);
-    // Before the plan: whoever has the plan of an offset must know the zones as of it.
+    // Applied before the plan: a box that has the plan of an offset must know the evacuated zones
+    // as of that offset.
     driver.feed(RouteEvent::EvacuationsRead(EvacuationRead { from, to: read_to, orders }));
     let Some(applied) = apply_records(driver, read_to, records) else { return false };
     driver.feed(RouteEvent::PlanRead { asked_at, read_to, plan: applied.plan });
     true
 }
 
-/// Records of the operator that were taken, all but the plan.
+/// Result of applying the operator's records.
 struct AppliedRecords {
-    /// The plan, if one is among them.
+    /// The plan, if there is one among the records.
     plan: Option<RoutePlan>,
 }
 
-/// Takes the operator's records up to a position; `None` if one can't be decoded: it may be a newer plan, so nothing is
-/// renewed.
+/// Applies the operator's records up to a position. Returns `None` if one can't be decoded, because
+/// it may be a newer plan; nothing is renewed then.
 fn apply_records(
     driver: &GatewayDriver,
     read_to: TopicPosition,
@@ -141,17 +144,18 @@
     Some(AppliedRecords { plan })
 }
 
-/// Takes records that another box told in answer to an ask.
+/// Applies records that another box sent in a sync response.
 pub fn apply_received(driver: &GatewayDriver, message: &GossipMessage, records: &[KeyedRecord]) {
     let (as_of, known) = {
         let state = driver.state();
         (state.message_as_of(message, driver.now()), state.plan_position())
     };
     let Some(as_of) = as_of else { return };
-    // What it told begins where this box had read to when it asked: nothing is left out.
+    // The records begin at the position that this box sent in its request, so none is missing.
     let follows = message.echo.as_ref().is_some_and(|request| request.known <= known);
     if follows && message.known > known {
-        // The records may lack the end of an order that the teller never had; its word of the zones is whole.
+        // The records may lack the end of an order that the sender never had; its digest of
+        // evacuated zones is complete.
         driver.feed(RouteEvent::EvacuationsReceived(message.evacuation.clone()));
         if let Some(applied) = apply_records(driver, message.known.read_to, records) {
             driver.feed(RouteEvent::PlanReceived {
