--- a/crates/box/src/gateway/pool.rs
+++ b/crates/box/src/gateway/pool.rs
@@ -1,5 +1,6 @@
-//! Connections to replicas. One carries one request at a time, and goes back only when it is proven
-//! clean: the request was written whole, the answer read whole, and nothing else has come.
+//! Connections to replicas. Each carries one request at a time, and returns to the pool only when
+//! it is known to be clean: the request was written whole, the response read whole, and no further
+//! bytes have arrived.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,32 +17,33 @@
 
 use crate::clock::BoxClock;
 
-/// A connection must come up within this, in milliseconds: across availability zones it takes a few,
-/// and a lost opening packet is sent again only after a second.
+/// Connect timeout, in milliseconds. A connection across availability zones takes a few
+/// milliseconds, and a lost SYN is retransmitted only after a second.
 pub const CONNECT_MS: u64 = 250;
 
-/// An idle connection is used this long, in milliseconds, where the replica doesn't say.
+/// Maximum idle time of a connection if the replica does not name one, in milliseconds.
 pub const IDLE_MS: u64 = 4_000;
 
-/// A request that may run only once goes out on a connection that was idle for this long at most, in
-/// milliseconds: a replica may forget an idle one without a word, and then nobody knows whether it ran.
+/// Maximum idle time of a connection for a request that may run only once, in milliseconds. A
+/// replica may drop an idle connection without notice, and then it is unknown whether the request
+/// ran.
 pub const SINGLE_IDLE_MS: u64 = 250;
 
-/// Kept back from the time for which the replica says it keeps an idle connection, in milliseconds:
-/// its clock began when it sent its answer.
+/// Margin subtracted from the idle time that the replica names, in milliseconds, because its timer
+/// started when it sent the response.
 pub const IDLE_MARGIN_MS: u64 = 900;
 
-/// Idle connections to one replica, at most.
+/// Maximum number of idle connections to one replica.
 pub const IDLE_LIMIT: usize = 12;
 
-/// A replica that takes no bytes for this long is gone, in milliseconds.
+/// A replica that acknowledges no bytes for this long is unreachable, in milliseconds.
 pub const UNSENT_MS: u64 = 2_000;
 
-/// A connection must be ready for the next request within this after an answer, in milliseconds; one
-/// that isn't has not taken the whole request.
+/// Time within which a connection must be ready for the next request after a response, in
+/// milliseconds. One that is not ready has not sent the whole request.
 pub const READY_MS: u64 = 20;
 
-/// Closes the connection when dropped, whatever it is doing.
+/// Closes the connection when dropped, whatever its state.
 #[derive(Debug)]
 struct ClosingTask(AbortHandle);
 
@@ -51,10 +53,10 @@
     }
 }
 
-/// A connection to a replica. Dropped, it is closed at once.
+/// A connection to a replica; it is closed when dropped.
 #[derive(Debug)]
 pub struct ReplicaLink {
-    /// Sends requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     /// Whether it has carried a request before.
     pub used: bool,
@@ -75,18 +77,18 @@
 }
 
 impl ReplicaPool {
-    /// A pool without connections, whose ages are by `clock`.
+    /// Creates an empty pool whose idle times are measured by `clock`.
     pub fn new(clock: Arc<BoxClock>) -> Self {
         Self { clock, idle: Mutex::default() }
     }
 
-    /// An idle connection to `address`, if there is a sound one, for a request that may be
+    /// Takes a usable idle connection to `address`, for a request that may or may not be
     /// `repeatable`.
     pub fn take(&self, address: SocketAddr, repeatable: bool) -> Option<ReplicaLink> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let links = idle.get_mut(&address)?;
         let now = self.clock.now();
-        // The last one in is the one that was idle for the shortest time.
+        // The last connection has the shortest idle time.
         if !repeatable
             && links.last().is_some_and(|row| now.millis_since(row.since) > SINGLE_IDLE_MS)
         {
@@ -103,7 +105,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// What the system says, or that it took too long.
+    /// Returns the error of the operating system, or a timeout.
     pub async fn open(&self, address: SocketAddr, limit: Duration) -> std::io::Result<ReplicaLink> {
         let limit = limit.min(Duration::from_millis(CONNECT_MS));
         let stream = tokio::time::timeout(limit, TcpStream::connect(address)).await??;
@@ -114,14 +116,14 @@
             handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
         metrics::counter!("ravenspoke_replica_connections_total").increment(1);
         let task = tokio::spawn(async move {
-            // How a connection ends shows at the request that uses it.
+            // An error of the connection shows up in the request that uses it.
             let _ = connection.await;
         });
         let _task = ClosingTask(task.abort_handle());
         Ok(ReplicaLink { sender, used: false, address, _task })
     }
 
-    /// Takes a connection back after a whole answer, once it is proven clean.
+    /// Returns a connection to the pool after a whole response, if it is clean.
     pub async fn put_back(&self, mut link: ReplicaLink, kept_ms: Option<u64>) {
         let kept_ms = kept_ms.map_or(IDLE_MS, |kept| kept.saturating_sub(IDLE_MARGIN_MS));
         let ready = tokio::time::timeout(Duration::from_millis(READY_MS), link.sender.ready());
