--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -1,4 +1,4 @@
-//! Puts a routing box together: state, listeners and tasks, until the planned stop is over.
+//! Assembles a routing box (state, listeners and tasks) and runs it until its planned stop is over.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -37,29 +37,30 @@
 use crate::clock::{BoxClock, SuspensionWatch};
 use crate::process::{ignite, server, ProcessError};
 
-/// Time passes for the reducer this often, in milliseconds.
+/// Interval between ticks of the reducer, in milliseconds.
 pub const TICK_MS: u64 = 200;
 
-/// The same while the box starts and asks others for what it must know, in milliseconds: callers wait.
+/// Interval between ticks while the box starts and syncs from other boxes, in milliseconds. It is
+/// shorter because callers wait meanwhile.
 pub const START_TICK_MS: u64 = 40;
 
-/// Idle connections are looked at this often, in milliseconds.
+/// Interval at which idle connections to replicas are checked, in milliseconds.
 pub const SWEEP_INTERVAL_MS: u64 = 1_000;
 
-/// Kept back from the time between the signal to stop and the kill, in milliseconds.
+/// Part of the time between the stop signal and the kill that is held in reserve, in milliseconds.
 pub const GRACE_MARGIN_MS: u64 = 500;
 
-/// Callers may send to an address for this much longer than they keep an answer about it, in milliseconds: the answer
-/// takes a while to them, and their requests to the box.
+/// Time for which callers may still connect after their cached addresses expire, in milliseconds.
+/// It covers the delay of the directory's response and of their requests.
 pub const ADDRESS_MARGIN_MS: u64 = 200;
 
-/// While stopping, the box looks this often whether anything is left to do, in milliseconds.
+/// Interval at which a stopping box checks whether any work is left, in milliseconds.
 pub const STOP_POLL_MS: u64 = 50;
 
 /// Runs a box until its planned stop is over.
 ///
 /// # Errors
-/// [`ProcessError`], if it can't start.
+/// Returns [`ProcessError`] if the box can't start.
 pub async fn run_gateway(
     settings: GatewaySettings,
     file: PathBuf,
@@ -114,7 +115,7 @@
     Ok(())
 }
 
-/// Signals that the box listens for.
+/// Signals that the box handles.
 pub struct BoxSignals {
     hangup: Signal,
     terminate: Signal,
@@ -122,10 +123,10 @@
 }
 
 impl BoxSignals {
-    /// Listens from now on, within a runtime; what comes before it is asked for waits.
+    /// Registers the handlers; needs a runtime. A signal that arrives before it is awaited is kept.
     ///
     /// # Errors
-    /// What the system says.
+    /// Returns the error of the operating system.
     pub fn listen() -> std::io::Result<Self> {
         Ok(Self {
             hangup: signal(SignalKind::hangup())?,
@@ -135,13 +136,13 @@
     }
 }
 
-/// Receivers of the sinks that effects are handed to.
+/// Receivers of the driver's sinks.
 struct GatewayReceivers {
     site: SiteReceivers,
     leader_orders: UnboundedReceiver<LeaderOrder>,
 }
 
-/// Those of what is told to other boxes and to the store.
+/// Receivers of datagrams for other boxes and of records for the store.
 struct SiteReceivers {
     gossip: Receiver<PeerDatagram>,
     sync_responses: UnboundedReceiver<PeerDatagram>,
@@ -149,7 +150,7 @@
     checkpoints: UnboundedReceiver<TrialCheckpoint>,
 }
 
-/// Starts the tasks of what one box does for all, where the platform has any of it.
+/// Spawns the leader's tasks, if the settings have a leader section.
 fn spawn_leader_tasks(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
@@ -163,7 +164,7 @@
     Ok(())
 }
 
-/// Starts the tasks that read the store and talk to other boxes.
+/// Spawns the tasks that read the store and exchange datagrams with other boxes.
 fn spawn_site_tasks(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
@@ -198,7 +199,7 @@
     driver.feed(RouteEvent::PeersDiscovered(seeds));
 }
 
-/// The entry that callers connect to, and what is done with their connections.
+/// The entry that callers connect to, with the state of its connections.
 struct GatewayEntry {
     callers: Arc<CallerCount>,
     accepting: JoinHandle<()>,
@@ -206,7 +207,7 @@
 }
 
 impl GatewayEntry {
-    /// Takes callers from when the box knows the site; those who connect before that wait.
+    /// Starts accepting connections. Requests that arrive before the box is synced wait.
     fn start(
         settings: &GatewaySettings,
         driver: &Arc<GatewayDriver>,
@@ -230,17 +231,17 @@
         Self { callers, accepting, phase }
     }
 
-    /// Answers end their connections from now on.
+    /// Ends each connection with its next response.
     fn stop(&self) {
         self.phase.send_replace(EntryPhase::Stopping);
     }
 
-    /// Closes connections without a request.
+    /// Closes connections that have no request in flight.
     fn close_idle(&self) {
         self.phase.send_replace(EntryPhase::Closing);
     }
 
-    /// Refuses further connections, so that a caller tries another address at once.
+    /// Closes the listening socket, so that callers are refused and try another address at once.
     async fn close(&mut self) {
         self.phase.send_replace(EntryPhase::Closed);
         if let Err(error) = (&mut self.accepting).await {
@@ -249,7 +250,7 @@
     }
 }
 
-/// Serves callers from when the box knows the site, unless it stops before.
+/// Opens the entry once the box is synced, unless it is stopped before.
 async fn open_when_synced(driver: Arc<GatewayDriver>, phase: watch::Sender<EntryPhase>) {
     driver.accept_callers.notified().await;
     let opened = phase.send_if_modified(|phase| {
@@ -262,7 +263,7 @@
     }
 }
 
-/// Serves the directory, readiness, and metrics where a port is given for them.
+/// Serves the directory, readiness and, if a port is given, metrics.
 async fn launch_endpoints(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
@@ -278,7 +279,8 @@
     Ok(())
 }
 
-/// The planned stop: leaves the entry list, serves on, and returns when nothing is left to do.
+/// Runs the planned stop: deregisters the box, keeps serving, and returns when no work is left or
+/// the grace period ends.
 async fn stop(
     settings: &GatewaySettings,
     driver: &Arc<GatewayDriver>,
@@ -298,11 +300,11 @@
     observe::log_exit(entry.callers.open(), driver.state().in_flight());
 }
 
-/// Serves what callers send until they know of the stop, then what is open.
+/// Serves requests until callers have learned of the stop, then finishes the open ones.
 async fn drain(settings: &GatewaySettings, driver: &GatewayDriver, entry: &mut GatewayEntry) {
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-    // Callers keep an answer about addresses for its time, some of them longer; then they look for another.
+    // Callers cache addresses for the TTL plus a margin, then look for another box.
     let advertised_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
     stop.until(advertised_ms).await;
     entry.close_idle();
@@ -328,7 +330,7 @@
     tokio::spawn(async move {
         if let Err(error) = rocket.launch().await {
             observe::log_socket_failed(purpose, &std::io::Error::other(error.to_string()));
-            // A box without one of its listeners is no box: the platform starts it anew.
+            // A box without one of its listeners is of no use; the platform restarts the process.
             std::process::exit(1);
         }
     });
@@ -381,7 +383,7 @@
     }
 }
 
-/// Waits of the planned stop, in milliseconds since it began.
+/// Waits during the planned stop. Limits are in milliseconds since its start.
 struct StopWait<'a> {
     driver: &'a GatewayDriver,
     callers: Arc<CallerCount>,
@@ -395,7 +397,7 @@
         }
     }
 
-    /// Waits until all that is open has ended, or the time is up.
+    /// Waits until no connection or request is open, or until the limit.
     async fn until_empty(&self, limit_ms: u64) {
         while !self.empty() && !self.over(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
