--- a/crates/box/src/gateway/relay.rs
+++ b/crates/box/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Passes a stream on, whole events only, and takes it up at another replica when it breaks.
+//! Forwards a stream in whole events, and resumes it at another replica when it breaks.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,7 +19,8 @@
 use super::pool::ReplicaLink;
 use super::responses::{AbortedResponse, CallerBody};
 
-/// A stream under way. Dropped when the caller leaves, which closes the replica's connection.
+/// An open stream. It is dropped when the caller disconnects, which closes the connection to the
+/// replica.
 struct StreamRelay {
     context: Arc<GatewayContext>,
     caller: BufferedRequest,
@@ -33,11 +34,11 @@
 pub(super) struct StreamSource {
     pub(super) body: Incoming,
     pub(super) link: ReplicaLink,
-    /// Headers of the replica's answer.
+    /// Headers of the replica's response.
     pub(super) headers: HeaderMap,
 }
 
-/// What came next of a stream.
+/// Next piece of a stream.
 enum StreamPiece {
     Bytes(Bytes),
     End,
@@ -68,7 +69,7 @@
 }
 
 impl StreamRelay {
-    /// The next whole events; `None` at the end.
+    /// The next whole events, or `None` at the end of the stream.
     async fn next_events(&mut self) -> Result<Option<Bytes>, AbortedResponse> {
         loop {
             let began = Instant::now();
@@ -79,7 +80,9 @@
                     Ok(None) => continue,
                     Err(_) => "an event is too long",
                 },
-                StreamPiece::End if self.splitter.has_partial() => "it ended within an event",
+                StreamPiece::End if self.splitter.has_partial() => {
+                    "the stream ended within an event"
+                }
                 StreamPiece::End => {
                     self.end();
                     return Ok(None);
@@ -90,17 +93,18 @@
                     if step.is_none() {
                         continue;
                     }
-                    self.log_failed(AttemptFailure::Silent, "no event in time", began);
+                    self.log_failed(AttemptFailure::Silent, "no event within the limit", began);
                     self.resume(step).await?;
                     continue;
                 }
                 StreamPiece::DeadlinePassed => {
                     self.guard.feed(RouteEvent::DeadlinePassed(self.guard.name.ticket));
-                    return Err(AbortedResponse("the time is up"));
+                    return Err(AbortedResponse("the deadline has passed"));
                 }
             };
             self.log_failed(AttemptFailure::Broken, why, began);
-            // Closed before the reducer is asked, so that no two replicas work on the request.
+            // The connection is closed before the reducer names another replica, so that no two
+            // replicas work on the request.
             self.source = None;
             let failed = RouteEvent::AttemptFailed(self.guard.name.ticket, AttemptFailure::Broken);
             let step = self.guard.feed(failed);
@@ -114,26 +118,26 @@
 
     async fn next_piece(&mut self, stall_limit: Duration) -> StreamPiece {
         let Some(source) = &mut self.source else {
-            return StreamPiece::Broken("no replica");
+            return StreamPiece::Broken("no connection to a replica");
         };
         let left = self.context.driver.until(self.order.deadline);
         match self.context.driver.clock().within(left.min(stall_limit), source.body.frame()).await {
             Some(Some(Ok(frame))) => StreamPiece::Bytes(frame.into_data().unwrap_or_default()),
-            Some(Some(Err(_))) => StreamPiece::Broken("it broke off"),
+            Some(Some(Err(_))) => StreamPiece::Broken("the stream broke"),
             Some(None) => StreamPiece::End,
             None if left <= stall_limit => StreamPiece::DeadlinePassed,
             None => StreamPiece::Stalled,
         }
     }
 
-    /// Goes on at another replica, behind the last whole event.
+    /// Resumes the stream at another replica, after the last whole event.
     async fn resume(&mut self, mut step: Option<RequestStep>) -> Result<(), AbortedResponse> {
         self.source = None;
         self.splitter.drop_partial();
         let ticket = self.guard.name.ticket;
         loop {
             let Some(RequestStep::Send(order)) = step else {
-                return Err(AbortedResponse("no replica could go on"));
+                return Err(AbortedResponse("no replica could resume the stream"));
             };
             self.order = order;
             let last = self.splitter.last_id().map(str::to_owned);
@@ -146,7 +150,7 @@
                         continue;
                     }
                     let ReplicaBody::Stream(body, link) = response.body else {
-                        return Err(AbortedResponse("what goes on is no stream"));
+                        return Err(AbortedResponse("the resumed response is not a stream"));
                     };
                     self.source = Some(StreamSource { body, link, headers: response.head.headers });
                     return Ok(());
