--- a/crates/box/src/gateway/reload.rs
+++ b/crates/box/src/gateway/reload.rs
@@ -1,4 +1,4 @@
-//! Takes changes of the settings while the box runs.
+//! Applies changed settings while the box runs.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use super::driver::GatewayDriver;
 use super::observe;
 
-/// The settings file is looked at this often, in milliseconds; it may change without a signal.
+/// Interval at which the settings file is checked, in milliseconds. It may change without a signal.
 pub const SETTINGS_POLL_MS: u64 = 3_000;
 
-/// Takes changes of the settings' bounds, at a signal or when the file is found changed.
+/// Applies changed bounds of the settings, after a signal or when the file has changed.
 pub async fn follow_settings(driver: Arc<GatewayDriver>, file: PathBuf, mut hangup: Signal) {
     let mut last = std::fs::read_to_string(&file).unwrap_or_default();
     loop {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes the bounds of settings that are sound, if the file has changed, and logs how that went.
+/// Applies the bounds of valid settings if the file has changed, and logs the result.
 fn apply_settings(driver: &GatewayDriver, file: &Path, text: &str, changed: bool) {
     match read_settings(&file.display().to_string(), text) {
         Ok(settings) => {
