--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies, refusals, and how one breaks off.
+//! Responses to callers: bodies, refusals, and the error that aborts a response.
 
 use bytes::Bytes;
 use http::{HeaderValue, Response, StatusCode};
@@ -6,27 +6,27 @@
 use http_body_util::{BodyExt, Full};
 use ravenspoke_core::route::event::RouteRefusal;
 
-/// Why an answer breaks off: its connection is closed.
+/// Reason for aborting a response. The caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer was broken off: {0}")]
+#[error("response aborted: {0}")]
 pub struct AbortedResponse(pub &'static str);
 
-/// Body of an answer to a caller.
+/// Body of a response to a caller.
 pub type CallerBody = UnsyncBoxBody<Bytes, AbortedResponse>;
 
-/// A body that is there whole.
+/// A body whose bytes are all available.
 pub(super) fn full_body(bytes: Bytes) -> CallerBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer of a few words.
+/// A response with a short text.
 pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<CallerBody> {
     let mut response = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
 
-/// The answer that a refusal is.
+/// The response for a refusal.
 pub(super) fn refusal_response(refusal: RouteRefusal) -> Response<CallerBody> {
     let status = StatusCode::from_u16(refusal.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = text_response(status, refusal.reason.slug());
