--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -1,9 +1,10 @@
-//! Calls to the platform's store that overlap: one that is late is not given up; others begin beside it, and the first
-//! answer counts.
+//! Overlapping calls to the platform's store: a late call is not cancelled, further calls begin
+//! beside it, and the first answer counts.
 //!
-//! Load pattern: a store that takes a second or more for each call. A call that is given up and begun anew would never be
-//! answered there, and one that only begins when the last has ended shows what is twice as old as a call takes. A store
-//! that has gone silent looks the same until an answer comes, so a late call counts as a failed one meanwhile.
+//! Load pattern: a store that takes a second or more for each call. A call that is cancelled and
+//! retried would never be answered there, and a call that begins only after the previous one has
+//! ended returns data that is twice as old as a call takes. A store that has gone silent looks the
+//! same until an answer arrives, so a late call counts as a failed one meanwhile.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -12,18 +13,18 @@
 use ravenspoke_adapter::store::{CallPulse, StoreError, CALL_MS};
 use ravenspoke_core::time::BoxTime;
 
-/// Calls of one follower that are open at the same time, at most: what a store that takes four seconds needs, which is
-/// as old as anything may be that is relied on.
+/// Maximum number of open calls of one follower. It suits a store that takes four seconds a call,
+/// which is also the maximum age of data that may be relied on.
 pub const OPEN_LIMIT: usize = 4;
 
 /// A call that was answered.
 #[derive(Debug)]
 pub(super) struct AnsweredCall<T> {
-    /// When it began: what it shows is no older.
+    /// Start of the call; the answer is at least as recent.
     pub(super) asked_at: BoxTime,
-    /// How long the store was to wait for a record, in milliseconds.
+    /// Long-poll wait that was requested, in milliseconds.
     pub(super) wait_ms: u64,
-    /// Its answer.
+    /// The answer.
     pub(super) value: T,
 }
 
@@ -36,20 +37,21 @@
     answer: BoxFuture<'static, Result<T, StoreError>>,
 }
 
-/// What came next of the open calls.
+/// Next result of the open calls.
 pub(super) enum CallStep<T> {
-    /// One was answered; those begun before it are dropped, since they show nothing that is newer.
+    /// A call was answered. Calls that began before it are dropped, because they can't show
+    /// anything newer.
     Answered(AnsweredCall<T>),
-    /// One failed, which took so long.
+    /// A call failed, after this time.
     Failed(StoreError, Duration),
-    /// Nothing, in the time that was given.
+    /// No result within the limit.
     Nothing,
 }
 
-/// The open calls of a follower, the last one begun at the end.
+/// The open calls of a follower, ordered by their start.
 pub(super) struct OpenCalls<T> {
     open: Vec<OpenCall<T>>,
-    /// Whether it was told that the last one is late.
+    /// Whether the lateness of the last call was reported.
     late_reported: bool,
 }
 
@@ -60,7 +62,7 @@
 }
 
 impl<T: Send + 'static> OpenCalls<T> {
-    /// Adds a call that begins now, to be watched by `pulse`.
+    /// Adds a call that begins now; `pulse` shows its progress.
     pub(super) fn begin(
         &mut self,
         asked_at: BoxTime,
@@ -73,29 +75,30 @@
         self.late_reported = false;
     }
 
-    /// Whether none is open.
+    /// Whether no call is open.
     pub(super) fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// Whether another may begin: none is open, or the last one is late and few are.
+    /// Whether another call may begin: none is open, or the last one is late and the limit is not
+    /// reached.
     pub(super) fn has_room(&self) -> bool {
         self.open.len() < OPEN_LIMIT && self.open.last().is_none_or(OpenCall::is_late)
     }
 
-    /// How long the last one has been open, if it is late and this was not told yet.
+    /// Time since the start of the last call, if it is late and this was not reported yet.
     pub(super) fn newly_late(&mut self) -> Option<Duration> {
         let last = self.open.last().filter(|call| !self.late_reported && call.is_late())?;
         self.late_reported = true;
         Some(last.began.elapsed())
     }
 
-    /// Until the last one is late.
+    /// Time until the last call counts as late.
     pub(super) fn until_late(&self) -> Duration {
         self.open.last().map_or(Duration::ZERO, OpenCall::until_late)
     }
 
-    /// What comes next, within `limit`.
+    /// The next result within `limit`.
     pub(super) async fn next(&mut self, limit: Duration) -> CallStep<T> {
         if self.open.is_empty() {
             tokio::time::sleep(limit).await;
@@ -117,7 +120,8 @@
 }
 
 impl<T> OpenCall<T> {
-    /// Until its answer has brought nothing for longer than the store usually needs.
+    /// Time until the call counts as late: its answer has brought no bytes for longer than the
+    /// store usually takes.
     fn until_late(&self) -> Duration {
         Duration::from_millis(self.wait_ms + CALL_MS).saturating_sub(self.pulse.quiet())
     }
