--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's store for one topic, their failures, and the pauses between two tries.
+//! Calls to the platform's store for one topic, with their failures and retries.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -17,56 +17,59 @@
 use super::observe::{self, StoreRole};
 use super::store_calls::{AnsweredCall, CallStep, OpenCalls};
 
-/// A box looks this often whether it must read itself, in milliseconds.
+/// Interval at which a box checks whether it must read the store itself, in milliseconds.
 pub const DUE_POLL_MS: u64 = 200;
 
-/// While it starts and knows nothing, it looks this often, in milliseconds: callers wait.
+/// Interval of the same check while the box starts and is not synced, in milliseconds. Callers wait
+/// meanwhile.
 pub const START_POLL_MS: u64 = 20;
 
-/// A failed call is tried again after this, in milliseconds; twice as long each further time.
+/// Initial pause after a failed call, in milliseconds. It doubles with each further failure.
 pub const RETRY_MS: u64 = 250;
 
-/// Longest pause between two tries of a reader, in milliseconds: all must know of a leaving replica
-/// two seconds after the store's word.
+/// Longest retry pause of a store reader, in milliseconds. All boxes must know of a leaving replica
+/// two seconds after the store confirmed the change.
 pub const RETRY_READER_LIMIT_MS: u64 = 500;
 
-/// Shortest pause between two tries of the other boxes, in milliseconds: where many lost the store at once,
-/// readers find out when it is back.
+/// Shortest retry pause of the other boxes, in milliseconds. If many lost the store at once, the
+/// store readers find out when it is back.
 pub const RETRY_OTHERS_MS: u64 = 1_000;
 
-/// Longest pause between two tries of the other boxes, in milliseconds.
+/// Longest retry pause of the other boxes, in milliseconds.
 pub const RETRY_LIMIT_MS: u64 = 8_000;
 
-/// A box that waits for its next try looks this often whether it must try sooner, in milliseconds.
+/// Interval at which a box that waits for a retry checks whether it must retry sooner, in
+/// milliseconds.
 pub const RETRY_POLL_MS: u64 = 50;
 
-/// Pause between two tries of a box that others could not tell what they have read, in milliseconds: a confirmed plan
-/// must be in force within two or three seconds.
+/// Retry pause of a box that is behind the position that gossip has named but could not receive the
+/// records, in milliseconds. A confirmed plan must be in force within two or three seconds.
 pub const RETRY_BEHIND_MS: u64 = 500;
 
-/// A box looks this often whether the store has come back from a copy, in milliseconds, to write again what it wrote.
+/// Interval at which a box checks whether the store was restored from a copy, in milliseconds. It
+/// then writes its own records again.
 pub const ERA_POLL_MS: u64 = 1_000;
 
-/// Whether a box with this state has to call the store for a topic now.
+/// Whether a box with this state must call the store for a topic now.
 type DueCheck = fn(&RouteState, BoxTime) -> bool;
 
-/// Reads the store for one topic, and knows whether it can be reached.
+/// Reads the store for one topic, and tracks whether it can be reached.
 pub(super) struct TopicFollower {
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     topic: &'static str,
-    /// Whether calls are due, the first ones and those beside a late one.
+    /// Whether calls are due, both first calls and those beside a late one.
     due: DueCheck,
-    /// Reads that are open, each with the position that it began at.
+    /// Open reads, each with the position that it began at.
     reads: OpenCalls<(TopicPosition, TopicRead)>,
-    /// When the store was lost, if it is.
+    /// When the store was lost, if it is unreachable.
     lost_at: Option<BoxTime>,
-    /// When a call last failed or was found late, with chance for the pause after it.
+    /// When a call last failed or was found late. `jitter` is drawn anew for the pause after it.
     failed_at: BoxTime,
     jitter: f64,
-    /// Pause before the next try, while the store is lost, in milliseconds.
+    /// Pause before the next retry while the store is lost, in milliseconds.
     retry_ms: u64,
-    /// The store's era in the last answer, 0 before the first.
+    /// The store's era in the last answer; 0 before the first one.
     era: u64,
 }
 
@@ -91,12 +94,12 @@
         }
     }
 
-    /// The store's era, as its answers have named it.
+    /// The store's era according to its answers.
     pub(super) fn era(&self) -> u64 {
         self.store.era().known()
     }
 
-    /// Waits until the store is of another era than `known`, or for `limit`.
+    /// Waits until the store's era differs from `known`, at most for `limit`.
     pub(super) async fn wait_for_era(&mut self, known: Option<u64>, limit: Duration) {
         let until = self.driver.now().plus_millis(limit.as_millis() as u64);
         while known == Some(self.era()) && self.driver.now() < until {
@@ -104,8 +107,8 @@
         }
     }
 
-    /// Waits until calls are due. Reads that were left open are dropped after a longer wait: nobody listened, and how
-    /// they ended says nothing of the store as it is now.
+    /// Waits until calls are due. After a longer wait, open reads are dropped: nothing polled them,
+    /// and their outcome does not show the present state of the store.
     pub(super) async fn wait_until_due(&mut self) {
         let began = self.driver.now();
         while !(self.due)(&self.driver.state(), self.driver.now()) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Lists the newest record of each key; `None` if the call failed.
+    /// Lists the newest record of each key. Returns `None` if the call failed.
     pub(super) async fn list(&mut self) -> Option<AnsweredCall<TopicListing>> {
         let topic = self.topic;
         let mut calls = OpenCalls::default();
@@ -130,8 +133,8 @@
         Some(answered)
     }
 
-    /// Appends a record; with `at`, only if the topic ends there. `None` if the call failed: the record may
-    /// be there all the same.
+    /// Appends a record; with `at`, only if the topic ends there. Returns `None` if the call
+    /// failed, in which case the record may have been written.
     pub(super) async fn append(
         &mut self,
         at: Option<TopicPosition>,
@@ -147,20 +150,21 @@
         Some(answered.ok()?.value)
     }
 
-    /// Records from `next` on, or all of them without it; `None` if the call failed.
+    /// Reads records from `next` on, or all of them if it is `None`. Returns `None` if the call
+    /// failed.
     pub(super) async fn read(
         &mut self,
         next: &mut Option<TopicPosition>,
         wait_ms: u64,
     ) -> Option<TopicUpdate> {
-        // What was read in a former era, the store may have lost.
+        // The store may have lost records that were read in an earlier era.
         *next = next.filter(|next| next.era >= self.era());
         if let Some(from) = *next {
             match self.read_from(from, wait_ms).await {
                 Err(StoreError::Gone) => *next = None,
                 result => {
                     let AnsweredCall { asked_at, wait_ms, value: (from, read) } = result.ok()?;
-                    // A topic that ends before what was read has lost its history.
+                    // A topic that ends before the position of the read has lost its history.
                     *next = (read.end >= from).then_some(read.next.max(next.unwrap_or_default()));
                     if next.is_some() {
                         let records = read.records;
@@ -176,7 +180,7 @@
         Some(TopicUpdate { asked_at, wait_ms, listed_to, records: value.records })
     }
 
-    /// The next answer of the reads that are open and those that begin now, from `from` on.
+    /// The next answer of the open reads and of those that begin now, from `from` on.
     async fn read_from(
         &mut self,
         from: TopicPosition,
@@ -192,7 +196,7 @@
         answer
     }
 
-    /// Calls the store until an answer comes or no call is left open.
+    /// Calls the store until an answer arrives or no call is open.
     async fn answer<T, F>(
         &mut self,
         calls: &mut OpenCalls<T>,
@@ -206,7 +210,7 @@
     {
         loop {
             if calls.is_empty() || (calls.has_room() && self.may_try_again()) {
-                // Beside a call that is late there is no time to wait for a record.
+                // A call beside a late one does not wait for new records.
                 let wait_ms = if calls.is_empty() { wait_ms } else { 0 };
                 self.driver.stats.count_call(self.topic, kind);
                 let (store, pulse) = self.store.watched();
@@ -234,7 +238,7 @@
         }
     }
 
-    /// Whether another call may begin beside one that is late.
+    /// Whether another call may begin beside a late one.
     fn may_try_again(&mut self) -> bool {
         let pause_ms = self.pause_ms();
         let tries =
@@ -245,13 +249,13 @@
         tries
     }
 
-    /// Whether a pause of so long, and a part of it by chance, has passed since the last failure.
+    /// Whether a pause of this length with jitter has passed since the last failure.
     fn pause_elapsed(&self, pause_ms: u64) -> bool {
         let pause = Duration::from_millis(pause_ms).mul_f64(1.0 + self.jitter / 4.0);
         self.driver.clock().since(self.failed_at) >= pause
     }
 
-    /// Notes that the store answers.
+    /// Records an answer of the store.
     fn record_answer(&mut self) {
         self.retry_ms = RETRY_MS;
         self.record_era();
@@ -261,7 +265,7 @@
         }
     }
 
-    /// Notes the era that the store names.
+    /// Records the era that the store names.
     fn record_era(&mut self) {
         if let Some(value) = self.store.era().take_unread() {
             observe::log_invalid_era(&value);
@@ -272,7 +276,7 @@
         }
     }
 
-    /// Notes a call that failed, or is late, `after` it began.
+    /// Records a call that failed or is late, `after` its start.
     fn record_failure(&mut self, why: &dyn std::fmt::Display, after: Duration) {
         observe::count_store_error();
         (self.failed_at, self.jitter) = (self.driver.now(), rand::random());
@@ -283,14 +287,15 @@
         self.lost_at.get_or_insert(self.failed_at);
     }
 
-    /// What this box does about the store's loss.
+    /// Role of this box while the store is lost.
     fn role(&self) -> StoreRole {
         let (state, now) = (self.driver.state(), self.driver.now());
         StoreRole { reads: state.is_reader(now), tries: (self.due)(&state, now) }
     }
 
-    /// Waits before the next try, longer each time: refused calls are priced too. A box that meanwhile becomes a
-    /// reader, or hears that it is behind, waits no longer than such a box does.
+    /// Waits before the next retry, longer each time, because refused calls cost money too. A box
+    /// that becomes a store reader meanwhile, or learns that it is behind, waits no longer than
+    /// such a box does.
     pub(super) async fn wait_to_retry(&mut self) {
         let mut pause_ms = self.pause_ms();
         while !self.pause_elapsed(pause_ms) {
@@ -300,19 +305,19 @@
         self.retry_ms = pause_ms * 2;
     }
 
-    /// Waits as after a failed call that was the first.
+    /// Waits the shortest retry pause before a read that did not confirm the plan is repeated.
     pub(super) async fn pause_before_reread(&mut self) {
         let (least_ms, _) = self.retry_bounds();
         tokio::time::sleep(Duration::from_millis(least_ms)).await;
     }
 
-    /// Pause before the next try as things stand, in milliseconds.
+    /// Pause before the next retry in the box's present role, in milliseconds.
     fn pause_ms(&self) -> u64 {
         let (least, most) = self.retry_bounds();
         self.retry_ms.clamp(least, most)
     }
 
-    /// The shortest and the longest pause before the next try, in milliseconds.
+    /// Shortest and longest pause before the next retry, in milliseconds.
     fn retry_bounds(&self) -> (u64, u64) {
         let (state, now) = (self.driver.state(), self.driver.now());
         if state.is_reader(now) {
@@ -325,13 +330,13 @@
     }
 }
 
-/// What a read showed.
+/// Result of a read.
 pub(super) struct TopicUpdate {
-    /// When it began.
+    /// Start of the read.
     pub(super) asked_at: BoxTime,
-    /// How long the store was to wait for a record, in milliseconds.
+    /// Long-poll wait that was requested, in milliseconds.
     pub(super) wait_ms: u64,
-    /// Where the topic ended, if these are all its keys.
+    /// End of the topic, if the records are a listing of all its keys.
     pub(super) listed_to: Option<TopicPosition>,
     pub(super) records: Vec<KeyedRecord>,
 }
