--- a/crates/box/src/gateway/unknown_headers.rs
+++ b/crates/box/src/gateway/unknown_headers.rs
@@ -1,7 +1,7 @@
-//! Headers of replicas' answers that this box does not know, each logged once.
+//! Logs headers of replicas' responses that this box does not know, each once.
 //!
-//! A replica may ask for something in a header that came with a newer version of the platform. Nothing else shows that the
-//! box does not heed it.
+//! A replica may request something in a header that a newer version of the platform introduced.
+//! Only this log shows that the box ignores it.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
@@ -11,10 +11,10 @@
 
 use super::observe;
 
-/// Names that are remembered, at most; further ones are not logged.
+/// Maximum number of names that are remembered. Further ones are not logged.
 const NAME_LIMIT: usize = 32;
 
-/// Bytes of a value that are logged, at most.
+/// Maximum number of characters of a value that are logged.
 const VALUE_LIMIT: usize = 64;
 
 /// Names of unknown headers that were logged.
@@ -22,7 +22,7 @@
 pub struct UnknownHeaders(Mutex<BTreeSet<String>>);
 
 impl UnknownHeaders {
-    /// Logs what an answer of `replica` carries and was not logged yet.
+    /// Logs unknown headers of a response of `replica` that were not logged before.
     pub fn log_new(&self, replica: &str, answer: &HeaderMap) {
         for (name, value) in headers::unknown_headers(answer) {
             if self.is_new(name.as_str()) {
