--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -1,4 +1,4 @@
-//! Reads the verdicts that stand in the store, and writes those of this box that are due.
+//! Reads the verdicts in the store, and writes this box's verdicts that are due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use super::observe;
 use super::topic_follower::TopicFollower;
 
-/// Verdicts are read this often, in milliseconds, while a trial is under way.
+/// Interval between reads of verdicts while a trial is running, in milliseconds.
 pub const VERDICT_INTERVAL_MS: u64 = 2_000;
 
-/// A box looks this often whether verdicts have to be read, in milliseconds.
+/// Interval at which a box checks whether verdicts must be read, in milliseconds.
 pub const VERDICT_POLL_MS: u64 = 50;
 
-/// Times that an append is tried when the topic grows meanwhile.
+/// Maximum number of attempts to append a record while the topic grows.
 pub const APPEND_ATTEMPTS: usize = 4;
 
-/// Reads verdicts while a trial is under way.
+/// Reads verdicts while a trial is running.
 pub async fn follow_verdicts(driver: Arc<GatewayDriver>, store: StoreClient) {
     let mut checkpoints = CheckpointReader::new(driver.clone(), store.clone());
     let mut follower = TopicFollower::new(driver.clone(), store, VERDICT_TOPIC, |_, _| true);
@@ -33,10 +33,10 @@
     loop {
         let unread = driver.state().has_unread_verdicts();
         if unread {
-            // The store may have a verdict from before this box was started: read all of them.
+            // The store may hold a verdict from before this box started, so all of them are read.
             next = None;
         }
-        // Readers tell the others of later ones.
+        // Store readers send later verdicts to the other boxes.
         let reads = driver.state().has_running_trial() && driver.state().is_reader(driver.now());
         if unread
             || (reads
@@ -48,7 +48,7 @@
                 None => follower.wait_to_retry().await,
             }
         }
-        // Only a verdict tells whether the trial was under way before.
+        // Only a verdict shows whether the trial was running before this box started.
         checkpoints.read_if_due().await;
         tokio::time::sleep(Duration::from_millis(VERDICT_POLL_MS)).await;
     }
@@ -71,7 +71,7 @@
     verdicts
 }
 
-/// Writes verdicts that are due, each only if the store has none that goes before it.
+/// Writes verdicts that are due, each only if the store has none that supersedes it.
 pub async fn write_verdicts(
     driver: Arc<GatewayDriver>,
     store: StoreClient,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Appends a record, unless the topic has one that leaves nothing to write. Returns whether the store took
-/// it; in doubt not: the reducer asks again if the store does not show it.
+/// Appends a record, unless the topic has one that supersedes it. Returns whether the store took
+/// it, false in doubt: the reducer asks again if the store does not show the record.
 pub(super) async fn append_unless(
     follower: &mut TopicFollower,
     record: &KeyedRecord,
@@ -113,7 +113,7 @@
     false
 }
 
-/// Whether a verdict that stands leaves nothing to write.
+/// Whether a stored verdict makes the write unnecessary.
 fn supersedes(stored: &TrialVerdict, wanted: &TrialVerdict) -> bool {
     let same = stored.service == wanted.service && stored.version == wanted.version;
     same && (stored.state != TrialState::Running || wanted.state == TrialState::Running)
