--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -189,7 +189,7 @@
             info!(event = 714, name = "verdict_due", service, version, ?state);
         }
         RouteEffect::VersionRejected { service, version, finding } => {
-            let (route, tally) = (finding.route.as_deref().unwrap_or("all"), &finding.tally);
+            let (route, stats) = (finding.route.as_deref().unwrap_or("all"), &finding.tally);
             warn!(
                 event = 718,
                 name = "version_condemned",
@@ -197,16 +197,16 @@
                 version,
                 route,
                 fault = ?finding.fault,
-                runs = tally.fresh.runs,
-                bad = tally.fresh.bad,
-                other_runs = tally.base.runs,
-                other_bad = tally.base.bad,
-                times_slower = tally.times_slower(),
+                runs = stats.fresh.runs,
+                bad = stats.fresh.bad,
+                other_runs = stats.base.runs,
+                other_bad = stats.base.bad,
+                times_slower = stats.times_slower(),
             );
         }
-        RouteEffect::WriteCheckpoint(mark) => {
-            let (service, version) = (&mark.service, &mark.version);
-            let (phase, age_ms) = (mark.progress.phase, mark.progress.age_ms);
+        RouteEffect::WriteCheckpoint(checkpoint) => {
+            let (service, version) = (&checkpoint.service, &checkpoint.version);
+            let (phase, age_ms) = (checkpoint.progress.phase, checkpoint.progress.age_ms);
             info!(event = 717, name = "mark_due", service, version, ?phase, age_ms);
         }
         RouteEffect::LeaderPartChanged(part) => {
