--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -245,8 +245,8 @@
             RouteEffect::RequestUsage(to, request) => {
                 self.queue(PeerDatagram::UsageRequest(to, request))
             }
-            RouteEffect::SendUsage(to, message) => {
-                self.queue(PeerDatagram::UsageResponse(to, message))
+            RouteEffect::SendUsage(to, response) => {
+                self.queue(PeerDatagram::UsageResponse(to, response))
             }
             _ => {}
         }
