--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -161,20 +161,20 @@
         observe::log_socket_failed("entry", &error);
     }
     let wait = wait_to_serve(&context, phase.clone()).await;
-    let first = StartWait::new(wait, context.driver.now());
+    let start_wait = StartWait::new(wait, context.driver.now());
     let limits = context.driver.state().plan().limits;
     let idle_ms = limits.idle_ms + IDLE_SLACK_MS;
     let buffer = BUFFER_BYTES.max(BUFFER_HEADS * limits.header_bytes);
     let phase_now = phase.clone();
     let service = service_fn(move |request| {
-        let answer = serve_request(context.clone(), request, first.take(context.driver.now()));
+        let response = serve_request(context.clone(), request, start_wait.take(context.driver.now()));
         let phase = phase_now.clone();
         async move {
-            let mut answer = answer.await;
-            if let (Ok(answer), true) = (&mut answer, *phase.borrow() >= EntryPhase::Stopping) {
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            let mut response = response.await;
+            if let (Ok(response), true) = (&mut response, *phase.borrow() >= EntryPhase::Stopping) {
+                response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            answer
+            response
         }
     });
     let connection = http1::Builder::new()
