--- a/crates/box/src/gateway/unknown_headers.rs
+++ b/crates/box/src/gateway/unknown_headers.rs
@@ -23,8 +23,8 @@
 
 impl UnknownHeaders {
     /// Logs unknown headers of a response of `replica` that were not logged before.
-    pub fn log_new(&self, replica: &str, answer: &HeaderMap) {
-        for (name, value) in headers::unknown_headers(answer) {
+    pub fn log_new(&self, replica: &str, response: &HeaderMap) {
+        for (name, value) in headers::unknown_headers(response) {
             if self.is_new(name.as_str()) {
                 let value = String::from_utf8_lossy(value.as_bytes());
                 let short: String = value.chars().take(VALUE_LIMIT).collect();
