--- a/crates/box/src/gateway/reload.rs
+++ b/crates/box/src/gateway/reload.rs
@@ -17,7 +17,7 @@
 pub async fn follow_settings(driver: Arc<GatewayDriver>, file: PathBuf, mut hangup: Signal) {
     let mut last = std::fs::read_to_string(&file).unwrap_or_default();
     loop {
-        let asked = tokio::select! {
+        let signalled = tokio::select! {
             _ = hangup.recv() => true,
             () = tokio::time::sleep(Duration::from_millis(SETTINGS_POLL_MS)) => false,
         };
@@ -29,7 +29,7 @@
             }
         };
         let changed = text != last;
-        if asked || changed {
+        if signalled || changed {
             apply_settings(&driver, &file, &text, changed);
         }
         last = text;
