--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -392,14 +392,14 @@
 
 impl StopWait<'_> {
     async fn until(&self, limit_ms: u64) {
-        while !self.over(limit_ms) {
+        while !self.has_elapsed(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
     /// Waits until no connection or request is open, or until the limit.
     async fn until_empty(&self, limit_ms: u64) {
-        while !self.empty() && !self.over(limit_ms) {
+        while !self.empty() && !self.has_elapsed(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
@@ -408,7 +408,7 @@
         self.callers.open() == 0 && self.driver.state().in_flight() == 0
     }
 
-    fn over(&self, limit_ms: u64) -> bool {
+    fn has_elapsed(&self, limit_ms: u64) -> bool {
         self.driver.clock().since(self.began) >= Duration::from_millis(limit_ms)
     }
 }
