--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -306,11 +306,11 @@
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     // Callers cache addresses for the TTL plus a margin, then look for another box.
     let advertised_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
-    stop.until(advertised_ms).await;
+    stop.wait_until(advertised_ms).await;
     entry.close_idle();
-    stop.until_empty(STOP_ACCEPT_MS.max(advertised_ms).min(limit_ms)).await;
+    stop.wait_until_empty(STOP_ACCEPT_MS.max(advertised_ms).min(limit_ms)).await;
     entry.close().await;
-    stop.until_empty(limit_ms).await;
+    stop.wait_until_empty(limit_ms).await;
 }
 
 fn listen_error(
@@ -391,20 +391,20 @@
 }
 
 impl StopWait<'_> {
-    async fn until(&self, limit_ms: u64) {
+    async fn wait_until(&self, limit_ms: u64) {
         while !self.has_elapsed(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
     /// Waits until no connection or request is open, or until the limit.
-    async fn until_empty(&self, limit_ms: u64) {
-        while !self.empty() && !self.has_elapsed(limit_ms) {
+    async fn wait_until_empty(&self, limit_ms: u64) {
+        while !self.is_empty() && !self.has_elapsed(limit_ms) {
             tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
         }
     }
 
-    fn empty(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.callers.open() == 0 && self.driver.state().in_flight() == 0
     }
 
