--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -130,7 +130,7 @@
     pages: &mut PackedPages,
     message: &GossipMessage,
 ) -> Vec<u8> {
-    let page = pages.of(message);
+    let page = pages.get_or_pack(message);
     let without_records = encode_gossip(message, None, page);
     let Some(request) = message.echo.as_ref().filter(|request| request.known < message.known)
     else {
--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -46,11 +46,11 @@
 
 impl PackedPages {
     /// The packed entries of a sync response, if there are enough to cache.
-    pub fn of(&mut self, message: &GossipMessage) -> Option<&[u8]> {
+    pub fn get_or_pack(&mut self, message: &GossipMessage) -> Option<&[u8]> {
         message.echo.as_ref().filter(|_| message.changes.len() >= CACHED_FROM_ENTRIES)?;
         let key = PageKey::of(&message.changes)?;
-        let place = match self.0.iter().position(|(known, _)| *known == key) {
-            Some(place) => place,
+        let index = match self.0.iter().position(|(known, _)| *known == key) {
+            Some(index) => index,
             None => {
                 if self.0.len() >= PAGE_CACHE_LIMIT {
                     self.0.pop_front();
@@ -59,7 +59,7 @@
                 self.0.len() - 1
             }
         };
-        self.0.get(place).map(|(_, bytes)| bytes.as_slice())
+        self.0.get(index).map(|(_, bytes)| bytes.as_slice())
     }
 }
 
