--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -241,12 +241,12 @@
     /// Whether another call may begin beside a late one.
     fn may_try_again(&mut self) -> bool {
         let pause_ms = self.pause_ms();
-        let tries =
+        let is_due =
             self.pause_elapsed(pause_ms) && (self.due)(&self.driver.state(), self.driver.now());
-        if tries {
+        if is_due {
             self.retry_ms = pause_ms * 2;
         }
-        tries
+        is_due
     }
 
     /// Whether a pause of this length with jitter has passed since the last failure.
