--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -216,8 +216,8 @@
                 let (store, pulse) = self.store.watched();
                 calls.begin(self.driver.now(), wait_ms, pulse, call(store, wait_ms));
             }
-            let look = calls.until_late().max(Duration::from_millis(RETRY_POLL_MS));
-            match calls.next(look).await {
+            let poll_limit = calls.until_late().max(Duration::from_millis(RETRY_POLL_MS));
+            match calls.next(poll_limit).await {
                 CallStep::Answered(answer) => {
                     self.record_answer();
                     return Ok(answer);
