--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -61,10 +61,10 @@
         let plan = plan.map(|plan| &plan.record);
         let others = self.newest.values().filter(|record| !is_plan_key(&record.key));
         let others = others.filter(|record| record.at >= known.read_to);
-        let wanted: Vec<&KeyedRecord> = others.chain(plan).collect();
-        let positions: Vec<TopicPosition> = wanted.iter().map(|record| record.at).collect();
+        let missing: Vec<&KeyedRecord> = others.chain(plan).collect();
+        let positions: Vec<TopicPosition> = missing.iter().map(|record| record.at).collect();
         if positions != self.packed.0 {
-            let records: Vec<KeyedRecord> = wanted.into_iter().cloned().collect();
+            let records: Vec<KeyedRecord> = missing.into_iter().cloned().collect();
             self.packed = (positions, PackedRecords::pack(&records));
             self.oversize_logged = false;
         }
