--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -127,12 +127,12 @@
         if !self.may_begin(&order) {
             return;
         }
-        let done = match &order.step {
+        let result = match &order.step {
             LeaderStep::TakeOver => self.take_over(order.token).await,
             LeaderStep::WriteRecord(numbered) => self.write_record(order.token, numbered).await,
             LeaderStep::Call(call) => return self.call(&order, call).await,
         };
-        if let Err(error) = done {
+        if let Err(error) = result {
             observe::log_leader_step_failed("store", &error);
         }
     }
