--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -68,8 +68,8 @@
 ) -> Option<u64> {
     driver.stats.count_call(LEADER_TOPIC, StoreCall::Join);
     let asked_at = driver.now();
-    let answer = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
-    match answer {
+    let joined = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
+    match joined {
         Ok(Ok(GroupWord { era, generation, has_first })) => {
             let answer = LeaseAnswer { token: token(era, generation), granted: has_first };
             driver.feed(RouteEvent::LeaseAnswered { asked_at, answer });
