--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -73,12 +73,12 @@
     let mut pages = PackedPages::default();
     let mut slot = SyncSlot::default();
     loop {
-        let busy = slot.until_free(driver.now());
+        let pause = slot.until_free(driver.now());
         let datagram = tokio::select! {
             biased;
             datagram = gossip.recv() => datagram,
-            datagram = responses.recv(), if busy.is_zero() => datagram,
-            () = tokio::time::sleep(busy), if !busy.is_zero() => continue,
+            datagram = responses.recv(), if pause.is_zero() => datagram,
+            () = tokio::time::sleep(pause), if !pause.is_zero() => continue,
         };
         // The senders live as long as the process.
         let Some(datagram) = datagram else { return };
