--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -98,10 +98,10 @@
     let mut next = None;
     loop {
         follower.wait_until_due().await;
-        let reader = driver.state().is_reader(driver.now());
+        let is_reader = driver.state().is_reader(driver.now());
         // Gossip may have brought the box further than its own reads.
         next = next.max(driver.state().entries_to());
-        let wait_ms = if reader { READER_WAIT_MS } else { 0 };
+        let wait_ms = if is_reader { READER_WAIT_MS } else { 0 };
         let Some(update) = follower.read(&mut next, wait_ms).await else {
             follower.wait_to_retry().await;
             continue;
