--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -50,8 +50,8 @@
         };
         // A box that does not read for others only fetches existing records, because gossip has
         // shown it to be behind or it has received nothing.
-        let waits = driver.state().long_polls_plan(driver.now());
-        let wait_ms = if waits { READER_WAIT_MS } else { 0 };
+        let long_polls = driver.state().long_polls_plan(driver.now());
+        let wait_ms = if long_polls { READER_WAIT_MS } else { 0 };
         let began_at = next;
         match follower.read(&mut next, wait_ms).await {
             // Gossip brought the box further while the read was in flight.
