--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -79,10 +79,10 @@
 }
 
 /// Whether a stored checkpoint makes the write unnecessary.
-fn supersedes(stored: &TrialCheckpoint, wanted: &TrialCheckpoint) -> bool {
-    let same = stored.service == wanted.service && stored.version == wanted.version;
+fn supersedes(stored: &TrialCheckpoint, new: &TrialCheckpoint) -> bool {
+    let same = stored.service == new.service && stored.version == new.version;
     let (phase, age) = (stored.progress.phase, stored.progress.age_ms);
-    let later = phase > wanted.progress.phase;
-    let equal = phase == wanted.progress.phase && age >= wanted.progress.age_ms;
-    same && (later || equal) && !wanted.progress.names_earlier_carry(stored.progress)
+    let later = phase > new.progress.phase;
+    let equal = phase == new.progress.phase && age >= new.progress.age_ms;
+    same && (later || equal) && !new.progress.names_earlier_carry(stored.progress)
 }
