--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -114,7 +114,7 @@
 }
 
 /// Whether a stored verdict makes the write unnecessary.
-fn supersedes(stored: &TrialVerdict, wanted: &TrialVerdict) -> bool {
-    let same = stored.service == wanted.service && stored.version == wanted.version;
-    same && (stored.state != TrialState::Running || wanted.state == TrialState::Running)
+fn supersedes(stored: &TrialVerdict, new: &TrialVerdict) -> bool {
+    let same = stored.service == new.service && stored.version == new.version;
+    same && (stored.state != TrialState::Running || new.state == TrialState::Running)
 }
