--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -96,12 +96,12 @@
 pub(super) async fn append_unless(
     follower: &mut TopicFollower,
     record: &KeyedRecord,
-    is_superseded: impl Fn(BoxTime, &[KeyedRecord]) -> bool,
+    is_superseded_by: impl Fn(BoxTime, &[KeyedRecord]) -> bool,
 ) -> bool {
     for _ in 0..APPEND_ATTEMPTS {
         let Some(listed) = follower.list().await else { return false };
         let listing = listed.value;
-        if is_superseded(listed.asked_at, &listing.records) {
+        if is_superseded_by(listed.asked_at, &listing.records) {
             return false;
         }
         match follower.append(Some(listing.end), record).await {
