--- a/crates/box/src/gateway/responses.rs
+++ b/crates/box/src/gateway/responses.rs
@@ -16,7 +16,7 @@
 
 /// A body whose bytes are all available.
 pub(super) fn full_body(bytes: Bytes) -> CallerBody {
-    Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
+    Full::new(bytes).map_err(|infallible| match infallible {}).boxed_unsync()
 }
 
 /// A response with a short text.
