--- a/crates/box/src/gateway/entry.rs
+++ b/crates/box/src/gateway/entry.rs
@@ -167,7 +167,8 @@
     let buffer = BUFFER_BYTES.max(BUFFER_HEADS * limits.header_bytes);
     let phase_now = phase.clone();
     let service = service_fn(move |request| {
-        let response = serve_request(context.clone(), request, start_wait.take(context.driver.now()));
+        let response =
+            serve_request(context.clone(), request, start_wait.take(context.driver.now()));
         let phase = phase_now.clone();
         async move {
             let mut response = response.await;
