--- a/crates/box/tests/answer_pace.rs
+++ b/crates/box/tests/answer_pace.rs
@@ -17,14 +17,14 @@
 }
 
 #[test]
-fn a_slow_link_bounds_what_waits_by_time_and_a_fast_one_by_memory() {
+fn sync_queue_is_limited_by_time_on_slow_links_and_by_bytes_on_fast_ones() {
     assert_eq!(waiting(10.0), 5);
     let most = SYNC_QUEUE_BYTES as usize / LONG_ANSWER + 1;
     assert_eq!((waiting(100.0), waiting(10_000.0)), (most, most));
 }
 
 #[test]
-fn there_is_room_again_when_an_answer_was_sent() {
+fn sync_queue_has_room_after_a_response_is_sent() {
     let pacer = SyncPacer::new(0.1);
     pacer.add_queued(LONG_ANSWER);
     assert!(!pacer.has_room());
