--- a/crates/box/tests/catalogue.rs
+++ b/crates/box/tests/catalogue.rs
@@ -5,7 +5,7 @@
 use ravenspoke_box::stream::EventReader;
 
 #[test]
-fn the_catalogue_in_the_docs_is_the_one_in_the_code() {
+fn documented_events_match_the_event_catalogue() {
     let page =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md"));
     let page = page.expect("docs/EVENTS.md is there");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn every_event_of_the_catalogue_is_logged_and_no_other() {
+fn logged_events_match_the_event_catalogue() {
     let mut logged = std::collections::BTreeSet::new();
     for file in ["observe", "links", "follow", "operator", "process", "main", "gateway/observe"] {
         let path = format!("{}/src/{file}.rs", env!("CARGO_MANIFEST_DIR"));
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_and_never_taken_for_an_end(
+    fn arbitrary_bytes_do_not_end_a_stream_without_its_marker(
         pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..80), 0..12)
     ) {
         let mut reader = EventReader::default();
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn a_stream_cut_anywhere_before_its_marker_is_not_whole(cut in 0usize..60, step in 1usize..20) {
+    fn stream_cut_before_its_marker_is_not_complete(cut in 0usize..60, step in 1usize..20) {
         let stream = b"data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\ndata: [DONE]\n\n";
         let end = stream.len() - 1 - cut.min(stream.len() - 1);
         let mut reader = EventReader::default();
