--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn time_for_which_the_box_was_suspended_counts() {
+fn clock_counts_time_in_suspension() {
     let clock = clock();
     let before = clock.now();
     clock.skip(LONG);
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_wait_that_began_before_a_suspension_ends_soon_after_it() {
+async fn wait_across_a_suspension_ends_soon_after_it() {
     let clock = clock();
     let wait = clock.within(LONG, std::future::pending::<()>());
     // It is polled after the wait, which has begun by then.
@@ -43,13 +43,13 @@
 }
 
 #[tokio::test]
-async fn what_is_ready_is_given_though_its_time_was_over_in_a_suspension() {
+async fn ready_future_wins_over_an_expired_wait() {
     let clock = clock();
     assert_eq!(clock.within(Duration::ZERO, async { 1 }).await, Some(1));
 }
 
 #[test]
-fn a_suspension_is_found_out_once_and_its_length_told() {
+fn suspension_is_reported_once_with_its_length() {
     let clock = clock();
     let mut watch = SuspensionWatch::start(&clock);
     assert_eq!(watch.look(&clock), None);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn keys_that_were_read_before_a_suspension_are_as_old_as_it_was_long() {
+fn plan_ages_during_a_suspension() {
     let clock = Arc::new(clock());
     let driver = driver_with_plan(clock.clone());
     assert!(driver.state().ready(driver.now()));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn nothing_that_decides_takes_ages_from_a_clock_that_stands_while_the_box_does() {
+fn decisions_do_not_use_the_monotonic_clock() {
     let mut found = Vec::new();
     sources(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")), "", &mut found);
     let steady = found.iter().filter(|(_, text)| text.contains("Instant::now"));
