--- a/crates/box/tests/entries.rs
+++ b/crates/box/tests/entries.rs
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn entries_of_another_writer_name_no_replica_and_the_others_hold() {
+async fn invalid_replica_entries_are_ignored_and_valid_ones_used() {
     let (site, subject) = site_with_spoilt_entries().await;
     let first = start_life(&site, "i-1", 1_000).await;
     let second = start_life(&site, "i-2", 1_000).await;
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_starts_again_under_its_id_gets_requests_at_its_new_address() {
+async fn restarted_replica_gets_requests_at_its_new_address() {
     let (site, subject) = site_with_spoilt_entries().await;
     let former = start_life(&site, "i-1", 5_000).await;
     wait_for_addresses(&subject, &[&former]).await;
