--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -66,7 +66,7 @@
 
 // Each connection that was opened during a stop was closed unread if the stop was looked at before the socket.
 #[tokio::test]
-async fn a_box_that_stops_answers_each_request_on_a_new_connection() {
+async fn stopping_box_answers_requests_on_new_connections() {
     let (mut site, _replica, subject) = site_with_a_box().await;
     site.http = reqwest::Client::builder().pool_max_idle_per_host(0).build().expect("a client");
 
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_rests_when_a_stop_begins_has_its_next_request_answered() {
+async fn stopping_box_answers_the_next_request_on_an_idle_connection() {
     let (site, _replica, subject) = site_with_a_box().await;
     assert_eq!(ask(&site, &subject, "before").await, (200, false));
 
@@ -92,7 +92,7 @@
 
 // Callers whose connections nobody took were cut when the box ended.
 #[tokio::test]
-async fn a_box_that_is_stopped_before_it_takes_callers_answers_those_who_connected() {
+async fn box_stopped_while_starting_answers_connected_callers() {
     let mut site = new_site().await;
     site.http = reqwest::Client::builder().pool_max_idle_per_host(0).build().expect("a client");
     let outage = StoreOutage::Silent;
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn a_request_sent_while_a_box_starts_is_answered_once_it_takes_callers() {
+async fn request_sent_while_a_box_starts_is_answered() {
     let mut site = new_site().await;
     let _replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_box("box-1");
@@ -134,7 +134,7 @@
 
 // What the kernel held while a box started was taken for new: a call was answered 504 after its caller's time.
 #[tokio::test]
-async fn a_request_that_waits_while_a_box_starts_is_given_the_time_that_is_left() {
+async fn wait_for_a_starting_box_counts_against_the_deadline() {
     let mut site = new_site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     site.store.set_faults(StoreFaults { slow_ms: 200, ..StoreFaults::default() });
