--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn an_emptied_zone_gets_nothing_more_until_it_is_given_back() {
+async fn evacuated_zone_gets_no_requests_until_the_order_is_withdrawn() {
     let (mut site, east, west) = two_zones().await;
     let subject = site.start_ready("box-1").await;
     wait_replicas(&subject, 2).await;
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn with_all_zones_emptied_callers_are_told_at_once_when_to_come_back() {
+async fn evacuation_of_all_zones_refuses_callers_at_once_with_retry_after() {
     let (mut site, east, west) = two_zones().await;
     let subject = site.start_ready("box-1").await;
     wait_replicas(&subject, 2).await;
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_starts_and_one_without_the_store_know_what_others_read() {
+async fn starting_and_cut_off_boxes_learn_evacuations_from_others() {
     let (mut site, east, _west) = two_zones().await;
     let (reader, cut) = (site.start_ready("box-1").await, site.start_ready("box-2").await);
     wait_replicas(&cut, 2).await;
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test]
-async fn an_order_outlives_the_history_of_the_store() {
+async fn evacuation_order_survives_a_store_compaction() {
     let (mut site, east, _west) = two_zones().await;
     let subject = site.start_ready("box-1").await;
     wait_replicas(&subject, 2).await;
