--- a/crates/box/tests/fatal.rs
+++ b/crates/box/tests/fatal.rs
@@ -20,7 +20,7 @@
 }
 
 #[tokio::test]
-async fn what_crashes_replicas_is_sent_no_further_by_any_box() {
+async fn poison_request_is_refused_by_all_boxes() {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
     let mut replicas = Vec::new();
