--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn what_all_boxes_served_is_reported_by_one_of_them() {
+async fn usage_of_all_boxes_is_reported_by_one_leader() {
     let (mut site, cloud) = site_with_cloud().await;
     let mut boxes = Vec::new();
     for name in ["box-1", "box-2", "box-3"] {
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn another_box_reports_on_when_the_holder_is_killed_stopped_or_frozen() {
+async fn another_box_reports_usage_after_the_leader_is_killed_stopped_or_frozen() {
     for signal in ["KILL", "TERM", "STOP"] {
         let (mut site, cloud) = site_with_cloud().await;
         let mut boxes = BTreeMap::new();
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn reports_wait_while_the_platform_does_not_answer_and_none_is_changed() {
+async fn usage_reports_are_retried_unchanged_during_an_api_outage() {
     let (mut site, cloud) = site_with_cloud().await;
     let subject = site.start_ready("box-1").await;
     wait_for_reports(&cloud, 1).await;
