--- a/crates/box/tests/limits.rs
+++ b/crates/box/tests/limits.rs
@@ -22,7 +22,7 @@
 const BETWEEN: Duration = Duration::from_millis(50);
 
 #[tokio::test]
-async fn a_replica_that_names_a_limit_gets_no_more_from_all_boxes_together() {
+async fn all_boxes_together_keep_to_a_replicas_rate_limit() {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
     let needy = site.start_replica("i-needy", 3, 1).await;
