--- a/crates/box/tests/messages.rs
+++ b/crates/box/tests/messages.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn every_role_with_a_text_a_list_or_no_content_is_taken() {
+fn valid_roles_and_contents_are_accepted() {
     for role in ROLES {
         for content in [json!("text"), json!([{ "type": "text", "text": "t" }]), json!(null)] {
             let messages = [json!({ "role": role, "content": content })];
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_unknown_role_or_another_content_is_named_with_its_place() {
+fn errors_name_the_field_of_an_invalid_role_or_content() {
     let good = json!({ "role": "user", "content": "t" });
     let wrong_role = [good.clone(), json!({ "role": "robot", "content": "t" })];
     let words = check_messages(&wrong_role).expect_err("no such role");
