--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -105,21 +105,21 @@
 }
 
 #[test]
-fn an_answer_is_read_as_it_was_written() {
+fn sync_response_round_trips() {
     let note = answer();
     let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
-fn a_note_that_answers_nothing_has_no_word_of_entries() {
+fn gossip_message_without_a_request_has_no_entry_coverage() {
     let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
     let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
-fn an_ask_is_read_as_it_was_written() {
+fn sync_request_round_trips() {
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
         let entries = EntryQuery { known_to, ..ask().entries };
         let ask = SyncRequest { entries, ..ask() };
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_page_of_a_listing_fits_into_a_datagram() {
+fn listing_page_fits_into_a_datagram() {
     let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
     let note = GossipMessage { changes, ..answer() };
     assert!(encode_gossip(&note, None, None).len() < DATAGRAM_LIMIT);
@@ -137,13 +137,13 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_borne(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         // Whether they are a datagram or not: nothing is lost but they.
         drop(decode_datagram(&bytes));
     }
 
     #[test]
-    fn a_cut_datagram_is_borne(length in 0_usize..300) {
+    fn truncated_datagram_does_not_panic_the_decoder(length in 0_usize..300) {
         let bytes = encode_gossip(&answer(), None, None);
         drop(decode_datagram(&bytes[..length.min(bytes.len())]));
     }
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_plan_of_a_thousand_routes_fits_into_an_answer_beside_a_page_of_replicas() {
+fn plan_of_a_thousand_routes_fits_into_a_sync_response_with_a_listing_page() {
     let record = plan_of_many_routes();
     let note =
         GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..answer() };
@@ -182,14 +182,14 @@
 }
 
 #[test]
-fn a_key_that_was_dropped_is_told_without_a_value() {
+fn deleted_key_round_trips_without_a_value() {
     let record = KeyedRecord { at: at(7), key: "rollout/pool".to_owned(), value: None };
     let told = PackedRecords::pack(std::slice::from_ref(&record)).unpack().expect("records");
     assert_eq!(told, [record]);
 }
 
 #[test]
-fn records_that_would_fill_the_memory_of_a_box_are_not_inflated() {
+fn oversized_records_are_not_inflated() {
     let value = Some(vec![0; INFLATED_LIMIT]);
     let record = KeyedRecord { at: at(7), key: "config".to_owned(), value };
     let told = PackedRecords::pack(std::slice::from_ref(&record)).unpack();
