--- a/crates/box/tests/own_word.rs
+++ b/crates/box/tests/own_word.rs
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_gets_nothing_after_its_answer_said_that_it_leaves() {
+async fn replica_gets_no_requests_after_its_response_announced_leaving() {
     let (site, subject, first, _second) = site_of_two().await;
     first.say_leaving();
     wait_for("an answer that says so", || async {
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_that_asked_for_rest_gets_it() {
+async fn replica_gets_no_requests_during_its_requested_backoff() {
     let (site, subject, first, _second) = site_of_two().await;
     first.set_mode(ReplicaMode::Full);
     first.set_rest(Some(REST.as_secs_f64()));
