--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -56,7 +56,7 @@
 // decoding response body" on 40 of 91 boxes, which ran requests by the old plan for 20 s. A call that brings bytes is
 // answered, however long it takes.
 #[tokio::test]
-async fn a_long_plan_that_arrives_slowly_comes_into_force() {
+async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
     let told = boxes_that_are_told(&boxes).await;
     let only = told.iter().map(|subject| subject.ip).collect();
@@ -73,7 +73,7 @@
 // The same boxes were told by no other what the plan is, since it did not fit into a datagram, and did not ask the store
 // again for 20 s after one failed call, though it answered each call of the others.
 #[tokio::test]
-async fn a_box_that_lost_the_store_for_a_moment_learns_a_long_plan() {
+async fn box_learns_a_long_plan_after_a_short_store_outage() {
     let (site, boxes) = site_of(5).await;
     let told = boxes_that_are_told(&boxes).await;
     let only = told.iter().map(|subject| subject.ip).collect();
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn readers_on_slow_links_read_a_long_plan() {
+async fn store_readers_on_slow_links_read_a_long_plan() {
     let (site, boxes) = site_of(2).await;
     site.store.set_faults(StoreFaults { rate: 500_000, ..StoreFaults::default() });
 
@@ -111,7 +111,7 @@
 // A store that took 1.6 s for each call was lost to every box: each call was given up after 0.9 s and begun anew, so that a
 // confirmed plan was in force nowhere before the store was quick again, 3.4 s later.
 #[tokio::test]
-async fn a_plan_is_read_from_a_store_that_answers_slowly() {
+async fn plan_is_read_from_a_slow_store() {
     let (site, boxes) = site_of(2).await;
     site.store.set_faults(StoreFaults { slow_ms: 1_600, ..StoreFaults::default() });
     for subject in &boxes {
@@ -133,7 +133,7 @@
 // old: a read began only when the last had ended, or was given up. Reads that overlap keep the plan younger than a key
 // may be honoured, 4.6 s: one call and the time between two.
 #[tokio::test]
-async fn boxes_before_a_store_that_answers_slowly_serve_on() {
+async fn slow_store_does_not_make_plans_stale() {
     let (site, boxes) = site_of(2).await;
     wait_for("both boxes read", || async { boxes.iter().all(reads).then_some(()) }).await;
     site.store.set_faults(StoreFaults { slow_ms: 2_500, ..StoreFaults::default() });
