--- a/crates/box/tests/platform.rs
+++ b/crates/box/tests/platform.rs
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn a_request_reaches_a_replica_as_it_was_sent_and_without_the_key() {
+async fn request_is_forwarded_unchanged_without_the_callers_key() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_box_without_a_plan_is_not_ready_and_denies_nothing() {
+async fn box_without_a_plan_is_not_ready_and_denies_no_access() {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     let subject = site.start_box("box-1");
     let status = wait_for("the box answers", || async {
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn a_key_that_is_taken_away_runs_nothing_more() {
+async fn revoked_key_runs_no_more_requests() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn a_box_cut_from_the_store_stops_before_a_key_may_be_gone_and_is_no_longer_named() {
+async fn box_cut_off_from_the_store_refuses_in_time_and_is_not_advertised() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let (first, second) = (site.start_ready("box-1").await, site.start_ready("box-2").await);
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_may_run_once_runs_once_whatever_the_replica_does() {
+async fn non_repeatable_call_runs_once_despite_replica_faults() {
     let mut site = site().await;
     let replicas = [site.start_replica("i-1", 3, 1).await, site.start_replica("i-2", 3, 1).await];
     let subject = site.start_ready("box-1").await;
@@ -168,7 +168,7 @@
 }
 
 #[tokio::test]
-async fn full_replicas_give_a_refusal_that_is_true_and_says_when_to_come_back() {
+async fn full_replicas_cause_a_refusal_with_retry_after() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -183,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn what_a_replica_sends_behind_an_answer_reaches_nobody() {
+async fn surplus_bytes_after_a_response_reach_no_caller() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -199,7 +199,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_within_an_event_goes_on_elsewhere_whole() {
+async fn stream_broken_within_an_event_is_resumed_without_gaps() {
     let mut site = site().await;
     let replicas = [site.start_replica("i-1", 8, 2).await, site.start_replica("i-2", 8, 2).await];
     let subject = site.start_ready("box-1").await;
@@ -220,7 +220,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_nobody_can_go_on_with_never_looks_complete() {
+async fn stream_that_nobody_can_resume_does_not_end_as_complete() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 8, 2).await;
     let subject = site.start_ready("box-1").await;
@@ -235,7 +235,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_replicas_work() {
+async fn disconnected_caller_ends_the_replicas_work() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 1_000, 10).await;
     let subject = site.start_ready("box-1").await;
@@ -256,7 +256,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_stream_and_is_not_named_any_more() {
+async fn planned_stop_cuts_no_stream_and_is_not_advertised() {
     let mut site = site().await;
     let _replica = site.start_replica("i-1", 60, 20).await;
     let first = site.start_ready("box-1").await;
@@ -279,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_is_kept_for_the_next_request_and_a_dead_one_is_not_used() {
+async fn replica_connection_is_reused() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -289,7 +289,7 @@
 }
 
 #[tokio::test]
-async fn a_call_that_may_run_once_goes_out_on_no_connection_that_was_idle_for_long() {
+async fn non_repeatable_call_is_not_sent_on_a_long_idle_connection() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -305,7 +305,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_replica_gets_nothing_and_a_compacted_store_is_read_anew() {
+async fn leaving_replica_gets_no_requests_after_a_store_compaction() {
     let mut site = site().await;
     let leaving = site.start_replica("i-1", 3, 1).await;
     let _staying = site.start_replica("i-2", 3, 1).await;
@@ -324,7 +324,7 @@
 }
 
 #[tokio::test]
-async fn a_verdict_whose_answer_is_lost_is_not_written_twice() {
+async fn verdict_with_a_lost_acknowledgement_is_written_once() {
     let mut site = site().await;
     let _replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -349,7 +349,7 @@
 }
 
 #[tokio::test]
-async fn changed_settings_are_taken_at_a_signal_and_bad_ones_change_nothing() {
+async fn invalid_settings_are_logged_and_change_nothing() {
     let mut site = site().await;
     let subject = site.start_ready("box-1").await;
     std::fs::write(&subject.settings, "node = 3").expect("settings can be written");
@@ -363,7 +363,7 @@
 }
 
 #[tokio::test]
-async fn a_box_that_is_told_of_its_settings_while_it_starts_lives_on() {
+async fn hangup_signal_during_startup_does_not_end_the_box() {
     let mut site = site().await;
     for number in 0..4 {
         let mut subject = site.start_box(&format!("box-{number}"));
@@ -375,7 +375,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_beyond_the_limit_is_closed_counted_and_logged_once() {
+async fn connection_beyond_the_limit_is_closed_counted_and_logged_once() {
     let mut site = site().await;
     site.descriptors = 20;
     let subject = site.start_ready("box-1").await;
@@ -395,7 +395,7 @@
 }
 
 #[tokio::test]
-async fn a_seed_that_is_no_address_is_logged_and_the_box_serves() {
+async fn invalid_seed_is_logged_and_the_box_serves() {
     let mut site = site().await;
     site.bad_seed = Some("\"somewhere\"".to_owned());
     let subject = site.start_ready("box-1").await;
@@ -405,7 +405,7 @@
 }
 
 #[tokio::test]
-async fn a_failed_request_can_be_explained_by_its_id() {
+async fn log_explains_a_failed_request_by_its_id() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
@@ -425,7 +425,7 @@
 }
 
 #[tokio::test]
-async fn a_body_beyond_the_limit_and_a_broken_head_are_refused_and_run_nothing() {
+async fn oversized_and_malformed_requests_are_refused_and_not_run() {
     let mut site = site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
