--- a/crates/box/tests/restores.rs
+++ b/crates/box/tests/restores.rs
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_at_an_offset_that_was_given_out_again_comes_into_force() {
+async fn plan_at_a_reused_offset_comes_into_force() {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
     take_away(&site, &boxes).await;
     drop(site.store.restore(copy));
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_written_to_a_store_that_ends_lower_than_before_comes_into_force() {
+async fn plan_in_a_topic_shortened_by_a_restore_comes_into_force() {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
     take_away(&site, &boxes).await;
     let lost = site.store.restore(copy);
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test]
-async fn boxes_serve_on_and_call_the_store_no_more_than_before_once_what_was_lost_is_written_again()
+async fn restore_with_rewritten_records_causes_no_refusals_or_extra_listings()
 {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
     take_away(&site, &boxes).await;
