--- a/crates/box/tests/rollouts.rs
+++ b/crates/box/tests/rollouts.rs
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_box_started_in_a_rollout_moves_no_session_back_from_its_first_request_on() {
+async fn box_started_during_a_rollout_keeps_sessions_on_the_new_version() {
     let (site, _replicas, [first, mut second]) = site_in_rollout().await;
     let before = wait_until_moved(&site, &first).await;
 
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test]
-async fn a_rollout_goes_on_where_it_was_when_all_boxes_were_killed() {
+async fn rollout_continues_after_all_boxes_are_killed() {
     let (site, _replicas, [mut first, mut second]) = site_in_rollout().await;
     let before = wait_until_moved(&site, &first).await;
 
