--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_promise_is_broken_under_faults() {
+async fn guarantees_hold_under_faults() {
     let mut seeds: BTreeSet<u64> = SEEDS.into_iter().chain(failed_seeds()).collect();
     seeds.remove(&LONE_SEED);
 
@@ -45,13 +45,13 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_box_that_is_stopped_holds_no_request_that_it_never_read() {
+async fn stopped_box_holds_no_unread_request() {
     assert_no_promise_is_broken(BTreeSet::from([LONE_SEED])).await;
 }
 
 // Requests that boxes cut while they stopped, and sessions moved back by boxes that started and stopped in a trial.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_promise_is_broken_while_boxes_are_stopped_and_killed_in_a_series() {
+async fn guarantees_hold_in_a_series_of_stops_and_kills() {
     let binary = Path::new(env!("CARGO_BIN_EXE_ravenspoked"));
     for run in SERIES_SEEDS
         .map(|seed| tokio::spawn(async move { (seed, play_series(binary, seed).await) }))
