--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sigkill_while_calls_that_may_not_be_repeated_run() {
+async fn box_killed_during_non_repeatable_calls_runs_none_twice() {
     let mut fleet = fleet().await;
     fleet.set_faults(&fleet.service, json!({ "slow_ms": 600 })).await;
     let keys: Vec<String> = (0..12).map(|_| once_key()).collect();
@@ -128,7 +128,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn sigstop_longer_than_the_lease_then_sigcont() {
+async fn box_suspended_beyond_its_lease_sends_nothing_to_a_withdrawn_version() {
     let fleet = fleet().await;
 
     fleet.boxes[0].signal("STOP");
@@ -162,7 +162,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_cut_in_the_middle_are_resumed_or_end_typed() {
+async fn cut_streams_are_resumed_or_end_with_a_typed_error() {
     let fleet = fleet().await;
     let whole = |text: &str| text.ends_with("data: [DONE]\n\n");
     let content = |text: &str| -> String {
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_says_why_it_ended_and_its_usage_where_that_is_asked_for() {
+async fn stream_ends_with_a_finish_reason_and_requested_usage() {
     let fleet = fleet().await;
     let message = json!([{ "role": "user", "content": "text" }]);
     for asked in [false, true] {
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn log_outage_refuses_truthfully_serves_chat_and_loses_no_bill() {
+async fn log_outage_refuses_releases_serves_chat_and_loses_no_bill() {
     let fleet = fleet().await;
 
     fleet.set_faults(&fleet.log, json!({ "outage": true })).await;
@@ -247,7 +247,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn box_killed_with_its_bills_unwritten_and_acknowledgements_lost() {
+async fn bills_survive_a_killed_box_and_lost_acknowledgements() {
     let mut fleet = fleet().await;
 
     fleet.set_faults(&fleet.log, json!({ "outage": true })).await;
@@ -271,7 +271,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn three_operators_publish_at_once_and_one_wins() {
+async fn one_of_three_concurrent_publishes_wins() {
     let fleet = fleet().await;
     let bundles = [
         bundle("small-2", "serving"),
@@ -306,7 +306,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_box_is_replaced_one_by_one_under_traffic() {
+async fn rolling_replacement_cuts_no_stream_and_loses_no_bill() {
     let mut fleet = fleet().await;
     let mut answered = Vec::new();
 
@@ -359,7 +359,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn malformed_input_gets_a_4xx_and_changes_nothing() {
+async fn malformed_input_gets_a_4xx_and_dispatches_nothing() {
     let fleet = fleet().await;
     let url = format!("{}/v1/chat/completions", fleet.boxes[0].entry_url());
     let post = |body: Vec<u8>| fleet.http.post(&url).bearer_auth(KEY).body(body);
