--- a/crates/box/tests/sync_pacer.rs
+++ b/crates/box/tests/sync_pacer.rs
@@ -3,14 +3,14 @@
 use ravenspoke_box::gateway::sync_pacer::{SyncPacer, SYNC_QUEUE_BYTES};
 
 /// Bytes of an answer that tells a thousand replicas.
-const LONG_ANSWER: usize = 16_600;
+const PAGE_RESPONSE_BYTES: usize = 16_600;
 
 /// Long answers that may wait with a link of so many megabits a second.
 fn waiting(link_mbps: f64) -> usize {
     let pacer = SyncPacer::new(link_mbps);
     let mut count = 0;
     while pacer.has_room() {
-        pacer.add_queued(LONG_ANSWER);
+        pacer.add_queued(PAGE_RESPONSE_BYTES);
         count += 1;
     }
     count
@@ -19,15 +19,15 @@
 #[test]
 fn sync_queue_is_limited_by_time_on_slow_links_and_by_bytes_on_fast_ones() {
     assert_eq!(waiting(10.0), 5);
-    let most = SYNC_QUEUE_BYTES as usize / LONG_ANSWER + 1;
+    let most = SYNC_QUEUE_BYTES as usize / PAGE_RESPONSE_BYTES + 1;
     assert_eq!((waiting(100.0), waiting(10_000.0)), (most, most));
 }
 
 #[test]
 fn sync_queue_has_room_after_a_response_is_sent() {
     let pacer = SyncPacer::new(0.1);
-    pacer.add_queued(LONG_ANSWER);
+    pacer.add_queued(PAGE_RESPONSE_BYTES);
     assert!(!pacer.has_room());
-    pacer.remove_queued(LONG_ANSWER);
+    pacer.remove_queued(PAGE_RESPONSE_BYTES);
     assert!(pacer.has_room());
 }
