--- a/crates/box/tests/sync_pacer.rs
+++ b/crates/box/tests/sync_pacer.rs
@@ -6,7 +6,7 @@
 const PAGE_RESPONSE_BYTES: usize = 16_600;
 
 /// Long answers that may wait with a link of so many megabits a second.
-fn waiting(link_mbps: f64) -> usize {
+fn queued_responses(link_mbps: f64) -> usize {
     let pacer = SyncPacer::new(link_mbps);
     let mut count = 0;
     while pacer.has_room() {
@@ -18,9 +18,9 @@
 
 #[test]
 fn sync_queue_is_limited_by_time_on_slow_links_and_by_bytes_on_fast_ones() {
-    assert_eq!(waiting(10.0), 5);
+    assert_eq!(queued_responses(10.0), 5);
     let most = SYNC_QUEUE_BYTES as usize / PAGE_RESPONSE_BYTES + 1;
-    assert_eq!((waiting(100.0), waiting(10_000.0)), (most, most));
+    assert_eq!((queued_responses(100.0), queued_responses(10_000.0)), (most, most));
 }
 
 #[test]
