--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -102,7 +102,7 @@
 
 /// Sources that read the monotonic clock: for what is logged, how often something is done, and how long a call to the store
 /// under way has been.
-const STEADY: [&str; 5] = [
+const MONOTONIC_CLOCK_SOURCES: [&str; 5] = [
     "clock.rs",
     "gateway/exchange.rs",
     "gateway/process.rs",
@@ -129,6 +129,6 @@
     sources(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")), "", &mut found);
     let steady = found.iter().filter(|(_, text)| text.contains("Instant::now"));
     let others: Vec<&str> =
-        steady.map(|row| row.0.as_str()).filter(|name| !STEADY.contains(name)).collect();
+        steady.map(|row| row.0.as_str()).filter(|name| !MONOTONIC_CLOCK_SOURCES.contains(name)).collect();
     assert_eq!(others, Vec::<&str>::new());
 }
