--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc::{channel, unbounded_channel};
 
 /// Longer than a test may take.
-const LONG: Duration = Duration::from_secs(60);
+const TEST_LIMIT: Duration = Duration::from_secs(60);
 
 fn clock() -> BoxClock {
     BoxClock::start().expect("the system has the clock")
@@ -27,18 +27,18 @@
 fn clock_counts_time_in_suspension() {
     let clock = clock();
     let before = clock.now();
-    clock.skip(LONG);
-    assert!(clock.since(before) >= LONG);
+    clock.skip(TEST_LIMIT);
+    assert!(clock.since(before) >= TEST_LIMIT);
     assert_eq!(clock.until(before), Duration::ZERO);
 }
 
 #[tokio::test]
 async fn wait_across_a_suspension_ends_soon_after_it() {
     let clock = clock();
-    let wait = clock.within(LONG, std::future::pending::<()>());
+    let wait = clock.within(TEST_LIMIT, std::future::pending::<()>());
     // It is polled after the wait, which has begun by then.
-    let wake = async { clock.skip(LONG) };
-    let ended = tokio::time::timeout(LONG / 4, async { tokio::join!(wait, wake).0 }).await;
+    let wake = async { clock.skip(TEST_LIMIT) };
+    let ended = tokio::time::timeout(TEST_LIMIT / 4, async { tokio::join!(wait, wake).0 }).await;
     assert_eq!(ended, Ok(None));
 }
 
@@ -59,7 +59,7 @@
     assert_eq!(watch.look(&clock), None);
 }
 
-/// A driver whose box has a plan, read a moment ago, and may rely on it for [`LONG`] at most.
+/// A driver whose box has a plan, read a moment ago, and may rely on it for [`TEST_LIMIT`] at most.
 fn driver_with_plan(clock: Arc<BoxClock>) -> GatewayDriver {
     let settings = RouteSettings {
         name: "box-1".to_owned(),
@@ -69,7 +69,7 @@
         gossip_address: "box-1:90".to_owned(),
         is_seed: false,
         capacity: BoxCapacity::default(),
-        fresh: FreshBounds { revoke_ms: Some(LONG.as_millis() as u64), apply_ms: 2_000 },
+        fresh: FreshBounds { revoke_ms: Some(TEST_LIMIT.as_millis() as u64), apply_ms: 2_000 },
         budget: BudgetBounds { ratio: 0.1, slack: 10.0, window_ms: 10_000 },
         leader: None,
         regions: std::collections::BTreeMap::new(),
@@ -96,7 +96,7 @@
     let clock = Arc::new(clock());
     let driver = driver_with_plan(clock.clone());
     assert!(driver.state().ready(driver.now()));
-    clock.skip(LONG);
+    clock.skip(TEST_LIMIT);
     assert!(!driver.state().ready(driver.now()));
 }
 
