--- a/crates/box/tests/replica_entries.rs
+++ b/crates/box/tests/replica_entries.rs
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 
 /// Entries of another writer: fields missing or of another type, a state and a time of birth that are none.
-fn spoilt_entries() -> Vec<Value> {
+fn invalid_entries() -> Vec<Value> {
     let entry = |born: Value, state: &str| {
         json!({
             "service": SITE_SERVICE, "address": "127.0.0.1:9", "zone": "east", "version": "v1", "slots": 8,
@@ -33,7 +33,7 @@
 async fn site_with_spoilt_entries() -> (RunningSite, SiteBox) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
-    for (number, entry) in spoilt_entries().iter().enumerate() {
+    for (number, entry) in invalid_entries().iter().enumerate() {
         site.store.put(REPLICA_TOPIC, &format!("spoilt-{number}"), entry);
     }
     let subject = site.start_box("box-1");
