--- a/crates/box/tests/replica_entries.rs
+++ b/crates/box/tests/replica_entries.rs
@@ -30,7 +30,7 @@
 }
 
 /// A site whose store holds entries that name no replica, with a box that is ready.
-async fn site_with_spoilt_entries() -> (RunningSite, SiteBox) {
+async fn site_with_invalid_entries() -> (RunningSite, SiteBox) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
     for (number, entry) in invalid_entries().iter().enumerate() {
@@ -67,7 +67,7 @@
 
 #[tokio::test]
 async fn invalid_replica_entries_are_ignored_and_valid_ones_used() {
-    let (site, subject) = site_with_spoilt_entries().await;
+    let (site, subject) = site_with_invalid_entries().await;
     let first = start_life(&site, "i-1", 1_000).await;
     let second = start_life(&site, "i-2", 1_000).await;
     wait_for_addresses(&subject, &[&first, &second]).await;
@@ -84,7 +84,7 @@
 
 #[tokio::test]
 async fn restarted_replica_gets_requests_at_its_new_address() {
-    let (site, subject) = site_with_spoilt_entries().await;
+    let (site, subject) = site_with_invalid_entries().await;
     let former = start_life(&site, "i-1", 5_000).await;
     wait_for_addresses(&subject, &[&former]).await;
     let mut leaving = former.entry(SITE_SERVICE, "v1", "draining");
