--- a/crates/box/tests/replica_entries.rs
+++ b/crates/box/tests/replica_entries.rs
@@ -41,7 +41,7 @@
 }
 
 /// A life of replica `id`, with its entry in the store.
-async fn start_life(site: &RunningSite, id: &str, born: u64) -> ReplicaStandin {
+async fn start_incarnation(site: &RunningSite, id: &str, born: u64) -> ReplicaStandin {
     let replica = ReplicaStandin::start(own_address(), id, 3, 1).await;
     let mut entry = replica.entry(SITE_SERVICE, "v1", "ready");
     entry["born"] = json!(born);
@@ -68,8 +68,8 @@
 #[tokio::test]
 async fn invalid_replica_entries_are_ignored_and_valid_ones_used() {
     let (site, subject) = site_with_invalid_entries().await;
-    let first = start_life(&site, "i-1", 1_000).await;
-    let second = start_life(&site, "i-2", 1_000).await;
+    let first = start_incarnation(&site, "i-1", 1_000).await;
+    let second = start_incarnation(&site, "i-2", 1_000).await;
     wait_for_addresses(&subject, &[&first, &second]).await;
 
     site.store.put(REPLICA_TOPIC, "i-2", &json!({ "state": 3 }));
@@ -85,14 +85,14 @@
 #[tokio::test]
 async fn restarted_replica_gets_requests_at_its_new_address() {
     let (site, subject) = site_with_invalid_entries().await;
-    let former = start_life(&site, "i-1", 5_000).await;
+    let former = start_incarnation(&site, "i-1", 5_000).await;
     wait_for_addresses(&subject, &[&former]).await;
     let mut leaving = former.entry(SITE_SERVICE, "v1", "draining");
     leaving["born"] = json!(5_000);
     site.store.put(REPLICA_TOPIC, "i-1", &leaving);
 
     // Its clock was set back meanwhile.
-    let new = start_life(&site, "i-1", 2_000).await;
+    let new = start_incarnation(&site, "i-1", 2_000).await;
 
     wait_for_addresses(&subject, &[&new]).await;
     let answer = site.request(&subject, "POST", "/file/x", "r1").body("b").send().await;
