--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Mutex;
 
 /// Callers keep an answer about addresses for so long.
-const KNOWN_FOR: Duration = Duration::from_millis(2_000);
+const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
 /// Time that a site's requests give.
 const DEADLINE: Duration = Duration::from_millis(3_500);
@@ -73,7 +73,7 @@
     begin_stop(&subject).await;
     let began = Instant::now();
     let mut answers = Vec::new();
-    while answers.len() < REQUESTS as usize && began.elapsed() < KNOWN_FOR {
+    while answers.len() < REQUESTS as usize && began.elapsed() < ADDRESS_TTL {
         answers.push(ask(&site, &subject, &format!("new-{}", answers.len())).await);
     }
 
