--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -50,7 +50,7 @@
 }
 
 /// Status of a request, and whether its answer ends the connection.
-async fn ask(site: &RunningSite, subject: &SiteBox, id: &str) -> (u16, bool) {
+async fn send_request(site: &RunningSite, subject: &SiteBox, id: &str) -> (u16, bool) {
     let answer = site.request(subject, "POST", "/file/x", id).body("body").send().await;
     let answer = answer.expect("a request that was taken is answered");
     let closes = answer.headers().get("connection").is_some_and(|value| value == "close");
@@ -74,7 +74,7 @@
     let began = Instant::now();
     let mut answers = Vec::new();
     while answers.len() < REQUESTS as usize && began.elapsed() < ADDRESS_TTL {
-        answers.push(ask(&site, &subject, &format!("new-{}", answers.len())).await);
+        answers.push(send_request(&site, &subject, &format!("new-{}", answers.len())).await);
     }
 
     assert!(answers.iter().all(|answer| *answer == (200, true)), "{answers:?}");
@@ -83,11 +83,11 @@
 #[tokio::test]
 async fn stopping_box_answers_the_next_request_on_an_idle_connection() {
     let (site, _replica, subject) = site_with_a_box().await;
-    assert_eq!(ask(&site, &subject, "before").await, (200, false));
+    assert_eq!(send_request(&site, &subject, "before").await, (200, false));
 
     begin_stop(&subject).await;
 
-    assert_eq!(ask(&site, &subject, "after").await, (200, true));
+    assert_eq!(send_request(&site, &subject, "after").await, (200, true));
 }
 
 // Callers whose connections nobody took were cut when the box ended.
@@ -127,7 +127,7 @@
     let subject = site.start_box("box-1");
 
     wait_for("a connection comes about", || async { connect(&subject).await.ok() }).await;
-    let answer = ask(&site, &subject, "early").await;
+    let answer = send_request(&site, &subject, "early").await;
 
     assert_eq!(answer, (200, false));
 }
@@ -142,7 +142,7 @@
 
     wait_for("a connection comes about", || async { connect(&subject).await.ok() }).await;
     let sent_at = Instant::now();
-    assert_eq!(ask(&site, &subject, "early").await, (200, false));
+    assert_eq!(send_request(&site, &subject, "early").await, (200, false));
 
     let run = replica.runs().remove(0);
     let given = run.headers.iter().find(|(name, _)| name == "x-ravenspoke-deadline-ms");
