--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -101,12 +101,12 @@
     subject.tell().await;
     subject.signal("TERM");
 
-    let ends = Mutex::new(Vec::new());
+    let outcomes = Mutex::new(Vec::new());
     let subject = Mutex::new(subject);
     wait_for("the box exits", || async {
         let mut subject = subject.lock().await;
         let request = site.request(&subject, "POST", "/file/x", "early").body("body");
-        ends.lock().await.push(match request.send().await {
+        outcomes.lock().await.push(match request.send().await {
             Ok(answer) => Ok(answer.status().as_u16()),
             Err(error) => Err(error.is_connect()),
         });
@@ -114,9 +114,9 @@
     })
     .await;
 
-    let (ends, subject) = (ends.into_inner(), subject.into_inner());
-    let whole = |end: &Result<u16, bool>| matches!(end, Ok(503) | Err(true));
-    assert!(ends.iter().all(whole), "{ends:?}");
+    let (outcomes, subject) = (outcomes.into_inner(), subject.into_inner());
+    let is_complete = |outcome: &Result<u16, bool>| matches!(outcome, Ok(503) | Err(true));
+    assert!(outcomes.iter().all(is_complete), "{outcomes:?}");
     assert!(subject.events("callers_taken").is_empty(), "the test asked it to stop too late");
 }
 
