--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -51,11 +51,11 @@
 
 /// Status of a request, and whether its answer ends the connection.
 async fn send_request(site: &RunningSite, subject: &SiteBox, id: &str) -> (u16, bool) {
-    let answer = site.request(subject, "POST", "/file/x", id).body("body").send().await;
-    let answer = answer.expect("a request that was taken is answered");
-    let closes = answer.headers().get("connection").is_some_and(|value| value == "close");
-    let status = answer.status().as_u16();
-    answer.bytes().await.expect("a whole answer");
+    let response = site.request(subject, "POST", "/file/x", id).body("body").send().await;
+    let response = response.expect("a request that was taken is answered");
+    let closes = response.headers().get("connection").is_some_and(|value| value == "close");
+    let status = response.status().as_u16();
+    response.bytes().await.expect("a whole response");
     (status, closes)
 }
 
