--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -149,6 +149,6 @@
     let given_ms = given.and_then(|(_, value)| value.parse().ok()).expect("a deadline");
     let waited = run.at - sent_at;
     assert!(waited > Duration::from_millis(200), "the box knew the site after {waited:?}");
-    let ends = waited + Duration::from_millis(given_ms);
-    assert!(ends < DEADLINE + SLACK, "{given_ms} ms after {waited:?}");
+    let ends_after = waited + Duration::from_millis(given_ms);
+    assert!(ends_after < DEADLINE + SLACK, "{given_ms} ms after {waited:?}");
 }
