--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -69,7 +69,7 @@
 }
 
 /// Asks often, and gives the statuses.
-async fn ask_often(site: &RunningSite, subject: &SiteBox, label: &str) -> Vec<u16> {
+async fn send_requests(site: &RunningSite, subject: &SiteBox, label: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..REQUESTS {
         let request = site.request(subject, "POST", "/read/x", &format!("{label}-{number}"));
@@ -88,12 +88,12 @@
     evacuate(&site, "east");
     wait_evacuated(&subject, &["east"]).await;
     let before = east.runs().len();
-    assert_eq!(ask_often(&site, &subject, "emptied").await, [200; REQUESTS]);
+    assert_eq!(send_requests(&site, &subject, "emptied").await, [200; REQUESTS]);
     assert_eq!((east.runs().len() - before, west.runs().len()), (0, REQUESTS));
 
     withdraw(&site, "east");
     wait_evacuated(&subject, &[]).await;
-    assert_eq!(ask_often(&site, &subject, "back").await, [200; REQUESTS]);
+    assert_eq!(send_requests(&site, &subject, "back").await, [200; REQUESTS]);
     assert!(east.runs().len() > before, "a zone that is given back is used");
 }
 
@@ -134,7 +134,7 @@
     wait_replicas(&started, 2).await;
     assert_eq!(evacuated(&started).await, Some(vec!["east".to_owned()]));
     for (label, subject) in [("cut", &cut), ("started", &started)] {
-        assert_eq!(ask_often(&site, subject, label).await, [200; REQUESTS]);
+        assert_eq!(send_requests(&site, subject, label).await, [200; REQUESTS]);
     }
     assert_eq!(east.runs().len(), 0);
 
@@ -155,6 +155,6 @@
     evacuate(&site, "west");
     site.store.compact(OPERATOR_TOPIC);
     wait_evacuated(&subject, &["west"]).await;
-    assert_eq!(ask_often(&site, &subject, "compacted").await, [200; REQUESTS]);
+    assert_eq!(send_requests(&site, &subject, "compacted").await, [200; REQUESTS]);
     assert_eq!(east.runs().len(), REQUESTS);
 }
