--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -42,7 +42,7 @@
     site.store.put(OPERATOR_TOPIC, &evacuation_key(zone), &json!({}));
 }
 
-fn withdraw(site: &RunningSite, zone: &str) {
+fn withdraw_evacuation(site: &RunningSite, zone: &str) {
     site.store.drop_key(OPERATOR_TOPIC, &evacuation_key(zone));
 }
 
@@ -91,7 +91,7 @@
     assert_eq!(send_requests(&site, &subject, "emptied").await, [200; REQUESTS]);
     assert_eq!((east.runs().len() - before, west.runs().len()), (0, REQUESTS));
 
-    withdraw(&site, "east");
+    withdraw_evacuation(&site, "east");
     wait_evacuated(&subject, &[]).await;
     assert_eq!(send_requests(&site, &subject, "back").await, [200; REQUESTS]);
     assert!(east.runs().len() > before, "a zone that is given back is used");
@@ -138,7 +138,7 @@
     }
     assert_eq!(east.runs().len(), 0);
 
-    withdraw(&site, "east");
+    withdraw_evacuation(&site, "east");
     wait_evacuated(&cut, &[]).await;
     wait_evacuated(&started, &[]).await;
 }
@@ -151,7 +151,7 @@
     evacuate(&site, "east");
     wait_evacuated(&subject, &["east"]).await;
 
-    withdraw(&site, "east");
+    withdraw_evacuation(&site, "east");
     evacuate(&site, "west");
     site.store.compact(OPERATOR_TOPIC);
     wait_evacuated(&subject, &["west"]).await;
