--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -118,28 +118,28 @@
 #[tokio::test]
 async fn starting_and_cut_off_boxes_learn_evacuations_from_others() {
     let (mut site, east, _west) = two_zones().await;
-    let (reader, cut) = (site.start_ready("box-1").await, site.start_ready("box-2").await);
-    wait_replicas(&cut, 2).await;
+    let (reader, cut_off) = (site.start_ready("box-1").await, site.start_ready("box-2").await);
+    wait_replicas(&cut_off, 2).await;
     let outage = StoreFaults {
         outage: StoreOutage::Reset,
-        only: [cut.ip].into_iter().collect(),
+        only: [cut_off.ip].into_iter().collect(),
         ..StoreFaults::default()
     };
     site.store.set_faults(outage);
 
     evacuate(&site, "east");
     wait_evacuated(&reader, &["east"]).await;
-    wait_evacuated(&cut, &["east"]).await;
+    wait_evacuated(&cut_off, &["east"]).await;
     let started = site.start_ready("box-3").await;
     wait_replicas(&started, 2).await;
     assert_eq!(evacuated(&started).await, Some(vec!["east".to_owned()]));
-    for (label, subject) in [("cut", &cut), ("started", &started)] {
+    for (label, subject) in [("cut", &cut_off), ("started", &started)] {
         assert_eq!(send_requests(&site, subject, label).await, [200; REQUESTS]);
     }
     assert_eq!(east.runs().len(), 0);
 
     withdraw_evacuation(&site, "east");
-    wait_evacuated(&cut, &[]).await;
+    wait_evacuated(&cut_off, &[]).await;
     wait_evacuated(&started, &[]).await;
 }
 
