--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -106,12 +106,12 @@
     evacuate(&site, "east");
     evacuate(&site, "west");
     wait_evacuated(&subject, &["east", "west"]).await;
-    let asked = site.request(&subject, "POST", "/file/x", "none").body("b").send();
-    let answer = tokio::time::timeout(Duration::from_millis(500), asked).await;
+    let request = site.request(&subject, "POST", "/file/x", "none").body("b").send();
+    let response = tokio::time::timeout(Duration::from_millis(500), request).await;
 
-    let answer = answer.expect("at once").expect("an answer");
-    assert_eq!(answer.status(), 503);
-    assert!(answer.headers().contains_key("retry-after"));
+    let response = response.expect("at once").expect("an response");
+    assert_eq!(response.status(), 503);
+    assert!(response.headers().contains_key("retry-after"));
     assert_eq!((east.runs().len(), west.runs().len()), (0, 0));
 }
 
