--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -73,8 +73,8 @@
     let mut statuses = Vec::new();
     for number in 0..REQUESTS {
         let request = site.request(subject, "POST", "/read/x", &format!("{label}-{number}"));
-        let answer = request.body("b").send().await;
-        statuses.push(answer.map_or(0, |answer| answer.status().as_u16()));
+        let response = request.body("b").send().await;
+        statuses.push(response.map_or(0, |response| response.status().as_u16()));
     }
     statuses
 }
