--- a/crates/box/tests/poison.rs
+++ b/crates/box/tests/poison.rs
@@ -15,7 +15,7 @@
     asked.await.map_or(0, |answer| answer.status().as_u16())
 }
 
-fn ended(replicas: &[ReplicaStandin]) -> usize {
+fn crashed(replicas: &[ReplicaStandin]) -> usize {
     replicas.iter().filter(|replica| replica.has_ended()).count()
 }
 
@@ -41,7 +41,7 @@
     }
 
     let tried = status(&site, &first, "first", "deadly").await;
-    assert_eq!((tried, ended(&replicas)), (502, CRASHES_ALLOWED));
+    assert_eq!((tried, crashed(&replicas)), (502, CRASHES_ALLOWED));
     for subject in [&first, &second] {
         wait_for("the box knows what crashes replicas", || async {
             let state = subject.state().await?;
@@ -52,7 +52,7 @@
     }
     for (number, subject) in [&first, &second].into_iter().enumerate() {
         let again = status(&site, subject, &format!("again-{number}"), "deadly").await;
-        assert_eq!((again, ended(&replicas)), (502, CRASHES_ALLOWED), "box {number}");
+        assert_eq!((again, crashed(&replicas)), (502, CRASHES_ALLOWED), "box {number}");
         let other = status(&site, subject, &format!("other-{number}"), "else").await;
         assert_eq!(other, 200, "other requests are served");
     }
