--- a/crates/box/tests/poison.rs
+++ b/crates/box/tests/poison.rs
@@ -11,8 +11,8 @@
 const CRASHES_ALLOWED: usize = 3;
 
 async fn status(site: &RunningSite, subject: &SiteBox, id: &str, body: &'static str) -> u16 {
-    let asked = site.request(subject, "POST", "/read/x", id).body(body).send();
-    asked.await.map_or(0, |answer| answer.status().as_u16())
+    let response = site.request(subject, "POST", "/read/x", id).body(body).send();
+    response.await.map_or(0, |response| response.status().as_u16())
 }
 
 fn crashed(replicas: &[ReplicaStandin]) -> usize {
