--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -29,7 +29,7 @@
 }
 
 /// The box whose call was accepted last.
-fn last_holder(cloud: &CloudStandin) -> Option<String> {
+fn last_leader(cloud: &CloudStandin) -> Option<String> {
     cloud.calls().last().map(|call| call.holder.clone())
 }
 
@@ -85,14 +85,14 @@
             boxes.insert(name.to_owned(), site.start_ready(name).await);
         }
         wait_for_reports(&cloud, 1).await;
-        let holder = last_holder(&cloud).expect("a holder");
+        let holder = last_leader(&cloud).expect("a holder");
 
         boxes[&holder].signal(signal);
         wait_for_reports(&cloud, 3).await;
         boxes[&holder].signal("CONT");
         wait_for_reports(&cloud, 2).await;
 
-        assert_ne!(last_holder(&cloud), Some(holder), "{signal}");
+        assert_ne!(last_leader(&cloud), Some(holder), "{signal}");
         let tokens: BTreeSet<(u64, String)> =
             cloud.calls().into_iter().map(|call| (call.token, call.holder)).collect();
         let numbers: BTreeSet<u64> = tokens.iter().map(|(token, _)| *token).collect();
