--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -42,7 +42,7 @@
 }
 
 /// Asks each box so many times, and gives the window in which the last answer came.
-async fn ask(site: &RunningSite, boxes: &[SiteBox], times: usize) -> u64 {
+async fn send_requests(site: &RunningSite, boxes: &[SiteBox], times: usize) -> u64 {
     for number in 0..times {
         for subject in boxes {
             let id = format!("{}-{number}", subject.ip);
@@ -63,7 +63,7 @@
     }
     wait_for_reports(&cloud, 1).await;
 
-    let last = ask(&site, &boxes, 10).await;
+    let last = send_requests(&site, &boxes, 10).await;
 
     wait_for("the window is reported", || async {
         reports(&cloud).contains_key(&last).then_some(())
@@ -109,7 +109,7 @@
 
     for outage in [CloudOutage::Busy, CloudOutage::Silent] {
         cloud.set_outage(outage, 0);
-        ask(&site, std::slice::from_ref(&subject), 3).await;
+        send_requests(&site, std::slice::from_ref(&subject), 3).await;
         let before = cloud.asked();
         wait_for("the report is sent again", || async {
             (cloud.asked() >= before + 2).then_some(())
