--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -85,14 +85,14 @@
             boxes.insert(name.to_owned(), site.start_ready(name).await);
         }
         wait_for_reports(&cloud, 1).await;
-        let holder = last_leader(&cloud).expect("a holder");
+        let leader = last_leader(&cloud).expect("a leader");
 
-        boxes[&holder].signal(signal);
+        boxes[&leader].signal(signal);
         wait_for_reports(&cloud, 3).await;
-        boxes[&holder].signal("CONT");
+        boxes[&leader].signal("CONT");
         wait_for_reports(&cloud, 2).await;
 
-        assert_ne!(last_leader(&cloud), Some(holder), "{signal}");
+        assert_ne!(last_leader(&cloud), Some(leader), "{signal}");
         let tokens: BTreeSet<(u64, String)> =
             cloud.calls().into_iter().map(|call| (call.token, call.holder)).collect();
         let numbers: BTreeSet<u64> = tokens.iter().map(|(token, _)| *token).collect();
