--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -46,8 +46,8 @@
     for number in 0..times {
         for subject in boxes {
             let id = format!("{}-{number}", subject.ip);
-            let answer = site.request(subject, "POST", "/read/x", &id).body("b").send().await;
-            assert!(answer.is_ok_and(|answer| answer.status().is_success()));
+            let response = site.request(subject, "POST", "/read/x", &id).body("b").send().await;
+            assert!(response.is_ok_and(|response| response.status().is_success()));
         }
     }
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
