--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -10,7 +10,7 @@
 const LIMIT_PER_S: f64 = 2.0;
 
 /// A limit binds this long after it was first named: the shortest of the platform's bounds.
-const TAKES: Duration = Duration::from_millis(3_000);
+const LIMIT_DELAY: Duration = Duration::from_millis(3_000);
 
 /// The bound is on every span of this length.
 const SPAN: Duration = Duration::from_millis(4_000);
@@ -44,7 +44,7 @@
     let named = Instant::now();
     let mut beat = tokio::time::interval(BETWEEN);
     let mut statuses = Vec::new();
-    while named.elapsed() < TAKES + 2 * SPAN {
+    while named.elapsed() < LIMIT_DELAY + 2 * SPAN {
         beat.tick().await;
         let number = statuses.len();
         let subject = &boxes[number % boxes.len()];
@@ -53,7 +53,7 @@
     }
 
     let got: Vec<Instant> = needy.runs().iter().map(|run| run.at).collect();
-    let bound = got.iter().filter(|at| **at >= named + TAKES);
+    let bound = got.iter().filter(|at| **at >= named + LIMIT_DELAY);
     let within = |from: Instant| got.iter().filter(|at| (from..from + SPAN).contains(*at)).count();
     let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
     assert!(fullest <= ALLOWED, "{fullest} requests in the fullest span");
