--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -13,7 +13,7 @@
 const LIMIT_DELAY: Duration = Duration::from_millis(3_000);
 
 /// The bound is on every span of this length.
-const SPAN: Duration = Duration::from_millis(4_000);
+const WINDOW: Duration = Duration::from_millis(4_000);
 
 /// Requests that the replica may get in a span: one and a half times what its limit allows, and five.
 const ALLOWED: usize = 17;
@@ -44,7 +44,7 @@
     let named = Instant::now();
     let mut beat = tokio::time::interval(BETWEEN);
     let mut statuses = Vec::new();
-    while named.elapsed() < LIMIT_DELAY + 2 * SPAN {
+    while named.elapsed() < LIMIT_DELAY + 2 * WINDOW {
         beat.tick().await;
         let number = statuses.len();
         let subject = &boxes[number % boxes.len()];
@@ -54,7 +54,7 @@
 
     let got: Vec<Instant> = needy.runs().iter().map(|run| run.at).collect();
     let bound = got.iter().filter(|at| **at >= named + LIMIT_DELAY);
-    let within = |from: Instant| got.iter().filter(|at| (from..from + SPAN).contains(*at)).count();
+    let within = |from: Instant| got.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
     let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
     assert!(fullest <= ALLOWED, "{fullest} requests in the fullest span");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
