--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -16,7 +16,7 @@
 const WINDOW: Duration = Duration::from_millis(4_000);
 
 /// Requests that the replica may get in a span: one and a half times what its limit allows, and five.
-const ALLOWED: usize = 17;
+const REQUESTS_ALLOWED: usize = 17;
 
 /// Time between two requests of callers: ten times what the replica takes.
 const BETWEEN: Duration = Duration::from_millis(50);
@@ -56,7 +56,7 @@
     let bound = got.iter().filter(|at| **at >= named + LIMIT_DELAY);
     let within = |from: Instant| got.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
     let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
-    assert!(fullest <= ALLOWED, "{fullest} requests in the fullest span");
+    assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest span");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
     assert!(well.runs().len() > got.len());
 }
