--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -19,7 +19,7 @@
 const REQUESTS_ALLOWED: usize = 17;
 
 /// Time between two requests of callers: ten times what the replica takes.
-const BETWEEN: Duration = Duration::from_millis(50);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 #[tokio::test]
 async fn all_boxes_together_keep_to_a_replicas_rate_limit() {
@@ -42,7 +42,7 @@
 
     needy.set_limit(Some(LIMIT_PER_S));
     let named = Instant::now();
-    let mut beat = tokio::time::interval(BETWEEN);
+    let mut beat = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
     while named.elapsed() < LIMIT_DELAY + 2 * WINDOW {
         beat.tick().await;
