--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -25,7 +25,7 @@
 async fn all_boxes_together_keep_to_a_replicas_rate_limit() {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
-    let needy = site.start_replica("i-needy", 3, 1).await;
+    let limited = site.start_replica("i-needy", 3, 1).await;
     let well = site.start_replica("i-well", 3, 1).await;
     let mut boxes = Vec::new();
     for name in ["box-1", "box-2", "box-3"] {
@@ -40,7 +40,7 @@
         .await;
     }
 
-    needy.set_limit(Some(LIMIT_PER_S));
+    limited.set_limit(Some(LIMIT_PER_S));
     let named = Instant::now();
     let mut beat = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
@@ -52,7 +52,7 @@
         statuses.push(asked.send().await.map_or(0, |answer| answer.status().as_u16()));
     }
 
-    let got: Vec<Instant> = needy.runs().iter().map(|run| run.at).collect();
+    let got: Vec<Instant> = limited.runs().iter().map(|run| run.at).collect();
     let bound = got.iter().filter(|at| **at >= named + LIMIT_DELAY);
     let within = |from: Instant| got.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
     let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
