--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -26,7 +26,7 @@
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
     let limited = site.start_replica("i-needy", 3, 1).await;
-    let well = site.start_replica("i-well", 3, 1).await;
+    let unlimited = site.start_replica("i-well", 3, 1).await;
     let mut boxes = Vec::new();
     for name in ["box-1", "box-2", "box-3"] {
         boxes.push(site.start_ready(name).await);
@@ -58,5 +58,5 @@
     let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
     assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest span");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
-    assert!(well.runs().len() > got.len());
+    assert!(unlimited.runs().len() > got.len());
 }
