--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -41,22 +41,22 @@
     }
 
     limited.set_limit(Some(LIMIT_PER_S));
-    let named = Instant::now();
-    let mut beat = tokio::time::interval(REQUEST_INTERVAL);
+    let limited_at = Instant::now();
+    let mut ticks = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
-    while named.elapsed() < LIMIT_DELAY + 2 * WINDOW {
-        beat.tick().await;
+    while limited_at.elapsed() < LIMIT_DELAY + 2 * WINDOW {
+        ticks.tick().await;
         let number = statuses.len();
         let subject = &boxes[number % boxes.len()];
-        let asked = site.request(subject, "POST", "/read/x", &format!("r-{number}")).body("b");
-        statuses.push(asked.send().await.map_or(0, |answer| answer.status().as_u16()));
+        let request = site.request(subject, "POST", "/read/x", &format!("r-{number}")).body("b");
+        statuses.push(request.send().await.map_or(0, |response| response.status().as_u16()));
     }
 
-    let got: Vec<Instant> = limited.runs().iter().map(|run| run.at).collect();
-    let bound = got.iter().filter(|at| **at >= named + LIMIT_DELAY);
-    let within = |from: Instant| got.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
-    let fullest = bound.map(|at| within(*at)).max().unwrap_or(0);
+    let arrivals: Vec<Instant> = limited.runs().iter().map(|run| run.at).collect();
+    let bounded = arrivals.iter().filter(|at| **at >= limited_at + LIMIT_DELAY);
+    let within = |from: Instant| arrivals.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
+    let fullest = bounded.map(|at| within(*at)).max().unwrap_or(0);
     assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest span");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
-    assert!(unlimited.runs().len() > got.len());
+    assert!(unlimited.runs().len() > arrivals.len());
 }
