--- a/crates/box/tests/messages.rs
+++ b/crates/box/tests/messages.rs
@@ -17,11 +17,11 @@
 fn errors_name_the_field_of_an_invalid_role_or_content() {
     let good = json!({ "role": "user", "content": "t" });
     let wrong_role = [good.clone(), json!({ "role": "robot", "content": "t" })];
-    let words = check_messages(&wrong_role).expect_err("no such role");
-    assert!(words.contains("messages[1].role"), "{words}");
+    let error = check_messages(&wrong_role).expect_err("no such role");
+    assert!(error.contains("messages[1].role"), "{error}");
     for content in [json!(3), json!({ "text": "t" }), json!(true)] {
         let wrong = [good.clone(), json!({ "role": "user", "content": content })];
-        let words = check_messages(&wrong).expect_err("no such content");
-        assert!(words.contains("messages[1].content"), "{words}");
+        let error = check_messages(&wrong).expect_err("no such content");
+        assert!(error.contains("messages[1].content"), "{error}");
     }
 }
