--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -38,7 +38,7 @@
     }
 }
 
-fn ask() -> SyncRequest {
+fn sync_request() -> SyncRequest {
     SyncRequest {
         gossip_address: "10.1.0.9:7680".to_owned(),
         incarnation: 3,
@@ -79,7 +79,7 @@
         era: 3,
         known: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
-        echo: Some(ask()),
+        echo: Some(sync_request()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
         entries: EntryCoverage {
             known_to: Some(at(43)),
@@ -121,10 +121,10 @@
 #[test]
 fn sync_request_round_trips() {
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
-        let entries = EntryQuery { known_to, ..ask().entries };
-        let ask = SyncRequest { entries, ..ask() };
-        let heard = decode_datagram(&encode_sync_request(&ask)).expect("a datagram");
-        assert_eq!(heard, DecodedDatagram::SyncRequest(ask));
+        let entries = EntryQuery { known_to, ..sync_request().entries };
+        let request = SyncRequest { entries, ..sync_request() };
+        let heard = decode_datagram(&encode_sync_request(&request)).expect("a datagram");
+        assert_eq!(heard, DecodedDatagram::SyncRequest(request));
     }
 }
 
