--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -71,7 +71,7 @@
     ModelLatency { token, begin: LatencyEstimate { ms: 32.0, answers: 30.0 } }
 }
 
-fn answer() -> GossipMessage {
+fn sync_response() -> GossipMessage {
     GossipMessage {
         name: "front-1".to_owned(),
         number: 5,
@@ -106,14 +106,14 @@
 
 #[test]
 fn sync_response_round_trips() {
-    let note = answer();
+    let note = sync_response();
     let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
 
 #[test]
 fn gossip_message_without_a_request_has_no_entry_coverage() {
-    let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
+    let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
     let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
     assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
 }
@@ -131,7 +131,7 @@
 #[test]
 fn listing_page_fits_into_a_datagram() {
     let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
-    let note = GossipMessage { changes, ..answer() };
+    let note = GossipMessage { changes, ..sync_response() };
     assert!(encode_gossip(&note, None, None).len() < DATAGRAM_LIMIT);
 }
 
@@ -144,7 +144,7 @@
 
     #[test]
     fn truncated_datagram_does_not_panic_the_decoder(length in 0_usize..300) {
-        let bytes = encode_gossip(&answer(), None, None);
+        let bytes = encode_gossip(&sync_response(), None, None);
         drop(decode_datagram(&bytes[..length.min(bytes.len())]));
     }
 }
@@ -170,7 +170,7 @@
 fn plan_of_a_thousand_routes_fits_into_a_sync_response_with_a_listing_page() {
     let record = plan_of_many_routes();
     let note =
-        GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..answer() };
+        GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..sync_response() };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
     let datagram = encode_gossip(&note, Some(&packed), None);
