--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -66,7 +66,7 @@
     BackendChange { id, at: at(number as u64), entry: Some(entry) }
 }
 
-fn pace(token_ms: f64) -> ModelLatency {
+fn latency(token_ms: f64) -> ModelLatency {
     let token = LatencyEstimate { ms: token_ms, answers: 12.0 };
     ModelLatency { token, begin: LatencyEstimate { ms: 32.0, answers: 30.0 } }
 }
@@ -97,7 +97,7 @@
         }],
         paces: vec![LatencyUpdate {
             service: "pool".to_owned(),
-            models: vec![pace(0.25), pace(1.5)],
+            models: vec![latency(0.25), latency(1.5)],
         }],
         duty_holders: vec![PeerSummary { name: "f-2".to_owned(), card: peer_info("f-2"), age_ms: 900 }],
         ..GossipMessage::default()
