--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -106,16 +106,16 @@
 
 #[test]
 fn sync_response_round_trips() {
-    let note = sync_response();
-    let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
+    let message = sync_response();
+    let heard = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), None));
 }
 
 #[test]
 fn gossip_message_without_a_request_has_no_entry_coverage() {
-    let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
-    let heard = decode_datagram(&encode_gossip(&note, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), None));
+    let message = GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
+    let heard = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), None));
 }
 
 #[test]
@@ -131,8 +131,8 @@
 #[test]
 fn listing_page_fits_into_a_datagram() {
     let changes = (0..CHANGES_PER_MESSAGE).map(change).collect();
-    let note = GossipMessage { changes, ..sync_response() };
-    assert!(encode_gossip(&note, None, None).len() < DATAGRAM_LIMIT);
+    let message = GossipMessage { changes, ..sync_response() };
+    assert!(encode_gossip(&message, None, None).len() < DATAGRAM_LIMIT);
 }
 
 proptest! {
@@ -169,16 +169,16 @@
 #[test]
 fn plan_of_a_thousand_routes_fits_into_a_sync_response_with_a_listing_page() {
     let record = plan_of_many_routes();
-    let note =
+    let message =
         GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..sync_response() };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
-    let datagram = encode_gossip(&note, Some(&packed), None);
+    let datagram = encode_gossip(&message, Some(&packed), None);
 
     assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * DATAGRAM_LIMIT));
     assert!(datagram.len() < DATAGRAM_LIMIT, "{} bytes", datagram.len());
     let heard = decode_datagram(&datagram).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(note), Some(vec![record])));
+    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), Some(vec![record])));
 }
 
 #[test]
