--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -107,15 +107,15 @@
 #[test]
 fn sync_response_round_trips() {
     let message = sync_response();
-    let heard = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), None));
+    let decoded = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
+    assert_eq!(decoded, DecodedDatagram::Gossip(Box::new(message), None));
 }
 
 #[test]
 fn gossip_message_without_a_request_has_no_entry_coverage() {
     let message = GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
-    let heard = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), None));
+    let decoded = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
+    assert_eq!(decoded, DecodedDatagram::Gossip(Box::new(message), None));
 }
 
 #[test]
@@ -123,8 +123,8 @@
     for known_to in [None, Some(TopicPosition::default()), Some(at(40))] {
         let entries = EntryQuery { known_to, ..sync_request().entries };
         let request = SyncRequest { entries, ..sync_request() };
-        let heard = decode_datagram(&encode_sync_request(&request)).expect("a datagram");
-        assert_eq!(heard, DecodedDatagram::SyncRequest(request));
+        let decoded = decode_datagram(&encode_sync_request(&request)).expect("a datagram");
+        assert_eq!(decoded, DecodedDatagram::SyncRequest(request));
     }
 }
 
@@ -177,8 +177,8 @@
 
     assert!(record.value.as_ref().is_some_and(|value| value.len() > 3 * DATAGRAM_LIMIT));
     assert!(datagram.len() < DATAGRAM_LIMIT, "{} bytes", datagram.len());
-    let heard = decode_datagram(&datagram).expect("a datagram");
-    assert_eq!(heard, DecodedDatagram::Gossip(Box::new(message), Some(vec![record])));
+    let decoded = decode_datagram(&datagram).expect("a datagram");
+    assert_eq!(decoded, DecodedDatagram::Gossip(Box::new(message), Some(vec![record])));
 }
 
 #[test]
