--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -184,14 +184,14 @@
 #[test]
 fn deleted_key_round_trips_without_a_value() {
     let record = KeyedRecord { at: at(7), key: "rollout/pool".to_owned(), value: None };
-    let told = PackedRecords::pack(std::slice::from_ref(&record)).unpack().expect("records");
-    assert_eq!(told, [record]);
+    let unpacked = PackedRecords::pack(std::slice::from_ref(&record)).unpack().expect("records");
+    assert_eq!(unpacked, [record]);
 }
 
 #[test]
 fn oversized_records_are_not_inflated() {
     let value = Some(vec![0; INFLATED_LIMIT]);
     let record = KeyedRecord { at: at(7), key: "config".to_owned(), value };
-    let told = PackedRecords::pack(std::slice::from_ref(&record)).unpack();
-    assert!(matches!(told, Err(PackedError::TooLong)));
+    let unpacked = PackedRecords::pack(std::slice::from_ref(&record)).unpack();
+    assert!(matches!(unpacked, Err(PackedError::TooLong)));
 }
