--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -9,7 +9,7 @@
 use ravenspoke_standins::platform::site_box::SiteBox;
 
 /// Time between two requests of callers.
-const BETWEEN: Duration = Duration::from_millis(25);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Rest that the replica asks for.
 const REST: Duration = Duration::from_secs(3);
@@ -38,7 +38,7 @@
 /// Requests come for a while; gives their statuses.
 async fn ask_for(site: &RunningSite, subject: &SiteBox, length: Duration) -> Vec<u16> {
     let began = Instant::now();
-    let mut beat = tokio::time::interval(BETWEEN);
+    let mut beat = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
     while began.elapsed() < length {
         beat.tick().await;
@@ -54,7 +54,7 @@
     let (site, subject, first, _second) = site_of_two().await;
     first.say_leaving();
     wait_for("an answer that says so", || async {
-        ask_for(&site, &subject, BETWEEN).await;
+        ask_for(&site, &subject, REQUEST_INTERVAL).await;
         (!first.runs().is_empty()).then_some(())
     })
     .await;
