--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -12,7 +12,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Rest that the replica asks for.
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 
 /// A request that reaches the replica so soon after its word was under way.
 const UNDER_WAY: Duration = Duration::from_millis(500);
@@ -70,13 +70,13 @@
 async fn replica_gets_no_requests_during_its_requested_backoff() {
     let (site, subject, first, _second) = site_of_two().await;
     first.set_mode(ReplicaMode::Full);
-    first.set_rest(Some(REST.as_secs_f64()));
+    first.set_rest(Some(BACKOFF.as_secs_f64()));
 
-    let statuses = ask_for(&site, &subject, REST).await;
+    let statuses = ask_for(&site, &subject, BACKOFF).await;
 
     let turned_away = first.turned_away();
     let word = *turned_away.first().expect("it got one");
-    let resting = word + UNDER_WAY..word + REST;
+    let resting = word + UNDER_WAY..word + BACKOFF;
     let got = turned_away.iter().filter(|at| resting.contains(*at)).count();
     assert!(got <= RESTING_ALLOWED, "{got} requests while it rested");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
