--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -15,7 +15,7 @@
 const BACKOFF: Duration = Duration::from_secs(3);
 
 /// A request that reaches the replica so soon after its word was under way.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 /// Requests that may reach a replica while it rests.
 const RESTING_ALLOWED: usize = 2;
@@ -76,7 +76,7 @@
 
     let turned_away = first.turned_away();
     let word = *turned_away.first().expect("it got one");
-    let resting = word + UNDER_WAY..word + BACKOFF;
+    let resting = word + IN_FLIGHT_TIME..word + BACKOFF;
     let got = turned_away.iter().filter(|at| resting.contains(*at)).count();
     assert!(got <= RESTING_ALLOWED, "{got} requests while it rested");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
