--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -18,7 +18,7 @@
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 /// Requests that may reach a replica while it rests.
-const RESTING_ALLOWED: usize = 2;
+const BACKOFF_REQUESTS_ALLOWED: usize = 2;
 
 /// A box before two replicas, `i-first` and `i-second`.
 async fn site_of_two() -> (RunningSite, SiteBox, ReplicaStandin, ReplicaStandin) {
@@ -78,6 +78,6 @@
     let word = *turned_away.first().expect("it got one");
     let resting = word + IN_FLIGHT_TIME..word + BACKOFF;
     let got = turned_away.iter().filter(|at| resting.contains(*at)).count();
-    assert!(got <= RESTING_ALLOWED, "{got} requests while it rested");
+    assert!(got <= BACKOFF_REQUESTS_ALLOWED, "{got} requests while it rested");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
 }
