--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -36,7 +36,7 @@
 }
 
 /// Requests come for a while; gives their statuses.
-async fn ask_for(site: &RunningSite, subject: &SiteBox, length: Duration) -> Vec<u16> {
+async fn send_requests_for(site: &RunningSite, subject: &SiteBox, length: Duration) -> Vec<u16> {
     let began = Instant::now();
     let mut beat = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
@@ -54,13 +54,13 @@
     let (site, subject, first, _second) = site_of_two().await;
     first.say_leaving();
     wait_for("an answer that says so", || async {
-        ask_for(&site, &subject, REQUEST_INTERVAL).await;
+        send_requests_for(&site, &subject, REQUEST_INTERVAL).await;
         (!first.runs().is_empty()).then_some(())
     })
     .await;
 
     let before = first.runs().len();
-    let statuses = ask_for(&site, &subject, Duration::from_secs(1)).await;
+    let statuses = send_requests_for(&site, &subject, Duration::from_secs(1)).await;
 
     assert_eq!(first.runs().len(), before, "the store has not said so yet");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
@@ -72,7 +72,7 @@
     first.set_mode(ReplicaMode::Full);
     first.set_rest(Some(BACKOFF.as_secs_f64()));
 
-    let statuses = ask_for(&site, &subject, BACKOFF).await;
+    let statuses = send_requests_for(&site, &subject, BACKOFF).await;
 
     let turned_away = first.turned_away();
     let word = *turned_away.first().expect("it got one");
