--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -38,10 +38,10 @@
 /// Requests come for a while; gives their statuses.
 async fn send_requests_for(site: &RunningSite, subject: &SiteBox, length: Duration) -> Vec<u16> {
     let began = Instant::now();
-    let mut beat = tokio::time::interval(REQUEST_INTERVAL);
+    let mut ticks = tokio::time::interval(REQUEST_INTERVAL);
     let mut statuses = Vec::new();
     while began.elapsed() < length {
-        beat.tick().await;
+        ticks.tick().await;
         let id = format!("r-{:?}-{}", began, statuses.len());
         let asked = site.request(subject, "POST", "/read/x", &id).body("b");
         statuses.push(asked.send().await.map_or(0, |answer| answer.status().as_u16()));
