--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -43,8 +43,8 @@
     while began.elapsed() < length {
         ticks.tick().await;
         let id = format!("r-{:?}-{}", began, statuses.len());
-        let asked = site.request(subject, "POST", "/read/x", &id).body("b");
-        statuses.push(asked.send().await.map_or(0, |answer| answer.status().as_u16()));
+        let request = site.request(subject, "POST", "/read/x", &id).body("b");
+        statuses.push(request.send().await.map_or(0, |response| response.status().as_u16()));
     }
     statuses
 }
