--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -27,14 +27,14 @@
 }
 
 /// Whether a box reads the store for the others, by its log.
-fn reads(subject: &SiteBox) -> bool {
+fn is_store_reader(subject: &SiteBox) -> bool {
     subject.events("reader_moved").last().is_some_and(|event| event["reads"] == true)
 }
 
 /// Waits until three boxes read for the others, and gives those that don't.
 async fn boxes_that_are_told(boxes: &[SiteBox]) -> Vec<&SiteBox> {
     wait_for("three boxes read for the others", || async {
-        let (reading, told): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| reads(subject));
+        let (reading, told): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| is_store_reader(subject));
         (reading.len() == 3).then_some(told)
     })
     .await
@@ -135,7 +135,7 @@
 #[tokio::test]
 async fn slow_store_does_not_make_plans_stale() {
     let (site, boxes) = site_of(2).await;
-    wait_for("both boxes read", || async { boxes.iter().all(reads).then_some(()) }).await;
+    wait_for("both boxes read", || async { boxes.iter().all(is_store_reader).then_some(()) }).await;
     site.store.set_faults(StoreFaults { slow_ms: 2_500, ..StoreFaults::default() });
 
     let until = Instant::now() + Duration::from_secs(12);
