--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -32,7 +32,7 @@
 }
 
 /// Waits until three boxes read for the others, and gives those that don't.
-async fn boxes_that_are_told(boxes: &[SiteBox]) -> Vec<&SiteBox> {
+async fn wait_for_non_readers(boxes: &[SiteBox]) -> Vec<&SiteBox> {
     wait_for("three boxes read for the others", || async {
         let (reading, told): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| is_store_reader(subject));
         (reading.len() == 3).then_some(told)
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
-    let told = boxes_that_are_told(&boxes).await;
+    let told = wait_for_non_readers(&boxes).await;
     let only = told.iter().map(|subject| subject.ip).collect();
     site.store.set_faults(StoreFaults { only, rate: 500_000, ..StoreFaults::default() });
 
@@ -75,7 +75,7 @@
 #[tokio::test]
 async fn box_learns_a_long_plan_after_a_short_store_outage() {
     let (site, boxes) = site_of(5).await;
-    let told = boxes_that_are_told(&boxes).await;
+    let told = wait_for_non_readers(&boxes).await;
     let only = told.iter().map(|subject| subject.ip).collect();
     let outage = StoreOutage::Reset;
     site.store.set_faults(StoreFaults { only, outage, ..StoreFaults::default() });
