--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -34,8 +34,8 @@
 /// Waits until three boxes read for the others, and gives those that don't.
 async fn wait_for_non_readers(boxes: &[SiteBox]) -> Vec<&SiteBox> {
     wait_for("three boxes read for the others", || async {
-        let (reading, told): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| is_store_reader(subject));
-        (reading.len() == 3).then_some(told)
+        let (reading, non_readers): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| is_store_reader(subject));
+        (reading.len() == 3).then_some(non_readers)
     })
     .await
 }
@@ -58,29 +58,29 @@
 #[tokio::test]
 async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
-    let told = wait_for_non_readers(&boxes).await;
-    let only = told.iter().map(|subject| subject.ip).collect();
+    let non_readers = wait_for_non_readers(&boxes).await;
+    let only = non_readers.iter().map(|subject| subject.ip).collect();
     site.store.set_faults(StoreFaults { only, rate: 500_000, ..StoreFaults::default() });
 
     site.write_long_plan(2, &[SITE_KEY], MANY_ROUTES);
 
-    for subject in told {
+    for subject in non_readers {
         let took = time_until_in_force(subject, 2).await;
         assert!(took < Duration::from_secs(6), "{took:?}, for 1.1 MB at 500 KB a second");
     }
 }
 
-// The same boxes were told by no other what the plan is, since it did not fit into a datagram, and did not ask the store
+// The same boxes were non_readers by no other what the plan is, since it did not fit into a datagram, and did not ask the store
 // again for 20 s after one failed call, though it answered each call of the others.
 #[tokio::test]
 async fn box_learns_a_long_plan_after_a_short_store_outage() {
     let (site, boxes) = site_of(5).await;
-    let told = wait_for_non_readers(&boxes).await;
-    let only = told.iter().map(|subject| subject.ip).collect();
+    let non_readers = wait_for_non_readers(&boxes).await;
+    let only = non_readers.iter().map(|subject| subject.ip).collect();
     let outage = StoreOutage::Reset;
     site.store.set_faults(StoreFaults { only, outage, ..StoreFaults::default() });
     site.write_long_plan(2, &[SITE_KEY], MANY_ROUTES);
-    for subject in &told {
+    for subject in &non_readers {
         wait_for("the box lost the store", || async {
             (!subject.events("store_lost").is_empty()).then_some(())
         })
@@ -89,7 +89,7 @@
 
     site.store.set_faults(StoreFaults::default());
 
-    for subject in told {
+    for subject in non_readers {
         let took = time_until_in_force(subject, 2).await;
         assert!(took < Duration::from_secs(3), "{took:?} after the store was back");
     }
