--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -139,13 +139,13 @@
     site.store.set_faults(StoreFaults { slow_ms: 2_500, ..StoreFaults::default() });
 
     let until = Instant::now() + Duration::from_secs(12);
-    let mut pace = tokio::time::interval(Duration::from_millis(20));
+    let mut ticks = tokio::time::interval(Duration::from_millis(20));
     let mut served = 0;
     while Instant::now() < until {
-        pace.tick().await;
+        ticks.tick().await;
         for subject in &boxes {
-            let answer = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
-            served += u32::from(answer.expect("an answer").status() == 200);
+            let response = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
+            served += u32::from(response.expect("an response").status() == 200);
         }
     }
 
