--- a/crates/box/tests/store_restores.rs
+++ b/crates/box/tests/store_restores.rs
@@ -32,7 +32,7 @@
 }
 
 /// Lets the store be away until all boxes have lost it.
-async fn take_away(site: &RunningSite, boxes: &[SiteBox]) {
+async fn make_unreachable(site: &RunningSite, boxes: &[SiteBox]) {
     site.store.set_faults(StoreFaults { outage: StoreOutage::Reset, ..StoreFaults::default() });
     wait_for("all boxes lost the store", || async {
         boxes.iter().all(|subject| !subject.events("store_lost").is_empty()).then_some(())
@@ -59,7 +59,7 @@
 #[tokio::test]
 async fn plan_at_a_reused_offset_comes_into_force() {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
-    take_away(&site, &boxes).await;
+    make_unreachable(&site, &boxes).await;
     drop(site.store.restore(copy));
 
     // The topic ends where it ended before, so that a read from there finds nothing.
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn plan_in_a_topic_shortened_by_a_restore_comes_into_force() {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
-    take_away(&site, &boxes).await;
+    make_unreachable(&site, &boxes).await;
     let lost = site.store.restore(copy);
     site.store.set_faults(StoreFaults::default());
     site.store.write_again(lost);
@@ -87,7 +87,7 @@
 async fn restore_with_rewritten_records_causes_no_refusals_or_extra_listings()
 {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
-    take_away(&site, &boxes).await;
+    make_unreachable(&site, &boxes).await;
     let lost = site.store.restore(copy);
     site.store.write_again(lost);
     site.store.set_faults(StoreFaults::default());
