--- a/crates/box/tests/store_restores.rs
+++ b/crates/box/tests/store_restores.rs
@@ -99,12 +99,12 @@
 
     // Longer than a key may be honoured without a sound read.
     let until = Instant::now() + Duration::from_secs(6);
-    let mut pace = tokio::time::interval(Duration::from_millis(100));
+    let mut ticks = tokio::time::interval(Duration::from_millis(100));
     while Instant::now() < until {
-        pace.tick().await;
+        ticks.tick().await;
         for subject in &boxes {
-            let answer = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
-            assert_eq!(answer.expect("an answer").status(), 200);
+            let response = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
+            assert_eq!(response.expect("an response").status(), 200);
         }
     }
 
