--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -21,7 +21,7 @@
 /// A seed that is played on its own.
 const LONE_SEED: u64 = 2;
 
-async fn assert_no_promise_is_broken(seeds: BTreeSet<u64>) {
+async fn assert_guarantees_hold(seeds: BTreeSet<u64>) {
     let binary = Path::new(env!("CARGO_BIN_EXE_ravenspoked"));
     let runs: Vec<_> =
         seeds.into_iter().map(|seed| (seed, tokio::spawn(play(binary, seed)))).collect();
@@ -41,12 +41,12 @@
     let mut seeds: BTreeSet<u64> = SEEDS.into_iter().chain(failed_seeds()).collect();
     seeds.remove(&LONE_SEED);
 
-    assert_no_promise_is_broken(seeds).await;
+    assert_guarantees_hold(seeds).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_box_holds_no_unread_request() {
-    assert_no_promise_is_broken(BTreeSet::from([LONE_SEED])).await;
+    assert_guarantees_hold(BTreeSet::from([LONE_SEED])).await;
 }
 
 // Requests that boxes cut while they stopped, and sessions moved back by boxes that started and stopped in a trial.
