--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -26,11 +26,11 @@
     let runs: Vec<_> =
         seeds.into_iter().map(|seed| (seed, tokio::spawn(play(binary, seed)))).collect();
     for (seed, run) in runs {
-        assert_kept(seed, &run.await.expect("the run ends"));
+        assert_report(seed, &run.await.expect("the run ends"));
     }
 }
 
-fn assert_kept(seed: u64, report: &SoakReport) {
+fn assert_report(seed: u64, report: &SoakReport) {
     let found = report.broken.join("\n");
     assert!(report.broken.is_empty(), "seed {seed}, {:#?}\n{found}", report.faults);
     assert!(report.served > report.asks / 4, "seed {seed}: {} served", report.served);
@@ -57,6 +57,6 @@
         .map(|seed| tokio::spawn(async move { (seed, play_series(binary, seed).await) }))
     {
         let (seed, report) = run.await.expect("the run ends");
-        assert_kept(seed, &report);
+        assert_report(seed, &report);
     }
 }
