--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -19,7 +19,7 @@
 const SERIES_SEEDS: [u64; 4] = [1004, 1005, 1007, 2001];
 
 /// A seed that is played on its own.
-const LONE_SEED: u64 = 2;
+const SEPARATE_SEED: u64 = 2;
 
 async fn assert_guarantees_hold(seeds: BTreeSet<u64>) {
     let binary = Path::new(env!("CARGO_BIN_EXE_ravenspoked"));
@@ -39,14 +39,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_under_faults() {
     let mut seeds: BTreeSet<u64> = SEEDS.into_iter().chain(failed_seeds()).collect();
-    seeds.remove(&LONE_SEED);
+    seeds.remove(&SEPARATE_SEED);
 
     assert_guarantees_hold(seeds).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn stopped_box_holds_no_unread_request() {
-    assert_guarantees_hold(BTreeSet::from([LONE_SEED])).await;
+    assert_guarantees_hold(BTreeSet::from([SEPARATE_SEED])).await;
 }
 
 // Requests that boxes cut while they stopped, and sessions moved back by boxes that started and stopped in a trial.
