--- a/crates/box/tests/platform.rs
+++ b/crates/box/tests/platform.rs
@@ -32,7 +32,7 @@
 
 /// Waits until callers can connect, without a pause between two tries: what comes next must meet the box
 /// while it starts.
-async fn wait_until_it_listens(subject: &SiteBox) {
+async fn wait_until_listening(subject: &SiteBox) {
     let until = Instant::now() + Duration::from_secs(10);
     while TcpStream::connect(subject.entry_address()).await.is_err() {
         assert!(Instant::now() < until, "the box does not listen");
@@ -367,7 +367,7 @@
     let mut site = site().await;
     for number in 0..4 {
         let mut subject = site.start_box(&format!("box-{number}"));
-        wait_until_it_listens(&subject).await;
+        wait_until_listening(&subject).await;
         subject.signal("HUP");
         wait_for("it is ready", || async { subject.ready().await.then_some(()) }).await;
         assert_eq!(subject.exit_code(), None);
