--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -291,13 +291,13 @@
 
     let ended = [ended.0, ended.1, ended.2];
     let won = ended.iter().filter(|output| output.status.success()).count();
-    let told = ended
+    let informed = ended
         .iter()
         .filter(|output| output.status.code() == Some(1))
         .filter(|output| String::from_utf8_lossy(&output.stderr).contains("came first"))
         .count();
-    println!("counted race: operators 3, won {won}, told who won {told}");
-    assert_eq!((won, told), (1, 2));
+    println!("counted race: operators 3, won {won}, told who won {informed}");
+    assert_eq!((won, informed), (1, 2));
     let mut digests = Vec::new();
     for index in 0..3 {
         digests.push(fleet.state(index).await.expect("a dump")["digest"].clone());
