--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -128,7 +128,9 @@
     let mut found = Vec::new();
     sources(Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/src")), "", &mut found);
     let monotonic = found.iter().filter(|(_, text)| text.contains("Instant::now"));
-    let others: Vec<&str> =
-        monotonic.map(|row| row.0.as_str()).filter(|name| !MONOTONIC_CLOCK_SOURCES.contains(name)).collect();
+    let others: Vec<&str> = monotonic
+        .map(|row| row.0.as_str())
+        .filter(|name| !MONOTONIC_CLOCK_SOURCES.contains(name))
+        .collect();
     assert_eq!(others, Vec::<&str>::new());
 }
--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -99,7 +99,11 @@
             service: "pool".to_owned(),
             models: vec![latency(0.25), latency(1.5)],
         }],
-        duty_holders: vec![PeerSummary { name: "f-2".to_owned(), card: peer_info("f-2"), age_ms: 900 }],
+        duty_holders: vec![PeerSummary {
+            name: "f-2".to_owned(),
+            card: peer_info("f-2"),
+            age_ms: 900,
+        }],
         ..GossipMessage::default()
     }
 }
@@ -113,7 +117,8 @@
 
 #[test]
 fn gossip_message_without_a_request_has_no_entry_coverage() {
-    let message = GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
+    let message =
+        GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
     let decoded = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
     assert_eq!(decoded, DecodedDatagram::Gossip(Box::new(message), None));
 }
@@ -169,8 +174,10 @@
 #[test]
 fn plan_of_a_thousand_routes_fits_into_a_sync_response_with_a_listing_page() {
     let record = plan_of_many_routes();
-    let message =
-        GossipMessage { changes: (0..CHANGES_PER_MESSAGE).map(change).collect(), ..sync_response() };
+    let message = GossipMessage {
+        changes: (0..CHANGES_PER_MESSAGE).map(change).collect(),
+        ..sync_response()
+    };
 
     let packed = PackedRecords::pack(std::slice::from_ref(&record));
     let datagram = encode_gossip(&message, Some(&packed), None);
--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -34,7 +34,8 @@
 /// Waits until three boxes read for the others, and gives those that don't.
 async fn wait_for_non_readers(boxes: &[SiteBox]) -> Vec<&SiteBox> {
     wait_for("three boxes read for the others", || async {
-        let (readers, non_readers): (Vec<_>, Vec<_>) = boxes.iter().partition(|subject| is_store_reader(subject));
+        let (readers, non_readers): (Vec<_>, Vec<_>) =
+            boxes.iter().partition(|subject| is_store_reader(subject));
         (readers.len() == 3).then_some(non_readers)
     })
     .await
--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -54,7 +54,8 @@
 
     let arrivals: Vec<Instant> = limited.runs().iter().map(|run| run.at).collect();
     let bounded = arrivals.iter().filter(|at| **at >= limited_at + LIMIT_DELAY);
-    let within = |from: Instant| arrivals.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
+    let within =
+        |from: Instant| arrivals.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
     let fullest = bounded.map(|at| within(*at)).max().unwrap_or(0);
     assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest span");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
--- a/crates/box/tests/store_restores.rs
+++ b/crates/box/tests/store_restores.rs
@@ -84,8 +84,7 @@
 }
 
 #[tokio::test]
-async fn restore_with_rewritten_records_causes_no_refusals_or_extra_listings()
-{
+async fn restore_with_rewritten_records_causes_no_refusals_or_extra_listings() {
     let (site, boxes, copy) = site_copied_at_plan_3().await;
     make_unreachable(&site, &boxes).await;
     let lost = site.store.restore(copy);
