--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -57,7 +57,7 @@
     SyncRequest(String, SyncRequest),
     /// A request for usage counts.
     UsageRequest(Vec<String>, UsageRequest),
-    /// The usage counts.
+    /// A response with usage counts.
     UsageResponse(String, UsageResponse),
 }
 
