--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -122,7 +122,7 @@
     bytes.len()
 }
 
-/// Encodes a message with the operator's records that the sync request lacks, if all fit into a
+/// Encodes a message with the operator's records that the requesting box lacks, if all fit into a
 /// datagram. A box that receives replica entries without the records sends another request, and a
 /// box that needs more than a datagram reads the store.
 fn encode_with_records(
