--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -102,7 +102,7 @@
     gossip: Option<WireGossip>,
     #[prost(message, optional, tag = "2")]
     sync_request: Option<WireSyncRequest>,
-    /// The operator's records that the sync request lacks, packed; not set where they are omitted.
+    /// The operator's records that the requesting box lacks, packed; not set if they are omitted.
     #[prost(bytes = "vec", optional, tag = "5")]
     records: Option<Vec<u8>>,
     #[prost(message, optional, tag = "4")]
