--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -25,7 +25,7 @@
     changes: Vec<WireChange>,
 }
 
-/// Identity of a page. A change of one of its replicas moves that replica to another page.
+/// Identity of a page. A change of one of its replicas moves that replica out of the page.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PageKey {
     first: TopicPosition,
