--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -35,7 +35,7 @@
     known_to: Option<WirePosition>,
     #[prost(uint64, optional, tag = "2")]
     age_ms: Option<u64>,
-    /// Set on a page of a listing, with the start of the next page.
+    /// Set on a page of a listing. `page_next` is the start of the next page.
     #[prost(message, optional, tag = "6")]
     page_end: Option<WirePosition>,
     #[prost(message, optional, tag = "7")]
