--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -304,7 +304,7 @@
 async fn drain(settings: &GatewaySettings, driver: &GatewayDriver, entry: &mut GatewayEntry) {
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-    // Callers cache addresses for the TTL plus a margin, then look for another box.
+    // Callers cache addresses for the TTL, some of them longer, and then look for another box.
     let advertised_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
     stop.wait_until(advertised_ms).await;
     entry.close_idle();
