--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -42,8 +42,8 @@
 /// milliseconds.
 pub const RETRY_POLL_MS: u64 = 50;
 
-/// Retry pause of a box that is behind the position that gossip has named but could not receive the
-/// records, in milliseconds. A confirmed plan must be in force within two or three seconds.
+/// Retry pause of a box that is behind because other boxes could not send it what they have read,
+/// in milliseconds. A confirmed plan must be in force within two or three seconds.
 pub const RETRY_BEHIND_MS: u64 = 500;
 
 /// Interval at which a box checks whether the store was restored from a copy, in milliseconds. It
