--- a/crates/box/tests/catalogue.rs
+++ b/crates/box/tests/catalogue.rs
@@ -1,4 +1,5 @@
-//! docs/EVENTS.md and the code name the same events; the stream reader takes any bytes.
+//! Tests that docs/EVENTS.md and the code list the same events, and that the stream reader accepts
+//! arbitrary bytes.
 
 use proptest::prelude::*;
 use ravenspoke_box::observe::EVENT_CATALOGUE;
