--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The box's clock: it counts suspensions, and waits end by it.
+//! Tests of the box's clock: it counts time in suspension, and waits end by it.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use tokio::sync::mpsc::{channel, unbounded_channel};
 
-/// Longer than a test may take.
+/// A time longer than any test takes.
 const TEST_LIMIT: Duration = Duration::from_secs(60);
 
 fn clock() -> BoxClock {
@@ -36,7 +36,7 @@
 async fn wait_across_a_suspension_ends_soon_after_it() {
     let clock = clock();
     let wait = clock.within(TEST_LIMIT, std::future::pending::<()>());
-    // It is polled after the wait, which has begun by then.
+    // Polled after the wait, which has begun by then.
     let wake = async { clock.skip(TEST_LIMIT) };
     let ended = tokio::time::timeout(TEST_LIMIT / 4, async { tokio::join!(wait, wake).0 }).await;
     assert_eq!(ended, Ok(None));
@@ -59,7 +59,7 @@
     assert_eq!(watch.look(&clock), None);
 }
 
-/// A driver whose box has a plan, read a moment ago, and may rely on it for [`TEST_LIMIT`] at most.
+/// A driver whose box has just read a plan, and may rely on it for [`TEST_LIMIT`] at most.
 fn driver_with_plan(clock: Arc<BoxClock>) -> GatewayDriver {
     let settings = RouteSettings {
         name: "box-1".to_owned(),
@@ -100,8 +100,8 @@
     assert!(!driver.state().ready(driver.now()));
 }
 
-/// Sources that read the monotonic clock: for what is logged, how often something is done, and how long a call to the store
-/// under way has been.
+/// Sources that may read the monotonic clock: for logs, for intervals of periodic work, and for the
+/// age of open store calls.
 const MONOTONIC_CLOCK_SOURCES: [&str; 5] = [
     "clock.rs",
     "gateway/exchange.rs",
@@ -110,7 +110,7 @@
     "gateway/store_calls.rs",
 ];
 
-/// Sources of the box, by their paths below `src`.
+/// Collects the sources of the box with their paths below `src`.
 fn sources(directory: &Path, below: &str, found: &mut Vec<(String, String)>) {
     for entry in std::fs::read_dir(directory).expect("sources") {
         let path = entry.expect("an entry").path();
