--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -1,6 +1,8 @@
-//! The entry of a box at its start and its planned stop: what a caller sends is answered, or no connection comes about.
+//! Tests of a box's entry at its start and its planned stop: each request is answered, or the
+//! connection is refused.
 //!
-//! Boxes run as processes before the stand-ins of the platform. Waiting is on a condition with a bound.
+//! Boxes run as processes with stand-ins of the platform. Tests wait for conditions with a time
+//! limit.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,19 +16,19 @@
 use tokio::net::TcpStream;
 use tokio::sync::Mutex;
 
-/// Callers keep an answer about addresses for so long.
+/// Time for which callers cache the directory's addresses.
 const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
-/// Time that a site's requests give.
+/// Timeout of the requests of a site.
 const DEADLINE: Duration = Duration::from_millis(3_500);
 
-/// Allowed beyond it: what a request takes on its way.
+/// Allowance for the time that a request takes on its way.
 const SLACK: Duration = Duration::from_millis(100);
 
-/// Requests that are sent while a box stops.
+/// Maximum number of requests that are sent while a box stops.
 const REQUESTS: u32 = 100;
 
-/// A site with a plan, a replica and a box that is ready.
+/// A site with a plan, a replica and a ready box.
 async fn site_with_a_box() -> (RunningSite, ReplicaStandin, SiteBox) {
     let mut site = new_site().await;
     let replica = site.start_replica("i-1", 3, 1).await;
@@ -40,7 +42,7 @@
     site
 }
 
-/// Asks a box to stop and waits until it has begun.
+/// Signals a box to stop, and waits until the stop has begun.
 async fn begin_stop(subject: &SiteBox) {
     subject.signal("TERM");
     wait_for("the stop has begun", || async {
@@ -49,10 +51,10 @@
     .await;
 }
 
-/// Status of a request, and whether its answer ends the connection.
+/// Sends a request; returns its status and whether the response closes the connection.
 async fn send_request(site: &RunningSite, subject: &SiteBox, id: &str) -> (u16, bool) {
     let response = site.request(subject, "POST", "/file/x", id).body("body").send().await;
-    let response = response.expect("a request that was taken is answered");
+    let response = response.expect("an accepted request is answered");
     let closes = response.headers().get("connection").is_some_and(|value| value == "close");
     let status = response.status().as_u16();
     response.bytes().await.expect("a whole response");
@@ -64,7 +66,8 @@
     TcpStream::connect(address).await
 }
 
-// Each connection that was opened during a stop was closed unread if the stop was looked at before the socket.
+// Connections opened during a stop were closed unread if the task checked the stop before it read
+// the socket.
 #[tokio::test]
 async fn stopping_box_answers_requests_on_new_connections() {
     let (mut site, _replica, subject) = site_with_a_box().await;
@@ -90,7 +93,7 @@
     assert_eq!(send_request(&site, &subject, "after").await, (200, true));
 }
 
-// Callers whose connections nobody took were cut when the box ended.
+// Connections that were not accepted yet were reset when the box exited.
 #[tokio::test]
 async fn box_stopped_while_starting_answers_connected_callers() {
     let mut site = new_site().await;
@@ -126,13 +129,14 @@
     let _replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_box("box-1");
 
-    wait_for("a connection comes about", || async { connect(&subject).await.ok() }).await;
+    wait_for("a connection is accepted", || async { connect(&subject).await.ok() }).await;
     let answer = send_request(&site, &subject, "early").await;
 
     assert_eq!(answer, (200, false));
 }
 
-// What the kernel held while a box started was taken for new: a call was answered 504 after its caller's time.
+// The time that a connection waited in the kernel was not counted, so a call got a 504 after its
+// caller's deadline.
 #[tokio::test]
 async fn wait_for_a_starting_box_counts_against_the_deadline() {
     let mut site = new_site().await;
@@ -140,7 +144,7 @@
     site.store.set_faults(StoreFaults { slow_ms: 200, ..StoreFaults::default() });
     let subject = site.start_box("box-1");
 
-    wait_for("a connection comes about", || async { connect(&subject).await.ok() }).await;
+    wait_for("a connection is accepted", || async { connect(&subject).await.ok() }).await;
     let sent_at = Instant::now();
     assert_eq!(send_request(&site, &subject, "early").await, (200, false));
 
@@ -148,7 +152,7 @@
     let given = run.headers.iter().find(|(name, _)| name == "x-ravenspoke-deadline-ms");
     let given_ms = given.and_then(|(_, value)| value.parse().ok()).expect("a deadline");
     let waited = run.at - sent_at;
-    assert!(waited > Duration::from_millis(200), "the box knew the site after {waited:?}");
+    assert!(waited > Duration::from_millis(200), "the box was synced after {waited:?}");
     let ends_after = waited + Duration::from_millis(given_ms);
     assert!(ends_after < DEADLINE + SLACK, "{given_ms} ms after {waited:?}");
 }
