--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -1,7 +1,9 @@
-//! The operator empties availability zones: real boxes before the stand-ins of the platform.
+//! Tests of evacuations of availability zones, with boxes as processes and stand-ins of the
+//! platform.
 //!
-//! On a day on which zones were emptied, 5,896 requests were sent to replicas of such zones
-//! more than five seconds after the store had confirmed the order: nobody read it.
+//! They guard against orders that no box reads: on one day with evacuations, 5,896 requests were
+//! sent to replicas of evacuated zones more than five seconds after the store had confirmed the
+//! order.
 
 use std::path::Path;
 use std::time::Duration;
@@ -15,13 +17,15 @@
 use ravenspoke_standins::platform::store::{StoreFaults, StoreOutage};
 use serde_json::json;
 
-/// Requests that show where a box sends them: with two replicas of equal load, chance hides one of them in 2^-20.
+/// Number of requests that shows where a box sends them. With two replicas of equal load, the
+/// probability that one of them gets none is 2^-20.
 const REQUESTS: usize = 20;
 
-/// The operator's order reaches every box in touch within this: the least bound that the platform's pages give.
+/// Time within which an evacuation order must reach every connected box, the shortest one that the
+/// platform guarantees.
 const EVACUATE_WITHIN: Duration = Duration::from_millis(5_000);
 
-/// A store with a plan, and a replica in each of two zones.
+/// A site with a plan, and a replica in each of two zones.
 async fn two_zones() -> (RunningSite, ReplicaStandin, ReplicaStandin) {
     let site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -46,7 +50,7 @@
     site.store.drop_key(OPERATOR_TOPIC, &evacuation_key(zone));
 }
 
-/// Zones that a box takes for evacuated.
+/// The zones that a box considers evacuated.
 async fn evacuated(subject: &SiteBox) -> Option<Vec<String>> {
     let state = subject.state().await?;
     let zones = state["evacuated"].as_array()?;
@@ -68,7 +72,7 @@
     .await;
 }
 
-/// Asks often, and gives the statuses.
+/// Sends requests, and returns their statuses.
 async fn send_requests(site: &RunningSite, subject: &SiteBox, label: &str) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..REQUESTS {
@@ -94,7 +98,7 @@
     withdraw_evacuation(&site, "east");
     wait_evacuated(&subject, &[]).await;
     assert_eq!(send_requests(&site, &subject, "back").await, [200; REQUESTS]);
-    assert!(east.runs().len() > before, "a zone that is given back is used");
+    assert!(east.runs().len() > before, "a zone is used after its order is withdrawn");
 }
 
 #[tokio::test]
@@ -109,7 +113,7 @@
     let request = site.request(&subject, "POST", "/file/x", "none").body("b").send();
     let response = tokio::time::timeout(Duration::from_millis(500), request).await;
 
-    let response = response.expect("at once").expect("an response");
+    let response = response.expect("at once").expect("a response");
     assert_eq!(response.status(), 503);
     assert!(response.headers().contains_key("retry-after"));
     assert_eq!((east.runs().len(), west.runs().len()), (0, 0));
