--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -1,7 +1,7 @@
-//! Failures where the process is the point: boxes as processes, killed, stopped and replaced.
+//! Tests of process failures: boxes as processes that are killed, suspended and replaced.
 //!
-//! The stand-ins' own counts are the witness of what ran. Waiting is on a condition with a bound.
-//! Each test prints what it counted; docs/PROMISES.md has the table.
+//! The counters of the stand-ins show what ran. Tests wait for conditions with a time limit. Each
+//! test prints its counts; docs/PROMISES.md has the table.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -34,7 +34,7 @@
     )
 }
 
-/// Three boxes and two engines with a bundle in force, every box serving.
+/// Three boxes and two engines with a bundle in force, and every box serving.
 async fn fleet() -> RunningFleet {
     let engine = EngineFaults {
         versions: [V1.to_owned(), "small-2".to_owned()].into(),
@@ -85,7 +85,8 @@
     bills.iter().filter_map(|bill| bill["request"].as_str().map(str::to_owned)).collect()
 }
 
-/// Waits until every one of `answered` is billed; gives how many requests are billed twice.
+/// Waits until all of `answered` are billed; returns the number of bills whose request is billed
+/// more than once.
 async fn billed_twice(fleet: &RunningFleet, answered: &[String]) -> usize {
     let billed = wait_for("every bill is in the log", || async {
         let billed = billed_requests(fleet).await;
@@ -124,7 +125,7 @@
     let counts = service_counts(&fleet).await;
     println!("counted sigkill: sent {}, resent {}, statuses {ended:?}, ran {counts:?}", 12, 12);
     assert!(counts.values().all(|times| *times == 1), "{counts:?}");
-    assert!(said_not_run.iter().all(|key| !counts.contains_key(key)), "a refusal lied");
+    assert!(said_not_run.iter().all(|key| !counts.contains_key(key)), "a refused call ran");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -141,11 +142,11 @@
         .await;
     }
     let before = ran_on(&fleet, V1).await;
-    // Requests wait in the stopped box's sockets for longer than the lease.
+    // Requests wait in the suspended box's sockets for longer than the lease.
     let waiting: Vec<_> =
         (0..20).map(|_| tokio::spawn(fleet.chat(0, KEY, "small", false).send())).collect();
     let paused = std::time::Instant::now();
-    wait_for("the lease has lapsed", || async {
+    wait_for("the lease has expired", || async {
         (paused.elapsed() > Duration::from_millis(3_500)).then_some(())
     })
     .await;
@@ -187,7 +188,8 @@
                 assert_eq!(content(&text), reference, "a resumed stream repeats and skips nothing");
                 resumed += 1;
             }
-            // The connection was cut behind the typed error, so the client knows it is not whole.
+            // The connection was cut after the typed error, so the client knows that the stream is
+            // incomplete.
             Ok(text) => assert!(text.contains("stream_broken") && !whole(&text), "{text}"),
             Err(_) => typed += 1,
         }
@@ -394,7 +396,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn box_without_one_of_its_listeners_exits_and_names_the_address() {
-    // Found as a flaky test: with its operator port taken, a box went on serving callers unseen.
+    // With its operator port in use, a box kept serving callers without its operator listener.
     let mut fleet = fleet().await;
     let address = fleet.boxes[0].row.operator.clone();
     fleet.boxes[0].kill();
