--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams between boxes: what is written is read again, and any bytes are borne.
+//! Tests of the encoding of datagrams between boxes: messages round-trip, and arbitrary bytes do no
+//! harm.
 
 use proptest::prelude::*;
 use ravenspoke_adapter::store::KeyedRecord;
@@ -17,7 +18,8 @@
 use ravenspoke_core::route::retry_budget::SendCount;
 use ravenspoke_core::time::BoxTime;
 
-/// Largest datagram, in bytes; one of the operator's records may come with a listing's page.
+/// Maximum size of a datagram, in bytes. One of the operator's records may come with a listing
+/// page.
 const DATAGRAM_LIMIT: usize = ravenspoke_box::gateway::gossip::DATAGRAM_LIMIT;
 
 /// A position in the store's third era.
@@ -143,7 +145,7 @@
 proptest! {
     #[test]
     fn arbitrary_bytes_do_not_panic_the_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        // Whether they are a datagram or not: nothing is lost but they.
+        // A datagram that can't be decoded has no effect beyond its own loss.
         drop(decode_datagram(&bytes));
     }
 
@@ -154,7 +156,7 @@
     }
 }
 
-/// A plan of many routes, as the operator writes it.
+/// A plan of many routes, in the operator's format.
 fn plan_of_many_routes() -> KeyedRecord {
     let route = |number: u64| {
         let mixed = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
