--- a/crates/box/tests/leader.rs
+++ b/crates/box/tests/leader.rs
@@ -1,4 +1,5 @@
-//! What one box does for all: real boxes before stand-ins of the platform's store and API.
+//! Tests of the leader's work, with boxes as processes and stand-ins of the platform's store and
+//! API.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -18,7 +19,7 @@
     (site, cloud)
 }
 
-/// Reports by window, each with the counts that it said.
+/// Reported counts by window.
 fn reports(cloud: &CloudStandin) -> BTreeMap<u64, BTreeSet<String>> {
     let mut reports: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for call in cloud.calls().iter().filter(|call| call.path == "/usage") {
@@ -41,7 +42,7 @@
     .await;
 }
 
-/// Asks each box so many times, and gives the window in which the last answer came.
+/// Sends `times` requests to each box, and returns the usage window of the last response.
 async fn send_requests(site: &RunningSite, boxes: &[SiteBox], times: usize) -> u64 {
     for number in 0..times {
         for subject in boxes {
