--- a/crates/box/tests/messages.rs
+++ b/crates/box/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that no chat request may hold.
+//! Tests of the check of chat messages.
 
 use ravenspoke_box::messages::{check_messages, ROLES};
 use serde_json::json;
