--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -1,6 +1,7 @@
-//! Plans that come late: long ones over slow links, and a store that answers slowly.
+//! Tests of plans that arrive late: long plans on slow links, and a store that answers slowly.
 //!
-//! Boxes run as processes before the stand-ins of the platform. Waiting is on a condition with a bound.
+//! Boxes run as processes with stand-ins of the platform. Tests wait for conditions with a time
+//! limit.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -10,10 +11,10 @@
 use ravenspoke_standins::platform::site_box::SiteBox;
 use ravenspoke_standins::platform::store::{StoreFaults, StoreOutage};
 
-/// Routes of a plan that is too long for a datagram, packed.
+/// Number of routes of a plan that does not fit into a datagram even when packed.
 const MANY_ROUTES: u64 = 4_250;
 
-/// A site with `count` boxes that know the first plan.
+/// A site with `count` boxes that have the first plan.
 async fn site_of(count: usize) -> (RunningSite, Vec<SiteBox>) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -26,14 +27,14 @@
     (site, boxes)
 }
 
-/// Whether a box reads the store for the others, by its log.
+/// Whether the box is a store reader, according to its log.
 fn is_store_reader(subject: &SiteBox) -> bool {
     subject.events("reader_moved").last().is_some_and(|event| event["reads"] == true)
 }
 
-/// Waits until three boxes read for the others, and gives those that don't.
+/// Waits until three boxes are store readers, and returns the others.
 async fn wait_for_non_readers(boxes: &[SiteBox]) -> Vec<&SiteBox> {
-    wait_for("three boxes read for the others", || async {
+    wait_for("three boxes are store readers", || async {
         let (readers, non_readers): (Vec<_>, Vec<_>) =
             boxes.iter().partition(|subject| is_store_reader(subject));
         (readers.len() == 3).then_some(non_readers)
@@ -41,7 +42,7 @@
     .await
 }
 
-/// How long it takes until a box has a plan in force.
+/// Time until the box has the plan in force.
 async fn time_until_in_force(subject: &SiteBox, version: u64) -> Duration {
     let began = Instant::now();
     wait_for("the plan is in force", || async {
@@ -52,10 +53,9 @@
     began.elapsed()
 }
 
-// A plan of 890 KB came to boxes on links of 10 Mbit/s while all others read it as well. Their calls were given up 900 ms
-// after they began, with more than half of the bytes there: "store_lost: the store gave no answer to log-read: error
-// decoding response body" on 40 of 91 boxes, which ran requests by the old plan for 20 s. A call that brings bytes is
-// answered, however long it takes.
+// Guards against store calls that are cancelled while they bring bytes. With a plan of 890 KB on
+// links of 10 Mbit/s, calls were given up after 900 ms with more than half of the bytes received,
+// and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving bytes is answered, however long it takes.
 #[tokio::test]
 async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
@@ -71,8 +71,8 @@
     }
 }
 
-// The same boxes were non_readers by no other what the plan is, since it did not fit into a datagram, and did not ask the store
-// again for 20 s after one failed call, though it answered each call of the others.
+// Guards against a long retry pause of boxes that can't receive a plan by gossip because it does
+// not fit into a datagram: after one failed call they did not ask the store again for 20 s.
 #[tokio::test]
 async fn box_learns_a_long_plan_after_a_short_store_outage() {
     let (site, boxes) = site_of(5).await;
@@ -109,8 +109,8 @@
     }
 }
 
-// A store that took 1.6 s for each call was lost to every box: each call was given up after 0.9 s and begun anew, so that a
-// confirmed plan was in force nowhere before the store was quick again, 3.4 s later.
+// Guards against cancelled calls to a slow store: with 1.6 s for each call and a limit of 0.9 s, a
+// confirmed plan was in force on no box until the store was fast again 3.4 s later.
 #[tokio::test]
 async fn plan_is_read_from_a_slow_store() {
     let (site, boxes) = site_of(2).await;
@@ -130,9 +130,10 @@
     }
 }
 
-// While the store took 1.6 to 3.2 s for each call, 5,446 requests of a day were refused as "plan_stale", by plans up to 8.2 s
-// old: a read began only when the last had ended, or was given up. Reads that overlap keep the plan younger than a key
-// may be honoured, 4.6 s: one call and the time between two.
+// Guards against reads that begin only after the previous one has ended. While the store took 1.6
+// to 3.2 s for each call, 5,446 requests of a day were refused as "plan_stale", by plans up to 8.2
+// s old. Overlapping reads keep the plan younger than the 4.6 s for which a key may be honoured:
+// one call and the time between two.
 #[tokio::test]
 async fn slow_store_does_not_make_plans_stale() {
     let (site, boxes) = site_of(2).await;
@@ -146,7 +147,7 @@
         ticks.tick().await;
         for subject in &boxes {
             let response = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
-            served += u32::from(response.expect("an response").status() == 200);
+            served += u32::from(response.expect("a response").status() == 200);
         }
     }
 
