--- a/crates/box/tests/platform.rs
+++ b/crates/box/tests/platform.rs
@@ -1,6 +1,6 @@
-//! Routing boxes as processes before the stand-ins of the platform.
+//! Tests of routing boxes as processes with stand-ins of the platform.
 //!
-//! The stand-ins' own records are the witness of what ran. Waiting is on a condition with a bound.
+//! The records of the stand-ins show what ran. Tests wait for conditions with a time limit.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A store with a plan in it.
+/// A site with a plan in its store.
 async fn site() -> RunningSite {
     let site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -30,8 +30,8 @@
     .await;
 }
 
-/// Waits until callers can connect, without a pause between two tries: what comes next must meet the box
-/// while it starts.
+/// Waits until callers can connect, without a pause between attempts, so that the next action meets
+/// the box while it starts.
 async fn wait_until_listening(subject: &SiteBox) {
     let until = Instant::now() + Duration::from_secs(10);
     while TcpStream::connect(subject.entry_address()).await.is_err() {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Asks once for each id and gives the statuses.
+/// Sends one request for each id, and returns the statuses.
 async fn statuses(site: &RunningSite, subject: &SiteBox, path: &str, ids: &[&str]) -> Vec<u16> {
     let mut statuses = Vec::new();
     for id in ids {
@@ -118,8 +118,10 @@
     let replica = site.start_replica("i-1", 3, 1).await;
     let (first, second) = (site.start_ready("box-1").await, site.start_ready("box-2").await);
     wait_replicas(&first, 1).await;
-    wait_for("both are named", || async { (second.resolve().await?.len() == 2).then_some(()) })
-        .await;
+    wait_for("both are advertised", || async {
+        (second.resolve().await?.len() == 2).then_some(())
+    })
+    .await;
 
     let only = [first.ip].into();
     site.store.set_faults(StoreFaults { outage: StoreOutage::Silent, only, ..Default::default() });
@@ -135,7 +137,7 @@
     let ran = replica.runs().len();
     assert_eq!(statuses(&site, &first, "/file/x", &["a", "b"]).await, [503, 503]);
     assert_eq!(replica.runs().len(), ran);
-    wait_for("it is no longer named", || async {
+    wait_for("it is no longer advertised", || async {
         (second.resolve().await? == [second.entry_address()]).then_some(())
     })
     .await;
@@ -178,7 +180,7 @@
     let answer = site.request(&subject, "POST", "/file/x", "r1").send().await.expect("an answer");
     assert_eq!(answer.status(), 503);
     assert!(answer.headers().contains_key("retry-after"));
-    assert!(began.elapsed() < Duration::from_millis(500), "it is not held back");
+    assert!(began.elapsed() < Duration::from_millis(500), "the refusal is immediate");
     assert!(replica.runs().is_empty());
 }
 
@@ -216,7 +218,7 @@
     let resumed = replicas[1].runs().into_iter().filter(|run| {
         run.headers.iter().any(|(name, value)| name == "last-event-id" && value == "3")
     });
-    assert!(resumed.count() > 0, "a stream was taken up behind its last whole event");
+    assert!(resumed.count() > 0, "a stream was resumed after its last whole event");
 }
 
 #[tokio::test]
@@ -228,7 +230,7 @@
     replica.set_mode(ReplicaMode::CutAt(4));
     let answer = site.chat(&subject, "r1").send().await.expect("a head");
     assert!(answer.text().await.is_err(), "the caller's connection is cut");
-    // Lines are written behind the answer.
+    // Log lines are written after the response.
     let logged = || std::future::ready(subject.events("answer_broken_off").pop());
     wait_for("the log says so", logged).await;
     assert_eq!(subject.events("answer_broken_off").len(), 1);
@@ -262,11 +264,13 @@
     let first = site.start_ready("box-1").await;
     let second = site.start_ready("box-2").await;
     wait_replicas(&first, 1).await;
-    wait_for("both are named", || async { (second.resolve().await?.len() == 2).then_some(()) })
-        .await;
+    wait_for("both are advertised", || async {
+        (second.resolve().await?.len() == 2).then_some(())
+    })
+    .await;
     let answer = site.chat(&first, "r1").send().await.expect("a head");
     first.signal("TERM");
-    wait_for("it is no longer named", || async {
+    wait_for("it is no longer advertised", || async {
         (second.resolve().await? == [second.entry_address()]).then_some(())
     })
     .await;
@@ -328,7 +332,7 @@
     let mut site = site().await;
     let _replica = site.start_replica("i-1", 3, 1).await;
     let subject = site.start_ready("box-1").await;
-    wait_for("the box has written where it hears notes", || async {
+    wait_for("the box has registered its gossip address", || async {
         (site.store.calls(subject.ip, "log-append") == 1).then_some(())
     })
     .await;
@@ -359,7 +363,7 @@
     })
     .await;
     assert!(subject.ready().await);
-    assert!(subject.events("settings_read").is_empty(), "bad settings were not taken");
+    assert!(subject.events("settings_read").is_empty(), "invalid settings are not applied");
 }
 
 #[tokio::test]
@@ -432,7 +436,7 @@
     wait_replicas(&subject, 1).await;
     let large = vec![b'x'; 100_001];
     let sent = site.request(&subject, "POST", "/file/x", "r1").body(large).send().await;
-    // The connection may be closed before all of it was sent.
+    // The connection may be closed before the whole body was sent.
     assert!(sent.map_or(true, |answer| answer.status() == 413));
     let request = site.request(&subject, "POST", "/file/x", "r2");
     let sent = request.header("X-Large", "x".repeat(8_200)).send().await.expect("an answer");
