--- a/crates/box/tests/poison.rs
+++ b/crates/box/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each replica that runs it, before real boxes.
+//! Test of a request that crashes each replica that runs it, with boxes as processes.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 use ravenspoke_standins::platform::site::{RunningSite, SITE_KEY};
 use ravenspoke_standins::platform::site_box::SiteBox;
 
-/// Replicas that may end under one request: those that its route lets it run on.
+/// Maximum number of crashes by one request: the number of attempts that its route allows.
 const CRASHES_ALLOWED: usize = 3;
 
 async fn status(site: &RunningSite, subject: &SiteBox, id: &str, body: &'static str) -> u16 {
@@ -43,7 +43,7 @@
     let tried = status(&site, &first, "first", "deadly").await;
     assert_eq!((tried, crashed(&replicas)), (502, CRASHES_ALLOWED));
     for subject in [&first, &second] {
-        wait_for("the box knows what crashes replicas", || async {
+        wait_for("the box knows the poison request", || async {
             let state = subject.state().await?;
             let known = state["fatal"].as_array()?;
             known.iter().any(|row| row["fatal_age_ms"].is_u64()).then_some(())
