--- a/crates/box/tests/rate_limits.rs
+++ b/crates/box/tests/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Replicas that name a limit, before real boxes.
+//! Test of a replica that names a rate limit, with boxes as processes.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -6,19 +6,20 @@
 use ravenspoke_standins::fleet::wait_for;
 use ravenspoke_standins::platform::site::{RunningSite, SITE_KEY};
 
-/// Requests a second that the replica in need names.
+/// Requests a second that the limited replica names.
 const LIMIT_PER_S: f64 = 2.0;
 
-/// A limit binds this long after it was first named: the shortest of the platform's bounds.
+/// Time after which a newly named limit is binding, the shortest of the platform's bounds.
 const LIMIT_DELAY: Duration = Duration::from_millis(3_000);
 
-/// The bound is on every span of this length.
+/// Length of the windows in which requests are counted.
 const WINDOW: Duration = Duration::from_millis(4_000);
 
-/// Requests that the replica may get in a span: one and a half times what its limit allows, and five.
+/// Maximum number of requests to the replica in a window: one and a half times its limit, plus
+/// five.
 const REQUESTS_ALLOWED: usize = 17;
 
-/// Time between two requests of callers: ten times what the replica takes.
+/// Time between two requests of callers, ten times what the replica takes.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 #[tokio::test]
@@ -57,7 +58,7 @@
     let within =
         |from: Instant| arrivals.iter().filter(|at| (from..from + WINDOW).contains(*at)).count();
     let fullest = bounded.map(|at| within(*at)).max().unwrap_or(0);
-    assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest span");
+    assert!(fullest <= REQUESTS_ALLOWED, "{fullest} requests in the fullest window");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes the rest");
     assert!(unlimited.runs().len() > arrivals.len());
 }
