--- a/crates/box/tests/replica_entries.rs
+++ b/crates/box/tests/replica_entries.rs
@@ -1,6 +1,7 @@
-//! Replicas' entries as processes of the box read them: some that name no replica, and replicas that start again.
+//! Tests of replica entries: invalid entries of another writer, and restarted replicas.
 //!
-//! Boxes run as processes before the stand-ins of the platform. Waiting is on a condition with a bound.
+//! Boxes run as processes with stand-ins of the platform. Tests wait for conditions with a time
+//! limit.
 
 use std::path::Path;
 
@@ -12,7 +13,8 @@
 use ravenspoke_standins::platform::site_box::SiteBox;
 use serde_json::{json, Value};
 
-/// Entries of another writer: fields missing or of another type, a state and a time of birth that are none.
+/// Invalid entries of another writer: missing fields, fields of another type, an unknown state and
+/// a fractional start time.
 fn invalid_entries() -> Vec<Value> {
     let entry = |born: Value, state: &str| {
         json!({
@@ -29,7 +31,7 @@
     ]
 }
 
-/// A site whose store holds entries that name no replica, with a box that is ready.
+/// A site whose store holds invalid replica entries, with a started box.
 async fn site_with_invalid_entries() -> (RunningSite, SiteBox) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -40,7 +42,7 @@
     (site, subject)
 }
 
-/// A life of replica `id`, with its entry in the store.
+/// Starts an incarnation of replica `id`, and writes its entry to the store.
 async fn start_incarnation(site: &RunningSite, id: &str, born: u64) -> ReplicaStandin {
     let replica = ReplicaStandin::start(own_address(), id, 3, 1).await;
     let mut entry = replica.entry(SITE_SERVICE, "v1", "ready");
@@ -49,7 +51,7 @@
     replica
 }
 
-/// Waits until the box uses replicas at these addresses and no others.
+/// Waits until the box knows replicas at exactly these addresses.
 async fn wait_for_addresses(subject: &SiteBox, wanted: &[&ReplicaStandin]) {
     let mut wanted: Vec<String> =
         wanted.iter().map(|replica| replica.address.to_string()).collect();
@@ -91,7 +93,7 @@
     leaving["born"] = json!(5_000);
     site.store.put(REPLICA_TOPIC, "i-1", &leaving);
 
-    // Its clock was set back meanwhile.
+    // Its clock was set back before the restart.
     let new = start_incarnation(&site, "i-1", 2_000).await;
 
     wait_for_addresses(&subject, &[&new]).await;
