--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -1,4 +1,5 @@
-//! What replicas say of themselves in answers, before a real box: that they leave, and that they rest.
+//! Tests of response headers by which replicas announce that they leave or request a backoff, with
+//! a box as a process.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -11,16 +12,16 @@
 /// Time between two requests of callers.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Rest that the replica asks for.
+/// Backoff that the replica requests.
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// A request that reaches the replica so soon after its word was under way.
+/// Requests that arrive this soon after the announcement were already in flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that may reach a replica while it rests.
+/// Maximum number of requests that may reach a replica during its backoff.
 const BACKOFF_REQUESTS_ALLOWED: usize = 2;
 
-/// A box before two replicas, `i-first` and `i-second`.
+/// A box with two replicas, `i-first` and `i-second`.
 async fn site_of_two() -> (RunningSite, SiteBox, ReplicaStandin, ReplicaStandin) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -35,7 +36,7 @@
     (site, subject, first, second)
 }
 
-/// Requests come for a while; gives their statuses.
+/// Sends requests for `length`; returns their statuses.
 async fn send_requests_for(site: &RunningSite, subject: &SiteBox, length: Duration) -> Vec<u16> {
     let began = Instant::now();
     let mut ticks = tokio::time::interval(REQUEST_INTERVAL);
@@ -75,9 +76,9 @@
     let statuses = send_requests_for(&site, &subject, BACKOFF).await;
 
     let refusals = first.turned_away();
-    let announced_at = *refusals.first().expect("it count one");
+    let announced_at = *refusals.first().expect("it received one");
     let backoff = announced_at + IN_FLIGHT_TIME..announced_at + BACKOFF;
     let count = refusals.iter().filter(|at| backoff.contains(*at)).count();
-    assert!(count <= BACKOFF_REQUESTS_ALLOWED, "{count} requests while it rested");
+    assert!(count <= BACKOFF_REQUESTS_ALLOWED, "{count} requests during its backoff");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
 }
