--- a/crates/box/tests/rollouts.rs
+++ b/crates/box/tests/rollouts.rs
@@ -1,14 +1,11 @@
-//! Roll-outs on boxes as processes: a session keeps its version, whichever boxes are started anew.
+//! Tests of rollouts with boxes as processes: a session keeps its version, whichever boxes restart.
 //!
-//! **Symptom.** In the second half of a roll-out, sessions that ran on the new version were moved back to
-//! the old one by boxes that had been killed and started again, and by all boxes once all had been.
-//!
-//! **Cause.** How old an order is and how far its roll-out has come was known to processes alone. A box
-//! that starts served callers for up to half a second before another one told it, and where none lived
-//! on, nobody knew.
-//!
-//! **What settled it.** The lines `trial_share_moved` of a box that started: `share=0.2` came 0.2 s after
-//! its first `request_sent`; after a kill of all boxes it came half of the order's time later.
+//! In the second half of a rollout, restarted boxes moved sessions from the new version back to the
+//! old one, and all boxes did so once all had restarted. The age of an order and the progress of
+//! its rollout were known to running processes only: a starting box served callers for up to half a
+//! second before it received them from another box, and if no box survived, they were lost. The log
+//! line `trial_share_moved` with `share=0.2` came 0.2 s after the first `request_sent` of a
+//! restarted box; after a kill of all boxes it came later by half of the order's duration.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -22,13 +19,13 @@
 use ravenspoke_standins::platform::site_box::SiteBox;
 use serde_json::json;
 
-/// Time that the order gives, in seconds: its second half lasts long enough for a box to start in it.
+/// Duration of the order, in seconds. Its second half is long enough for a box to start in it.
 const ORDER_S: u64 = 9;
 
-/// Sessions that ask: a fifth of them, eight, go to the new version at first.
+/// Number of sessions. A fifth of them, eight, go to the new version at first.
 const SESSIONS: usize = 40;
 
-/// A site with a replica of each version, and an order to bring the new one in.
+/// A site with a replica of each version, and an order to roll out the new one.
 async fn site_in_rollout() -> (RunningSite, [ReplicaStandin; 2], [SiteBox; 2]) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     site.write_plan(1, &[SITE_KEY]);
@@ -52,7 +49,7 @@
     replica
 }
 
-/// Whether each session's request is answered by the new version.
+/// For each session, whether its request is answered by the new version.
 async fn moved_sessions(site: &RunningSite, to: &SiteBox) -> Vec<bool> {
     let mut moved = Vec::new();
     for number in 0..SESSIONS {
@@ -65,14 +62,14 @@
     moved
 }
 
-/// Waits until the box has moved sessions, and the time that boxes need to tell that on is over.
+/// Waits until the box has moved sessions, and until boxes have had the time to gossip that.
 async fn wait_until_moved(site: &RunningSite, subject: &SiteBox) -> Vec<bool> {
     wait_for("sessions are moved", || async {
         moved_sessions(site, subject).await.contains(&true).then_some(())
     })
     .await;
     let moved_at = Instant::now();
-    wait_for("it is told on", || {
+    wait_for("the move is gossiped", || {
         std::future::ready((moved_at.elapsed() > Duration::from_millis(600)).then_some(()))
     })
     .await;
@@ -81,7 +78,7 @@
     moved
 }
 
-/// Sessions that were moved and are not any more.
+/// Sessions that were on the new version before and no longer are.
 fn moved_back(before: &[bool], after: &[bool]) -> Vec<usize> {
     (0..before.len()).filter(|number| before[*number] && !after[*number]).collect()
 }
