--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -1,24 +1,24 @@
-//! A short run of the fault soak, with the same seeds each time, and all seeds that ever failed.
+//! A short run of the fault soak with fixed seeds and all seeds that ever failed.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
 use ravenspoke_standins::soak::play::{play, play_series, SoakReport};
 
-/// Seeds that every run of CI plays.
+/// Seeds of every CI run.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
-/// Seeds that failed, from `soak-seeds.txt`: a seed and its cause on each line.
+/// Seeds that failed, from `soak-seeds.txt`, which has a seed and its cause on each line.
 fn failed_seeds() -> Vec<u64> {
     let lines = include_str!("soak-seeds.txt").lines().filter(|line| !line.starts_with('#'));
     let first = |line: &str| line.split_whitespace().next().and_then(|word| word.parse().ok());
     lines.filter(|line| !line.is_empty()).map(|line| first(line).expect("a seed")).collect()
 }
 
-/// Seeds of series of stops and kills that every run of CI plays.
+/// Seeds of the series of stops and kills in every CI run.
 const SERIES_SEEDS: [u64; 4] = [1004, 1005, 1007, 2001];
 
-/// A seed that is played on its own.
+/// A seed that runs in a test of its own.
 const SEPARATE_SEED: u64 = 2;
 
 async fn assert_guarantees_hold(seeds: BTreeSet<u64>) {
@@ -49,7 +49,8 @@
     assert_guarantees_hold(BTreeSet::from([SEPARATE_SEED])).await;
 }
 
-// Requests that boxes cut while they stopped, and sessions moved back by boxes that started and stopped in a trial.
+// Guards against requests that stopping boxes cut, and against sessions that boxes move back when
+// they start and stop during a trial.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_in_a_series_of_stops_and_kills() {
     let binary = Path::new(env!("CARGO_BIN_EXE_ravenspoked"));
