--- a/crates/box/tests/store_restores.rs
+++ b/crates/box/tests/store_restores.rs
@@ -1,4 +1,5 @@
-//! The store comes back from an older copy of its data: real boxes before the stand-ins of the platform.
+//! Tests of a store that is restored from an older copy of its data, with boxes as processes and
+//! stand-ins of the platform.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -8,10 +9,10 @@
 use ravenspoke_standins::platform::site_box::SiteBox;
 use ravenspoke_standins::platform::store::{StoreCopy, StoreFaults, StoreOutage};
 
-/// A confirmed plan must be in force within this, after a store that was away is back.
+/// Time within which a confirmed plan must be in force after a store outage ends.
 const APPLY_WITHIN: Duration = Duration::from_secs(3);
 
-/// Three boxes that know plan 5, before a store that was copied when plan 3 was the newest.
+/// Three boxes that have plan 5, and a copy of the store from when plan 3 was the newest.
 async fn site_copied_at_plan_3() -> (RunningSite, Vec<SiteBox>, StoreCopy) {
     let mut site = RunningSite::start(Path::new(env!("CARGO_BIN_EXE_ravenspoked"))).await;
     for version in 1..=3 {
@@ -31,7 +32,7 @@
     (site, boxes, copy)
 }
 
-/// Lets the store be away until all boxes have lost it.
+/// Makes the store unreachable, and waits until all boxes have lost it.
 async fn make_unreachable(site: &RunningSite, boxes: &[SiteBox]) {
     site.store.set_faults(StoreFaults { outage: StoreOutage::Reset, ..StoreFaults::default() });
     wait_for("all boxes lost the store", || async {
@@ -62,7 +63,7 @@
     make_unreachable(&site, &boxes).await;
     drop(site.store.restore(copy));
 
-    // The topic ends where it ended before, so that a read from there finds nothing.
+    // The topic ends at the same offset as before, so a read from there finds nothing.
     site.write_plan(6, &[SITE_KEY]);
     site.write_plan(7, &[SITE_KEY]);
     site.store.set_faults(StoreFaults::default());
@@ -96,14 +97,14 @@
     let calls = |subject: &SiteBox| site.store.calls(subject.ip, "log-newest");
     let before: Vec<u64> = boxes.iter().map(calls).collect();
 
-    // Longer than a key may be honoured without a sound read.
+    // Longer than a key may be honoured without a valid read.
     let until = Instant::now() + Duration::from_secs(6);
     let mut ticks = tokio::time::interval(Duration::from_millis(100));
     while Instant::now() < until {
         ticks.tick().await;
         for subject in &boxes {
             let response = site.request(subject, "POST", "/read/x", "r1").body("b").send().await;
-            assert_eq!(response.expect("an response").status(), 200);
+            assert_eq!(response.expect("a response").status(), 200);
         }
     }
 
