--- a/crates/box/tests/sync_pacer.rs
+++ b/crates/box/tests/sync_pacer.rs
@@ -1,11 +1,11 @@
-//! How many answers to other boxes wait at a box.
+//! Tests of the queue limit for sync responses.
 
 use ravenspoke_box::gateway::sync_pacer::{SyncPacer, SYNC_QUEUE_BYTES};
 
-/// Bytes of an answer that tells a thousand replicas.
+/// Size of a sync response with a thousand replicas, in bytes.
 const PAGE_RESPONSE_BYTES: usize = 16_600;
 
-/// Long answers that may wait with a link of so many megabits a second.
+/// Number of such responses that may be queued on a link of `link_mbps` megabits a second.
 fn queued_responses(link_mbps: f64) -> usize {
     let pacer = SyncPacer::new(link_mbps);
     let mut count = 0;
