--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -370,8 +370,8 @@
             logged.0 = Instant::now();
             logged.1.log_changes(&driver.stats);
         }
-        let starts = !driver.state().is_synced();
-        let tick_ms = if starts { START_TICK_MS } else { TICK_MS };
+        let is_starting = !driver.state().is_synced();
+        let tick_ms = if is_starting { START_TICK_MS } else { TICK_MS };
         tokio::time::sleep(Duration::from_millis(tick_ms)).await;
     }
 }
