--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -112,9 +112,9 @@
     pub(super) async fn wait_until_due(&mut self) {
         let began = self.driver.now();
         while !(self.due)(&self.driver.state(), self.driver.now()) {
-            let starts = !self.driver.state().is_synced();
-            let look_ms = if starts { START_POLL_MS } else { DUE_POLL_MS };
-            tokio::time::sleep(Duration::from_millis(look_ms)).await;
+            let is_starting = !self.driver.state().is_synced();
+            let poll_ms = if is_starting { START_POLL_MS } else { DUE_POLL_MS };
+            tokio::time::sleep(Duration::from_millis(poll_ms)).await;
         }
         if self.driver.clock().since(began) > Duration::from_millis(CALL_MS) {
             self.reads = OpenCalls::default();
