--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -307,8 +307,8 @@
 
     /// Waits the shortest retry pause before a read that did not confirm the plan is repeated.
     pub(super) async fn pause_before_reread(&mut self) {
-        let (least_ms, _) = self.retry_bounds();
-        tokio::time::sleep(Duration::from_millis(least_ms)).await;
+        let (min_ms, _) = self.retry_bounds();
+        tokio::time::sleep(Duration::from_millis(min_ms)).await;
     }
 
     /// Pause before the next retry in the box's present role, in milliseconds.
