--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -313,8 +313,8 @@
 
     /// Pause before the next retry in the box's present role, in milliseconds.
     fn pause_ms(&self) -> u64 {
-        let (least, most) = self.retry_bounds();
-        self.retry_ms.clamp(least, most)
+        let (min_ms, max_ms) = self.retry_bounds();
+        self.retry_ms.clamp(min_ms, max_ms)
     }
 
     /// Shortest and longest pause before the next retry, in milliseconds.
