--- a/crates/box/src/gateway/pool.rs
+++ b/crates/box/src/gateway/pool.rs
@@ -90,13 +90,13 @@
         let now = self.clock.now();
         // The last connection has the shortest idle time.
         if !repeatable
-            && links.last().is_some_and(|row| now.millis_since(row.since) > SINGLE_IDLE_MS)
+            && links.last().is_some_and(|idle_link| now.millis_since(idle_link.since) > SINGLE_IDLE_MS)
         {
             return None;
         }
-        while let Some(row) = links.pop() {
-            if row.until > now && row.link.sender.is_ready() {
-                return Some(row.link);
+        while let Some(idle_link) = links.pop() {
+            if idle_link.until > now && idle_link.link.sender.is_ready() {
+                return Some(idle_link.link);
             }
         }
         None
@@ -145,7 +145,7 @@
         let now = self.clock.now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         for links in idle.values_mut() {
-            links.retain(|row| row.until > now && row.link.sender.is_ready());
+            links.retain(|idle_link| idle_link.until > now && idle_link.link.sender.is_ready());
         }
         idle.retain(|_, links| !links.is_empty());
     }
