--- a/crates/box/tests/sync_pacer.rs
+++ b/crates/box/tests/sync_pacer.rs
@@ -19,8 +19,8 @@
 #[test]
 fn sync_queue_is_limited_by_time_on_slow_links_and_by_bytes_on_fast_ones() {
     assert_eq!(queued_responses(10.0), 5);
-    let most = SYNC_QUEUE_BYTES as usize / PAGE_RESPONSE_BYTES + 1;
-    assert_eq!((queued_responses(100.0), queued_responses(10_000.0)), (most, most));
+    let queue_limit = SYNC_QUEUE_BYTES as usize / PAGE_RESPONSE_BYTES + 1;
+    assert_eq!((queued_responses(100.0), queued_responses(10_000.0)), (queue_limit, queue_limit));
 }
 
 #[test]
