--- a/crates/box/src/gateway/gossip_wire/trial.rs
+++ b/crates/box/src/gateway/gossip_wire/trial.rs
@@ -152,9 +152,9 @@
         age_ms: marked.age_ms,
         carries_at_ms: marked.carries_at_ms,
     };
-    let route = |row: WireRoute| {
-        let stats = TrialStats { fresh: read_stats(row.fresh), base: read_stats(row.base) };
-        (row.route, stats)
+    let route = |wire: WireRoute| {
+        let stats = TrialStats { fresh: read_stats(wire.fresh), base: read_stats(wire.base) };
+        (wire.route, stats)
     };
     TrialUpdate {
         service: trial.service,
