--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -89,8 +89,8 @@
 /// Leaves the group, so that another box gets the lease at once.
 async fn leave(driver: &GatewayDriver, store: &StoreClient, (member, _): &(GroupMember, u64)) {
     driver.stats.count_call(LEADER_TOPIC, StoreCall::Join);
-    let left = timeout(Duration::from_millis(CALL_MS), store.leave(member)).await;
-    if let Ok(Err(error)) = left {
+    let outcome = timeout(Duration::from_millis(CALL_MS), store.leave(member)).await;
+    if let Ok(Err(error)) = outcome {
         observe::log_lease_failed(&error);
     }
 }
