--- a/crates/box/src/gateway/pool.rs
+++ b/crates/box/src/gateway/pool.rs
@@ -90,7 +90,9 @@
         let now = self.clock.now();
         // The last connection has the shortest idle time.
         if !repeatable
-            && links.last().is_some_and(|idle_link| now.millis_since(idle_link.since) > SINGLE_IDLE_MS)
+            && links
+                .last()
+                .is_some_and(|idle_link| now.millis_since(idle_link.since) > SINGLE_IDLE_MS)
         {
             return None;
         }
