--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -55,7 +55,8 @@
 
 // Guards against store calls that are cancelled while they bring bytes. With a plan of 890 KB on
 // links of 10 Mbit/s, calls were given up after 900 ms with more than half of the bytes received,
-// and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving bytes is answered, however long it takes.
+// and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving bytes is
+// answered, however long it takes.
 #[tokio::test]
 async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
