--- a/crates/box/tests/poison.rs
+++ b/crates/box/tests/poison.rs
@@ -40,8 +40,8 @@
         .await;
     }
 
-    let tried = status(&site, &first, "first", "deadly").await;
-    assert_eq!((tried, crashed(&replicas)), (502, CRASHES_ALLOWED));
+    let first_status = status(&site, &first, "first", "deadly").await;
+    assert_eq!((first_status, crashed(&replicas)), (502, CRASHES_ALLOWED));
     for subject in [&first, &second] {
         wait_for("the box knows the poison request", || async {
             let state = subject.state().await?;
@@ -51,10 +51,10 @@
         .await;
     }
     for (number, subject) in [&first, &second].into_iter().enumerate() {
-        let again = status(&site, subject, &format!("again-{number}"), "deadly").await;
-        assert_eq!((again, crashed(&replicas)), (502, CRASHES_ALLOWED), "box {number}");
-        let other = status(&site, subject, &format!("other-{number}"), "else").await;
-        assert_eq!(other, 200, "other requests are served");
+        let status_again = status(&site, subject, &format!("again-{number}"), "deadly").await;
+        assert_eq!((status_again, crashed(&replicas)), (502, CRASHES_ALLOWED), "box {number}");
+        let other_status = status(&site, subject, &format!("other-{number}"), "else").await;
+        assert_eq!(other_status, 200, "other requests are served");
     }
     let refusals = second.events("request_given_up");
     assert!(refusals.iter().any(|line| line["reason"] == "crashes_replicas"), "{refusals:?}");
