--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -75,12 +75,12 @@
 
     begin_stop(&subject).await;
     let began = Instant::now();
-    let mut answers = Vec::new();
-    while answers.len() < REQUESTS as usize && began.elapsed() < ADDRESS_TTL {
-        answers.push(send_request(&site, &subject, &format!("new-{}", answers.len())).await);
+    let mut results = Vec::new();
+    while results.len() < REQUESTS as usize && began.elapsed() < ADDRESS_TTL {
+        results.push(send_request(&site, &subject, &format!("new-{}", results.len())).await);
     }
 
-    assert!(answers.iter().all(|answer| *answer == (200, true)), "{answers:?}");
+    assert!(results.iter().all(|result| *result == (200, true)), "{results:?}");
 }
 
 #[tokio::test]
