--- a/crates/box/tests/entry.rs
+++ b/crates/box/tests/entry.rs
@@ -120,7 +120,10 @@
     let (outcomes, subject) = (outcomes.into_inner(), subject.into_inner());
     let is_complete = |outcome: &Result<u16, bool>| matches!(outcome, Ok(503) | Err(true));
     assert!(outcomes.iter().all(is_complete), "{outcomes:?}");
-    assert!(subject.events("callers_taken").is_empty(), "the test asked it to stop too late");
+    assert!(
+        subject.events("callers_taken").is_empty(),
+        "the box was stopped too late for this test"
+    );
 }
 
 #[tokio::test]
--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -73,7 +73,8 @@
 }
 
 // Guards against a long retry pause of boxes that can't receive a plan by gossip because it does
-// not fit into a datagram: after one failed call they did not ask the store again for 20 s.
+// not fit into a datagram: after one failed call they did not ask the store again for 20 s, though
+// it answered each call of the other boxes.
 #[tokio::test]
 async fn box_learns_a_long_plan_after_a_short_store_outage() {
     let (site, boxes) = site_of(5).await;
--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -54,7 +54,7 @@
 async fn replica_gets_no_requests_after_its_response_announced_leaving() {
     let (site, subject, first, _second) = site_of_two().await;
     first.say_leaving();
-    wait_for("an answer that says so", || async {
+    wait_for("a response that announces leaving", || async {
         send_requests_for(&site, &subject, REQUEST_INTERVAL).await;
         (!first.runs().is_empty()).then_some(())
     })
@@ -63,7 +63,7 @@
     let before = first.runs().len();
     let statuses = send_requests_for(&site, &subject, Duration::from_secs(1)).await;
 
-    assert_eq!(first.runs().len(), before, "the store has not said so yet");
+    assert_eq!(first.runs().len(), before, "the announcement counts before the store's entry");
     assert!(statuses.iter().all(|status| *status == 200), "the other replica takes all");
 }
 
