--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -100,8 +100,8 @@
     assert!(!driver.state().ready(driver.now()));
 }
 
-/// Sources that may read the monotonic clock: for logs, for intervals of periodic work, and for the
-/// age of open store calls.
+/// Sources that may read the monotonic clock, which does not count suspensions: for logs, for
+/// intervals of periodic work, and for the age of open store calls.
 const MONOTONIC_CLOCK_SOURCES: [&str; 5] = [
     "clock.rs",
     "gateway/exchange.rs",
