--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -165,8 +165,9 @@
 
 impl ServiceSize {
     /// The sizes of zones that have these replicas.
-    pub fn found(service: &str, stocks: &BTreeMap<String, ZoneCount>) -> Self {
-        let zones = stocks.iter().map(|(zone, stock)| (zone.clone(), stock.on_demand + stock.spot));
+    pub fn found(service: &str, zone_counts: &BTreeMap<String, ZoneCount>) -> Self {
+        let zones =
+            zone_counts.iter().map(|(zone, stock)| (zone.clone(), stock.on_demand + stock.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
     }
 
