--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -417,7 +417,7 @@
         }
         let services = &self.table.plan().services;
         for (service, plan) in services {
-            let Some(plan) = plan.scale.as_ref().filter(|plan| plan.is_sound()) else { continue };
+            let Some(plan) = plan.scale.as_ref().filter(|plan| plan.is_valid()) else { continue };
             let running = |trial: &VersionTrial| trial.state == TrialState::Running;
             // Two versions stand side by side until it ends: an order would empty the new one's replicas.
             if self.trials.get(service).is_some_and(running) {
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -41,7 +41,7 @@
 
 impl ScalePlan {
     /// Whether its bounds leave room for a replica.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         self.min <= self.max && self.max > 0
     }
 
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -79,7 +79,7 @@
         }
         let (version, routes) = (plan.version, plan.routes.len());
         for (service, plan) in &plan.services {
-            if let Some(plan) = plan.scale.as_ref().filter(|plan| !plan.is_sound()) {
+            if let Some(plan) = plan.scale.as_ref().filter(|plan| !plan.is_valid()) {
                 let (service, (min, max)) = (service.clone(), (plan.min, plan.max));
                 out.push(RouteEffect::ScaleBoundsInvalid { service, min, max });
             }
