--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -124,7 +124,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(trial) = self.trials.get_mut(&request.service) else { return };
         advance(trial, stamp.now, out);
-        if trial.due_back() {
+        if trial.is_rollback_due() {
             self.judge_trials(stamp, out);
         }
     }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -288,11 +288,11 @@
 
     /// Whether the version was rolled back, or this box finds it bad: it serves nobody else's sessions.
     pub fn finds_bad(&self) -> bool {
-        self.due_back() || self.state == TrialState::RolledBack
+        self.is_rollback_due() || self.state == TrialState::RolledBack
     }
 
     /// Whether its roll-back is due.
-    pub fn due_back(&self) -> bool {
+    pub fn is_rollback_due(&self) -> bool {
         self.state == TrialState::Running && self.bad_since.is_some()
     }
 
@@ -335,7 +335,7 @@
 
     /// The verdict that is due now, if it is time for one.
     pub fn due(&self, now: BoxTime) -> Option<TrialState> {
-        if self.due_back() {
+        if self.is_rollback_due() {
             return Some(TrialState::RolledBack);
         }
         let carried = self.state == TrialState::Running && self.phase == TrialPhase::Carried;
