--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -97,7 +97,7 @@
 
 fn fallback_wish(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
     match trial {
-        Some(trial) if trial.finds_bad() => VersionFilter::Not(&trial.order.version),
+        Some(trial) if trial.is_rejected() => VersionFilter::Not(&trial.order.version),
         _ => VersionFilter::Any,
     }
 }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -287,7 +287,7 @@
     }
 
     /// Whether the version was rolled back, or this box finds it bad: it serves nobody else's sessions.
-    pub fn finds_bad(&self) -> bool {
+    pub fn is_rejected(&self) -> bool {
         self.is_rollback_due() || self.state == TrialState::RolledBack
     }
 
