--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -121,7 +121,7 @@
     }
 
     /// Ends the keeping of orders that were not written again. Gives what of it is news.
-    pub fn drop_unseen(&mut self, now: BoxTime) -> Vec<ZoneOrder> {
+    pub fn drop_expired(&mut self, now: BoxTime) -> Vec<ZoneOrder> {
         if self.unseen.iter().all(|(_, until)| now < *until) {
             return Vec::new();
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -328,7 +328,7 @@
         for change in self.backends.drop_expired(stamp.now) {
             self.announce_change(stamp, change, ChangeKind::Leaving, out);
         }
-        let evacuations = self.evacuated.drop_unseen(stamp.now);
+        let evacuations = self.evacuated.drop_expired(stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
         self.share_limits(stamp.now);
         self.share_cold(stamp.now);
