--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -321,7 +321,7 @@
     }
 
     /// Does what is due for all, if this box may.
-    pub(super) fn lead(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
+    pub(super) fn run_leader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let former = self.leader.part;
         self.leader.part.pass(stamp.now);
         self.note_part(former, out);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -344,7 +344,7 @@
         self.write_checkpoints(stamp, out);
         self.ask_reader(stamp, out);
         self.send_gossip(stamp, out);
-        self.lead(stamp, out);
+        self.run_leader(stamp, out);
     }
 
     /// Tells of zones that are under evacuation from now on, or no longer.
