--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -67,7 +67,7 @@
     #[prost(string, tag = "1")]
     route: String,
     #[prost(message, optional, tag = "2")]
-    fresh: Option<WireTally>,
+    canary: Option<WireTally>,
     #[prost(message, optional, tag = "3")]
     base: Option<WireTally>,
 }
@@ -121,7 +121,7 @@
 pub(super) fn write_trial(trial: &TrialUpdate) -> WireTrial {
     let route = |(route, tally): (&String, &TrialStats)| WireRoute {
         route: route.clone(),
-        fresh: Some(write_tally(&tally.fresh)),
+        canary: Some(write_tally(&tally.canary)),
         base: Some(write_tally(&tally.base)),
     };
     WireTrial {
@@ -153,7 +153,7 @@
         carries_at_ms: marked.carries_at_ms,
     };
     let route = |row: WireRoute| {
-        let tally = TrialStats { fresh: read_tally(row.fresh), base: read_tally(row.base) };
+        let tally = TrialStats { canary: read_tally(row.canary), base: read_tally(row.base) };
         (row.route, tally)
     };
     TrialUpdate {
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -177,7 +177,7 @@
         let mut all = self.own.clone();
         for (route, tally) in self.peers.values().flatten() {
             let row = all.entry(route.clone()).or_default();
-            row.fresh.join(&tally.fresh);
+            row.canary.join(&tally.canary);
             row.base.join(&tally.base);
         }
         all
@@ -186,7 +186,7 @@
     /// Answers of the version so far, on all boxes, and failures among them.
     pub fn answers(&self) -> (f64, f64) {
         let add = |sum: (f64, f64), tally: &TrialStats| {
-            (sum.0 + tally.fresh.runs, sum.1 + tally.fresh.bad)
+            (sum.0 + tally.canary.runs, sum.1 + tally.canary.bad)
         };
         self.evidence().values().fold((0.0, 0.0), add)
     }
@@ -197,8 +197,8 @@
         let mut all = TrialStats::default();
         for tally in evidence.values() {
             // Times of different routes don't compare; failures do.
-            all.fresh.runs += tally.fresh.runs;
-            all.fresh.bad += tally.fresh.bad;
+            all.canary.runs += tally.canary.runs;
+            all.canary.bad += tally.canary.bad;
             all.base.runs += tally.base.runs;
             all.base.bad += tally.base.bad;
         }
--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -79,7 +79,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TrialStats {
     /// The version on trial.
-    pub fresh: VersionStats,
+    #[serde(rename = "fresh")]
+    pub canary: VersionStats,
     /// The others.
     pub base: VersionStats,
 }
@@ -115,29 +116,30 @@
 
     /// How many times as long its answers take, by their logarithms' means.
     pub fn times_slower(&self) -> f64 {
-        (self.fresh.log_mean() - self.base.log_mean()).exp()
+        (self.canary.log_mean() - self.base.log_mean()).exp()
     }
 
     fn fails_more(&self) -> bool {
-        let (fresh, base) = (&self.fresh, &self.base);
-        if fresh.runs < BAD_RUNS {
+        let (canary, base) = (&self.canary, &self.base);
+        if canary.runs < BAD_RUNS {
             return false;
         }
         let usual = (base.bad + SUPPOSED_BAD) / (base.runs + SUPPOSED_RUNS);
-        let error = (usual * (1.0 - usual) / fresh.runs).sqrt();
-        let excess = fresh.bad_share() - usual;
+        let error = (usual * (1.0 - usual) / canary.runs).sqrt();
+        let excess = canary.bad_share() - usual;
         excess > BAD_SHARE && excess > BAD_ERRORS * error
     }
 
     fn is_slower(&self) -> bool {
-        let (fresh, base) = (&self.fresh, &self.base);
-        if fresh.timed < BAD_RUNS || base.timed < BAD_RUNS {
+        let (canary, base) = (&self.canary, &self.base);
+        if canary.timed < BAD_RUNS || base.timed < BAD_RUNS {
             return false;
         }
-        let excess = fresh.log_mean() - base.log_mean();
+        let excess = canary.log_mean() - base.log_mean();
         // A new version's times spread: its caches are cold at first. With the others' spread alone, 14 of its
         // answers condemned a good version.
-        let error = (fresh.log_variance() / fresh.timed + base.log_variance() / base.timed).sqrt();
+        let error =
+            (canary.log_variance() / canary.timed + base.log_variance() / base.timed).sqrt();
         excess > SLOW_LOG && excess > BAD_ERRORS * error
     }
 }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -323,8 +323,8 @@
 
 /// Answers that a box tells of, none of them failed.
 fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
-    let fresh = VersionStats { runs, ..VersionStats::default() };
-    let tally = TrialStats { fresh, ..TrialStats::default() };
+    let canary = VersionStats { runs, ..VersionStats::default() };
+    let tally = TrialStats { canary, ..TrialStats::default() };
     let trial = TrialUpdate {
         service: "pool".to_owned(),
         version: "v2".to_owned(),
