--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -69,7 +69,7 @@
     #[prost(message, optional, tag = "2")]
     canary: Option<WireTally>,
     #[prost(message, optional, tag = "3")]
-    base: Option<WireTally>,
+    baseline: Option<WireTally>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -122,7 +122,7 @@
     let route = |(route, tally): (&String, &TrialStats)| WireRoute {
         route: route.clone(),
         canary: Some(write_tally(&tally.canary)),
-        base: Some(write_tally(&tally.base)),
+        baseline: Some(write_tally(&tally.baseline)),
     };
     WireTrial {
         service: trial.service.clone(),
@@ -153,7 +153,8 @@
         carries_at_ms: marked.carries_at_ms,
     };
     let route = |row: WireRoute| {
-        let tally = TrialStats { canary: read_tally(row.canary), base: read_tally(row.base) };
+        let tally =
+            TrialStats { canary: read_tally(row.canary), baseline: read_tally(row.baseline) };
         (row.route, tally)
     };
     TrialUpdate {
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -204,8 +204,8 @@
                 fault = ?finding.fault,
                 runs = tally.canary.runs,
                 bad = tally.canary.bad,
-                other_runs = tally.base.runs,
-                other_bad = tally.base.bad,
+                other_runs = tally.baseline.runs,
+                other_bad = tally.baseline.bad,
                 times_slower = tally.times_slower(),
             );
         }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -178,7 +178,7 @@
         for (route, tally) in self.peers.values().flatten() {
             let row = all.entry(route.clone()).or_default();
             row.canary.join(&tally.canary);
-            row.base.join(&tally.base);
+            row.baseline.join(&tally.baseline);
         }
         all
     }
@@ -199,8 +199,8 @@
             // Times of different routes don't compare; failures do.
             all.canary.runs += tally.canary.runs;
             all.canary.bad += tally.canary.bad;
-            all.base.runs += tally.base.runs;
-            all.base.bad += tally.base.bad;
+            all.baseline.runs += tally.baseline.runs;
+            all.baseline.bad += tally.baseline.bad;
         }
         let rows = evidence.into_iter().map(|(route, tally)| (Some(route), tally));
         let mut rows = [(None, all)].into_iter().chain(rows);
--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -82,7 +82,8 @@
     #[serde(rename = "fresh")]
     pub canary: VersionStats,
     /// The others.
-    pub base: VersionStats,
+    #[serde(rename = "base")]
+    pub baseline: VersionStats,
 }
 
 /// How a version does worse than the others.
@@ -116,30 +117,31 @@
 
     /// How many times as long its answers take, by their logarithms' means.
     pub fn times_slower(&self) -> f64 {
-        (self.canary.log_mean() - self.base.log_mean()).exp()
+        (self.canary.log_mean() - self.baseline.log_mean()).exp()
     }
 
     fn fails_more(&self) -> bool {
-        let (canary, base) = (&self.canary, &self.base);
+        let (canary, baseline) = (&self.canary, &self.baseline);
         if canary.runs < BAD_RUNS {
             return false;
         }
-        let usual = (base.bad + SUPPOSED_BAD) / (base.runs + SUPPOSED_RUNS);
+        let usual = (baseline.bad + SUPPOSED_BAD) / (baseline.runs + SUPPOSED_RUNS);
         let error = (usual * (1.0 - usual) / canary.runs).sqrt();
         let excess = canary.bad_share() - usual;
         excess > BAD_SHARE && excess > BAD_ERRORS * error
     }
 
     fn is_slower(&self) -> bool {
-        let (canary, base) = (&self.canary, &self.base);
-        if canary.timed < BAD_RUNS || base.timed < BAD_RUNS {
+        let (canary, baseline) = (&self.canary, &self.baseline);
+        if canary.timed < BAD_RUNS || baseline.timed < BAD_RUNS {
             return false;
         }
-        let excess = canary.log_mean() - base.log_mean();
+        let excess = canary.log_mean() - baseline.log_mean();
         // A new version's times spread: its caches are cold at first. With the others' spread alone, 14 of its
         // answers condemned a good version.
-        let error =
-            (canary.log_variance() / canary.timed + base.log_variance() / base.timed).sqrt();
+        let error = (canary.log_variance() / canary.timed
+            + baseline.log_variance() / baseline.timed)
+            .sqrt();
         excess > SLOW_LOG && excess > BAD_ERRORS * error
     }
 }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -355,7 +355,7 @@
         let rows = dump.trials[0].own.values().map(side);
         rows.fold((0.0, 0.0), |sum, row| (sum.0 + row.runs, sum.1 + row.bad))
     };
-    [sum(|row| &row.canary), sum(|row| &row.base)]
+    [sum(|row| &row.canary), sum(|row| &row.baseline)]
 }
 
 #[test]
@@ -471,7 +471,7 @@
 #[test]
 fn a_few_slow_answers_of_a_version_prove_nothing_and_many_do() {
     let judged =
-        |quick, slow| TrialStats { canary: timed(quick, slow), base: timed(52, 0) }.fault();
+        |quick, slow| TrialStats { canary: timed(quick, slow), baseline: timed(52, 0) }.fault();
     assert_eq!(judged(9, 5), None, "five of fourteen: its caches may be cold");
     assert_eq!(judged(27, 15), Some(TrialFault::Slower), "the same share of three times as many");
 }
