--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -19,7 +19,7 @@
     #[prost(enumeration = "WirePhase", tag = "5")]
     phase: i32,
     #[prost(message, optional, tag = "6")]
-    marked: Option<WireProgress>,
+    checkpoint: Option<WireProgress>,
     #[prost(uint64, optional, tag = "7")]
     carries_at_ms: Option<u64>,
 }
@@ -130,7 +130,7 @@
         age_ms: trial.progress.age_ms,
         phase: WirePhase::from(trial.progress.phase) as i32,
         carries_at_ms: trial.progress.carries_at_ms,
-        marked: Some(write_progress(trial.marked)),
+        checkpoint: Some(write_progress(trial.checkpoint)),
         routes: trial.tallies.iter().map(route).collect(),
     }
 }
@@ -146,11 +146,11 @@
         age_ms: trial.age_ms,
         carries_at_ms: trial.carries_at_ms,
     };
-    let marked = trial.marked.unwrap_or_default();
-    let marked = TrialProgress {
-        phase: marked.phase().into(),
-        age_ms: marked.age_ms,
-        carries_at_ms: marked.carries_at_ms,
+    let checkpoint = trial.checkpoint.unwrap_or_default();
+    let checkpoint = TrialProgress {
+        phase: checkpoint.phase().into(),
+        age_ms: checkpoint.age_ms,
+        carries_at_ms: checkpoint.carries_at_ms,
     };
     let route = |row: WireRoute| {
         let tally =
@@ -161,7 +161,7 @@
         service: trial.service,
         version: trial.version,
         progress,
-        marked,
+        checkpoint,
         tallies: trial.routes.into_iter().map(route).collect(),
     }
 }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -105,7 +105,7 @@
             service: trial.order.service.clone(),
             version: trial.order.version.clone(),
             progress: trial.progress(stamp.now),
-            marked: trial.marked,
+            checkpoint: trial.checkpoint,
             tallies: trial.own.clone(),
         });
         GossipMessage {
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -146,7 +146,7 @@
     /// How far it has come.
     pub progress: TrialProgress,
     /// The last mark in the store that the sender knows of.
-    pub marked: TrialProgress,
+    pub checkpoint: TrialProgress,
     /// What the sender saw.
     pub tallies: RouteStats,
 }
--- a/crates/core/src/route/store_era.rs
+++ b/crates/core/src/route/store_era.rs
@@ -24,7 +24,7 @@
         self.grace_until = Some(now.plus_millis(EXPIRY_GRACE_MS));
         for trial in self.trials.values_mut() {
             trial.written = false;
-            trial.marked = TrialProgress::default();
+            trial.checkpoint = TrialProgress::default();
         }
     }
 
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -10,7 +10,7 @@
 //! only under load.
 //!
 //! What decides whose sessions move must be the same on all boxes, whenever they were started: the order's
-//! age and the phase ([`super::trial_progress`]) are told between boxes and marked in the store, only go
+//! age and the phase ([`super::trial_progress`]) are told between boxes and checkpoint in the store, only go
 //! forward, and an opinion of one box counts for nothing until it stands there as a verdict.
 
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 /// Part of the order's time after which it is taken over.
 pub const DONE_AT: f64 = 0.88;
 
-/// Part of the order's time after which progress is marked in the store again. A loss of all boxes sets a
+/// Part of the order's time after which progress is checkpoint in the store again. A loss of all boxes sets a
 /// roll-out back by this and a restart; both must fit into the part that [`DONE_AT`] leaves, 0.12.
 pub const MARK_PART: f64 = 0.08;
 
@@ -117,7 +117,8 @@
     /// Whether it was under way before this box heard of it, and the store's mark is not read yet.
     pub mark_unread: bool,
     /// The last mark in the store that this box knows of.
-    pub marked: TrialProgress,
+    #[serde(rename = "marked")]
+    pub checkpoint: TrialProgress,
     /// Versions whose orders this one's has replaced.
     pub replaced: Vec<String>,
     /// What this box saw.
@@ -142,7 +143,7 @@
             written: false,
             looked: false,
             mark_unread: false,
-            marked: TrialProgress::default(),
+            checkpoint: TrialProgress::default(),
             replaced: Vec::new(),
             own: RouteStats::new(),
             peers: BTreeMap::new(),
@@ -228,10 +229,12 @@
 
     /// Notes that the store has a mark.
     pub fn note_marked(&mut self, mark: TrialProgress) {
-        let names_earlier_carry = mark.names_earlier_carry(self.marked);
-        if self.marked.phase < mark.phase || self.marked.age_ms < mark.age_ms || names_earlier_carry
+        let names_earlier_carry = mark.names_earlier_carry(self.checkpoint);
+        if self.checkpoint.phase < mark.phase
+            || self.checkpoint.age_ms < mark.age_ms
+            || names_earlier_carry
         {
-            self.marked = mark;
+            self.checkpoint = mark;
         }
     }
 
@@ -239,9 +242,9 @@
     pub fn mark_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
         let progress = self.progress(now);
         let step = (self.order.duration_ms as f64 * MARK_PART) as u64;
-        let further = progress.phase > self.marked.phase
-            || progress.names_earlier_carry(self.marked)
-            || progress.age_ms >= self.marked.age_ms.saturating_add(step);
+        let further = progress.phase > self.checkpoint.phase
+            || progress.names_earlier_carry(self.checkpoint)
+            || progress.age_ms >= self.checkpoint.age_ms.saturating_add(step);
         let under_way = self.state == TrialState::Running && self.bad_since.is_none();
         (under_way && further).then(|| TrialCheckpoint {
             service: self.order.service.clone(),
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -139,7 +139,7 @@
             }
             trial.learn(heard.progress, stamp.now);
             if stands {
-                trial.note_marked(heard.marked);
+                trial.note_marked(heard.checkpoint);
             }
             trial.peers.insert(note.name.clone(), heard.tallies.clone());
         }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -339,7 +339,7 @@
                     age_ms: 5_500,
                     ..Default::default()
                 },
-                marked: TrialProgress::default(),
+                checkpoint: TrialProgress::default(),
                 tallies,
             }],
             ..Default::default()
