--- a/crates/box/src/gateway/note_wire/trial.rs
+++ b/crates/box/src/gateway/note_wire/trial.rs
@@ -131,7 +131,7 @@
         phase: WirePhase::from(trial.progress.phase) as i32,
         carries_at_ms: trial.progress.carries_at_ms,
         checkpoint: Some(write_progress(trial.checkpoint)),
-        routes: trial.tallies.iter().map(route).collect(),
+        routes: trial.stats.iter().map(route).collect(),
     }
 }
 
@@ -162,7 +162,7 @@
         version: trial.version,
         progress,
         checkpoint,
-        tallies: trial.routes.into_iter().map(route).collect(),
+        stats: trial.routes.into_iter().map(route).collect(),
     }
 }
 
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -106,7 +106,7 @@
             version: trial.order.version.clone(),
             progress: trial.progress(stamp.now),
             checkpoint: trial.checkpoint,
-            tallies: trial.own.clone(),
+            stats: trial.own.clone(),
         });
         GossipMessage {
             name: self.settings.name.clone(),
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -148,7 +148,7 @@
     /// The last mark in the store that the sender knows of.
     pub checkpoint: TrialProgress,
     /// What the sender saw.
-    pub tallies: RouteStats,
+    pub stats: RouteStats,
 }
 
 /// What a box says of its further sends to a service in a window.
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -141,7 +141,7 @@
             if stands {
                 trial.note_marked(heard.checkpoint);
             }
-            trial.peers.insert(note.name.clone(), heard.tallies.clone());
+            trial.peers.insert(note.name.clone(), heard.stats.clone());
         }
         for verdict in &note.verdicts {
             self.apply_verdict(verdict.clone(), stands, out);
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -328,7 +328,7 @@
     let trial = TrialUpdate {
         service: "pool".to_owned(),
         version: "v2".to_owned(),
-        tallies: [("file".to_owned(), tally)].into(),
+        stats: [("file".to_owned(), tally)].into(),
         ..TrialUpdate::default()
     };
     GossipMessage {
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -325,7 +325,7 @@
         serve(&mut seen_bad, session(number), 500);
     }
     let dump = seen_bad.state.dump(Default::default());
-    let tallies = dump.trials[0].own.clone();
+    let stats = dump.trials[0].own.clone();
     let mut other = box_on_trial();
     other.feed(RouteEvent::GossipReceived(Box::new(
         ravenspoke_core::route::peers::GossipMessage {
@@ -340,7 +340,7 @@
                     ..Default::default()
                 },
                 checkpoint: TrialProgress::default(),
-                tallies,
+                stats,
             }],
             ..Default::default()
         },
