--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -514,7 +514,7 @@
     /// Whether the store was not yet asked for its word of some trial: it may have ended before this
     /// box was started.
     pub fn has_unread_verdicts(&self) -> bool {
-        self.trials.values().any(|trial| !trial.looked)
+        self.trials.values().any(|trial| !trial.verdict_read)
     }
 
     /// Whether the store's mark of some trial is still to be read: it was under way before this box heard
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -113,7 +113,8 @@
     /// Whether the store has any word of this trial.
     pub written: bool,
     /// Whether the store was asked for one.
-    pub looked: bool,
+    #[serde(rename = "looked")]
+    pub verdict_read: bool,
     /// Whether it was under way before this box heard of it, and the store's mark is not read yet.
     pub mark_unread: bool,
     /// The last mark in the store that this box knows of.
@@ -141,7 +142,7 @@
             carries_at_ms: None,
             bad_since: None,
             written: false,
-            looked: false,
+            verdict_read: false,
             mark_unread: false,
             checkpoint: TrialProgress::default(),
             replaced: Vec::new(),
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -42,7 +42,7 @@
             trial.replaced = replaced;
             // All records of some moments ago are known, and this was not among them: the store can have no
             // verdict or mark of it yet, and each box that would ask is a call.
-            trial.looked = self.fresh.age_ms(stamp.now).is_some_and(|age| trial.is_new(age));
+            trial.verdict_read = self.fresh.age_ms(stamp.now).is_some_and(|age| trial.is_new(age));
             out.push(moved(&trial));
             self.trials.insert(service, trial);
         }
@@ -60,8 +60,8 @@
         }
         // An order that was read later may be of a trial that the listing did not show yet.
         for trial in self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at) {
-            let first = !trial.looked;
-            trial.looked = true;
+            let first = !trial.verdict_read;
+            trial.verdict_read = true;
             // The store has word of it already: it came some way before this box heard of it.
             let under_way = trial.written && trial.state == TrialState::Running;
             trial.mark_unread |= first && under_way;
