--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -520,7 +520,7 @@
     /// Whether the store's mark of some trial is still to be read: it was under way before this box heard
     /// of it, and sessions may have been moved.
     pub fn has_unread_checkpoints(&self) -> bool {
-        self.trials.values().any(|trial| trial.mark_unread)
+        self.trials.values().any(|trial| trial.checkpoint_unread)
     }
 
     /// Whether the box knows enough to serve: a plan, how far trials have come, and replicas.
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -116,7 +116,8 @@
     #[serde(rename = "looked")]
     pub verdict_read: bool,
     /// Whether it was under way before this box heard of it, and the store's mark is not read yet.
-    pub mark_unread: bool,
+    #[serde(rename = "mark_unread")]
+    pub checkpoint_unread: bool,
     /// The last mark in the store that this box knows of.
     #[serde(rename = "marked")]
     pub checkpoint: TrialProgress,
@@ -143,7 +144,7 @@
             bad_since: None,
             written: false,
             verdict_read: false,
-            mark_unread: false,
+            checkpoint_unread: false,
             checkpoint: TrialProgress::default(),
             replaced: Vec::new(),
             own: RouteStats::new(),
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -64,7 +64,7 @@
             trial.verdict_read = true;
             // The store has word of it already: it came some way before this box heard of it.
             let under_way = trial.written && trial.state == TrialState::Running;
-            trial.mark_unread |= first && under_way;
+            trial.checkpoint_unread |= first && under_way;
         }
     }
 
@@ -79,7 +79,7 @@
             self.apply_checkpoint(stamp, &mark);
         }
         let asked_after = self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at);
-        asked_after.for_each(|trial| trial.mark_unread = false);
+        asked_after.for_each(|trial| trial.checkpoint_unread = false);
     }
 
     /// Takes a mark that stands in the store.
