--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -61,13 +61,13 @@
     /// Zones whose orders were known when the store came back from a copy, and which it has not shown since, with
     /// until when these are kept.
     #[serde(skip)]
-    unseen: Vec<(String, BoxTime)>,
+    expiring: Vec<(String, BoxTime)>,
 }
 
 impl EvacuatedZones {
     /// Whether nothing may be sent to the replicas of a zone.
     pub fn contains(&self, zone: &str) -> bool {
-        self.shows(zone) || self.unseen.iter().any(|(unseen, _)| unseen == zone)
+        self.shows(zone) || self.expiring.iter().any(|(expiring, _)| expiring == zone)
     }
 
     /// Whether the store's records up to the known position show an order for a zone.
@@ -77,8 +77,8 @@
 
     /// All zones that get nothing, sorted.
     pub fn zones(&self) -> Vec<String> {
-        let unseen = self.unseen.iter().map(|(zone, _)| zone);
-        let mut all: Vec<String> = self.zones.iter().chain(unseen).cloned().collect();
+        let expiring = self.expiring.iter().map(|(zone, _)| zone);
+        let mut all: Vec<String> = self.zones.iter().chain(expiring).cloned().collect();
         all.sort();
         all.dedup();
         all
@@ -99,7 +99,7 @@
         let before = self.zones();
         let mut zones = if from.is_some() { self.zones.clone() } else { Vec::new() };
         for order in orders {
-            self.unseen.retain(|(zone, _)| *zone != order.zone);
+            self.expiring.retain(|(zone, _)| *zone != order.zone);
             zones.retain(|zone| *zone != order.zone);
             if order.evacuated {
                 zones.push(order.zone);
@@ -122,11 +122,11 @@
 
     /// Ends the keeping of orders that were not written again. Gives what of it is news.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<ZoneOrder> {
-        if self.unseen.iter().all(|(_, until)| now < *until) {
+        if self.expiring.iter().all(|(_, until)| now < *until) {
             return Vec::new();
         }
         let before = self.zones();
-        self.unseen.retain(|(_, until)| now < *until);
+        self.expiring.retain(|(_, until)| now < *until);
         self.moved_since(&before)
     }
 
@@ -143,9 +143,9 @@
 
     /// Keeps an order that the store does not show any more.
     fn keep_unseen(&mut self, zone: &str, now: BoxTime) {
-        let kept = self.unseen.iter().any(|(unseen, _)| unseen == zone);
+        let kept = self.expiring.iter().any(|(expiring, _)| expiring == zone);
         if !kept && !self.shows(zone) {
-            self.unseen.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
+            self.expiring.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
         }
     }
 
