--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -113,7 +113,7 @@
     pub fn merge(&mut self, word: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
         if word.known_to.era < self.known_to.era {
-            word.zones.iter().for_each(|zone| self.keep_unseen(zone, now));
+            word.zones.iter().for_each(|zone| self.keep_expiring(zone, now));
         } else if word.known_to > self.known_to {
             self.replace(word.known_to, word.zones.clone(), now);
         }
@@ -137,12 +137,12 @@
         let former = std::mem::replace(&mut self.zones, zones);
         self.known_to = known_to;
         if restored {
-            former.iter().for_each(|zone| self.keep_unseen(zone, now));
+            former.iter().for_each(|zone| self.keep_expiring(zone, now));
         }
     }
 
     /// Keeps an order that the store does not show any more.
-    fn keep_unseen(&mut self, zone: &str, now: BoxTime) {
+    fn keep_expiring(&mut self, zone: &str, now: BoxTime) {
         let kept = self.expiring.iter().any(|(expiring, _)| expiring == zone);
         if !kept && !self.shows(zone) {
             self.expiring.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
