--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -106,7 +106,7 @@
             }
         }
         self.replace(to, zones, now);
-        self.moved_since(&before)
+        self.changes_since(&before)
     }
 
     /// Takes another box's word. Gives what of it is news.
@@ -117,7 +117,7 @@
         } else if word.known_to > self.known_to {
             self.replace(word.known_to, word.zones.clone(), now);
         }
-        self.moved_since(&before)
+        self.changes_since(&before)
     }
 
     /// Ends the keeping of orders that were not written again. Gives what of it is news.
@@ -127,7 +127,7 @@
         }
         let before = self.zones();
         self.expiring.retain(|(_, until)| now < *until);
-        self.moved_since(&before)
+        self.changes_since(&before)
     }
 
     fn replace(&mut self, known_to: TopicPosition, mut zones: Vec<String>, now: BoxTime) {
@@ -150,7 +150,7 @@
     }
 
     /// What of the zones is no longer as it was.
-    fn moved_since(&self, before: &[String]) -> Vec<ZoneOrder> {
+    fn changes_since(&self, before: &[String]) -> Vec<ZoneOrder> {
         let after = self.zones();
         let given = after.iter().filter(|zone| !before.contains(zone));
         let withdrawn = before.iter().filter(|zone| !after.contains(zone));
