--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -67,11 +67,11 @@
 impl EvacuatedZones {
     /// Whether nothing may be sent to the replicas of a zone.
     pub fn contains(&self, zone: &str) -> bool {
-        self.shows(zone) || self.expiring.iter().any(|(expiring, _)| expiring == zone)
+        self.has_order(zone) || self.expiring.iter().any(|(expiring, _)| expiring == zone)
     }
 
     /// Whether the store's records up to the known position show an order for a zone.
-    fn shows(&self, zone: &str) -> bool {
+    fn has_order(&self, zone: &str) -> bool {
         self.zones.iter().any(|shown| shown == zone)
     }
 
@@ -144,7 +144,7 @@
     /// Keeps an order that the store does not show any more.
     fn keep_expiring(&mut self, zone: &str, now: BoxTime) {
         let kept = self.expiring.iter().any(|(expiring, _)| expiring == zone);
-        if !kept && !self.shows(zone) {
+        if !kept && !self.has_order(zone) {
             self.expiring.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
         }
     }
