--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -110,12 +110,12 @@
     }
 
     /// Takes another box's word. Gives what of it is news.
-    pub fn merge(&mut self, word: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
+    pub fn merge(&mut self, digest: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
-        if word.known_to.era < self.known_to.era {
-            word.zones.iter().for_each(|zone| self.keep_expiring(zone, now));
-        } else if word.known_to > self.known_to {
-            self.replace(word.known_to, word.zones.clone(), now);
+        if digest.known_to.era < self.known_to.era {
+            digest.zones.iter().for_each(|zone| self.keep_expiring(zone, now));
+        } else if digest.known_to > self.known_to {
+            self.replace(digest.known_to, digest.zones.clone(), now);
         }
         self.changes_since(&before)
     }
