--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -21,8 +21,8 @@
     /// taken back, so the order does not matter.
     pub(super) fn apply_leaving(&mut self, entry: &BackendEntry) -> ChangeKind {
         let key = self.ids.get(&entry.id).copied().filter(|_| entry.leaving);
-        let same_life = |key: &ReplicaKey| self.rows[*key].entry.born == entry.born;
-        match key.filter(same_life).and_then(|key| self.mark_leaving(key)) {
+        let same_incarnation = |key: &ReplicaKey| self.rows[*key].entry.born == entry.born;
+        match key.filter(same_incarnation).and_then(|key| self.mark_leaving(key)) {
             Some(_) => ChangeKind::Leaving,
             None => ChangeKind::None,
         }
