--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether the store can't have dealt it to another box because of silence.
-    fn stands(&self, now: BoxTime) -> bool {
+    fn is_valid(&self, now: BoxTime) -> bool {
         now < self.until
     }
 }
@@ -95,10 +95,10 @@
         let until = asked_at.plus_millis(length_ms);
         *self = match *self {
             _ if !word.granted => Self::Other,
-            Self::Settling(lease) if lease.stands(now) && same_era(lease.token, word.token) => {
+            Self::Settling(lease) if lease.is_valid(now) && same_era(lease.token, word.token) => {
                 Self::Settling(LeaderLease { until: lease.until.max(until), ..lease })
             }
-            Self::Acting(lease) if lease.stands(now) && same_era(lease.token, word.token) => {
+            Self::Acting(lease) if lease.is_valid(now) && same_era(lease.token, word.token) => {
                 Self::Acting(LeaderLease { until: lease.until.max(until), ..lease })
             }
             _ => Self::Settling(LeaderLease::granted(word.token, asked_at, now, length_ms)),
@@ -108,8 +108,8 @@
     /// Lets time pass: a lease that settled is acted on, one that was not renewed is none.
     pub fn pass(&mut self, now: BoxTime) {
         *self = match *self {
-            Self::Settling(lease) if !lease.stands(now) => Self::Other,
-            Self::Acting(lease) if !lease.stands(now) => Self::Other,
+            Self::Settling(lease) if !lease.is_valid(now) => Self::Other,
+            Self::Acting(lease) if !lease.is_valid(now) => Self::Other,
             Self::Settling(lease) if now >= lease.phase.acts_at => Self::Acting(lease.settle()),
             part => part,
         };
