--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -106,7 +106,7 @@
     }
 
     /// Lets time pass: a lease that settled is acted on, one that was not renewed is none.
-    pub fn pass(&mut self, now: BoxTime) {
+    pub fn advance(&mut self, now: BoxTime) {
         *self = match *self {
             Self::Settling(lease) if !lease.is_valid(now) => Self::Other,
             Self::Acting(lease) if !lease.is_valid(now) => Self::Other,
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -323,7 +323,7 @@
     /// Does what is due for all, if this box may.
     pub(super) fn run_leader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let former = self.leader.part;
-        self.leader.part.pass(stamp.now);
+        self.leader.part.advance(stamp.now);
         self.note_part(former, out);
         let Some(bounds) = self.settings.leader else { return };
         let Some(lease) = self.leader.part.acting(stamp.now).copied() else { return };
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -43,10 +43,10 @@
             millis(at + 5),
             LEASE_MS,
         );
-        part.pass(millis(at + 5));
+        part.advance(millis(at + 5));
         assert_eq!(part.acting(millis(at + 5)), None, "at {at}");
     }
-    part.pass(millis(4_011));
+    part.advance(millis(4_011));
 
     let lease = part.acting(millis(4_011)).expect("it acts");
     assert_eq!(lease.token(), 5, "a lease keeps the token that it began with");
@@ -56,14 +56,14 @@
 #[test]
 fn a_lease_that_lapsed_while_the_box_was_frozen_begins_anew_under_another_token() {
     let mut part = granted();
-    part.pass(millis(9_000));
+    part.advance(millis(9_000));
     part.apply_answer(
         LeaseAnswer { token: 9, granted: true },
         millis(9_000),
         millis(9_005),
         LEASE_MS,
     );
-    part.pass(millis(9_005));
+    part.advance(millis(9_005));
 
     assert_eq!(part.acting(millis(9_005)), None);
     for at in [10_000, 11_000, 12_000] {
@@ -74,7 +74,7 @@
             LEASE_MS,
         );
     }
-    part.pass(millis(12_100));
+    part.advance(millis(12_100));
     assert_eq!(part.acting(millis(12_100)).map(|lease| lease.token()), Some(9));
 }
 
