--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -87,21 +87,21 @@
     /// answer: another box may have had it.
     pub fn apply_answer(
         &mut self,
-        word: LeaseAnswer,
+        answer: LeaseAnswer,
         asked_at: BoxTime,
         now: BoxTime,
         length_ms: u64,
     ) {
         let until = asked_at.plus_millis(length_ms);
         *self = match *self {
-            _ if !word.granted => Self::Other,
-            Self::Settling(lease) if lease.is_valid(now) && same_era(lease.token, word.token) => {
+            _ if !answer.granted => Self::Other,
+            Self::Settling(lease) if lease.is_valid(now) && same_era(lease.token, answer.token) => {
                 Self::Settling(LeaderLease { until: lease.until.max(until), ..lease })
             }
-            Self::Acting(lease) if lease.is_valid(now) && same_era(lease.token, word.token) => {
+            Self::Acting(lease) if lease.is_valid(now) && same_era(lease.token, answer.token) => {
                 Self::Acting(LeaderLease { until: lease.until.max(until), ..lease })
             }
-            _ => Self::Settling(LeaderLease::granted(word.token, asked_at, now, length_ms)),
+            _ => Self::Settling(LeaderLease::granted(answer.token, asked_at, now, length_ms)),
         };
     }
 
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -200,12 +200,12 @@
         &mut self,
         stamp: EventStamp,
         asked_at: BoxTime,
-        word: LeaseAnswer,
+        answer: LeaseAnswer,
         out: &mut Vec<RouteEffect>,
     ) {
         let length_ms = self.lease_ms();
         let former = self.leader.part;
-        self.leader.part.apply_answer(word, asked_at, stamp.now, length_ms);
+        self.leader.part.apply_answer(answer, asked_at, stamp.now, length_ms);
         self.note_part(former, out);
     }
 
