--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -14,7 +14,7 @@
 
 /// Counts of a window are asked for this long after its end at the earliest, in milliseconds: boxes' clocks differ, and a
 /// run that has begun is counted when its answer begins to arrive.
-pub const FIRST_ASK_MS: u64 = 1_000;
+pub const COLLECTION_DELAY_MS: u64 = 1_000;
 
 /// Boxes that have not told their counts are asked again after this, in milliseconds.
 pub const USAGE_RETRY_MS: u64 = 600;
@@ -145,7 +145,7 @@
     /// What is to be done now, where the other boxes hear notes at `boxes`.
     pub fn step(&mut self, bounds: UsageBounds, boxes: &[String], wall: WallTime) -> RoundStep {
         let ended = bounds.end_of(self.report.window);
-        if wall.0 < ended + FIRST_ASK_MS {
+        if wall.0 < ended + COLLECTION_DELAY_MS {
             return RoundStep::Wait;
         }
         let unheard: Vec<String> =
