--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -229,7 +229,7 @@
             return;
         }
         if let Some(account) = &request.account {
-            self.leader.counts.note(bounds.window_at(wall), account);
+            self.leader.counts.add(bounds.window_at(wall), account);
         }
     }
 
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -78,7 +78,7 @@
 
 impl UsageCounts {
     /// Counts a request whose run began.
-    pub fn note(&mut self, window: u64, account: &str) {
+    pub fn add(&mut self, window: u64, account: &str) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(account) {
             Some(count) => *count += 1,
