--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -102,7 +102,7 @@
 pub struct UsageRound {
     report: UsageReport,
     /// Boxes whose counts are in it, by where they hear notes.
-    heard: BTreeSet<String>,
+    responded: BTreeSet<String>,
     /// When boxes were last asked, in Unix milliseconds.
     asked_at: Option<u64>,
 }
@@ -122,7 +122,7 @@
     /// A collection that begins with this box's own counts.
     pub fn begin(window: u64, own: AccountCounts) -> Self {
         let report = UsageReport { window, counts: own };
-        Self { report, heard: BTreeSet::new(), asked_at: None }
+        Self { report, responded: BTreeSet::new(), asked_at: None }
     }
 
     /// The window.
@@ -133,7 +133,7 @@
     /// Takes another box's counts, once.
     pub fn add_response(&mut self, note: &UsageResponse) {
         if note.usage.window != self.report.window
-            || !self.heard.insert(note.gossip_address.clone())
+            || !self.responded.insert(note.gossip_address.clone())
         {
             return;
         }
@@ -149,7 +149,7 @@
             return RoundStep::Wait;
         }
         let unheard: Vec<String> =
-            boxes.iter().filter(|address| !self.heard.contains(*address)).cloned().collect();
+            boxes.iter().filter(|address| !self.responded.contains(*address)).cloned().collect();
         let due = wall.0 >= ended + bounds.late_ms / 2 && self.asked_at.is_some();
         if due || unheard.is_empty() {
             return RoundStep::Report(self.report.clone());
