--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -148,16 +148,16 @@
         if wall.0 < ended + COLLECTION_DELAY_MS {
             return RoundStep::Wait;
         }
-        let unheard: Vec<String> =
+        let missing: Vec<String> =
             boxes.iter().filter(|address| !self.responded.contains(*address)).cloned().collect();
         let due = wall.0 >= ended + bounds.late_ms / 2 && self.asked_at.is_some();
-        if due || unheard.is_empty() {
+        if due || missing.is_empty() {
             return RoundStep::Report(self.report.clone());
         }
         if self.asked_at.is_some_and(|at| wall.0.abs_diff(at) < USAGE_RETRY_MS) {
             return RoundStep::Wait;
         }
         self.asked_at = Some(wall.0);
-        RoundStep::Ask(unheard)
+        RoundStep::Ask(missing)
     }
 }
