--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -389,7 +389,7 @@
         let Some(round) = &mut self.leader.round else { return };
         match round.step(bounds, &boxes, stamp.wall) {
             RoundStep::Wait => {}
-            RoundStep::Ask(boxes) => {
+            RoundStep::Request(boxes) => {
                 let gossip_address = self.settings.gossip_address.clone();
                 out.push(RouteEffect::RequestUsage(
                     boxes,
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -113,7 +113,7 @@
     /// Nothing yet.
     Wait,
     /// The counts of boxes that hear notes there.
-    Ask(Vec<String>),
+    Request(Vec<String>),
     /// It is complete, or it is time to report it as it is.
     Report(UsageReport),
 }
@@ -158,6 +158,6 @@
             return RoundStep::Wait;
         }
         self.asked_at = Some(wall.0);
-        RoundStep::Ask(missing)
+        RoundStep::Request(missing)
     }
 }
