--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -236,14 +236,15 @@
     /// Answers the holder's question for this box's counts.
     pub(super) fn on_usage_requested(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
-        let note = UsageResponse { gossip_address: self.settings.gossip_address.clone(), usage };
-        out.push(RouteEffect::SendUsage(ask.gossip_address.clone(), note));
+        let response =
+            UsageResponse { gossip_address: self.settings.gossip_address.clone(), usage };
+        out.push(RouteEffect::SendUsage(ask.gossip_address.clone(), response));
     }
 
     /// Takes another box's counts.
-    pub(super) fn on_usage_received(&mut self, note: &UsageResponse) {
+    pub(super) fn on_usage_received(&mut self, response: &UsageResponse) {
         if let Some(round) = &mut self.leader.round {
-            round.add_response(note);
+            round.add_response(response);
         }
     }
 
--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -131,13 +131,13 @@
     }
 
     /// Takes another box's counts, once.
-    pub fn add_response(&mut self, note: &UsageResponse) {
-        if note.usage.window != self.report.window
-            || !self.responded.insert(note.gossip_address.clone())
+    pub fn add_response(&mut self, response: &UsageResponse) {
+        if response.usage.window != self.report.window
+            || !self.responded.insert(response.gossip_address.clone())
         {
             return;
         }
-        for (account, count) in &note.usage.counts {
+        for (account, count) in &response.usage.counts {
             *self.report.counts.entry(account.clone()).or_default() += count;
         }
     }
