--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -234,11 +234,12 @@
     }
 
     /// Answers the holder's question for this box's counts.
-    pub(super) fn on_usage_requested(&self, ask: &UsageRequest, out: &mut Vec<RouteEffect>) {
-        let usage = UsageReport { window: ask.window, counts: self.leader.counts.of(ask.window) };
+    pub(super) fn on_usage_requested(&self, request: &UsageRequest, out: &mut Vec<RouteEffect>) {
+        let usage =
+            UsageReport { window: request.window, counts: self.leader.counts.of(request.window) };
         let response =
             UsageResponse { gossip_address: self.settings.gossip_address.clone(), usage };
-        out.push(RouteEffect::SendUsage(ask.gossip_address.clone(), response));
+        out.push(RouteEffect::SendUsage(request.gossip_address.clone(), response));
     }
 
     /// Takes another box's counts.
