--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -35,7 +35,7 @@
     }
 
     /// When a window ends, in Unix milliseconds.
-    fn end_of(&self, window: u64) -> u64 {
+    fn end_ms(&self, window: u64) -> u64 {
         (window + 1) * self.window_ms.max(1)
     }
 }
@@ -144,13 +144,13 @@
 
     /// What is to be done now, where the other boxes hear notes at `boxes`.
     pub fn step(&mut self, bounds: UsageBounds, boxes: &[String], wall: WallTime) -> RoundStep {
-        let ended = bounds.end_of(self.report.window);
-        if wall.0 < ended + COLLECTION_DELAY_MS {
+        let end_ms = bounds.end_ms(self.report.window);
+        if wall.0 < end_ms + COLLECTION_DELAY_MS {
             return RoundStep::Wait;
         }
         let missing: Vec<String> =
             boxes.iter().filter(|address| !self.responded.contains(*address)).cloned().collect();
-        let due = wall.0 >= ended + bounds.late_ms / 2 && self.asked_at.is_some();
+        let due = wall.0 >= end_ms + bounds.late_ms / 2 && self.asked_at.is_some();
         if due || missing.is_empty() {
             return RoundStep::Report(self.report.clone());
         }
