--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -150,8 +150,8 @@
         }
         let missing: Vec<String> =
             boxes.iter().filter(|address| !self.responded.contains(*address)).cloned().collect();
-        let due = wall.0 >= end_ms + bounds.late_ms / 2 && self.asked_at.is_some();
-        if due || missing.is_empty() {
+        let is_overdue = wall.0 >= end_ms + bounds.late_ms / 2 && self.asked_at.is_some();
+        if is_overdue || missing.is_empty() {
             return RoundStep::Report(self.report.clone());
         }
         if self.asked_at.is_some_and(|at| wall.0.abs_diff(at) < USAGE_RETRY_MS) {
