--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -143,13 +143,16 @@
     }
 
     /// What is to be done now, where the other boxes hear notes at `boxes`.
-    pub fn step(&mut self, bounds: UsageBounds, boxes: &[String], wall: WallTime) -> RoundStep {
+    pub fn step(&mut self, bounds: UsageBounds, addresses: &[String], wall: WallTime) -> RoundStep {
         let end_ms = bounds.end_ms(self.report.window);
         if wall.0 < end_ms + COLLECTION_DELAY_MS {
             return RoundStep::Wait;
         }
-        let missing: Vec<String> =
-            boxes.iter().filter(|address| !self.responded.contains(*address)).cloned().collect();
+        let missing: Vec<String> = addresses
+            .iter()
+            .filter(|address| !self.responded.contains(*address))
+            .cloned()
+            .collect();
         let is_overdue = wall.0 >= end_ms + bounds.late_ms / 2 && self.asked_at.is_some();
         if is_overdue || missing.is_empty() {
             return RoundStep::Report(self.report.clone());
