--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -13,7 +13,7 @@
 use crate::time::BoxTime;
 
 /// Part of a zone's replicas that are not of the kind that may be taken away.
-pub const USUAL_SHARE: f64 = 0.125;
+pub const ON_DEMAND_SHARE: f64 = 0.125;
 
 /// Usual replicas are given back when what replaces them has served for this long, in milliseconds.
 pub const GIVE_BACK_MS: u64 = 2_000;
@@ -75,7 +75,7 @@
     if !plan.has_cheaper() {
         return ZoneTarget { on_demand: size, spot: 0 };
     }
-    let kept = ((f64::from(size) * USUAL_SHARE).ceil() as u32).clamp(1, size);
+    let kept = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
     let wanted = size - kept;
     let usual = (size - wanted.min(stock.spot)).max(kept);
     // Both kinds count toward the limit while one replaces the other.
