--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -16,7 +16,7 @@
 pub const ON_DEMAND_SHARE: f64 = 0.125;
 
 /// Usual replicas are given back when what replaces them has served for this long, in milliseconds.
-pub const GIVE_BACK_MS: u64 = 2_000;
+pub const SCALE_DOWN_DELAY_MS: u64 = 2_000;
 
 /// An order that the platform refused is sent again after this, in milliseconds.
 pub const REFUSED_MS: u64 = 5_000;
@@ -132,7 +132,7 @@
         let since = *row.fewer_since.get_or_insert(now);
         if !fewer {
             row.fewer_since = None;
-        } else if now.millis_since(since) < GIVE_BACK_MS {
+        } else if now.millis_since(since) < SCALE_DOWN_DELAY_MS {
             return false;
         }
         if now < row.next_at {
