--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -19,7 +19,7 @@
 pub const SCALE_DOWN_DELAY_MS: u64 = 2_000;
 
 /// An order that the platform refused is sent again after this, in milliseconds.
-pub const REFUSED_MS: u64 = 5_000;
+pub const REFUSED_RETRY_MS: u64 = 5_000;
 
 /// An order that the platform took is sent again after this, in milliseconds, while fewer replicas serve: those that it had
 /// given may have been taken away.
@@ -149,7 +149,7 @@
             row.taken = Some(wanted);
             row.again_at = now.plus_millis(SHORT_MS);
         } else {
-            row.next_at = now.plus_millis(REFUSED_MS);
+            row.next_at = now.plus_millis(REFUSED_RETRY_MS);
         }
     }
 }
