--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -23,7 +23,7 @@
 
 /// An order that the platform took is sent again after this, in milliseconds, while fewer replicas serve: those that it had
 /// given may have been taken away.
-pub const SHORT_MS: u64 = 10_000;
+pub const SHORTFALL_RETRY_MS: u64 = 10_000;
 
 /// An order without an answer, or one that was put off, is sent again after this, in milliseconds.
 pub const UNANSWERED_MS: u64 = 1_000;
@@ -147,7 +147,7 @@
         let row = self.rows.entry(subject.clone()).or_default();
         if taken {
             row.taken = Some(wanted);
-            row.again_at = now.plus_millis(SHORT_MS);
+            row.again_at = now.plus_millis(SHORTFALL_RETRY_MS);
         } else {
             row.next_at = now.plus_millis(REFUSED_RETRY_MS);
         }
