--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -26,7 +26,7 @@
 pub const SHORTFALL_RETRY_MS: u64 = 10_000;
 
 /// An order without an answer, or one that was put off, is sent again after this, in milliseconds.
-pub const UNANSWERED_MS: u64 = 1_000;
+pub const UNANSWERED_RETRY_MS: u64 = 1_000;
 
 /// What the operator says of how many replicas a service may have.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -138,7 +138,7 @@
         if now < row.next_at {
             return false;
         }
-        row.next_at = now.plus_millis(UNANSWERED_MS);
+        row.next_at = now.plus_millis(UNANSWERED_RETRY_MS);
         true
     }
 
