--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -45,7 +45,7 @@
         self.min <= self.max && self.max > 0
     }
 
-    fn has_cheaper(&self) -> bool {
+    fn spot_is_cheaper(&self) -> bool {
         self.spot_price.is_some_and(|price| price < 1.0)
     }
 }
@@ -72,7 +72,7 @@
 /// What a zone of this size is to have.
 pub fn zone_target(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
-    if !plan.has_cheaper() {
+    if !plan.spot_is_cheaper() {
         return ZoneTarget { on_demand: size, spot: 0 };
     }
     let kept = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
