--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -96,7 +96,7 @@
 
 /// What was last ordered for a subject.
 #[derive(Clone, Copy, Debug, Default)]
-struct StandingOrder {
+struct OrderState {
     /// What the platform took.
     taken: Option<u32>,
     /// Nothing is sent before this.
@@ -110,7 +110,7 @@
 /// Orders to the platform, one at a time for each subject.
 #[derive(Clone, Debug, Default)]
 pub struct ScaleOrders {
-    rows: BTreeMap<ScaleSubject, StandingOrder>,
+    rows: BTreeMap<ScaleSubject, OrderState>,
 }
 
 impl ScaleOrders {
