--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -110,7 +110,7 @@
 /// Orders to the platform, one at a time for each subject.
 #[derive(Clone, Debug, Default)]
 pub struct ScaleOrders {
-    rows: BTreeMap<ScaleSubject, OrderState>,
+    orders: BTreeMap<ScaleSubject, OrderState>,
 }
 
 impl ScaleOrders {
@@ -122,34 +122,34 @@
         standing: u32,
         now: BoxTime,
     ) -> bool {
-        let row = self.rows.entry(subject.clone()).or_default();
-        let taken = row.taken == Some(wanted);
-        if taken && (standing >= wanted || now < row.again_at) {
-            row.fewer_since = None;
+        let order = self.orders.entry(subject.clone()).or_default();
+        let taken = order.taken == Some(wanted);
+        if taken && (standing >= wanted || now < order.again_at) {
+            order.fewer_since = None;
             return false;
         }
-        let fewer = !subject.spot && row.taken.is_none_or(|taken| wanted < taken);
-        let since = *row.fewer_since.get_or_insert(now);
+        let fewer = !subject.spot && order.taken.is_none_or(|taken| wanted < taken);
+        let since = *order.fewer_since.get_or_insert(now);
         if !fewer {
-            row.fewer_since = None;
+            order.fewer_since = None;
         } else if now.millis_since(since) < SCALE_DOWN_DELAY_MS {
             return false;
         }
-        if now < row.next_at {
+        if now < order.next_at {
             return false;
         }
-        row.next_at = now.plus_millis(UNANSWERED_RETRY_MS);
+        order.next_at = now.plus_millis(UNANSWERED_RETRY_MS);
         true
     }
 
     /// Takes the platform's word on an order.
     pub fn note(&mut self, subject: &ScaleSubject, wanted: u32, taken: bool, now: BoxTime) {
-        let row = self.rows.entry(subject.clone()).or_default();
+        let order = self.orders.entry(subject.clone()).or_default();
         if taken {
-            row.taken = Some(wanted);
-            row.again_at = now.plus_millis(SHORTFALL_RETRY_MS);
+            order.taken = Some(wanted);
+            order.again_at = now.plus_millis(SHORTFALL_RETRY_MS);
         } else {
-            row.next_at = now.plus_millis(REFUSED_RETRY_MS);
+            order.next_at = now.plus_millis(REFUSED_RETRY_MS);
         }
     }
 }
