--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -102,7 +102,7 @@
     /// Nothing is sent before this.
     next_at: BoxTime,
     /// What the platform took is not sent again before this.
-    again_at: BoxTime,
+    resend_at: BoxTime,
     /// Since when fewer are wanted.
     fewer_since: Option<BoxTime>,
 }
@@ -124,7 +124,7 @@
     ) -> bool {
         let order = self.orders.entry(subject.clone()).or_default();
         let taken = order.taken == Some(wanted);
-        if taken && (standing >= wanted || now < order.again_at) {
+        if taken && (standing >= wanted || now < order.resend_at) {
             order.fewer_since = None;
             return false;
         }
@@ -147,7 +147,7 @@
         let order = self.orders.entry(subject.clone()).or_default();
         if taken {
             order.taken = Some(wanted);
-            order.again_at = now.plus_millis(SHORTFALL_RETRY_MS);
+            order.resend_at = now.plus_millis(SHORTFALL_RETRY_MS);
         } else {
             order.next_at = now.plus_millis(REFUSED_RETRY_MS);
         }
