--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -316,7 +316,7 @@
             LeaderCall::Report(_) => {}
             LeaderCall::Scale(subject, wanted) if outcome != CallOutcome::Unknown => {
                 let taken = outcome == CallOutcome::Done;
-                self.leader.orders.note(subject, *wanted, taken, stamp.now);
+                self.leader.orders.record_outcome(subject, *wanted, taken, stamp.now);
             }
             LeaderCall::Scale(..) => {}
         }
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -143,7 +143,13 @@
     }
 
     /// Takes the platform's word on an order.
-    pub fn note(&mut self, subject: &ScaleSubject, wanted: u32, taken: bool, now: BoxTime) {
+    pub fn record_outcome(
+        &mut self,
+        subject: &ScaleSubject,
+        wanted: u32,
+        taken: bool,
+        now: BoxTime,
+    ) {
         let order = self.orders.entry(subject.clone()).or_default();
         if taken {
             order.taken = Some(wanted);
