--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -98,7 +98,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct OrderState {
     /// What the platform took.
-    taken: Option<u32>,
+    accepted: Option<u32>,
     /// Nothing is sent before this.
     next_at: BoxTime,
     /// What the platform took is not sent again before this.
@@ -123,12 +123,12 @@
         now: BoxTime,
     ) -> bool {
         let order = self.orders.entry(subject.clone()).or_default();
-        let taken = order.taken == Some(wanted);
-        if taken && (standing >= wanted || now < order.resend_at) {
+        let accepted = order.accepted == Some(wanted);
+        if accepted && (standing >= wanted || now < order.resend_at) {
             order.fewer_since = None;
             return false;
         }
-        let fewer = !subject.spot && order.taken.is_none_or(|taken| wanted < taken);
+        let fewer = !subject.spot && order.accepted.is_none_or(|accepted| wanted < accepted);
         let since = *order.fewer_since.get_or_insert(now);
         if !fewer {
             order.fewer_since = None;
@@ -147,12 +147,12 @@
         &mut self,
         subject: &ScaleSubject,
         wanted: u32,
-        taken: bool,
+        accepted: bool,
         now: BoxTime,
     ) {
         let order = self.orders.entry(subject.clone()).or_default();
-        if taken {
-            order.taken = Some(wanted);
+        if accepted {
+            order.accepted = Some(wanted);
             order.resend_at = now.plus_millis(SHORTFALL_RETRY_MS);
         } else {
             order.next_at = now.plus_millis(REFUSED_RETRY_MS);
