--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -315,8 +315,8 @@
             }
             LeaderCall::Report(_) => {}
             LeaderCall::Scale(subject, wanted) if outcome != CallOutcome::Unknown => {
-                let taken = outcome == CallOutcome::Done;
-                self.leader.orders.record_outcome(subject, *wanted, taken, stamp.now);
+                let accepted = outcome == CallOutcome::Done;
+                self.leader.orders.record_outcome(subject, *wanted, accepted, stamp.now);
             }
             LeaderCall::Scale(..) => {}
         }
