--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -119,12 +119,12 @@
         &mut self,
         subject: &ScaleSubject,
         wanted: u32,
-        standing: u32,
+        current: u32,
         now: BoxTime,
     ) -> bool {
         let order = self.orders.entry(subject.clone()).or_default();
         let accepted = order.accepted == Some(wanted);
-        if accepted && (standing >= wanted || now < order.resend_at) {
+        if accepted && (current >= wanted || now < order.resend_at) {
             order.fewer_since = None;
             return false;
         }
