--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -440,10 +440,10 @@
                 let wish = scale::zone_target(plan, size, stock);
                 let kinds =
                     [(true, wish.spot, stock.spot), (false, wish.on_demand, stock.on_demand)];
-                for (spot, wanted, standing) in kinds {
+                for (spot, wanted, current) in kinds {
                     let (service, zone) = (service.clone(), zone.to_owned());
                     let subject = ScaleSubject { service, zone, spot };
-                    if self.leader.orders.is_due(&subject, wanted, standing, stamp.now) {
+                    if self.leader.orders.is_due(&subject, wanted, current, stamp.now) {
                         out.push(RouteEffect::ReplicasRequested {
                             subject: subject.clone(),
                             wanted,
