--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneTarget {
     /// Usual ones.
-    #[serde(rename = "usual")]
+    #[serde(rename = "on_demand")]
     pub on_demand: u32,
     /// Ones that may be taken away.
     pub spot: u32,
@@ -77,10 +77,10 @@
     }
     let kept = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
     let wanted = size - kept;
-    let usual = (size - wanted.min(stock.spot)).max(kept);
+    let on_demand = (size - wanted.min(stock.spot)).max(kept);
     // Both kinds count toward the limit while one replaces the other.
-    let room = plan.max - usual.max(stock.on_demand).min(plan.max);
-    ZoneTarget { on_demand: usual, spot: wanted.min(room.max(stock.spot)) }
+    let room = plan.max - on_demand.max(stock.on_demand).min(plan.max);
+    ZoneTarget { on_demand, spot: wanted.min(room.max(stock.spot)) }
 }
 
 /// An order to the platform: how many replicas of a kind a zone is to have.
