--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -75,9 +75,9 @@
     if !plan.spot_is_cheaper() {
         return ZoneTarget { on_demand: size, spot: 0 };
     }
-    let kept = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
-    let wanted = size - kept;
-    let on_demand = (size - wanted.min(stock.spot)).max(kept);
+    let min_on_demand = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
+    let wanted = size - min_on_demand;
+    let on_demand = (size - wanted.min(stock.spot)).max(min_on_demand);
     // Both kinds count toward the limit while one replaces the other.
     let room = plan.max - on_demand.max(stock.on_demand).min(plan.max);
     ZoneTarget { on_demand, spot: wanted.min(room.max(stock.spot)) }
