--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -70,17 +70,17 @@
 }
 
 /// What a zone of this size is to have.
-pub fn zone_target(plan: &ScalePlan, size: u32, stock: ZoneCount) -> ZoneTarget {
+pub fn zone_target(plan: &ScalePlan, size: u32, current: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.spot_is_cheaper() {
         return ZoneTarget { on_demand: size, spot: 0 };
     }
     let min_on_demand = ((f64::from(size) * ON_DEMAND_SHARE).ceil() as u32).clamp(1, size);
     let wanted = size - min_on_demand;
-    let on_demand = (size - wanted.min(stock.spot)).max(min_on_demand);
+    let on_demand = (size - wanted.min(current.spot)).max(min_on_demand);
     // Both kinds count toward the limit while one replaces the other.
-    let room = plan.max - on_demand.max(stock.on_demand).min(plan.max);
-    ZoneTarget { on_demand, spot: wanted.min(room.max(stock.spot)) }
+    let room = plan.max - on_demand.max(current.on_demand).min(plan.max);
+    ZoneTarget { on_demand, spot: wanted.min(room.max(current.spot)) }
 }
 
 /// An order to the platform: how many replicas of a kind a zone is to have.
@@ -173,7 +173,7 @@
     /// The sizes of zones that have these replicas.
     pub fn found(service: &str, zone_counts: &BTreeMap<String, ZoneCount>) -> Self {
         let zones =
-            zone_counts.iter().map(|(zone, stock)| (zone.clone(), stock.on_demand + stock.spot));
+            zone_counts.iter().map(|(zone, count)| (zone.clone(), count.on_demand + count.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
     }
 
