--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -427,8 +427,8 @@
             }
             let zone_counts = self.backends.zone_counts(service, stamp.now);
             let found =
-                || KnownSize { size: ServiceSize::found(service, &zone_counts), kept: false };
-            self.leader.sizes.entry(service.clone()).or_insert_with(found);
+                || KnownSize { size: ServiceSize::from_counts(service, &zone_counts), kept: false };
+            self.leader.sizes.entry(service.clone()).or_insert_with(initial);
             let Some(known) = self.leader.sizes.get(service) else { continue };
             if !known.kept {
                 let record = LeaderRecord::Size(known.size.clone());
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -171,7 +171,7 @@
 
 impl ServiceSize {
     /// The sizes of zones that have these replicas.
-    pub fn found(service: &str, zone_counts: &BTreeMap<String, ZoneCount>) -> Self {
+    pub fn from_counts(service: &str, zone_counts: &BTreeMap<String, ZoneCount>) -> Self {
         let zones =
             zone_counts.iter().map(|(zone, count)| (zone.clone(), count.on_demand + count.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
