--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -435,7 +435,7 @@
                 steps.extend(self.leader.write(record, stamp.now));
                 continue;
             }
-            for (zone, size) in known.size.without(&|zone| self.evacuated.contains(zone)) {
+            for (zone, size) in known.size.spread_evacuated(&|zone| self.evacuated.contains(zone)) {
                 let stock = zone_counts.get(zone).copied().unwrap_or_default();
                 let wish = scale::zone_target(plan, size, stock);
                 let kinds =
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -178,12 +178,12 @@
     }
 
     /// The sizes with those of emptied zones spread over the others.
-    pub fn without(&self, emptied: &dyn Fn(&str) -> bool) -> BTreeMap<&str, u32> {
+    pub fn spread_evacuated(&self, is_evacuated: &dyn Fn(&str) -> bool) -> BTreeMap<&str, u32> {
         let missing: u32 =
-            self.zones.iter().filter(|(zone, _)| emptied(zone)).map(|(_, size)| size).sum();
-        let left = self.zones.keys().filter(|zone| !emptied(zone)).count() as u32;
+            self.zones.iter().filter(|(zone, _)| is_evacuated(zone)).map(|(_, size)| size).sum();
+        let left = self.zones.keys().filter(|zone| !is_evacuated(zone)).count() as u32;
         let share = missing.checked_div(left).unwrap_or(0);
-        let size = |zone: &str, size: u32| if emptied(zone) { size } else { size + share };
+        let size = |zone: &str, size: u32| if is_evacuated(zone) { size } else { size + share };
         self.zones.iter().map(|(zone, own)| (zone.as_str(), size(zone, *own))).collect()
     }
 }
