--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -436,10 +436,10 @@
                 continue;
             }
             for (zone, size) in known.size.spread_evacuated(&|zone| self.evacuated.contains(zone)) {
-                let stock = zone_counts.get(zone).copied().unwrap_or_default();
-                let wish = scale::zone_target(plan, size, stock);
+                let count = zone_counts.get(zone).copied().unwrap_or_default();
+                let target = scale::zone_target(plan, size, count);
                 let kinds =
-                    [(true, wish.spot, stock.spot), (false, wish.on_demand, stock.on_demand)];
+                    [(true, target.spot, count.spot), (false, target.on_demand, count.on_demand)];
                 for (spot, wanted, current) in kinds {
                     let (service, zone) = (service.clone(), zone.to_owned());
                     let subject = ScaleSubject { service, zone, spot };
