--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -27,7 +27,7 @@
 };
 
 /// What is not answered is sent again after this, in milliseconds.
-pub const SEND_AGAIN_MS: u64 = 700;
+pub const RETRY_MS: u64 = 700;
 
 /// A report is no longer sent this many windows after its own.
 const REPORT_WINDOWS: u64 = usage::WINDOWS_KEPT as u64;
@@ -172,7 +172,7 @@
         if writing.kept.record != record || now < writing.next_at {
             return None;
         }
-        writing.next_at = now.plus_millis(SEND_AGAIN_MS);
+        writing.next_at = now.plus_millis(RETRY_MS);
         Some(LeaderStep::WriteRecord(writing.kept.clone()))
     }
 }
@@ -338,8 +338,7 @@
             if bounds.scales {
                 self.order_replicas(stamp, &mut steps, out);
             }
-        } else if self.leader.asked_at.is_none_or(|at| stamp.now.millis_since(at) >= SEND_AGAIN_MS)
-        {
+        } else if self.leader.asked_at.is_none_or(|at| stamp.now.millis_since(at) >= RETRY_MS) {
             self.leader.asked_at = Some(stamp.now);
             steps.push(LeaderStep::TakeOver);
         }
@@ -366,7 +365,7 @@
             let record = LeaderRecord::Usage(open.report.clone());
             steps.extend(self.leader.write(record, stamp.now));
         } else if stamp.now >= open.next_at {
-            open.next_at = stamp.now.plus_millis(SEND_AGAIN_MS);
+            open.next_at = stamp.now.plus_millis(RETRY_MS);
             steps.push(LeaderStep::Call(LeaderCall::Report(open.report.clone())));
         }
     }
