--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -30,7 +30,7 @@
 pub const RETRY_MS: u64 = 700;
 
 /// A report is no longer sent this many windows after its own.
-const REPORT_WINDOWS: u64 = usage::WINDOWS_KEPT as u64;
+const REPORT_EXPIRY_WINDOWS: u64 = usage::WINDOWS_KEPT as u64;
 
 /// Bounds of what one box does for all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -355,7 +355,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let current = bounds.window_at(stamp.wall);
-        let oldest = current.saturating_sub(REPORT_WINDOWS);
+        let oldest = current.saturating_sub(REPORT_EXPIRY_WINDOWS);
         self.leader.open.take_if(|open| open.report.window < oldest);
         if self.leader.open.is_none() {
             self.collect_usage(stamp, bounds, oldest, out);
