--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -124,7 +124,7 @@
 /// A record that is being written.
 #[derive(Clone, Debug)]
 struct PendingWrite {
-    kept: NumberedRecord,
+    numbered: NumberedRecord,
     /// Not sent again before this.
     next_at: BoxTime,
 }
@@ -166,14 +166,14 @@
     fn write(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
         let number = self.next_number;
         let writing = self.writing.get_or_insert_with(|| PendingWrite {
-            kept: NumberedRecord { number, record: record.clone() },
+            numbered: NumberedRecord { number, record: record.clone() },
             next_at: now,
         });
-        if writing.kept.record != record || now < writing.next_at {
+        if writing.numbered.record != record || now < writing.next_at {
             return None;
         }
         writing.next_at = now.plus_millis(RETRY_MS);
-        Some(LeaderStep::WriteRecord(writing.kept.clone()))
+        Some(LeaderStep::WriteRecord(writing.numbered.clone()))
     }
 }
 
@@ -279,10 +279,10 @@
         if self.leader.took_over != Some(token) {
             return;
         }
-        let written = self.leader.writing.take_if(|writing| writing.kept.number == number);
+        let written = self.leader.writing.take_if(|writing| writing.numbered.number == number);
         let Some(written) = written else { return };
         self.leader.next_number = number + 1;
-        match written.kept.record {
+        match written.numbered.record {
             LeaderRecord::Usage(report) => {
                 if let Some(open) = self.leader.open.as_mut().filter(|open| open.report == report) {
                     open.kept = true;
