--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -108,7 +108,7 @@
 struct PendingReport {
     report: UsageReport,
     /// Whether it stands in the store.
-    kept: bool,
+    stored: bool,
     /// Not sent again before this.
     next_at: BoxTime,
 }
@@ -118,7 +118,7 @@
 struct KnownSize {
     size: ServiceSize,
     /// Whether they stand in the store.
-    kept: bool,
+    stored: bool,
 }
 
 /// A record that is being written.
@@ -265,10 +265,12 @@
                 LeaderRecord::Usage(report) => {
                     self.leader.reported_to = Some(report.window);
                     let next_at = BoxTime::default();
-                    self.leader.open = Some(PendingReport { report, kept: true, next_at });
+                    self.leader.open = Some(PendingReport { report, stored: true, next_at });
                 }
                 LeaderRecord::Size(size) => {
-                    self.leader.sizes.insert(size.service.clone(), KnownSize { size, kept: true });
+                    self.leader
+                        .sizes
+                        .insert(size.service.clone(), KnownSize { size, stored: true });
                 }
             }
         }
@@ -285,12 +287,12 @@
         match written.numbered.record {
             LeaderRecord::Usage(report) => {
                 if let Some(open) = self.leader.open.as_mut().filter(|open| open.report == report) {
-                    open.kept = true;
+                    open.stored = true;
                 }
             }
             LeaderRecord::Size(size) => {
                 if let Some(known) = self.leader.sizes.get_mut(&size.service) {
-                    known.kept |= known.size == size;
+                    known.stored |= known.size == size;
                 }
             }
         }
@@ -361,7 +363,7 @@
             self.collect_usage(stamp, bounds, oldest, out);
         }
         let Some(open) = &mut self.leader.open else { return };
-        if !open.kept {
+        if !open.stored {
             let record = LeaderRecord::Usage(open.report.clone());
             steps.extend(self.leader.write(record, stamp.now));
         } else if stamp.now >= open.next_at {
@@ -401,7 +403,7 @@
                 self.leader.round = None;
                 self.leader.reported_to = Some(next);
                 let next_at = BoxTime::default();
-                self.leader.open = Some(PendingReport { report, kept: false, next_at });
+                self.leader.open = Some(PendingReport { report, stored: false, next_at });
             }
         }
     }
@@ -425,11 +427,13 @@
                 continue;
             }
             let zone_counts = self.backends.zone_counts(service, stamp.now);
-            let found =
-                || KnownSize { size: ServiceSize::from_counts(service, &zone_counts), kept: false };
+            let found = || KnownSize {
+                size: ServiceSize::from_counts(service, &zone_counts),
+                stored: false,
+            };
             self.leader.sizes.entry(service.clone()).or_insert_with(initial);
             let Some(known) = self.leader.sizes.get(service) else { continue };
-            if !known.kept {
+            if !known.stored {
                 let record = LeaderRecord::Size(known.size.clone());
                 steps.extend(self.leader.write(record, stamp.now));
                 continue;
