--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -136,7 +136,7 @@
     /// This box's own counts.
     counts: UsageCounts,
     /// The token under which the former holders' records were read.
-    took_over: Option<u64>,
+    takeover_token: Option<u64>,
     /// When they were last asked for.
     asked_at: Option<BoxTime>,
     /// The last window that was reported.
@@ -155,7 +155,7 @@
 impl LeaderState {
     /// Forgets what it decided under another token than this.
     fn begin(&mut self, token: u64) {
-        if self.took_over.is_some_and(|former| former != token) {
+        if self.takeover_token.is_some_and(|former| former != token) {
             let (part, counts) = (self.part, std::mem::take(&mut self.counts));
             *self = Self { part, counts, ..Self::default() };
         }
@@ -253,10 +253,10 @@
     pub(super) fn on_leader_records(&mut self, token: u64, next: u64, left: Vec<LeaderRecord>) {
         let mine = matches!(self.leader.part, LeaderPart::Acting(lease) if lease.token() == token);
         // A late answer shows what this box has gone beyond.
-        if !mine || self.leader.took_over == Some(token) {
+        if !mine || self.leader.takeover_token == Some(token) {
             return;
         }
-        self.leader.took_over = Some(token);
+        self.leader.takeover_token = Some(token);
         self.leader.next_number = next;
         self.leader.writing = None;
         for record in left {
@@ -278,7 +278,7 @@
 
     /// Takes that a record of this box, of this number, stands in the store.
     pub(super) fn on_record_stored(&mut self, token: u64, number: u64) {
-        if self.leader.took_over != Some(token) {
+        if self.leader.takeover_token != Some(token) {
             return;
         }
         let written = self.leader.writing.take_if(|writing| writing.numbered.number == number);
@@ -300,7 +300,7 @@
 
     /// Takes that the store expects another record of this token: what it has is read anew.
     pub(super) fn on_record_conflict(&mut self, token: u64) {
-        self.leader.took_over.take_if(|own| *own == token);
+        self.leader.takeover_token.take_if(|own| *own == token);
     }
 
     /// Takes how a call of the holder ended.
@@ -333,7 +333,7 @@
         let Some(lease) = self.leader.part.acting(stamp.now).copied() else { return };
         let (token, until) = (lease.token(), lease.acts_until());
         let mut steps = Vec::new();
-        if self.leader.took_over == Some(token) {
+        if self.leader.takeover_token == Some(token) {
             if let Some(usage) = bounds.usage {
                 self.report_usage(stamp, usage, &mut steps, out);
             }
