--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -138,7 +138,7 @@
     /// The token under which the former holders' records were read.
     takeover_token: Option<u64>,
     /// When they were last asked for.
-    asked_at: Option<BoxTime>,
+    takeover_sent_at: Option<BoxTime>,
     /// The last window that was reported.
     reported_to: Option<u64>,
     round: Option<UsageRound>,
@@ -340,8 +340,12 @@
             if bounds.scales {
                 self.order_replicas(stamp, &mut steps, out);
             }
-        } else if self.leader.asked_at.is_none_or(|at| stamp.now.millis_since(at) >= RETRY_MS) {
-            self.leader.asked_at = Some(stamp.now);
+        } else if self
+            .leader
+            .takeover_sent_at
+            .is_none_or(|at| stamp.now.millis_since(at) >= RETRY_MS)
+        {
+            self.leader.takeover_sent_at = Some(stamp.now);
             steps.push(LeaderStep::TakeOver);
         }
         let order = |step| RouteEffect::RunLeaderStep(LeaderOrder { token, until, step });
