--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -140,7 +140,7 @@
     /// When they were last asked for.
     takeover_sent_at: Option<BoxTime>,
     /// The last window that was reported.
-    reported_to: Option<u64>,
+    last_reported: Option<u64>,
     round: Option<UsageRound>,
     open: Option<PendingReport>,
     /// The record that is being written.
@@ -263,7 +263,7 @@
             match record {
                 // Whether it was sent is not known, and the same once more changes nothing.
                 LeaderRecord::Usage(report) => {
-                    self.leader.reported_to = Some(report.window);
+                    self.leader.last_reported = Some(report.window);
                     let next_at = BoxTime::default();
                     self.leader.open = Some(PendingReport { report, stored: true, next_at });
                 }
@@ -384,7 +384,7 @@
         oldest: u64,
         out: &mut Vec<RouteEffect>,
     ) {
-        let next = self.leader.reported_to.map_or(oldest, |last| last + 1).max(oldest);
+        let next = self.leader.last_reported.map_or(oldest, |last| last + 1).max(oldest);
         if next >= bounds.window_at(stamp.wall) {
             return;
         }
@@ -405,7 +405,7 @@
             }
             RoundStep::Report(report) => {
                 self.leader.round = None;
-                self.leader.reported_to = Some(next);
+                self.leader.last_reported = Some(next);
                 let next_at = BoxTime::default();
                 self.leader.open = Some(PendingReport { report, stored: false, next_at });
             }
