--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -142,7 +142,7 @@
     /// The last window that was reported.
     last_reported: Option<u64>,
     round: Option<UsageRound>,
-    open: Option<PendingReport>,
+    pending: Option<PendingReport>,
     /// The record that is being written.
     writing: Option<PendingWrite>,
     /// Number of the next one.
@@ -265,7 +265,7 @@
                 LeaderRecord::Usage(report) => {
                     self.leader.last_reported = Some(report.window);
                     let next_at = BoxTime::default();
-                    self.leader.open = Some(PendingReport { report, stored: true, next_at });
+                    self.leader.pending = Some(PendingReport { report, stored: true, next_at });
                 }
                 LeaderRecord::Size(size) => {
                     self.leader
@@ -286,8 +286,10 @@
         self.leader.next_number = number + 1;
         match written.numbered.record {
             LeaderRecord::Usage(report) => {
-                if let Some(open) = self.leader.open.as_mut().filter(|open| open.report == report) {
-                    open.stored = true;
+                if let Some(pending) =
+                    self.leader.pending.as_mut().filter(|pending| pending.report == report)
+                {
+                    pending.stored = true;
                 }
             }
             LeaderRecord::Size(size) => {
@@ -313,7 +315,7 @@
         match call {
             // A refused report has a lower token than another holder's: that one reports on.
             LeaderCall::Report(report) if outcome != CallOutcome::Unknown => {
-                self.leader.open.take_if(|open| open.report == *report);
+                self.leader.pending.take_if(|pending| pending.report == *report);
             }
             LeaderCall::Report(_) => {}
             LeaderCall::Scale(subject, wanted) if outcome != CallOutcome::Unknown => {
@@ -362,17 +364,17 @@
     ) {
         let current = bounds.window_at(stamp.wall);
         let oldest = current.saturating_sub(REPORT_EXPIRY_WINDOWS);
-        self.leader.open.take_if(|open| open.report.window < oldest);
-        if self.leader.open.is_none() {
+        self.leader.pending.take_if(|pending| pending.report.window < oldest);
+        if self.leader.pending.is_none() {
             self.collect_usage(stamp, bounds, oldest, out);
         }
-        let Some(open) = &mut self.leader.open else { return };
-        if !open.stored {
-            let record = LeaderRecord::Usage(open.report.clone());
+        let Some(pending) = &mut self.leader.pending else { return };
+        if !pending.stored {
+            let record = LeaderRecord::Usage(pending.report.clone());
             steps.extend(self.leader.write(record, stamp.now));
-        } else if stamp.now >= open.next_at {
-            open.next_at = stamp.now.plus_millis(RETRY_MS);
-            steps.push(LeaderStep::Call(LeaderCall::Report(open.report.clone())));
+        } else if stamp.now >= pending.next_at {
+            pending.next_at = stamp.now.plus_millis(RETRY_MS);
+            steps.push(LeaderStep::Call(LeaderCall::Report(pending.report.clone())));
         }
     }
 
@@ -407,7 +409,7 @@
                 self.leader.round = None;
                 self.leader.last_reported = Some(next);
                 let next_at = BoxTime::default();
-                self.leader.open = Some(PendingReport { report, stored: false, next_at });
+                self.leader.pending = Some(PendingReport { report, stored: false, next_at });
             }
         }
     }
