--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -154,7 +154,7 @@
 
 impl LeaderState {
     /// Forgets what it decided under another token than this.
-    fn begin(&mut self, token: u64) {
+    fn reset_for(&mut self, token: u64) {
         if self.takeover_token.is_some_and(|former| former != token) {
             let (part, counts) = (self.part, std::mem::take(&mut self.counts));
             *self = Self { part, counts, ..Self::default() };
@@ -214,7 +214,7 @@
     fn note_part(&mut self, former: LeaderPart, out: &mut Vec<RouteEffect>) {
         let part = self.leader.part;
         if let LeaderPart::Settling(lease) = part {
-            self.leader.begin(lease.token());
+            self.leader.reset_for(lease.token());
         }
         if std::mem::discriminant(&former) != std::mem::discriminant(&part) {
             out.push(RouteEffect::LeaderPartChanged(part));
