--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -163,7 +163,7 @@
 
     /// The step that writes a record, if it is its turn: one that may be on its way is written again until the store
     /// has it, so that it can't come behind a later one.
-    fn write(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
+    fn write_step(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
         let number = self.next_number;
         let writing = self.writing.get_or_insert_with(|| PendingWrite {
             numbered: NumberedRecord { number, record: record.clone() },
@@ -371,7 +371,7 @@
         let Some(pending) = &mut self.leader.pending else { return };
         if !pending.stored {
             let record = LeaderRecord::Usage(pending.report.clone());
-            steps.extend(self.leader.write(record, stamp.now));
+            steps.extend(self.leader.write_step(record, stamp.now));
         } else if stamp.now >= pending.next_at {
             pending.next_at = stamp.now.plus_millis(RETRY_MS);
             steps.push(LeaderStep::Call(LeaderCall::Report(pending.report.clone())));
@@ -441,7 +441,7 @@
             let Some(known) = self.leader.sizes.get(service) else { continue };
             if !known.stored {
                 let record = LeaderRecord::Size(known.size.clone());
-                steps.extend(self.leader.write(record, stamp.now));
+                steps.extend(self.leader.write_step(record, stamp.now));
                 continue;
             }
             for (zone, size) in known.size.spread_evacuated(&|zone| self.evacuated.contains(zone)) {
