--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -206,12 +206,12 @@
         let length_ms = self.lease_ms();
         let former = self.leader.part;
         self.leader.part.apply_answer(answer, asked_at, stamp.now, length_ms);
-        self.note_part(former, out);
+        self.report_part_change(former, out);
     }
 
     /// Tells when the box's part has changed. Under the token that it had before it goes on where it was: no other box
     /// had the lease since.
-    fn note_part(&mut self, former: LeaderPart, out: &mut Vec<RouteEffect>) {
+    fn report_part_change(&mut self, former: LeaderPart, out: &mut Vec<RouteEffect>) {
         let part = self.leader.part;
         if let LeaderPart::Settling(lease) = part {
             self.leader.reset_for(lease.token());
@@ -330,7 +330,7 @@
     pub(super) fn run_leader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let former = self.leader.part;
         self.leader.part.advance(stamp.now);
-        self.note_part(former, out);
+        self.report_part_change(former, out);
         let Some(bounds) = self.settings.leader else { return };
         let Some(lease) = self.leader.part.acting(stamp.now).copied() else { return };
         let (token, until) = (lease.token(), lease.acts_until());
