--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -250,16 +250,22 @@
     }
 
     /// Takes what former holders left.
-    pub(super) fn on_leader_records(&mut self, token: u64, next: u64, left: Vec<LeaderRecord>) {
-        let mine = matches!(self.leader.part, LeaderPart::Acting(lease) if lease.token() == token);
+    pub(super) fn on_leader_records(
+        &mut self,
+        token: u64,
+        next_number: u64,
+        records: Vec<LeaderRecord>,
+    ) {
+        let is_own =
+            matches!(self.leader.part, LeaderPart::Acting(lease) if lease.token() == token);
         // A late answer shows what this box has gone beyond.
-        if !mine || self.leader.takeover_token == Some(token) {
+        if !is_own || self.leader.takeover_token == Some(token) {
             return;
         }
         self.leader.takeover_token = Some(token);
-        self.leader.next_number = next;
+        self.leader.next_number = next_number;
         self.leader.writing = None;
-        for record in left {
+        for record in records {
             match record {
                 // Whether it was sent is not known, and the same once more changes nothing.
                 LeaderRecord::Usage(report) => {
