--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 /// Answers on trial below which nothing is held against it.
-pub const BAD_RUNS: f64 = 8.0;
+pub const MIN_RUNS: f64 = 8.0;
 
 /// Standard errors that the trial's failures must exceed the other versions' by.
 pub const BAD_ERRORS: f64 = 3.0;
@@ -122,7 +122,7 @@
 
     fn fails_more(&self) -> bool {
         let (canary, baseline) = (&self.canary, &self.baseline);
-        if canary.runs < BAD_RUNS {
+        if canary.runs < MIN_RUNS {
             return false;
         }
         let usual = (baseline.bad + SUPPOSED_BAD) / (baseline.runs + SUPPOSED_RUNS);
@@ -133,7 +133,7 @@
 
     fn is_slower(&self) -> bool {
         let (canary, baseline) = (&self.canary, &self.baseline);
-        if canary.timed < BAD_RUNS || baseline.timed < BAD_RUNS {
+        if canary.timed < MIN_RUNS || baseline.timed < MIN_RUNS {
             return false;
         }
         let excess = canary.log_mean() - baseline.log_mean();
