--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -8,7 +8,7 @@
 pub const MIN_RUNS: f64 = 8.0;
 
 /// Standard errors that the trial's failures must exceed the other versions' by.
-pub const BAD_ERRORS: f64 = 3.0;
+pub const MIN_STANDARD_ERRORS: f64 = 3.0;
 
 /// Failures beyond the other versions' share that count at the least.
 pub const BAD_SHARE: f64 = 0.08;
@@ -128,7 +128,7 @@
         let usual = (baseline.bad + SUPPOSED_BAD) / (baseline.runs + SUPPOSED_RUNS);
         let error = (usual * (1.0 - usual) / canary.runs).sqrt();
         let excess = canary.bad_share() - usual;
-        excess > BAD_SHARE && excess > BAD_ERRORS * error
+        excess > BAD_SHARE && excess > MIN_STANDARD_ERRORS * error
     }
 
     fn is_slower(&self) -> bool {
@@ -142,7 +142,7 @@
         let error = (canary.log_variance() / canary.timed
             + baseline.log_variance() / baseline.timed)
             .sqrt();
-        excess > SLOW_LOG && excess > BAD_ERRORS * error
+        excess > SLOW_LOG && excess > MIN_STANDARD_ERRORS * error
     }
 }
 
