--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -11,7 +11,7 @@
 pub const MIN_STANDARD_ERRORS: f64 = 3.0;
 
 /// Failures beyond the other versions' share that count at the least.
-pub const BAD_SHARE: f64 = 0.08;
+pub const MIN_EXCESS_SHARE: f64 = 0.08;
 
 /// Logarithm of how many times slower counts as bad: 1.7 times.
 pub const SLOW_LOG: f64 = 0.53;
@@ -128,7 +128,7 @@
         let usual = (baseline.bad + SUPPOSED_BAD) / (baseline.runs + SUPPOSED_RUNS);
         let error = (usual * (1.0 - usual) / canary.runs).sqrt();
         let excess = canary.bad_share() - usual;
-        excess > BAD_SHARE && excess > MIN_STANDARD_ERRORS * error
+        excess > MIN_EXCESS_SHARE && excess > MIN_STANDARD_ERRORS * error
     }
 
     fn is_slower(&self) -> bool {
