--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -14,7 +14,7 @@
 pub const MIN_EXCESS_SHARE: f64 = 0.08;
 
 /// Logarithm of how many times slower counts as bad: 1.7 times.
-pub const SLOW_LOG: f64 = 0.53;
+pub const MIN_SLOWDOWN_LOG: f64 = 0.53;
 
 /// Answers and failures that the other versions are taken to have had before the first one is seen: one
 /// in twenty.
@@ -142,7 +142,7 @@
         let error = (canary.log_variance() / canary.timed
             + baseline.log_variance() / baseline.timed)
             .sqrt();
-        excess > SLOW_LOG && excess > MIN_STANDARD_ERRORS * error
+        excess > MIN_SLOWDOWN_LOG && excess > MIN_STANDARD_ERRORS * error
     }
 }
 
