--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -19,7 +19,7 @@
 /// Answers and failures that the other versions are taken to have had before the first one is seen: one
 /// in twenty.
 const PRIOR_RUNS: f64 = 20.0;
-const SUPPOSED_BAD: f64 = 1.0;
+const PRIOR_BAD: f64 = 1.0;
 
 /// Least variance of the logarithms of times, so that a few equal ones prove nothing.
 const VARIANCE_FLOOR: f64 = 0.04;
@@ -125,7 +125,7 @@
         if canary.runs < MIN_RUNS {
             return false;
         }
-        let usual = (baseline.bad + SUPPOSED_BAD) / (baseline.runs + PRIOR_RUNS);
+        let usual = (baseline.bad + PRIOR_BAD) / (baseline.runs + PRIOR_RUNS);
         let error = (usual * (1.0 - usual) / canary.runs).sqrt();
         let excess = canary.bad_share() - usual;
         excess > MIN_EXCESS_SHARE && excess > MIN_STANDARD_ERRORS * error
