--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -180,8 +180,8 @@
         let mut all = self.own.clone();
         for (route, tally) in self.peers.values().flatten() {
             let row = all.entry(route.clone()).or_default();
-            row.canary.join(&tally.canary);
-            row.baseline.join(&tally.baseline);
+            row.canary.merge(&tally.canary);
+            row.baseline.merge(&tally.baseline);
         }
         all
     }
--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -53,7 +53,7 @@
     }
 
     /// Adds another tally.
-    pub fn join(&mut self, other: &VersionStats) {
+    pub fn merge(&mut self, other: &VersionStats) {
         self.runs += other.runs;
         self.bad += other.bad;
         self.timed += other.timed;
