--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -125,9 +125,9 @@
         if canary.runs < MIN_RUNS {
             return false;
         }
-        let usual = (baseline.bad + PRIOR_BAD) / (baseline.runs + PRIOR_RUNS);
-        let error = (usual * (1.0 - usual) / canary.runs).sqrt();
-        let excess = canary.bad_share() - usual;
+        let expected = (baseline.bad + PRIOR_BAD) / (baseline.runs + PRIOR_RUNS);
+        let error = (expected * (1.0 - expected) / canary.runs).sqrt();
+        let excess = canary.bad_share() - expected;
         excess > MIN_EXCESS_SHARE && excess > MIN_STANDARD_ERRORS * error
     }
 
