--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -178,18 +178,18 @@
     /// The evidence of all boxes, by route.
     pub fn evidence(&self) -> RouteStats {
         let mut all = self.own.clone();
-        for (route, tally) in self.peers.values().flatten() {
+        for (route, stats) in self.peers.values().flatten() {
             let row = all.entry(route.clone()).or_default();
-            row.canary.merge(&tally.canary);
-            row.baseline.merge(&tally.baseline);
+            row.canary.merge(&stats.canary);
+            row.baseline.merge(&stats.baseline);
         }
         all
     }
 
     /// Answers of the version so far, on all boxes, and failures among them.
     pub fn answers(&self) -> (f64, f64) {
-        let add = |sum: (f64, f64), tally: &TrialStats| {
-            (sum.0 + tally.canary.runs, sum.1 + tally.canary.bad)
+        let add = |sum: (f64, f64), stats: &TrialStats| {
+            (sum.0 + stats.canary.runs, sum.1 + stats.canary.bad)
         };
         self.evidence().values().fold((0.0, 0.0), add)
     }
@@ -198,16 +198,18 @@
     pub fn finding(&self) -> Option<TrialFinding> {
         let evidence = self.evidence();
         let mut all = TrialStats::default();
-        for tally in evidence.values() {
+        for stats in evidence.values() {
             // Times of different routes don't compare; failures do.
-            all.canary.runs += tally.canary.runs;
-            all.canary.bad += tally.canary.bad;
-            all.baseline.runs += tally.baseline.runs;
-            all.baseline.bad += tally.baseline.bad;
+            all.canary.runs += stats.canary.runs;
+            all.canary.bad += stats.canary.bad;
+            all.baseline.runs += stats.baseline.runs;
+            all.baseline.bad += stats.baseline.bad;
         }
-        let rows = evidence.into_iter().map(|(route, tally)| (Some(route), tally));
+        let rows = evidence.into_iter().map(|(route, stats)| (Some(route), stats));
         let mut rows = [(None, all)].into_iter().chain(rows);
-        rows.find_map(|(route, tally)| Some(TrialFinding { route, fault: tally.fault()?, tally }))
+        rows.find_map(|(route, stats)| {
+            Some(TrialFinding { route, fault: stats.fault()?, tally: stats })
+        })
     }
 
     /// Whether the evidence speaks against the version.
