--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -24,13 +24,13 @@
 use crate::time::BoxTime;
 
 /// Share of sessions that the version on trial gets. The users allow a bad one 0.15 of all requests
-/// of the order's time: this share in the time from [`TRIAL_AT`] to [`RAMP_AT`], and all from there to
+/// of the order's time: this share in the time from [`TRIAL_START`] to [`RAMP_AT`], and all from there to
 /// [`DONE_AT`], come to 0.14.
 pub const TRIAL_SHARE: f64 = 0.2;
 
 /// Part of the order's time after which the trial begins: a little past the half, since boxes hear of
 /// the order a little after it was given.
-pub const TRIAL_AT: f64 = 0.515;
+pub const TRIAL_START: f64 = 0.515;
 
 /// An order that was given less than this part of its time ago is new: half of the time that passes until
 /// anybody gets the version, so that boxes that heard of it earlier have not begun either.
@@ -273,7 +273,7 @@
         let age_ms = self.age_ms(now);
         let allowed = if self.carries_at_ms.is_some_and(|at_ms| age_ms >= at_ms) {
             TrialPhase::Carried
-        } else if self.elapsed(now) >= TRIAL_AT {
+        } else if self.elapsed(now) >= TRIAL_START {
             TrialPhase::Shared
         } else {
             TrialPhase::Held
