--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -34,7 +34,7 @@
 
 /// An order that was given less than this part of its time ago is new: half of the time that passes until
 /// anybody gets the version, so that boxes that heard of it earlier have not begun either.
-pub const NEW_PART: f64 = 0.25;
+pub const NEW_ORDER_PART: f64 = 0.25;
 
 /// Part of the order's time after which a version that did well carries all.
 pub const RAMP_AT: f64 = 0.8;
@@ -162,7 +162,7 @@
 
     /// Whether a trial whose order was given at most `age_ms` ago can't have reached anybody yet.
     pub fn is_new(&self, age_ms: u64) -> bool {
-        (age_ms as f64) < NEW_PART * self.order.duration_ms as f64
+        (age_ms as f64) < NEW_ORDER_PART * self.order.duration_ms as f64
     }
 
     /// How long ago the order was given, in milliseconds, as far as this box knows.
