--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -24,7 +24,7 @@
 use crate::time::BoxTime;
 
 /// Share of sessions that the version on trial gets. The users allow a bad one 0.15 of all requests
-/// of the order's time: this share in the time from [`TRIAL_START`] to [`RAMP_AT`], and all from there to
+/// of the order's time: this share in the time from [`TRIAL_START`] to [`CARRY_AT`], and all from there to
 /// [`DONE_AT`], come to 0.14.
 pub const TRIAL_SHARE: f64 = 0.2;
 
@@ -37,7 +37,7 @@
 pub const NEW_ORDER_PART: f64 = 0.25;
 
 /// Part of the order's time after which a version that did well carries all.
-pub const RAMP_AT: f64 = 0.8;
+pub const CARRY_AT: f64 = 0.8;
 
 /// From when on a version carries all is told so long before, in milliseconds: two rounds of notes. Boxes
 /// hear of answers at different times: were each to go by those it knows, sessions would be parted.
@@ -286,7 +286,7 @@
     fn settle_carrying(&mut self, now: BoxTime) {
         let whole_ms = self.order.duration_ms as f64;
         let lead_ms = CARRY_LEAD_MS.max((whole_ms * CARRY_LEAD_PART) as u64);
-        let ramp_ms = (whole_ms * RAMP_AT) as u64;
+        let ramp_ms = (whole_ms * CARRY_AT) as u64;
         let told_ms = self.age_ms(now) + lead_ms;
         if self.carries_at_ms.is_none() && told_ms >= ramp_ms && self.proven() {
             self.carries_at_ms = Some(told_ms.max(ramp_ms));
