--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -51,7 +51,7 @@
 
 /// Part of the order's time after which progress is checkpoint in the store again. A loss of all boxes sets a
 /// roll-out back by this and a restart; both must fit into the part that [`DONE_AT`] leaves, 0.12.
-pub const MARK_PART: f64 = 0.08;
+pub const CHECKPOINT_PART: f64 = 0.08;
 
 /// A box that finds a version bad passes it over after this, in milliseconds, where the store can't take
 /// the verdict: two of its tries to write it.
@@ -245,7 +245,7 @@
     /// The mark that is due now. A version that was found bad needs none: its verdict is due.
     pub fn mark_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
         let progress = self.progress(now);
-        let step = (self.order.duration_ms as f64 * MARK_PART) as u64;
+        let step = (self.order.duration_ms as f64 * CHECKPOINT_PART) as u64;
         let further = progress.phase > self.checkpoint.phase
             || progress.names_earlier_carry(self.checkpoint)
             || progress.age_ms >= self.checkpoint.age_ms.saturating_add(step);
