--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -55,7 +55,7 @@
 
 /// A box that finds a version bad passes it over after this, in milliseconds, where the store can't take
 /// the verdict: two of its tries to write it.
-pub const ALONE_AFTER_MS: u64 = 3_000;
+pub const LOCAL_EJECTION_MS: u64 = 3_000;
 
 /// Answers of the version on trial without which it is never taken over.
 pub const DONE_RUNS: f64 = 20.0;
@@ -306,7 +306,7 @@
     /// Whether the version is passed over: it was rolled back, or found bad for long while the store can't
     /// take the verdict. Until then all boxes go on alike: one that acts on its own opinion parts sessions.
     pub fn is_ejected(&self, now: BoxTime, store_away: bool) -> bool {
-        let long = |since: BoxTime| now.millis_since(since) >= ALONE_AFTER_MS;
+        let long = |since: BoxTime| now.millis_since(since) >= LOCAL_EJECTION_MS;
         match self.state {
             TrialState::Done => false,
             TrialState::RolledBack => true,
