--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -58,7 +58,7 @@
 pub const LOCAL_EJECTION_MS: u64 = 3_000;
 
 /// Answers of the version on trial without which it is never taken over.
-pub const DONE_RUNS: f64 = 20.0;
+pub const MIN_DONE_RUNS: f64 = 20.0;
 
 /// What is to be done with a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -337,7 +337,7 @@
     }
 
     fn proven(&self) -> bool {
-        self.answers().0 >= DONE_RUNS
+        self.answers().0 >= MIN_DONE_RUNS
     }
 
     /// The verdict that is due now, if it is time for one.
