--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -232,7 +232,7 @@
     }
 
     /// Notes that the store has a mark.
-    pub fn note_marked(&mut self, mark: TrialProgress) {
+    pub fn note_checkpoint(&mut self, mark: TrialProgress) {
         let names_earlier_carry = mark.names_earlier_carry(self.checkpoint);
         if self.checkpoint.phase < mark.phase
             || self.checkpoint.age_ms < mark.age_ms
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -87,7 +87,7 @@
         let Some(trial) = self.trials.get_mut(&mark.service) else { return };
         if trial.order.version == mark.version {
             trial.learn(mark.progress, stamp.now);
-            trial.note_marked(mark.progress);
+            trial.note_checkpoint(mark.progress);
         }
     }
 
@@ -139,7 +139,7 @@
             }
             trial.learn(heard.progress, stamp.now);
             if stands {
-                trial.note_marked(heard.checkpoint);
+                trial.note_checkpoint(heard.checkpoint);
             }
             trial.peers.insert(note.name.clone(), heard.stats.clone());
         }
