--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -243,7 +243,7 @@
     }
 
     /// The mark that is due now. A version that was found bad needs none: its verdict is due.
-    pub fn mark_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
+    pub fn checkpoint_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
         let progress = self.progress(now);
         let step = (self.order.duration_ms as f64 * CHECKPOINT_PART) as u64;
         let further = progress.phase > self.checkpoint.phase
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -180,7 +180,7 @@
     pub(super) fn write_checkpoints(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
-            match trial.mark_due(stamp.now) {
+            match trial.checkpoint_due(stamp.now) {
                 None => drop(self.checkpoint_at.remove(service)),
                 Some(mark) if takes_turn(&mut self.checkpoint_at, service, rank, stamp.now) => {
                     out.push(RouteEffect::WriteCheckpoint(mark));
