--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -73,21 +73,21 @@
         &mut self,
         stamp: EventStamp,
         asked_at: BoxTime,
-        marks: Vec<TrialCheckpoint>,
+        checkpoints: Vec<TrialCheckpoint>,
     ) {
-        for mark in marks {
-            self.apply_checkpoint(stamp, &mark);
+        for checkpoint in checkpoints {
+            self.apply_checkpoint(stamp, &checkpoint);
         }
         let asked_after = self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at);
         asked_after.for_each(|trial| trial.checkpoint_unread = false);
     }
 
     /// Takes a mark that stands in the store.
-    pub(super) fn apply_checkpoint(&mut self, stamp: EventStamp, mark: &TrialCheckpoint) {
-        let Some(trial) = self.trials.get_mut(&mark.service) else { return };
-        if trial.order.version == mark.version {
-            trial.learn(mark.progress, stamp.now);
-            trial.note_checkpoint(mark.progress);
+    pub(super) fn apply_checkpoint(&mut self, stamp: EventStamp, checkpoint: &TrialCheckpoint) {
+        let Some(trial) = self.trials.get_mut(&checkpoint.service) else { return };
+        if trial.order.version == checkpoint.version {
+            trial.learn(checkpoint.progress, stamp.now);
+            trial.note_checkpoint(checkpoint.progress);
         }
     }
 
@@ -182,8 +182,10 @@
         for (service, trial) in &self.trials {
             match trial.checkpoint_due(stamp.now) {
                 None => drop(self.checkpoint_at.remove(service)),
-                Some(mark) if takes_turn(&mut self.checkpoint_at, service, rank, stamp.now) => {
-                    out.push(RouteEffect::WriteCheckpoint(mark));
+                Some(checkpoint)
+                    if takes_turn(&mut self.checkpoint_at, service, rank, stamp.now) =>
+                {
+                    out.push(RouteEffect::WriteCheckpoint(checkpoint));
                 }
                 Some(_) => {}
             }
