--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -232,13 +232,13 @@
     }
 
     /// Notes that the store has a mark.
-    pub fn note_checkpoint(&mut self, mark: TrialProgress) {
-        let names_earlier_carry = mark.names_earlier_carry(self.checkpoint);
-        if self.checkpoint.phase < mark.phase
-            || self.checkpoint.age_ms < mark.age_ms
+    pub fn note_checkpoint(&mut self, stored: TrialProgress) {
+        let names_earlier_carry = stored.names_earlier_carry(self.checkpoint);
+        if self.checkpoint.phase < stored.phase
+            || self.checkpoint.age_ms < stored.age_ms
             || names_earlier_carry
         {
-            self.checkpoint = mark;
+            self.checkpoint = stored;
         }
     }
 
