--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -101,7 +101,8 @@
     /// When it was given, as far as this box or its peers know.
     pub began: BoxTime,
     /// When this box heard of it.
-    pub heard_at: BoxTime,
+    #[serde(rename = "heard_at")]
+    pub received_at: BoxTime,
     /// What stands in the store, or was learnt from a peer that read it.
     pub state: TrialState,
     /// How far it has come, while it runs.
@@ -133,11 +134,11 @@
 
 impl VersionTrial {
     /// A trial that this box has just heard of.
-    pub fn new(order: TrialOrder, heard_at: BoxTime) -> Self {
+    pub fn new(order: TrialOrder, received_at: BoxTime) -> Self {
         Self {
             order,
-            began: heard_at,
-            heard_at,
+            began: received_at,
+            received_at,
             state: TrialState::Running,
             phase: TrialPhase::Held,
             carries_at_ms: None,
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -59,7 +59,7 @@
             self.apply_verdict(verdict, true, out);
         }
         // An order that was read later may be of a trial that the listing did not show yet.
-        for trial in self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at) {
+        for trial in self.trials.values_mut().filter(|trial| trial.received_at <= asked_at) {
             let first = !trial.verdict_read;
             trial.verdict_read = true;
             // The store has word of it already: it came some way before this box heard of it.
@@ -78,7 +78,7 @@
         for checkpoint in checkpoints {
             self.apply_checkpoint(stamp, &checkpoint);
         }
-        let asked_after = self.trials.values_mut().filter(|trial| trial.heard_at <= asked_at);
+        let asked_after = self.trials.values_mut().filter(|trial| trial.received_at <= asked_at);
         asked_after.for_each(|trial| trial.checkpoint_unread = false);
     }
 
