--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -225,7 +225,7 @@
     }
 
     /// Takes over how far it has come as another box or the store knows it: each knows a lower bound.
-    pub fn learn(&mut self, known: TrialProgress, now: BoxTime) {
+    pub fn merge_progress(&mut self, known: TrialProgress, now: BoxTime) {
         self.began = self.began.min(now.minus_millis(known.age_ms));
         self.phase = self.phase.max(known.phase);
         let settled = self.carries_at_ms.into_iter().chain(known.carries_at_ms);
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -86,7 +86,7 @@
     pub(super) fn apply_checkpoint(&mut self, stamp: EventStamp, checkpoint: &TrialCheckpoint) {
         let Some(trial) = self.trials.get_mut(&checkpoint.service) else { return };
         if trial.order.version == checkpoint.version {
-            trial.learn(checkpoint.progress, stamp.now);
+            trial.merge_progress(checkpoint.progress, stamp.now);
             trial.note_checkpoint(checkpoint.progress);
         }
     }
@@ -137,7 +137,7 @@
             if trial.order.version != heard.version {
                 continue;
             }
-            trial.learn(heard.progress, stamp.now);
+            trial.merge_progress(heard.progress, stamp.now);
             if stands {
                 trial.note_checkpoint(heard.checkpoint);
             }
