--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -289,7 +289,7 @@
         let lead_ms = CARRY_LEAD_MS.max((whole_ms * CARRY_LEAD_PART) as u64);
         let ramp_ms = (whole_ms * CARRY_AT) as u64;
         let told_ms = self.age_ms(now) + lead_ms;
-        if self.carries_at_ms.is_none() && told_ms >= ramp_ms && self.proven() {
+        if self.carries_at_ms.is_none() && told_ms >= ramp_ms && self.has_enough_answers() {
             self.carries_at_ms = Some(told_ms.max(ramp_ms));
         }
     }
@@ -337,7 +337,7 @@
         self.state == TrialState::Running && self.order.version == version
     }
 
-    fn proven(&self) -> bool {
+    fn has_enough_answers(&self) -> bool {
         self.answers().0 >= MIN_DONE_RUNS
     }
 
