--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -327,9 +327,9 @@
     /// Place of a request among all, from 0 to 1: by its session, or by chance if it has none. Those
     /// below the share go to the version on trial.
     pub fn session_draw(&self, session: u64, random: u64) -> f64 {
-        let lot = if session == 0 { random } else { session };
+        let key = if session == 0 { random } else { session };
         let seed = xxh3_64(self.order.version.as_bytes());
-        (mix(lot ^ seed) >> 11) as f64 / (1_u64 << 53) as f64
+        (mix(key ^ seed) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     /// Whether `version` is under way to be judged here.
