--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -285,12 +285,12 @@
 
     /// Settles from when on the version carries all, where the evidence allows it and the time has come to tell others.
     fn settle_carrying(&mut self, now: BoxTime) {
-        let whole_ms = self.order.duration_ms as f64;
-        let lead_ms = CARRY_LEAD_MS.max((whole_ms * CARRY_LEAD_PART) as u64);
-        let ramp_ms = (whole_ms * CARRY_AT) as u64;
-        let told_ms = self.age_ms(now) + lead_ms;
-        if self.carries_at_ms.is_none() && told_ms >= ramp_ms && self.has_enough_answers() {
-            self.carries_at_ms = Some(told_ms.max(ramp_ms));
+        let duration_ms = self.order.duration_ms as f64;
+        let lead_ms = CARRY_LEAD_MS.max((duration_ms * CARRY_LEAD_PART) as u64);
+        let carry_ms = (duration_ms * CARRY_AT) as u64;
+        let earliest_ms = self.age_ms(now) + lead_ms;
+        if self.carries_at_ms.is_none() && earliest_ms >= carry_ms && self.has_enough_answers() {
+            self.carries_at_ms = Some(earliest_ms.max(carry_ms));
         }
     }
 
