--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -265,9 +265,9 @@
             return None;
         }
         if let Some(finding) = self.finding() {
-            let began = self.bad_since.is_none();
+            let is_first = self.bad_since.is_none();
             self.bad_since.get_or_insert(now);
-            return began.then_some(finding);
+            return is_first.then_some(finding);
         }
         self.bad_since = None;
         self.settle_carrying(now);
