--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -43,7 +43,7 @@
             // All records of some moments ago are known, and this was not among them: the store can have no
             // verdict or mark of it yet, and each box that would ask is a call.
             trial.verdict_read = self.fresh.age_ms(stamp.now).is_some_and(|age| trial.is_new(age));
-            out.push(moved(&trial));
+            out.push(state_changed(&trial));
             self.trials.insert(service, trial);
         }
     }
@@ -106,7 +106,7 @@
         trial.written |= stands && (ended || trial.state == TrialState::Running);
         if trial.state == TrialState::Running && ended {
             trial.state = verdict.state;
-            out.push(moved(trial));
+            out.push(state_changed(trial));
             // Told with the next tick: until they know, other boxes give sessions to other versions.
             self.rounds.next_note = BoxTime::default();
         }
@@ -243,7 +243,7 @@
     true
 }
 
-fn moved(trial: &VersionTrial) -> RouteEffect {
+fn state_changed(trial: &VersionTrial) -> RouteEffect {
     let (runs, bad) = trial.answers();
     RouteEffect::TrialStateChanged {
         service: trial.order.service.clone(),
