--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -127,23 +127,23 @@
     pub(super) fn apply_trials(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
         // What a box knows to stand in the store of a former era, the store may have lost.
-        let stands = note.era == self.era;
-        for heard in &note.trials {
-            let Some(trial) = self.trials.get_mut(&heard.service) else { continue };
-            if trial.order.version != heard.version {
+        let stands = message.era == self.era;
+        for update in &message.trials {
+            let Some(trial) = self.trials.get_mut(&update.service) else { continue };
+            if trial.order.version != update.version {
                 continue;
             }
-            trial.merge_progress(heard.progress, stamp.now);
+            trial.merge_progress(update.progress, stamp.now);
             if stands {
-                trial.note_checkpoint(heard.checkpoint);
+                trial.note_checkpoint(update.checkpoint);
             }
-            trial.peers.insert(note.name.clone(), heard.stats.clone());
+            trial.peers.insert(message.name.clone(), update.stats.clone());
         }
-        for verdict in &note.verdicts {
+        for verdict in &message.verdicts {
             self.apply_verdict(verdict.clone(), stands, out);
         }
     }
