--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -95,7 +95,7 @@
     pub(super) fn apply_verdict(
         &mut self,
         verdict: TrialVerdict,
-        stands: bool,
+        is_stored: bool,
         out: &mut Vec<RouteEffect>,
     ) {
         let Some(trial) = self.trials.get_mut(&verdict.service) else { return };
@@ -103,7 +103,7 @@
             return;
         }
         let ended = verdict.state != TrialState::Running;
-        trial.written |= stands && (ended || trial.state == TrialState::Running);
+        trial.written |= is_stored && (ended || trial.state == TrialState::Running);
         if trial.state == TrialState::Running && ended {
             trial.state = verdict.state;
             out.push(state_changed(trial));
@@ -131,20 +131,20 @@
         out: &mut Vec<RouteEffect>,
     ) {
         // What a box knows to stand in the store of a former era, the store may have lost.
-        let stands = message.era == self.era;
+        let is_stored = message.era == self.era;
         for update in &message.trials {
             let Some(trial) = self.trials.get_mut(&update.service) else { continue };
             if trial.order.version != update.version {
                 continue;
             }
             trial.merge_progress(update.progress, stamp.now);
-            if stands {
+            if is_stored {
                 trial.note_checkpoint(update.checkpoint);
             }
             trial.peers.insert(message.name.clone(), update.stats.clone());
         }
         for verdict in &message.verdicts {
-            self.apply_verdict(verdict.clone(), stands, out);
+            self.apply_verdict(verdict.clone(), is_stored, out);
         }
     }
 
