--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -60,11 +60,11 @@
         }
         // An order that was read later may be of a trial that the listing did not show yet.
         for trial in self.trials.values_mut().filter(|trial| trial.received_at <= asked_at) {
-            let first = !trial.verdict_read;
+            let first_read = !trial.verdict_read;
             trial.verdict_read = true;
             // The store has word of it already: it came some way before this box heard of it.
             let under_way = trial.written && trial.state == TrialState::Running;
-            trial.checkpoint_unread |= first && under_way;
+            trial.checkpoint_unread |= first_read && under_way;
         }
     }
 
