--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -439,7 +439,7 @@
                 continue;
             }
             let zone_counts = self.backends.zone_counts(service, stamp.now);
-            let found = || KnownSize {
+            let initial = || KnownSize {
                 size: ServiceSize::from_counts(service, &zone_counts),
                 stored: false,
             };
