--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneTarget {
     /// Usual ones.
-    #[serde(rename = "on_demand")]
+    #[serde(rename = "usual")]
     pub on_demand: u32,
     /// Ones that may be taken away.
     pub spot: u32,
