--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -1,10 +1,12 @@
-//! What one box does for all: it reports usage and orders replicas, under a lease with a fencing token.
+//! Work of the leader, the one box that reports usage and orders replicas for the whole fleet,
+//! under a lease with a fencing token.
 //!
-//! [`lease`] who may · [`usage`] how many requests of each client account ran · [`scale`] how many replicas there are to be.
+//! [`lease`]: which box is the leader. [`usage`]: how many requests of each client account ran.
+//! [`scale`]: how many replicas each service has.
 //!
-//! The platform refuses calls with a lower token than it has seen, but a call without an answer may be carried out seconds
-//! later. So what was decided stands in the store, under the same token, before it is first sent, and whoever gets the
-//! lease next begins with what stands there.
+//! The platform refuses a call whose token is lower than one that it has seen, but a call without
+//! an answer may still be carried out seconds later. So each decision is written to the store under
+//! the same token before it is first sent, and the next leader starts from the stored records.
 
 pub mod lease;
 pub mod scale;
@@ -26,90 +28,90 @@
     RoundStep, UsageBounds, UsageCounts, UsageReport, UsageRequest, UsageResponse, UsageRound,
 };
 
-/// What is not answered is sent again after this, in milliseconds.
+/// Delay before an unanswered step is sent again, in milliseconds.
 pub const RETRY_MS: u64 = 700;
 
-/// A report is no longer sent this many windows after its own.
+/// Number of windows after which a report is no longer sent.
 const REPORT_EXPIRY_WINDOWS: u64 = usage::WINDOWS_KEPT as u64;
 
-/// Bounds of what one box does for all.
+/// Settings of the leader's work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct LeaderBounds {
     /// Length of the lease, in milliseconds.
     pub lease_ms: u64,
-    /// Bounds of the reports, if usage is to be reported.
+    /// Settings of the usage reports; `None` if usage is not reported.
     pub usage: Option<UsageBounds>,
-    /// Whether replicas are to be ordered.
+    /// Whether the leader orders replicas.
     pub scales: bool,
 }
 
-/// What a holder leaves in the store for the next one.
+/// A decision that a leader writes to the store, for itself and for the next leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderRecord {
-    /// The last report.
+    /// The latest usage report.
     Usage(UsageReport),
     /// Sizes of a service's zones.
     Size(ServiceSize),
 }
 
-/// A call to the platform that only the holder may make.
+/// A call to the platform that only the leader may make.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderCall {
-    /// A report.
+    /// Sends a usage report.
     Report(UsageReport),
-    /// An order of replicas.
+    /// Sets the number of replicas of a subject.
     Scale(ScaleSubject, u32),
 }
 
-/// How a call of the holder ended.
+/// How a call of the leader ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The platform did it.
+    /// The platform carried it out.
     Done,
-    /// The platform refused it: a higher token was seen, or there is nothing to be had.
+    /// The platform refused it: it has seen a higher token, or has no such replicas to give.
     Refused,
-    /// No answer came, or one that says nothing: it may be done, or not.
+    /// There was no answer, or one that does not tell whether the call was carried out.
     Unknown,
 }
 
-/// What the holder's task is to do.
+/// A step that the leader's task is to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderOrder {
-    /// The fencing token.
+    /// The fencing token under which the step is carried out.
     pub token: u64,
-    /// Nothing is begun from then on.
+    /// The step must not start at this time or later.
     pub until: BoxTime,
     /// The step.
     pub step: LeaderStep,
 }
 
-/// A record for the next holder, as it is written.
+/// A leader record with its number, as it is written to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NumberedRecord {
-    /// Its number among those of this token: the store takes each once, and in turn.
+    /// Number among the records of this token. The store accepts each number once, in order.
     pub number: u64,
     /// The record.
     pub record: LeaderRecord,
 }
 
-/// A step of the holder.
+/// A step of the leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaderStep {
-    /// Bar former holders from writing, and read what they left.
+    /// Fence off former leaders' writes, and read the records that they left.
     TakeOver,
-    /// Write this for the next holder.
+    /// Write a record to the store.
     WriteRecord(NumberedRecord),
-    /// Make this call.
+    /// Make a call to the platform.
     Call(LeaderCall),
 }
 
-/// The report under way.
+/// The report that is being written and sent.
 #[derive(Clone, Debug)]
 struct PendingReport {
     report: UsageReport,
-    /// Whether it stands in the store.
+    /// Whether the store has it.
     stored: bool,
-    /// Not sent again before this.
+    /// It is not sent again before this time.
     next_at: BoxTime,
 }
 
@@ -117,7 +119,7 @@
 #[derive(Clone, Debug)]
 struct KnownSize {
     size: ServiceSize,
-    /// Whether they stand in the store.
+    /// Whether the store has them.
     stored: bool,
 }
 
@@ -125,19 +127,19 @@
 #[derive(Clone, Debug)]
 struct PendingWrite {
     numbered: NumberedRecord,
-    /// Not sent again before this.
+    /// It is not sent again before this time.
     next_at: BoxTime,
 }
 
-/// This box's part in what one box does for all.
+/// This box's part in the leadership, and its work while it is the leader.
 #[derive(Debug, Default)]
 pub(super) struct LeaderState {
     pub(super) part: LeaderPart,
-    /// This box's own counts.
+    /// This box's own usage counts.
     counts: UsageCounts,
-    /// The token under which the former holders' records were read.
+    /// The token under which the former leaders' records were read.
     takeover_token: Option<u64>,
-    /// When they were last asked for.
+    /// When the takeover step was last sent.
     takeover_sent_at: Option<BoxTime>,
     /// The last window that was reported.
     last_reported: Option<u64>,
@@ -145,15 +147,15 @@
     pending: Option<PendingReport>,
     /// The record that is being written.
     writing: Option<PendingWrite>,
-    /// Number of the next one.
+    /// Number of the next record.
     next_number: u64,
-    /// Sizes by service.
+    /// Zone sizes by service.
     sizes: BTreeMap<String, KnownSize>,
     orders: ScaleOrders,
 }
 
 impl LeaderState {
-    /// Forgets what it decided under another token than this.
+    /// Drops all decisions made under a token other than this one.
     fn reset_for(&mut self, token: u64) {
         if self.takeover_token.is_some_and(|former| former != token) {
             let (part, counts) = (self.part, std::mem::take(&mut self.counts));
@@ -161,8 +163,9 @@
         }
     }
 
-    /// The step that writes a record, if it is its turn: one that may be on its way is written again until the store
-    /// has it, so that it can't come behind a later one.
+    /// The step that writes a record, if no other record is being written. A record that may still
+    /// be on its way is written again until the store confirms it, so that it cannot arrive after a
+    /// later one.
     fn write_step(&mut self, record: LeaderRecord, now: BoxTime) -> Option<LeaderStep> {
         let number = self.next_number;
         let writing = self.writing.get_or_insert_with(|| PendingWrite {
@@ -178,14 +181,15 @@
 }
 
 impl RouteState {
-    /// Whether this box asks the store for the lease: one of the readers, or the holder.
+    /// Whether this box asks the store for the lease: it is a store reader or has the lease
+    /// already.
     pub fn wants_lease(&self, now: BoxTime) -> bool {
         let bounds = self.settings.leader;
         let any = bounds.is_some_and(|bounds| bounds.usage.is_some() || bounds.scales);
         any && !self.stopping() && (self.is_reader(now) || self.leader.part.has_lease())
     }
 
-    /// Whether it has the lease, so that it gives it back when it stops.
+    /// Whether this box has the lease, which it gives back when it stops.
     pub fn has_lease(&self) -> bool {
         self.leader.part.has_lease()
     }
@@ -195,7 +199,7 @@
         self.settings.leader.unwrap_or_default().lease_ms
     }
 
-    /// Takes the store's answer to an ask for the lease.
+    /// Applies the store's answer to a lease request sent at `asked_at`.
     pub(super) fn on_lease(
         &mut self,
         stamp: EventStamp,
@@ -209,8 +213,8 @@
         self.report_part_change(former, out);
     }
 
-    /// Tells when the box's part has changed. Under the token that it had before it goes on where it was: no other box
-    /// had the lease since.
+    /// Reports a change of the box's part. If it settles under the token that it had before, no
+    /// other box has had the lease since, and its state stays valid.
     fn report_part_change(&mut self, former: LeaderPart, out: &mut Vec<RouteEffect>) {
         let part = self.leader.part;
         if let LeaderPart::Settling(lease) = part {
@@ -221,7 +225,7 @@
         }
     }
 
-    /// Counts a request whose run begins, for the report of its window.
+    /// Counts a request that starts to run, for the report of its window.
     pub(super) fn count_usage(&mut self, wall: WallTime, ticket: RequestTicket) {
         let Some(bounds) = self.settings.leader.and_then(|bounds| bounds.usage) else { return };
         let Some(request) = self.requests.get_mut(&ticket) else { return };
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Answers the holder's question for this box's counts.
+    /// Answers the leader's request for this box's counts.
     pub(super) fn on_usage_requested(&self, request: &UsageRequest, out: &mut Vec<RouteEffect>) {
         let usage =
             UsageReport { window: request.window, counts: self.leader.counts.of(request.window) };
@@ -242,14 +246,14 @@
         out.push(RouteEffect::SendUsage(request.gossip_address.clone(), response));
     }
 
-    /// Takes another box's counts.
+    /// Adds another box's counts to the collection under way.
     pub(super) fn on_usage_received(&mut self, response: &UsageResponse) {
         if let Some(round) = &mut self.leader.round {
             round.add_response(response);
         }
     }
 
-    /// Takes what former holders left.
+    /// Applies the records that former leaders left.
     pub(super) fn on_leader_records(
         &mut self,
         token: u64,
@@ -258,7 +262,7 @@
     ) {
         let is_own =
             matches!(self.leader.part, LeaderPart::Acting(lease) if lease.token() == token);
-        // A late answer shows what this box has gone beyond.
+        // A late answer lacks what this box has decided since.
         if !is_own || self.leader.takeover_token == Some(token) {
             return;
         }
@@ -267,7 +271,8 @@
         self.leader.writing = None;
         for record in records {
             match record {
-                // Whether it was sent is not known, and the same once more changes nothing.
+                // It is not known whether it was sent. Sending the same report again changes
+                // nothing.
                 LeaderRecord::Usage(report) => {
                     self.leader.last_reported = Some(report.window);
                     let next_at = BoxTime::default();
@@ -282,7 +287,7 @@
         }
     }
 
-    /// Takes that a record of this box, of this number, stands in the store.
+    /// Marks this box's record of this number as stored.
     pub(super) fn on_record_stored(&mut self, token: u64, number: u64) {
         if self.leader.takeover_token != Some(token) {
             return;
@@ -306,12 +311,13 @@
         }
     }
 
-    /// Takes that the store expects another record of this token: what it has is read anew.
+    /// Makes the box read the records again: the store expected another record number under this
+    /// token.
     pub(super) fn on_record_conflict(&mut self, token: u64) {
         self.leader.takeover_token.take_if(|own| *own == token);
     }
 
-    /// Takes how a call of the holder ended.
+    /// Applies the outcome of a leader's call.
     pub(super) fn on_leader_call(
         &mut self,
         stamp: EventStamp,
@@ -319,7 +325,8 @@
         outcome: CallOutcome,
     ) {
         match call {
-            // A refused report has a lower token than another holder's: that one reports on.
+            // A refused report has a lower token than that of another leader, which reports from
+            // now on.
             LeaderCall::Report(report) if outcome != CallOutcome::Unknown => {
                 self.leader.pending.take_if(|pending| pending.report == *report);
             }
@@ -332,7 +339,7 @@
         }
     }
 
-    /// Does what is due for all, if this box may.
+    /// Carries out the leader's work that is due, if this box has the lease.
     pub(super) fn run_leader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let former = self.leader.part;
         self.leader.part.advance(stamp.now);
@@ -360,7 +367,7 @@
         out.extend(steps.into_iter().map(order));
     }
 
-    /// Collects, keeps and sends the report that is next.
+    /// Collects, stores and sends the next report.
     fn report_usage(
         &mut self,
         stamp: EventStamp,
@@ -384,7 +391,7 @@
         }
     }
 
-    /// Collects the counts of the window that is reported next.
+    /// Collects the counts of the next window to report.
     fn collect_usage(
         &mut self,
         stamp: EventStamp,
@@ -420,7 +427,7 @@
         }
     }
 
-    /// Orders replicas of the services whose number may change.
+    /// Orders replicas of the services whose plan lets their number change.
     fn order_replicas(
         &mut self,
         stamp: EventStamp,
@@ -434,7 +441,8 @@
         for (service, plan) in services {
             let Some(plan) = plan.scale.as_ref().filter(|plan| plan.is_valid()) else { continue };
             let running = |trial: &VersionTrial| trial.state == TrialState::Running;
-            // Two versions stand side by side until it ends: an order would empty the new one's replicas.
+            // Both versions run until the trial ends. An order now would leave the new version
+            // without replicas.
             if self.trials.get(service).is_some_and(running) {
                 continue;
             }
