--- a/crates/core/src/route/leader/lease.rs
+++ b/crates/core/src/route/leader/lease.rs
@@ -1,32 +1,34 @@
-//! The lease of the box that acts for all, from the platform's store.
+//! The leader's lease, which the platform's store grants.
 //!
-//! The store deals the lease to one of the boxes that ask for it, again and again, and to another when that one keeps
-//! silent for the lease's length. It may deal it anew unasked, so a box that gets it first lets a whole length pass: until
-//! then whoever had it may still rely on it.
+//! The store grants the lease to one of the boxes that keep asking for it, and to another one when
+//! the leader has been silent for the length of the lease. It may also grant it to another box
+//! unasked. So a box that is granted the lease waits for one length of it before it acts: until
+//! then the former leader may still rely on it.
 
 use serde::Serialize;
 
 use crate::time::BoxTime;
 
-/// A holder stops acting this long before its lease may be dealt to another box, in milliseconds: a call's way.
+/// The leader stops acting this long before its lease may be granted to another box, in
+/// milliseconds: the time that a call may take on its way.
 pub const LEASE_MARGIN_MS: u64 = 200;
 
-/// What the store answered to a box that asked for the lease.
+/// The store's answer to a lease request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseAnswer {
-    /// Rises each time that the lease is granted, and with the store's era.
+    /// Fencing token. It rises with each grant and with the store's era.
     pub token: u64,
     /// Whether the box has the lease.
     pub granted: bool,
 }
 
-/// The phase of a lease that waits until no other box relies on it.
+/// The phase of a lease in which its holder waits until no other box relies on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Settling {
     acts_at: BoxTime,
 }
 
-/// The phase of a lease that its holder acts on.
+/// The phase of a lease in which its holder acts as the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Acting;
 
@@ -34,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LeaderLease<P> {
     token: u64,
-    /// The store may deal it to another box from then on.
+    /// The store may grant it to another box from this time on.
     until: BoxTime,
     phase: P,
 }
@@ -45,14 +47,15 @@
         self.token
     }
 
-    /// Whether the store can't have dealt it to another box because of silence.
+    /// Whether the lease has not expired, so that the store cannot have granted it to another box
+    /// because this one was silent.
     fn is_valid(&self, now: BoxTime) -> bool {
         now < self.until
     }
 }
 
 impl LeaderLease<Settling> {
-    /// A lease that was dealt by an answer to an ask of `asked_at`.
+    /// A lease that was granted in answer to a request sent at `asked_at`.
     fn granted(token: u64, asked_at: BoxTime, now: BoxTime, length_ms: u64) -> Self {
         let phase = Settling { acts_at: now.plus_millis(length_ms) };
         Self { token, until: asked_at.plus_millis(length_ms), phase }
@@ -64,27 +67,27 @@
 }
 
 impl LeaderLease<Acting> {
-    /// Until when its holder may act.
+    /// The time at which its holder stops acting.
     pub fn acts_until(&self) -> BoxTime {
         self.until.minus_millis(LEASE_MARGIN_MS)
     }
 }
 
-/// This box's part in what one box does for all.
+/// This box's part in the leadership.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub enum LeaderPart {
-    /// None.
+    /// It has no lease.
     #[default]
     Other,
-    /// It was dealt the lease, and waits.
+    /// It was granted the lease, and waits.
     Settling(LeaderLease<Settling>),
-    /// It acts.
+    /// It acts as the leader.
     Acting(LeaderLease<Acting>),
 }
 
 impl LeaderPart {
-    /// Takes the store's answer to an ask of `asked_at`. A lease that lapsed meanwhile begins anew, with the token of the
-    /// answer: another box may have had it.
+    /// Applies the store's answer to a request sent at `asked_at`. A lease that expired in the
+    /// meantime starts again with the token of the answer, since another box may have had it.
     pub fn apply_answer(
         &mut self,
         answer: LeaseAnswer,
@@ -105,7 +108,8 @@
         };
     }
 
-    /// Lets time pass: a lease that settled is acted on, one that was not renewed is none.
+    /// Moves on to a time: a lease that has settled becomes active, and one that was not renewed is
+    /// lost.
     pub fn advance(&mut self, now: BoxTime) {
         *self = match *self {
             Self::Settling(lease) if !lease.is_valid(now) => Self::Other,
@@ -123,16 +127,16 @@
         }
     }
 
-    /// Whether the box was dealt the lease.
+    /// Whether the box was granted the lease.
     pub fn has_lease(&self) -> bool {
         !matches!(self, Self::Other)
     }
 }
 
-/// Bits of a token for the count within one era of the store.
+/// Number of token bits that hold the count within one era of the store.
 pub const TOKEN_ERA_SHIFT: u32 = 32;
 
-/// The token of a lease that the store dealt in an era, with the count that it gives.
+/// The token of the grant with this count in this era of the store.
 pub fn token(era: u64, count: u64) -> u64 {
     (era << TOKEN_ERA_SHIFT) | (count & ((1 << TOKEN_ERA_SHIFT) - 1))
 }
