--- a/crates/core/src/route/leader/usage.rs
+++ b/crates/core/src/route/leader/usage.rs
@@ -1,7 +1,8 @@
-//! Usage by client account: each box counts the requests whose run began in a window of the wall clock; the box that acts
-//! for all collects the counts and reports each window once.
+//! Usage by client account. Each box counts the requests that started to run in a window of the
+//! wall clock; the leader collects the counts and reports each window once.
 //!
-//! What was reported stands in the store before it is sent, so that the next holder sends the same or nothing.
+//! A report is written to the store before it is sent, so that the next leader sends the same
+//! report or none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,32 +10,34 @@
 
 use crate::time::WallTime;
 
-/// Windows whose counts a box keeps: what is collected is at most some windows late.
+/// Number of windows whose counts a box keeps. The leader collects counts at most some windows
+/// late.
 pub const WINDOWS_KEPT: usize = 8;
 
-/// Counts of a window are asked for this long after its end at the earliest, in milliseconds: boxes' clocks differ, and a
-/// run that has begun is counted when its answer begins to arrive.
+/// Minimum delay between the end of a window and the first request for its counts, in milliseconds.
+/// The boxes' clocks differ, and a request that runs is counted only when its response begins to
+/// arrive.
 pub const COLLECTION_DELAY_MS: u64 = 1_000;
 
-/// Boxes that have not told their counts are asked again after this, in milliseconds.
+/// Delay before boxes that have not sent their counts are asked again, in milliseconds.
 pub const USAGE_RETRY_MS: u64 = 600;
 
-/// Bounds of the reports.
+/// Settings of the usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct UsageBounds {
     /// Length of a window, in milliseconds.
     pub window_ms: u64,
-    /// A report is due this long after its window's end, in milliseconds.
+    /// A report is due this long after the end of its window, in milliseconds.
     pub late_ms: u64,
 }
 
 impl UsageBounds {
-    /// The window that a time lies in, counted from the start of 1970.
+    /// The window that contains a time, counted from the start of 1970.
     pub fn window_at(&self, wall: WallTime) -> u64 {
         wall.0 / self.window_ms.max(1)
     }
 
-    /// When a window ends, in Unix milliseconds.
+    /// The end of a window, in Unix milliseconds.
     fn end_ms(&self, window: u64) -> u64 {
         (window + 1) * self.window_ms.max(1)
     }
@@ -43,30 +46,30 @@
 /// Counts by client account.
 pub type AccountCounts = BTreeMap<String, u64>;
 
-/// The usage of a window, from all boxes.
+/// The usage of one window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageReport {
     /// The window.
     pub window: u64,
-    /// Requests whose run began in it.
+    /// Requests that started to run in it.
     pub counts: AccountCounts,
 }
 
-/// A question for another box's counts.
+/// The leader's request for a box's counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageRequest {
     /// The window.
     pub window: u64,
-    /// Where the answer goes.
+    /// Gossip address of the leader, which gets the response.
     pub gossip_address: String,
 }
 
 /// A box's counts of a window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageResponse {
-    /// Where the box hears notes.
+    /// Gossip address of the box.
     pub gossip_address: String,
-    /// What it counted.
+    /// The box's own counts.
     pub usage: UsageReport,
 }
 
@@ -77,7 +80,7 @@
 }
 
 impl UsageCounts {
-    /// Counts a request whose run began.
+    /// Counts a request that started to run.
     pub fn add(&mut self, window: u64, account: &str) {
         let counts = self.windows.entry(window).or_default();
         match counts.get_mut(account) {
@@ -91,35 +94,35 @@
         }
     }
 
-    /// What was counted in a window.
+    /// The counts of a window.
     pub fn of(&self, window: u64) -> AccountCounts {
         self.windows.get(&window).cloned().unwrap_or_default()
     }
 }
 
-/// The collection of one window's counts.
+/// The leader's collection of one window's counts.
 #[derive(Clone, Debug)]
 pub struct UsageRound {
     report: UsageReport,
-    /// Boxes whose counts are in it, by where they hear notes.
+    /// Gossip addresses of the boxes whose counts are included.
     responded: BTreeSet<String>,
     /// When boxes were last asked, in Unix milliseconds.
     asked_at: Option<u64>,
 }
 
-/// What a collection needs next.
+/// The next step of a collection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundStep {
-    /// Nothing yet.
+    /// Nothing is due yet.
     Wait,
-    /// The counts of boxes that hear notes there.
+    /// Ask the boxes at these gossip addresses for their counts.
     Request(Vec<String>),
-    /// It is complete, or it is time to report it as it is.
+    /// Report these counts: all boxes have answered, or the report is due.
     Report(UsageReport),
 }
 
 impl UsageRound {
-    /// A collection that begins with this box's own counts.
+    /// Starts a collection with this box's own counts.
     pub fn begin(window: u64, own: AccountCounts) -> Self {
         let report = UsageReport { window, counts: own };
         Self { report, responded: BTreeSet::new(), asked_at: None }
@@ -130,7 +133,7 @@
         self.report.window
     }
 
-    /// Takes another box's counts, once.
+    /// Adds another box's counts, unless they were added before.
     pub fn add_response(&mut self, response: &UsageResponse) {
         if response.usage.window != self.report.window
             || !self.responded.insert(response.gossip_address.clone())
@@ -142,7 +145,7 @@
         }
     }
 
-    /// What is to be done now, where the other boxes hear notes at `boxes`.
+    /// The step that is due now; `addresses` are the gossip addresses of the other boxes.
     pub fn step(&mut self, bounds: UsageBounds, addresses: &[String], wall: WallTime) -> RoundStep {
         let end_ms = bounds.end_ms(self.report.window);
         if wall.0 < end_ms + COLLECTION_DELAY_MS {
