--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -1,10 +1,11 @@
 //! How many replicas of a service are ordered in each availability zone.
 //!
-//! The size that the operator gave a zone is kept. Where replicas that may be taken away are cheaper, all but a part of it
-//! are of that kind; the rest stands when a zone's are taken away at once, until others have started.
+//! A zone keeps the size that the operator gave it. Where spot replicas are cheaper, all but a
+//! share of the zone's replicas are spot; the on-demand share keeps running when all spot replicas
+//! of a zone are reclaimed at once, until replacements have started.
 //!
-//! Load pattern: a zone loses its cheap replicas in one moment. The usual ones are ordered in their place at once, and given
-//! back only when the cheap ones have served for a while again.
+//! Load pattern: a zone loses all its spot replicas in one moment. On-demand replicas are ordered
+//! in their place at once, and are given up only after spot replicas have served for a while again.
 
 use std::collections::BTreeMap;
 
@@ -12,35 +13,37 @@
 
 use crate::time::BoxTime;
 
-/// Part of a zone's replicas that are not of the kind that may be taken away.
+/// Share of a zone's replicas that are on demand even where spot replicas are cheaper.
 pub const ON_DEMAND_SHARE: f64 = 0.125;
 
-/// Usual replicas are given back when what replaces them has served for this long, in milliseconds.
+/// On-demand replicas are given up after their replacements have served for this long, in
+/// milliseconds.
 pub const SCALE_DOWN_DELAY_MS: u64 = 2_000;
 
-/// An order that the platform refused is sent again after this, in milliseconds.
+/// Delay before an order that the platform refused is sent again, in milliseconds.
 pub const REFUSED_RETRY_MS: u64 = 5_000;
 
-/// An order that the platform took is sent again after this, in milliseconds, while fewer replicas serve: those that it had
-/// given may have been taken away.
+/// Delay before an accepted order is sent again while fewer replicas than ordered serve, in
+/// milliseconds: spot replicas may have been reclaimed after the order was filled.
 pub const SHORTFALL_RETRY_MS: u64 = 10_000;
 
-/// An order without an answer, or one that was put off, is sent again after this, in milliseconds.
+/// Delay before an order without an answer is sent again, in milliseconds.
 pub const UNANSWERED_RETRY_MS: u64 = 1_000;
 
-/// What the operator says of how many replicas a service may have.
+/// The operator's limits on the number of a service's replicas.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScalePlan {
-    /// Replicas in each zone, at least.
+    /// Least number of replicas in each zone.
     pub min: u32,
-    /// Replicas in each zone, at most.
+    /// Greatest number of replicas in each zone.
     pub max: u32,
-    /// Price of a replica that may be taken away, as a part of a usual one's; `None` where there are none.
+    /// Price of a spot replica as a fraction of an on-demand replica's; `None` if there are no spot
+    /// replicas.
     pub spot_price: Option<f64>,
 }
 
 impl ScalePlan {
-    /// Whether its bounds leave room for a replica.
+    /// Whether the limits allow at least one replica.
     pub fn is_valid(&self) -> bool {
         self.min <= self.max && self.max > 0
     }
@@ -50,26 +53,26 @@
     }
 }
 
-/// Replicas of a service that a zone has.
+/// Number of replicas of a service in a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneCount {
-    /// Usual ones that don't leave.
+    /// On-demand replicas that are not leaving.
     pub on_demand: u32,
-    /// Those among the ones that may be taken away which serve: they don't leave, and are no longer cold.
+    /// Spot replicas that serve: they are not leaving and are no longer cold.
     pub spot: u32,
 }
 
-/// Replicas of a service that a zone is to have.
+/// Number of replicas of a service that a zone is to have.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneTarget {
-    /// Usual ones.
+    /// On-demand replicas.
     #[serde(rename = "usual")]
     pub on_demand: u32,
-    /// Ones that may be taken away.
+    /// Spot replicas.
     pub spot: u32,
 }
 
-/// What a zone of this size is to have.
+/// The target of a zone of this size.
 pub fn zone_target(plan: &ScalePlan, size: u32, current: ZoneCount) -> ZoneTarget {
     let size = size.clamp(plan.min.max(1), plan.max);
     if !plan.spot_is_cheaper() {
@@ -83,38 +86,39 @@
     ZoneTarget { on_demand, spot: wanted.min(room.max(current.spot)) }
 }
 
-/// An order to the platform: how many replicas of a kind a zone is to have.
+/// What an order to the platform is about: the replicas of one kind in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct ScaleSubject {
     /// Service.
     pub service: String,
     /// Availability zone.
     pub zone: String,
-    /// Whether of the kind that may be taken away.
+    /// Whether the replicas are spot.
     pub spot: bool,
 }
 
-/// What was last ordered for a subject.
+/// State of the order for one subject.
 #[derive(Clone, Copy, Debug, Default)]
 struct OrderState {
-    /// What the platform took.
+    /// The number that the platform accepted last.
     accepted: Option<u32>,
-    /// Nothing is sent before this.
+    /// No order is sent before this time.
     next_at: BoxTime,
-    /// What the platform took is not sent again before this.
+    /// The accepted order is not sent again before this time.
     resend_at: BoxTime,
-    /// Since when fewer are wanted.
+    /// Since when fewer replicas than accepted are wanted.
     fewer_since: Option<BoxTime>,
 }
 
-/// Orders to the platform, one at a time for each subject.
+/// Orders to the platform by subject.
 #[derive(Clone, Debug, Default)]
 pub struct ScaleOrders {
     orders: BTreeMap<ScaleSubject, OrderState>,
 }
 
 impl ScaleOrders {
-    /// Whether an order for `wanted` is to be sent now, where `standing` serve; notes that it is.
+    /// Whether an order for `wanted` replicas is due now, while `current` serve. If so, records
+    /// that it is being sent.
     pub fn is_due(
         &mut self,
         subject: &ScaleSubject,
@@ -142,7 +146,7 @@
         true
     }
 
-    /// Takes the platform's word on an order.
+    /// Records whether the platform accepted an order.
     pub fn record_outcome(
         &mut self,
         subject: &ScaleSubject,
@@ -160,7 +164,7 @@
     }
 }
 
-/// Sizes of a service's zones, as the operator gave them.
+/// Sizes of a service's zones, as the operator set them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ServiceSize {
     /// Service.
@@ -170,14 +174,14 @@
 }
 
 impl ServiceSize {
-    /// The sizes of zones that have these replicas.
+    /// Sizes equal to the zones' current counts.
     pub fn from_counts(service: &str, zone_counts: &BTreeMap<String, ZoneCount>) -> Self {
         let zones =
             zone_counts.iter().map(|(zone, count)| (zone.clone(), count.on_demand + count.spot));
         Self { service: service.to_owned(), zones: zones.collect() }
     }
 
-    /// The sizes with those of emptied zones spread over the others.
+    /// The sizes, with those of evacuated zones spread over the other zones.
     pub fn spread_evacuated(&self, is_evacuated: &dyn Fn(&str) -> bool) -> BTreeMap<&str, u32> {
         let missing: u32 =
             self.zones.iter().filter(|(zone, _)| is_evacuated(zone)).map(|(_, size)| size).sum();
