--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -27,7 +27,7 @@
 /// milliseconds: spot replicas may have been reclaimed after the order was filled.
 pub const SHORTFALL_RETRY_MS: u64 = 10_000;
 
-/// Delay before an order without an answer is sent again, in milliseconds.
+/// Delay before an order that was deferred or not answered is sent again, in milliseconds.
 pub const UNANSWERED_RETRY_MS: u64 = 1_000;
 
 /// The operator's limits on the number of a service's replicas.
