--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -1,28 +1,32 @@
-//! Availability zones under evacuation: the operator asks that nothing further be sent to their replicas until the order
-//! is withdrawn.
+//! Availability zones under evacuation: the operator orders that no further requests go to their
+//! replicas until the order is withdrawn.
 //!
-//! Load pattern: a zone is emptied while boxes are cut off from the store, start, or lose datagrams. The zones are one
-//! value, versioned by the offset up to which the operator's records were read: whoever has read further is right about
-//! all of them, an order that was withdrawn included. So each note carries the whole value, a few bytes, and a box that
-//! hears any other knows as much as that one, without an ask and whatever it missed before.
+//! Load pattern: a zone is evacuated while boxes are cut off from the store, start, or lose
+//! datagrams. The evacuated zones are one value, versioned by the position up to which the
+//! operator's records were read: whoever has read further is right about all zones, also about
+//! orders that were withdrawn. So each gossip message carries the whole value, a few bytes, and a
+//! box that receives any message knows as much as its sender, without a sync request and whatever
+//! messages it missed before.
 //!
-//! A store that comes back from an older copy may lack orders for a while, and show some that were withdrawn. Those that
-//! it lacks are kept as they are known, until the operator has written them again.
+//! A store that was restored from an older copy may lack some orders for a while and show some that
+//! were withdrawn. Known orders that it lacks are kept for a grace period, until the operator has
+//! written them again.
 //!
-//! Else what a box knows of them does not expire: one that hears from nobody keeps to the last word. Requests that need a
-//! key end there after seconds, with the plan's age; for the others an old order costs a zone's replicas, and an
-//! order forgotten too early would be broken.
+//! Otherwise this knowledge does not expire: a box that receives nothing keeps to its last state.
+//! Requests that need a key are refused there after seconds anyway, because the plan is too old.
+//! For all others, an outdated order costs the replicas of a zone, while an order dropped too early
+//! would be violated.
 
 use serde::Serialize;
 
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-/// An order that a store which came back from a copy does not show is kept for this long, in milliseconds: the operator
-/// writes again what was lost, within seconds.
+/// How long an order that a restored store does not show is kept, in milliseconds: the operator
+/// writes lost orders again within seconds.
 pub const ORDER_GRACE_MS: u64 = 10_000;
 
-/// One zone's order, given or withdrawn.
+/// An order for one zone, given or withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneOrder {
     /// The availability zone.
@@ -31,51 +35,51 @@
     pub evacuated: bool,
 }
 
-/// Orders as a read of the operator's records showed them.
+/// Orders that a read of the operator's records returned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EvacuationRead {
-    /// Position from which on the records were read; `None` if all newest records were, so that a zone without one has no
-    /// order.
+    /// Position from which the records were read; `None` if the newest record of every zone was
+    /// read, so that a zone without a record has no order.
     pub from: Option<TopicPosition>,
-    /// Position up to which they were read.
+    /// Position up to which the records were read.
     pub to: TopicPosition,
-    /// The orders among them, in the store's order.
+    /// The orders in these records, in the store's order.
     pub orders: Vec<ZoneOrder>,
 }
 
-/// The zones under evacuation, as one box tells them to another.
+/// The zones under evacuation, as boxes gossip them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationDigest {
     /// Position up to which the operator's records were read.
     pub known_to: TopicPosition,
-    /// All zones under evacuation then, sorted.
+    /// All zones under evacuation at that position, sorted.
     pub zones: Vec<String>,
 }
 
-/// The zones under evacuation, as far as a box knows.
+/// The zones under evacuation, as far as this box knows.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct EvacuatedZones {
     #[serde(skip)]
     known_to: TopicPosition,
     zones: Vec<String>,
-    /// Zones whose orders were known when the store came back from a copy, and which it has not shown since, with
-    /// until when these are kept.
+    /// Zones whose orders were known before the store was restored and that it has not shown since,
+    /// each with the end of its grace period.
     #[serde(skip)]
     expiring: Vec<(String, BoxTime)>,
 }
 
 impl EvacuatedZones {
-    /// Whether nothing may be sent to the replicas of a zone.
+    /// Whether no requests may be sent to the replicas of a zone.
     pub fn contains(&self, zone: &str) -> bool {
         self.has_order(zone) || self.expiring.iter().any(|(expiring, _)| expiring == zone)
     }
 
-    /// Whether the store's records up to the known position show an order for a zone.
+    /// Whether the operator's records up to the known position hold an order for a zone.
     fn has_order(&self, zone: &str) -> bool {
         self.zones.iter().any(|shown| shown == zone)
     }
 
-    /// All zones that get nothing, sorted.
+    /// All zones that get no requests, sorted.
     pub fn zones(&self) -> Vec<String> {
         let expiring = self.expiring.iter().map(|(zone, _)| zone);
         let mut all: Vec<String> = self.zones.iter().chain(expiring).cloned().collect();
@@ -84,15 +88,16 @@
         all
     }
 
-    /// What is told to other boxes.
+    /// The value that is sent to other boxes.
     pub fn digest(&self) -> EvacuationDigest {
         EvacuationDigest { known_to: self.known_to, zones: self.zones.clone() }
     }
 
-    /// Takes what was read. Gives what of it is news.
+    /// Applies a read of the operator's records, and returns what changed.
     pub fn apply_read(&mut self, read: EvacuationRead, now: BoxTime) -> Vec<ZoneOrder> {
         let EvacuationRead { from, to, orders } = read;
-        // Records between what is known and what was read may hold other orders; whoever told of them told the zones.
+        // The records between the known position and the start of the read may hold other orders.
+        // Gossip brings the whole value of a box that has read them.
         if to < self.known_to || from.is_some_and(|from| from > self.known_to) {
             return Vec::new();
         }
@@ -109,7 +114,7 @@
         self.changes_since(&before)
     }
 
-    /// Takes another box's word. Gives what of it is news.
+    /// Merges another box's digest, and returns what changed.
     pub fn merge(&mut self, digest: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
         if digest.known_to.era < self.known_to.era {
@@ -120,7 +125,7 @@
         self.changes_since(&before)
     }
 
-    /// Ends the keeping of orders that were not written again. Gives what of it is news.
+    /// Drops orders whose grace period has passed, and returns what changed.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<ZoneOrder> {
         if self.expiring.iter().all(|(_, until)| now < *until) {
             return Vec::new();
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Keeps an order that the store does not show any more.
+    /// Starts the grace period of an order that the store no longer shows.
     fn keep_expiring(&mut self, zone: &str, now: BoxTime) {
         let kept = self.expiring.iter().any(|(expiring, _)| expiring == zone);
         if !kept && !self.has_order(zone) {
@@ -149,7 +154,7 @@
         }
     }
 
-    /// What of the zones is no longer as it was.
+    /// The orders given and withdrawn compared with `before`.
     fn changes_since(&self, before: &[String]) -> Vec<ZoneOrder> {
         let after = self.zones();
         let given = after.iter().filter(|zone| !before.contains(zone));
