--- a/crates/core/src/route/leaving.rs
+++ b/crates/core/src/route/leaving.rs
@@ -1,7 +1,8 @@
-//! Replicas that say in an answer that they leave.
+//! Replicas that announce in a response that they are leaving.
 //!
-//! The store may be away as a replica says so, and other boxes have no request there: who got the answer marks the
-//! replica's entry, and tells all others, as it does with what the store tells.
+//! The store may be unreachable at that moment, and other boxes may have no request at the replica.
+//! So the box that gets the response marks the replica's entry as leaving and gossips the change,
+//! as it does with changes read from the store.
 
 use super::backend::{BackendChange, BackendEntry, BackendTable, ChangeKind};
 use super::event::{AnswerHead, RouteEffect};
@@ -10,15 +11,16 @@
 use crate::ids::ReplicaKey;
 
 impl BackendTable {
-    /// Marks a replica that says that it leaves. Gives its entry so marked, if that is news.
+    /// Marks a replica as leaving. Returns its changed entry unless it was marked before.
     fn mark_leaving(&mut self, key: ReplicaKey) -> Option<BackendChange> {
         let row = self.rows.get_mut(key).filter(|row| !row.entry.leaving)?;
         row.entry.leaving = true;
         Some(BackendChange { id: row.entry.id.clone(), at: row.at, entry: Some(row.entry.clone()) })
     }
 
-    /// Takes a leaving mark from an entry that is not later than the one known. Within one life of a replica it is never
-    /// taken back, so the order does not matter.
+    /// Applies the leaving mark of an entry that is not newer than the known one. A replica never
+    /// withdraws the mark during one run of its process, so the order of the entries does not
+    /// matter.
     pub(super) fn apply_leaving(&mut self, entry: &BackendEntry) -> ChangeKind {
         let key = self.ids.get(&entry.id).copied().filter(|_| entry.leaving);
         let same_incarnation = |key: &ReplicaKey| self.rows[*key].entry.born == entry.born;
@@ -30,7 +32,7 @@
 }
 
 impl RouteState {
-    /// Takes what the head of a replica's answer says of its leaving.
+    /// Marks the replica as leaving if the head of its response says so.
     pub(super) fn learn_leaving(
         &mut self,
         stamp: EventStamp,
