--- a/crates/core/src/route/region.rs
+++ b/crates/core/src/route/region.rs
@@ -1,11 +1,13 @@
-//! Regions that a route or a client account allows: no attempt of its requests goes to a replica elsewhere.
+//! Regions that a route or a client account allows. No attempt of its requests goes to a replica in
+//! another region.
 
 use std::collections::BTreeMap;
 
-/// Region of each availability zone.
+/// The region of each availability zone.
 pub type ZoneRegions = BTreeMap<String, String>;
 
-/// Availability zones that lie in one of the regions of each list; `None` where no list names any, so that all do.
+/// Availability zones whose region is in every non-empty list; `None` if all lists are empty, so
+/// that all zones are allowed.
 pub fn allowed_zones(regions: &ZoneRegions, lists: &[&[String]]) -> Option<Vec<String>> {
     let lists: Vec<_> = lists.iter().filter(|list| !list.is_empty()).collect();
     if lists.is_empty() {
