--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -1,37 +1,38 @@
-//! What speaks against a version on trial: answers and their times, beside those of the other versions.
+//! Statistical comparison of a version on trial, the canary, with the other versions, the baseline:
+//! failures and response times.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// Answers on trial below which nothing is held against it.
+/// Least number of responses of the canary for a finding against it.
 pub const MIN_RUNS: f64 = 8.0;
 
-/// Standard errors that the trial's failures must exceed the other versions' by.
+/// Number of standard errors by which the canary must be worse than the baseline.
 pub const MIN_STANDARD_ERRORS: f64 = 3.0;
 
-/// Failures beyond the other versions' share that count at the least.
+/// Least excess of the canary's failure share over the baseline's that counts.
 pub const MIN_EXCESS_SHARE: f64 = 0.08;
 
-/// Logarithm of how many times slower counts as bad: 1.7 times.
+/// Logarithm of the slowdown that counts as bad, 1.7 times.
 pub const MIN_SLOWDOWN_LOG: f64 = 0.53;
 
-/// Answers and failures that the other versions are taken to have had before the first one is seen: one
-/// in twenty.
+/// Prior of the baseline's failure share, as responses and failures assumed before the first
+/// observation: one in twenty.
 const PRIOR_RUNS: f64 = 20.0;
 const PRIOR_BAD: f64 = 1.0;
 
-/// Least variance of the logarithms of times, so that a few equal ones prove nothing.
+/// Least variance of the logarithms of times, so that a few equal times prove nothing.
 const VARIANCE_FLOOR: f64 = 0.04;
 
-/// Counts of the answers of one version on one route.
+/// Statistics of the responses of one version on one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct VersionStats {
-    /// Answers, failed ones included.
+    /// Responses, including failed ones.
     pub runs: f64,
-    /// Failures.
+    /// Failed responses.
     pub bad: f64,
-    /// Answers whose time was taken.
+    /// Responses whose time was taken.
     pub timed: f64,
     /// Sum of the logarithms of their times.
     pub log_sum: f64,
@@ -40,7 +41,7 @@
 }
 
 impl VersionStats {
-    /// Adds an answer: whether it failed, and how long it took if that says something.
+    /// Adds a response: whether it failed, and its time in milliseconds if that is meaningful.
     pub fn add(&mut self, bad: bool, took_ms: Option<f64>) {
         self.runs += 1.0;
         self.bad += f64::from(u8::from(bad));
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Adds another tally.
+    /// Adds the statistics of another box.
     pub fn merge(&mut self, other: &VersionStats) {
         self.runs += other.runs;
         self.bad += other.bad;
@@ -75,39 +76,39 @@
     }
 }
 
-/// Tallies of one route: the version on trial beside the others.
+/// Statistics of one route for the canary and the baseline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TrialStats {
     /// The version on trial.
     #[serde(rename = "fresh")]
     pub canary: VersionStats,
-    /// The others.
+    /// The other versions.
     #[serde(rename = "base")]
     pub baseline: VersionStats,
 }
 
-/// How a version does worse than the others.
+/// How a version is worse than the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum TrialFault {
-    /// More of its answers are failures.
+    /// A greater share of its responses fails.
     FailsMore,
-    /// Its answers take longer.
+    /// Its responses take longer.
     Slower,
 }
 
-/// What speaks against a version.
+/// A statistically significant finding against a version.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TrialFinding {
-    /// Route that shows it; `None` for all together.
+    /// The route that shows it; `None` for all routes together.
     pub route: Option<String>,
-    /// What it does worse.
+    /// How the version is worse.
     pub fault: TrialFault,
-    /// The answers that show it.
+    /// The statistics that show it.
     pub tally: TrialStats,
 }
 
 impl TrialStats {
-    /// What the version on trial does worse than chance explains, if anything.
+    /// The fault of the canary that chance does not explain, if any.
     pub fn fault(&self) -> Option<TrialFault> {
         if self.fails_more() {
             return Some(TrialFault::FailsMore);
@@ -115,7 +116,7 @@
         self.is_slower().then_some(TrialFault::Slower)
     }
 
-    /// How many times as long its answers take, by their logarithms' means.
+    /// Ratio of the canary's response times to the baseline's, by the means of their logarithms.
     pub fn times_slower(&self) -> f64 {
         (self.canary.log_mean() - self.baseline.log_mean()).exp()
     }
@@ -137,8 +138,8 @@
             return false;
         }
         let excess = canary.log_mean() - baseline.log_mean();
-        // A new version's times spread: its caches are cold at first. With the others' spread alone, 14 of its
-        // answers condemned a good version.
+        // A new version's times vary more, since its caches are cold at first. With the baseline's
+        // variance alone, 14 responses were enough to condemn a good version.
         let error = (canary.log_variance() / canary.timed
             + baseline.log_variance() / baseline.timed)
             .sqrt();
@@ -146,5 +147,5 @@
     }
 }
 
-/// Tallies by route name.
+/// Statistics by route name.
 pub type RouteStats = BTreeMap<String, TrialStats>;
