--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -1,17 +1,19 @@
-//! A new version of a service on trial: who gets it, what speaks against it, and the verdict.
+//! Trials of new versions of a service, by canary analysis: which sessions get the version, the
+//! evidence against it, and the verdict.
 //!
-//! The operator's order names a service, a version and a time. In the first half of that time a
-//! session that runs must not be moved to the new version, and afterwards none must be moved back. So
-//! the trial begins with the second half, and which sessions it takes is a function of their names
-//! alone: no box has to know which sessions run, or ask another. Every box tallies the answers of both
-//! versions, and boxes tell each other their tallies, so the verdict rests on the evidence of the
-//! fleet. A bad version is rolled back as soon as the evidence holds; a good one is taken over shortly
-//! before the time is up, after a short span in which it carries all, since some versions turn bad
-//! only under load.
+//! The operator's order names a service, a version and a duration. In the first half of the
+//! duration a running session must not be moved to the new version, and in the second half none
+//! must be moved back. So the trial begins with the second half, and a function of the session's id
+//! alone decides which sessions take part: no box has to know which sessions are running, or ask
+//! another box. Every box keeps statistics of the responses of both versions and gossips them, so
+//! the verdict rests on the evidence of the whole fleet. A bad version is rolled back as soon as
+//! the evidence is significant. A good one is accepted shortly before the end of the duration,
+//! after a short phase in which it carries all sessions, since some versions fail only under load.
 //!
-//! What decides whose sessions move must be the same on all boxes, whenever they were started: the order's
-//! age and the phase ([`super::trial_progress`]) are told between boxes and checkpoint in the store, only go
-//! forward, and an opinion of one box counts for nothing until it stands there as a verdict.
+//! All boxes must decide alike which sessions move, whenever they were started. So the order's age
+//! and the phase (see [`super::trial_progress`]) are gossiped and written to the store as
+//! checkpoints, and only go forward; and one box's finding has no effect until the store has it as
+//! a verdict.
 
 use std::collections::BTreeMap;
 
@@ -23,117 +25,122 @@
 use crate::replica::mix;
 use crate::time::BoxTime;
 
-/// Share of sessions that the version on trial gets. The users allow a bad one 0.15 of all requests
-/// of the order's time: this share in the time from [`TRIAL_START`] to [`CARRY_AT`], and all from there to
-/// [`DONE_AT`], come to 0.14.
+/// Share of sessions that the version on trial gets. Users accept that a bad version gets 0.15 of
+/// all requests of the order's duration: this share from [`TRIAL_START`] to [`CARRY_AT`] and all
+/// sessions from there to [`DONE_AT`] add up to 0.14.
 pub const TRIAL_SHARE: f64 = 0.2;
 
-/// Part of the order's time after which the trial begins: a little past the half, since boxes hear of
-/// the order a little after it was given.
+/// Fraction of the order's duration after which the trial begins: slightly more than half, since
+/// boxes receive the order slightly after it was given.
 pub const TRIAL_START: f64 = 0.515;
 
-/// An order that was given less than this part of its time ago is new: half of the time that passes until
-/// anybody gets the version, so that boxes that heard of it earlier have not begun either.
+/// An order that was given less than this fraction of its duration ago is new: half of the time
+/// until any session gets the version, so that boxes that received the order earlier have not begun
+/// either.
 pub const NEW_ORDER_PART: f64 = 0.25;
 
-/// Part of the order's time after which a version that did well carries all.
+/// Fraction of the order's duration after which a version without findings carries all sessions.
 pub const CARRY_AT: f64 = 0.8;
 
-/// From when on a version carries all is told so long before, in milliseconds: two rounds of notes. Boxes
-/// hear of answers at different times: were each to go by those it knows, sessions would be parted.
+/// The time from which a version carries all sessions is announced this long before, in
+/// milliseconds: two gossip rounds. Boxes learn of responses at different times; if each decided by
+/// those it knows, they would send the requests of one session to different versions.
 pub const CARRY_LEAD_MS: u64 = 1_000;
 
-/// The same, as a part of the order's time where that is longer.
+/// The same announcement time as a fraction of the order's duration, used where it is longer.
 pub const CARRY_LEAD_PART: f64 = 0.06;
 
-/// Part of the order's time after which it is taken over.
+/// Fraction of the order's duration after which the version is accepted.
 pub const DONE_AT: f64 = 0.88;
 
-/// Part of the order's time after which progress is checkpoint in the store again. A loss of all boxes sets a
-/// roll-out back by this and a restart; both must fit into the part that [`DONE_AT`] leaves, 0.12.
+/// Fraction of the order's duration after which the next checkpoint is written. A loss of all boxes
+/// sets a trial back by this fraction and a restart; both must fit into the 0.12 that remain after
+/// [`DONE_AT`].
 pub const CHECKPOINT_PART: f64 = 0.08;
 
-/// A box that finds a version bad passes it over after this, in milliseconds, where the store can't take
-/// the verdict: two of its tries to write it.
+/// A box ejects a version that it finds bad after this time, in milliseconds, if the store cannot
+/// accept the verdict: two of its attempts to write it.
 pub const LOCAL_EJECTION_MS: u64 = 3_000;
 
-/// Answers of the version on trial without which it is never taken over.
+/// Least number of responses of a version for its acceptance.
 pub const MIN_DONE_RUNS: f64 = 20.0;
 
-/// What is to be done with a version.
+/// State of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum TrialState {
-    /// On trial.
+    /// The trial is running.
     Running,
-    /// Taken over: it alone serves.
+    /// The version was accepted: it alone serves.
     Done,
-    /// Rolled back: it serves nobody.
+    /// The version was rolled back: it serves no requests.
     RolledBack,
 }
 
-/// The operator's order to bring a version in.
+/// The operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TrialOrder {
     /// Service.
     pub service: String,
-    /// Version to bring in.
+    /// Version to roll out.
     pub version: String,
-    /// Time for it, in milliseconds.
+    /// Duration of the roll-out, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// A verdict, as it stands in the store.
+/// A verdict, as the store has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TrialVerdict {
     /// Service.
     pub service: String,
-    /// Version judged.
+    /// Version on trial.
     pub version: String,
-    /// The verdict.
+    /// State of the trial.
     pub state: TrialState,
 }
 
-/// A trial.
+/// A trial, as this box knows it.
 #[derive(Clone, Debug, Serialize)]
 pub struct VersionTrial {
     /// The order.
     pub order: TrialOrder,
-    /// When it was given, as far as this box or its peers know.
+    /// When the order was given, as far as this box or its peers know.
     pub began: BoxTime,
-    /// When this box heard of it.
+    /// When this box received the order.
     #[serde(rename = "heard_at")]
     pub received_at: BoxTime,
-    /// What stands in the store, or was learnt from a peer that read it.
+    /// The state in the store, read by this box or by a peer.
     pub state: TrialState,
-    /// How far it has come, while it runs.
+    /// Phase of a running trial.
     pub phase: TrialPhase,
-    /// From which age of the order on the version carries all, in milliseconds, as far as that is settled.
+    /// Age of the order from which the version carries all sessions, in milliseconds, once that is
+    /// settled.
     pub carries_at_ms: Option<u64>,
-    /// Since when this box finds it bad.
+    /// Since when this box finds the version bad.
     pub bad_since: Option<BoxTime>,
-    /// Whether the store has any word of this trial.
+    /// Whether the store has a record of this trial's state.
     pub written: bool,
-    /// Whether the store was asked for one.
+    /// Whether the store's verdicts were read since the order was received.
     #[serde(rename = "looked")]
     pub verdict_read: bool,
-    /// Whether it was under way before this box heard of it, and the store's mark is not read yet.
+    /// Whether the trial was running before this box received the order, and its checkpoint in the
+    /// store was not read yet.
     #[serde(rename = "mark_unread")]
     pub checkpoint_unread: bool,
-    /// The last mark in the store that this box knows of.
+    /// The latest checkpoint in the store that this box knows of.
     #[serde(rename = "marked")]
     pub checkpoint: TrialProgress,
-    /// Versions whose orders this one's has replaced.
+    /// Versions whose orders were replaced by this order or earlier ones.
     pub replaced: Vec<String>,
-    /// What this box saw.
+    /// Statistics of this box.
     pub own: RouteStats,
-    /// What the others saw, by box name.
+    /// Statistics of the other boxes, by box name.
     pub peers: BTreeMap<String, RouteStats>,
     /// The share that was logged last.
     pub logged_share: f64,
 }
 
 impl VersionTrial {
-    /// A trial that this box has just heard of.
+    /// A trial whose order this box has just received.
     pub fn new(order: TrialOrder, received_at: BoxTime) -> Self {
         Self {
             order,
@@ -154,29 +161,29 @@
         }
     }
 
-    /// Versions whose orders are replaced once another order comes.
+    /// Versions whose orders are replaced when another order arrives.
     pub fn replaced_versions(&self) -> Vec<String> {
         let mut versions = self.replaced.clone();
         versions.push(self.order.version.clone());
         versions
     }
 
-    /// Whether a trial whose order was given at most `age_ms` ago can't have reached anybody yet.
+    /// Whether no session can have got the version yet if the order was given at most `age_ms` ago.
     pub fn is_new(&self, age_ms: u64) -> bool {
         (age_ms as f64) < NEW_ORDER_PART * self.order.duration_ms as f64
     }
 
-    /// How long ago the order was given, in milliseconds, as far as this box knows.
+    /// Time since the order was given, in milliseconds, as far as this box knows.
     pub fn age_ms(&self, now: BoxTime) -> u64 {
         now.millis_since(self.began)
     }
 
-    /// Part of the order's time that has passed.
+    /// Fraction of the order's duration that has passed.
     pub fn elapsed(&self, now: BoxTime) -> f64 {
         self.age_ms(now) as f64 / self.order.duration_ms.max(1) as f64
     }
 
-    /// The evidence of all boxes, by route.
+    /// Statistics of all boxes, by route.
     pub fn evidence(&self) -> RouteStats {
         let mut all = self.own.clone();
         for (route, stats) in self.peers.values().flatten() {
@@ -187,7 +194,7 @@
         all
     }
 
-    /// Answers of the version so far, on all boxes, and failures among them.
+    /// Responses of the version on all boxes, and the failed ones among them.
     pub fn answers(&self) -> (f64, f64) {
         let add = |sum: (f64, f64), stats: &TrialStats| {
             (sum.0 + stats.canary.runs, sum.1 + stats.canary.bad)
@@ -195,12 +202,12 @@
         self.evidence().values().fold((0.0, 0.0), add)
     }
 
-    /// What speaks against the version, on all routes together or on any.
+    /// The first finding against the version, on all routes together or on one route.
     pub fn finding(&self) -> Option<TrialFinding> {
         let evidence = self.evidence();
         let mut all = TrialStats::default();
         for stats in evidence.values() {
-            // Times of different routes don't compare; failures do.
+            // Times of different routes are not comparable; failures are.
             all.canary.runs += stats.canary.runs;
             all.canary.bad += stats.canary.bad;
             all.baseline.runs += stats.baseline.runs;
@@ -213,18 +220,18 @@
         })
     }
 
-    /// Whether the evidence speaks against the version.
+    /// Whether there is a finding against the version.
     pub fn is_bad(&self) -> bool {
         self.finding().is_some()
     }
 
-    /// How far it has come.
+    /// How far the trial has come.
     pub fn progress(&self, now: BoxTime) -> TrialProgress {
         let carries_at_ms = self.carries_at_ms;
         TrialProgress { phase: self.phase, age_ms: self.age_ms(now), carries_at_ms }
     }
 
-    /// Takes over how far it has come as another box or the store knows it: each knows a lower bound.
+    /// Merges the progress that another box or the store has. Each value is a lower bound.
     pub fn merge_progress(&mut self, known: TrialProgress, now: BoxTime) {
         self.began = self.began.min(now.minus_millis(known.age_ms));
         self.phase = self.phase.max(known.phase);
@@ -232,7 +239,7 @@
         self.carries_at_ms = settled.min();
     }
 
-    /// Notes that the store has a mark.
+    /// Records a checkpoint that the store has, unless a later one is known.
     pub fn note_checkpoint(&mut self, stored: TrialProgress) {
         let names_earlier_carry = stored.names_earlier_carry(self.checkpoint);
         if self.checkpoint.phase < stored.phase
@@ -243,7 +250,8 @@
         }
     }
 
-    /// The mark that is due now. A version that was found bad needs none: its verdict is due.
+    /// The checkpoint that is due now. A version that was found bad needs none, since its verdict
+    /// is due.
     pub fn checkpoint_due(&self, now: BoxTime) -> Option<TrialCheckpoint> {
         let progress = self.progress(now);
         let step = (self.order.duration_ms as f64 * CHECKPOINT_PART) as u64;
@@ -258,8 +266,8 @@
         })
     }
 
-    /// Goes on to the phase that the time and the evidence allow now. Gives what speaks against the
-    /// version when this box begins to find it bad.
+    /// Moves on to the phase that the time and the evidence allow now. Returns the finding when
+    /// this box starts to find the version bad.
     pub fn advance(&mut self, now: BoxTime) -> Option<TrialFinding> {
         if self.state != TrialState::Running {
             return None;
@@ -283,7 +291,8 @@
         None
     }
 
-    /// Settles from when on the version carries all, where the evidence allows it and the time has come to tell others.
+    /// Settles from when the version carries all sessions, if the evidence allows it and it is time
+    /// to announce it.
     fn settle_carrying(&mut self, now: BoxTime) {
         let duration_ms = self.order.duration_ms as f64;
         let lead_ms = CARRY_LEAD_MS.max((duration_ms * CARRY_LEAD_PART) as u64);
@@ -294,18 +303,20 @@
         }
     }
 
-    /// Whether the version was rolled back, or this box finds it bad: it serves nobody else's sessions.
+    /// Whether the version was rolled back or this box finds it bad, so that it gets no additional
+    /// sessions.
     pub fn is_rejected(&self) -> bool {
         self.is_rollback_due() || self.state == TrialState::RolledBack
     }
 
-    /// Whether its roll-back is due.
+    /// Whether a verdict to roll it back is due.
     pub fn is_rollback_due(&self) -> bool {
         self.state == TrialState::Running && self.bad_since.is_some()
     }
 
-    /// Whether the version is passed over: it was rolled back, or found bad for long while the store can't
-    /// take the verdict. Until then all boxes go on alike: one that acts on its own opinion parts sessions.
+    /// Whether no requests go to the version: it was rolled back, or was found bad some time ago
+    /// and the store cannot accept the verdict. Until then all boxes go on alike: a box that acted
+    /// on its own finding would split sessions between versions.
     pub fn is_ejected(&self, now: BoxTime, store_away: bool) -> bool {
         let long = |since: BoxTime| now.millis_since(since) >= LOCAL_EJECTION_MS;
         match self.state {
@@ -324,15 +335,15 @@
         }
     }
 
-    /// Place of a request among all, from 0 to 1: by its session, or by chance if it has none. Those
-    /// below the share go to the version on trial.
+    /// Position of a request between 0 and 1, from its session, or from `random` if it has none.
+    /// Requests below the share go to the version on trial.
     pub fn session_draw(&self, session: u64, random: u64) -> f64 {
         let key = if session == 0 { random } else { session };
         let seed = xxh3_64(self.order.version.as_bytes());
         (mix(key ^ seed) >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Whether `version` is under way to be judged here.
+    /// Whether `version` is the version of a running trial.
     pub fn is_on_trial(&self, version: &str) -> bool {
         self.state == TrialState::Running && self.order.version == version
     }
@@ -341,7 +352,7 @@
         self.answers().0 >= MIN_DONE_RUNS
     }
 
-    /// The verdict that is due now, if it is time for one.
+    /// The verdict that is due now, if any.
     pub fn due(&self, now: BoxTime) -> Option<TrialState> {
         if self.is_rollback_due() {
             return Some(TrialState::RolledBack);
