--- a/crates/core/src/route/trial_progress.rs
+++ b/crates/core/src/route/trial_progress.rs
@@ -1,19 +1,19 @@
-//! How far a trial has come, as boxes tell each other and as the store keeps it.
+//! Progress of a trial, as boxes gossip it and as the store keeps it.
 
 use serde::Serialize;
 
 use super::trial::TRIAL_SHARE;
 
-/// How far a trial under way has come. It never goes back: a share worked out anew from the evidence of
-/// each moment would move sessions to and fro, since boxes and their tallies come and go.
+/// Phase of a running trial. It never goes back: a share computed anew from the current evidence
+/// would move sessions back and forth, since boxes and their statistics come and go.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum TrialPhase {
-    /// Sessions stay on the old versions.
+    /// All sessions stay on the old versions.
     #[default]
     Held,
     /// The version gets [`TRIAL_SHARE`] of the sessions.
     Shared,
-    /// It carries all.
+    /// The version carries all sessions.
     Carried,
 }
 
@@ -28,33 +28,34 @@
     }
 }
 
-/// How far a trial has come, as boxes tell each other and as the store keeps it.
+/// Progress of a trial, as boxes gossip it and as the store keeps it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrialProgress {
-    /// Its phase.
+    /// Phase of the trial.
     pub phase: TrialPhase,
-    /// How long ago the order was given, at the least, in milliseconds.
+    /// Least time since the order was given, in milliseconds.
     pub age_ms: u64,
-    /// From which age of the order on the version carries all, in milliseconds, once that is settled: the earliest that
-    /// any box has named.
+    /// Age of the order from which the version carries all sessions, in milliseconds, once that is
+    /// settled: the earliest that any box has announced.
     pub carries_at_ms: Option<u64>,
 }
 
 impl TrialProgress {
-    /// Whether it names from when on the version carries all, or names it earlier, than the other.
+    /// Whether it has a time from which the version carries all sessions, and `other` has none or a
+    /// later one.
     pub fn names_earlier_carry(self, other: TrialProgress) -> bool {
         let earlier = |at_ms| other.carries_at_ms.is_none_or(|other_ms| at_ms < other_ms);
         self.carries_at_ms.is_some_and(earlier)
     }
 }
 
-/// Progress of a trial as it stands in the store, where it outlives every process.
+/// A trial's progress in the store, where it outlives every process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct TrialCheckpoint {
     /// Service.
     pub service: String,
     /// Version on trial.
     pub version: String,
-    /// How far it had come.
+    /// Progress of the trial.
     pub progress: TrialProgress,
 }
