--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -1,4 +1,4 @@
-//! Trials of new versions: orders, evidence of other boxes, verdicts.
+//! Trials in the route state: orders, other boxes' evidence, verdicts and checkpoints.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-/// A box waits this long for each box before it by rank, in milliseconds, before it writes a verdict
-/// in their place, and this long before it writes it again: a call to the store and its record's way
-/// back.
+/// Before a box writes a verdict, it waits this long for each box of a lower rank, in milliseconds,
+/// and twice as long before it writes again: the time for a call to the store and for its record to
+/// be read.
 pub const VERDICT_TURN_MS: u64 = 500;
 
 impl RouteState {
@@ -31,7 +31,7 @@
             if known.is_some_and(|trial| trial.order.version == order.version) {
                 continue;
             }
-            // A copy of the store may show an order that another one has replaced since.
+            // A restored store may show an order that another one has replaced since.
             if restored && known.is_some_and(|trial| trial.replaced.contains(&order.version)) {
                 continue;
             }
@@ -40,15 +40,16 @@
             let service = order.service.clone();
             let mut trial = VersionTrial::new(order, stamp.now);
             trial.replaced = replaced;
-            // All records of some moments ago are known, and this was not among them: the store can have no
-            // verdict or mark of it yet, and each box that would ask is a call.
+            // This box knows all records up to a moment ago, and the order was not among them. So
+            // the store cannot have a verdict or checkpoint of this trial yet, and asking would
+            // cost one call a box.
             trial.verdict_read = self.fresh.age_ms(stamp.now).is_some_and(|age| trial.is_new(age));
             out.push(state_changed(&trial));
             self.trials.insert(service, trial);
         }
     }
 
-    /// Takes the store's word of all trials, as of `asked_at`.
+    /// Applies the store's verdicts on all trials, as of `asked_at`.
     pub(super) fn on_verdicts(
         &mut self,
         asked_at: BoxTime,
@@ -58,17 +59,18 @@
         for verdict in verdicts {
             self.apply_verdict(verdict, true, out);
         }
-        // An order that was read later may be of a trial that the listing did not show yet.
+        // The listing may lack the verdict of a trial whose order was received after the request.
         for trial in self.trials.values_mut().filter(|trial| trial.received_at <= asked_at) {
             let first_read = !trial.verdict_read;
             trial.verdict_read = true;
-            // The store has word of it already: it came some way before this box heard of it.
+            // The store has its state already, so it made progress before this box received the
+            // order.
             let under_way = trial.written && trial.state == TrialState::Running;
             trial.checkpoint_unread |= first_read && under_way;
         }
     }
 
-    /// Takes the store's marks of all trials, as of `asked_at`.
+    /// Applies the store's checkpoints of all trials, as of `asked_at`.
     pub(super) fn on_checkpoints(
         &mut self,
         stamp: EventStamp,
@@ -82,7 +84,7 @@
         asked_after.for_each(|trial| trial.checkpoint_unread = false);
     }
 
-    /// Takes a mark that stands in the store.
+    /// Applies a checkpoint that the store has.
     pub(super) fn apply_checkpoint(&mut self, stamp: EventStamp, checkpoint: &TrialCheckpoint) {
         let Some(trial) = self.trials.get_mut(&checkpoint.service) else { return };
         if trial.order.version == checkpoint.version {
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Takes a verdict, which stands in the store or did in a former era. A trial that ended never begins anew.
+    /// Applies a verdict that the store has or had in an earlier era. An ended trial never starts
+    /// again.
     pub(super) fn apply_verdict(
         &mut self,
         verdict: TrialVerdict,
@@ -107,12 +110,13 @@
         if trial.state == TrialState::Running && ended {
             trial.state = verdict.state;
             out.push(state_changed(trial));
-            // Told with the next tick: until they know, other boxes give sessions to other versions.
+            // Gossiped with the next tick: until other boxes have it, they send sessions to other
+            // versions.
             self.rounds.next_note = BoxTime::default();
         }
     }
 
-    /// Verdicts that this box knows to stand in the store.
+    /// Verdicts that the store has, as far as this box knows.
     pub(super) fn verdicts(&self) -> Vec<TrialVerdict> {
         let written = self.trials.values().filter(|trial| trial.written);
         written
@@ -130,7 +134,7 @@
         message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        // What a box knows to stand in the store of a former era, the store may have lost.
+        // The store may have lost what a box in an earlier era knows it to have.
         let is_stored = message.era == self.era;
         for update in &message.trials {
             let Some(trial) = self.trials.get_mut(&update.service) else { continue };
@@ -148,13 +152,13 @@
         }
     }
 
-    /// How many boxes come before this one in writing what is due.
+    /// Number of boxes that come before this one in writing verdicts and checkpoints.
     fn duty_rank(&self, now: BoxTime) -> u64 {
         self.peers.rank(&self.local_peer(now), now) as u64
     }
 
-    /// Writes what is due: the first box with duties at once, the others in their place if the
-    /// store has no word of it by then.
+    /// Writes verdicts that are due: the first box by rank does so at once, each other box in its
+    /// turn if the store has no verdict by then.
     pub(super) fn judge_trials(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Marks in the store how far trials have come, box by box as verdicts are written.
+    /// Writes checkpoints that are due, box by box like verdicts.
     pub(super) fn write_checkpoints(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Takes trials on to where they may be by now, and tells the log where that changes a share.
+    /// Advances all trials to the current time, and logs changed shares.
     pub(super) fn advance_trials(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let store_away = self.store_away(stamp.now);
         for trial in self.trials.values_mut() {
@@ -219,7 +223,7 @@
     }
 }
 
-/// Takes a trial on to where it may be by now.
+/// Advances a trial to the current time.
 pub(super) fn advance(trial: &mut VersionTrial, now: BoxTime, out: &mut Vec<RouteEffect>) {
     if let Some(finding) = trial.advance(now) {
         let (service, version) = (trial.order.service.clone(), trial.order.version.clone());
@@ -227,7 +231,8 @@
     }
 }
 
-/// Whether it is this box's turn to write what is due of a service; its next turn comes later.
+/// Whether it is this box's turn to write a service's record. Its next turn is then set to a later
+/// time.
 fn takes_turn(
     turns: &mut BTreeMap<String, BoxTime>,
     service: &str,
