--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -65,13 +65,13 @@
     /// Zones whose orders were known before the store was restored and that it has not shown since,
     /// each with the end of its grace period.
     #[serde(skip)]
-    expiring: Vec<(String, BoxTime)>,
+    unseen: Vec<(String, BoxTime)>,
 }
 
 impl EvacuatedZones {
     /// Whether no requests may be sent to the replicas of a zone.
     pub fn contains(&self, zone: &str) -> bool {
-        self.has_order(zone) || self.expiring.iter().any(|(expiring, _)| expiring == zone)
+        self.has_order(zone) || self.unseen.iter().any(|(unseen, _)| unseen == zone)
     }
 
     /// Whether the operator's records up to the known position hold an order for a zone.
@@ -81,8 +81,8 @@
 
     /// All zones that get no requests, sorted.
     pub fn zones(&self) -> Vec<String> {
-        let expiring = self.expiring.iter().map(|(zone, _)| zone);
-        let mut all: Vec<String> = self.zones.iter().chain(expiring).cloned().collect();
+        let unseen = self.unseen.iter().map(|(zone, _)| zone);
+        let mut all: Vec<String> = self.zones.iter().chain(unseen).cloned().collect();
         all.sort();
         all.dedup();
         all
@@ -104,7 +104,7 @@
         let before = self.zones();
         let mut zones = if from.is_some() { self.zones.clone() } else { Vec::new() };
         for order in orders {
-            self.expiring.retain(|(zone, _)| *zone != order.zone);
+            self.unseen.retain(|(zone, _)| *zone != order.zone);
             zones.retain(|zone| *zone != order.zone);
             if order.evacuated {
                 zones.push(order.zone);
@@ -118,7 +118,7 @@
     pub fn merge(&mut self, digest: &EvacuationDigest, now: BoxTime) -> Vec<ZoneOrder> {
         let before = self.zones();
         if digest.known_to.era < self.known_to.era {
-            digest.zones.iter().for_each(|zone| self.keep_expiring(zone, now));
+            digest.zones.iter().for_each(|zone| self.keep_unseen(zone, now));
         } else if digest.known_to > self.known_to {
             self.replace(digest.known_to, digest.zones.clone(), now);
         }
@@ -127,11 +127,11 @@
 
     /// Drops orders whose grace period has passed, and returns what changed.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<ZoneOrder> {
-        if self.expiring.iter().all(|(_, until)| now < *until) {
+        if self.unseen.iter().all(|(_, until)| now < *until) {
             return Vec::new();
         }
         let before = self.zones();
-        self.expiring.retain(|(_, until)| now < *until);
+        self.unseen.retain(|(_, until)| now < *until);
         self.changes_since(&before)
     }
 
@@ -142,15 +142,15 @@
         let former = std::mem::replace(&mut self.zones, zones);
         self.known_to = known_to;
         if restored {
-            former.iter().for_each(|zone| self.keep_expiring(zone, now));
+            former.iter().for_each(|zone| self.keep_unseen(zone, now));
         }
     }
 
     /// Starts the grace period of an order that the store no longer shows.
-    fn keep_expiring(&mut self, zone: &str, now: BoxTime) {
-        let kept = self.expiring.iter().any(|(expiring, _)| expiring == zone);
+    fn keep_unseen(&mut self, zone: &str, now: BoxTime) {
+        let kept = self.unseen.iter().any(|(unseen, _)| unseen == zone);
         if !kept && !self.has_order(zone) {
-            self.expiring.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
+            self.unseen.push((zone.to_owned(), now.plus_millis(ORDER_GRACE_MS)));
         }
     }
 
