--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn further_sends_restarts_and_resumed_streams_leave_an_emptied_zone_out() {
+fn retries_and_resumed_streams_avoid_an_evacuated_zone() {
     let mut subject = zoned_box();
     let (ticket, first) = subject.sent(ask("/chat/x"));
     let lost = first.replica_id.trim_start_matches("r-").to_owned();
