--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn what_runs_in_an_emptied_zone_runs_on() {
+fn running_requests_in_an_evacuated_zone_continue() {
     let mut subject = zoned_box();
     let (ticket, order) = subject.sent(ask("/file/x"));
     let zone = order.replica_id.trim_start_matches("r-").to_owned();
