--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_zone_emptied_between_the_choice_and_the_write_gets_nothing_and_costs_no_attempt() {
+fn a_zone_evacuated_between_choice_and_write_gets_nothing_and_costs_no_attempt() {
     for path in ["/file/x", "/read/x", "/chat/x"] {
         let mut subject = zoned_box();
         let (ticket, order) = subject.sent(ask(path));
