--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_replica_that_leaves_between_the_choice_and_the_write_gets_nothing() {
+fn a_replica_leaving_between_choice_and_write_gets_nothing() {
     let mut subject = ready_box();
     let (ticket, order) = subject.sent(ask("/file/x"));
     subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
