--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn with_all_zones_of_a_service_emptied_a_request_ends_at_once() {
+fn with_all_zones_evacuated_a_request_is_refused_at_once() {
     let mut subject = zoned_box();
     let all = [("east", true), ("north", true), ("west", true)];
     read_orders(&mut subject, None, 4, &all);
