--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn what_was_sent_and_may_have_run_is_not_called_not_run() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut subject = zoned_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     read_orders(&mut subject, None, 4, &[("east", true), ("north", true), ("west", true)]);
