--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn who_has_read_further_is_right_about_all_zones() {
+fn the_furthest_read_position_wins_for_all_zones() {
     let mut subject = zoned_box();
     read_orders(&mut subject, None, 4, &[("east", true)]);
     let told = |known_to, zones: &[&str]| {
