--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn each_note_carries_the_zones_and_a_box_that_hears_it_acts_on_them() {
+fn a_box_that_receives_gossip_avoids_the_evacuated_zones_in_it() {
     let mut teller = zoned_box();
     let mut subject = zoned_box();
     read_orders(&mut teller, None, 7, &[("east", true), ("north", true)]);
