--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_lease_is_acted_on_only_after_whoever_had_it_no_longer_may() {
+fn a_new_leader_waits_until_the_former_lease_has_expired() {
     let mut part = granted();
     for at in [2_000, 3_000, 4_000] {
         part.apply_answer(
