--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_lease_that_lapsed_while_the_box_was_frozen_begins_anew_under_another_token() {
+fn a_lease_that_expired_during_a_freeze_starts_again_with_a_new_token() {
     let mut part = granted();
     part.advance(millis(9_000));
     part.apply_answer(
