--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn cheap_replicas_replace_usual_ones_only_as_they_serve() {
+fn spot_replicas_replace_on_demand_ones_only_once_they_serve() {
     let stock = |usual, spot| ZoneCount { on_demand: usual, spot };
     assert_eq!(zone_target(&PLAN, 20, stock(20, 0)), ZoneTarget { on_demand: 20, spot: 17 });
     assert_eq!(zone_target(&PLAN, 20, stock(20, 9)), ZoneTarget { on_demand: 11, spot: 17 });
