--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn both_kinds_together_stay_within_the_limit() {
+fn spot_and_on_demand_replicas_together_stay_within_the_limit() {
     let tight = ScalePlan { max: 24, ..PLAN };
     for usual in 0..=24 {
         for spot in 0..=24 {
