--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn without_cheap_replicas_the_size_stays_as_it_was() {
+fn without_spot_replicas_a_zone_keeps_its_size() {
     let usual_only = ScalePlan { spot_price: None, ..PLAN };
     let stock = ZoneCount { on_demand: 12, spot: 0 };
     assert_eq!(zone_target(&usual_only, 20, stock), ZoneTarget { on_demand: 20, spot: 0 });
