--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn one_box_at_a_time_acts_and_no_window_has_two_reports_whatever_strikes() {
+fn faults_cause_neither_two_leaders_nor_two_reports_of_a_window() {
     for seed in (1..=8).chain([11, 45]) {
         let mut fleet = LeaderFleet::new(4, seed, true);
         fleet.faults = true;
