--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_zone_that_loses_its_cheap_replicas_gets_usual_ones_at_once() {
+fn a_zone_that_loses_its_spot_replicas_gets_on_demand_ones_at_once() {
     let mut fleet = LeaderFleet::new(3, 1, true);
     fleet.run(60_000);
     for zone in ZONES {
