--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_late_answer_to_a_take_over_does_not_set_the_reports_back() {
+fn a_late_takeover_answer_does_not_reset_the_reports() {
     let left = UsageReport { window: 0, counts: [("alpha".to_owned(), 3)].into() };
     let taken = |left: Vec<LeaderRecord>| RouteEvent::LeaderRecordsRead { token: 5, next: 0, left };
     let mut subject = acting_box();
