--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn counts_that_a_box_tells_twice_are_taken_once() {
+fn counts_that_a_box_sends_twice_are_added_once() {
     let mut round = UsageRound::begin(7, [("alpha".to_owned(), 1)].into());
     let usage = UsageReport { window: 7, counts: [("alpha".to_owned(), 2)].into() };
     let note = UsageResponse { gossip_address: "box-2:90".to_owned(), usage };
