--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_replica_gets_nothing_after_it_said_that_it_leaves_whatever_the_store_says() {
+fn a_leaving_replica_gets_nothing_even_if_the_store_shows_it_serving() {
     let (mut subject, _) = box_that_was_told();
     assert!(!uses_a(&mut subject));
     subject.put(BackendEntry { cold_ms: 5, ..entry("a", "v1") });
