--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn boxes_that_are_told_that_a_replica_leaves_send_nothing_there_and_tell_it_on() {
+fn a_box_that_receives_a_leaving_mark_avoids_the_replica_and_gossips_the_mark() {
     let (_, note) = box_that_was_told();
     let mut other = ready_box();
     let effects = other.feed(note_of_other(1, note.changes.clone()));
