--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_leaving_mark_counts_however_old_its_entry_is_but_not_for_another_life() {
+fn a_leaving_mark_of_an_old_entry_counts_unless_it_is_of_another_incarnation() {
     let mut subject = ready_box();
     subject.put(BackendEntry { born: Some(2), ..entry("a", "v1") });
     let mark = |born| {
