--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn another_replica_at_the_address_says_nothing_of_the_one_that_was_asked() {
+fn a_leaving_mark_from_another_replica_at_the_address_is_ignored() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     let answer = AnswerHead { leaving: true, other_replica: true, ..head(421) };
