--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn further_sends_and_resumed_streams_stay_in_the_allowed_region() {
+fn retries_and_resumed_streams_stay_in_the_allowed_region() {
     let mut subject = subject(bound_plan(&["coast"], &[]));
     for _ in 0..20 {
         let (ticket, first) = subject.sent(ask("/chat/x"));
