--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_a_route_and_an_account_allow_holds_together() {
+fn a_request_needs_a_region_that_both_route_and_account_allow() {
     let mut subject = subject(bound_plan(&["coast"], &["inland"]));
     let refusal = subject.refused(ask("/read/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoRegion), "{refusal:?}");
