--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_region_that_is_not_there_is_refused_at_once_and_has_not_run() {
+fn a_route_limited_to_an_unknown_region_is_refused_at_once() {
     let mut subject = subject(bound_plan(&["moon"], &[]));
     let refusal = subject.refused(ask("/file/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoRegion), "{refusal:?}");
