--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_plan_without_regions_uses_all() {
+fn a_plan_without_regions_uses_all_zones() {
     let mut subject = subject(bound_plan(&[], &[]));
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..60 {
