--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn in_the_second_half_a_session_that_was_moved_is_never_moved_back() {
+fn a_session_moved_in_the_second_half_is_never_moved_back() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     let moved: Vec<u64> =
