--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_bad_version_gets_nothing_more_and_is_rolled_back() {
+fn a_bad_version_is_rolled_back_and_gets_no_more_requests() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     let mut exposed = 0;
