--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_box_that_finds_a_version_bad_moves_no_session_back_before_the_verdict_stands() {
+fn a_box_that_finds_a_version_bad_moves_no_session_back_before_the_verdict_is_stored() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     let served = serve_until_bad(&mut subject);
