--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn where_the_store_takes_no_verdict_a_bad_version_is_passed_over_after_three_seconds() {
+fn a_bad_version_is_ejected_after_three_seconds_without_the_store() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     serve_until_bad(&mut subject);
