--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn evidence_that_comes_and_goes_before_a_verdict_moves_no_session() {
+fn temporary_evidence_before_a_verdict_moves_no_session() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     let versions = |subject: &mut TestBox| {
