--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn an_answer_is_gone_on_with_by_the_version_that_began_it() {
+fn a_stream_is_resumed_by_the_version_that_began_it() {
     for number in 1..40 {
         let mut subject = box_on_trial();
         pass(&mut subject, 4_900);
