--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn an_answer_that_a_version_began_before_it_was_rolled_back_is_gone_on_with_by_another() {
+fn a_stream_of_a_rolled_back_version_is_resumed_by_another_version() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     let moved = (1..).map(session).find(|key| serve(&mut subject, *key, 200) == "v2");
