--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn an_answer_of_a_version_that_was_taken_over_is_gone_on_with_by_it() {
+fn a_stream_of_an_accepted_version_is_resumed_by_it() {
     let mut subject = box_on_trial();
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     let (ticket, first) = subject.sent(ask("/chat/x"));
