--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_good_version_is_taken_over_before_its_time_is_up() {
+fn a_good_version_is_accepted_before_its_duration_ends() {
     let mut subject = box_on_trial();
     pass(&mut subject, 5_500);
     for number in 1..200 {
