--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_version_of_which_nothing_is_known_is_not_taken_over() {
+fn a_version_without_responses_is_not_accepted() {
     let mut subject = box_on_trial();
     assert_eq!(due(&pass(&mut subject, 9_500)), None);
 }
