--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn while_no_old_replica_is_left_the_version_on_trial_serves() {
+fn the_version_on_trial_serves_when_no_old_replica_is_left() {
     let mut subject = box_on_trial();
     subject.drop_entry("a");
     subject.drop_entry("b");
