--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -256,7 +256,7 @@
 }
 
 #[test]
-fn a_box_that_has_just_started_asks_for_verdicts_before_it_serves() {
+fn a_started_box_reads_verdicts_before_it_serves() {
     let mut subject = new_box("box-1");
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
