--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn an_order_that_has_just_been_given_needs_no_call_for_its_verdict() {
+fn a_new_order_needs_no_read_of_its_verdict() {
     let mut subject = ready_box();
     subject.give_order(order());
     assert!(!subject.state.has_unread_verdicts() && !subject.state.has_unread_checkpoints());
