--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -276,7 +276,7 @@
 }
 
 #[test]
-fn an_order_that_may_have_been_given_long_ago_is_looked_up() {
+fn the_verdict_of_a_possibly_old_order_is_read() {
     let mut subject = ready_box();
     subject.now += order().duration_ms / 4;
     subject.give_order(order());
