--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn a_verdict_is_never_taken_back() {
+fn a_verdict_is_never_reversed() {
     let mut subject = box_on_trial();
     let read = verdicts_read(&subject, vec![verdict(TrialState::RolledBack)]);
     subject.feed(read);
