--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn the_next_box_writes_a_verdict_that_the_first_did_not() {
+fn the_next_box_writes_a_verdict_that_the_first_did_not_write() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::GossipReceived(Box::new(
         ravenspoke_core::route::peers::GossipMessage {
