--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn an_answer_of_the_version_on_trial_counts_as_its_own_also_where_no_other_was_left() {
+fn a_response_of_the_version_on_trial_counts_for_it_when_no_other_replica_was_left() {
     let mut subject = box_on_trial();
     subject.drop_entry("a");
     subject.drop_entry("b");
