--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -368,7 +368,7 @@
 }
 
 #[test]
-fn an_attempt_that_pauses_often_counts_once_against_its_version() {
+fn an_attempt_that_stalls_repeatedly_counts_once_against_its_version() {
     let mut subject = box_on_trial();
     let (ticket, order) = subject.sent(ask("/chat/x"));
     for id in ["a", "b", "c", "d"].into_iter().filter(|id| *id != order.replica_id) {
