--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn an_attempt_whose_time_is_up_before_a_head_counts_against_its_version() {
+fn an_attempt_that_times_out_before_a_head_counts_against_its_version() {
     let mut subject = box_on_trial();
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.feed(RouteEvent::DeadlinePassed(ticket));
