--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn answers_lost_with_a_replica_are_not_held_against_its_version() {
+fn responses_lost_with_a_replica_do_not_count_against_its_version() {
     let mut subject = box_before_one_new_replica();
     break_answers(&mut subject, 12);
     subject.now += 4_000;
