--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -430,7 +430,7 @@
 }
 
 #[test]
-fn answers_lost_by_a_replica_that_serves_on_are_held_against_its_version() {
+fn responses_lost_by_a_replica_that_keeps_serving_count_against_its_version() {
     let mut subject = box_before_one_new_replica();
     break_answers(&mut subject, 12);
     let answered = (1..).any(|number| serve(&mut subject, session(number), 200) == "v2");
