--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -439,7 +439,7 @@
 }
 
 #[test]
-fn answers_lost_by_a_replica_that_stays_are_held_against_its_version_after_five_seconds() {
+fn responses_lost_by_a_listed_replica_count_against_its_version_after_five_seconds() {
     let mut subject = box_before_one_new_replica();
     break_answers(&mut subject, 12);
     assert_eq!(due(&pass(&mut subject, 4_800)), None);
