--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn a_listing_of_verdicts_asked_for_before_an_order_was_read_says_nothing_of_it() {
+fn verdicts_listed_before_an_order_was_received_do_not_count_for_it() {
     let mut subject = new_box("box-1");
     let asked_at = BoxTime::from_millis(subject.now);
     subject.now += 20;
