--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -469,7 +469,7 @@
 }
 
 #[test]
-fn a_few_slow_answers_of_a_version_prove_nothing_and_many_do() {
+fn a_few_slow_responses_are_no_finding_and_many_are() {
     let judged =
         |quick, slow| TrialStats { canary: timed(quick, slow), baseline: timed(52, 0) }.fault();
     assert_eq!(judged(9, 5), None, "five of fourteen: its caches may be cold");
