--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -49,8 +49,8 @@
     let mut subject = zoned_box();
     let (ticket, first) = subject.sent(ask("/chat/x"));
     let lost = first.replica_id.trim_start_matches("r-").to_owned();
-    let emptied = if lost == "east" { "north" } else { "east" };
-    read_orders(&mut subject, None, 2, &[(emptied, true)]);
+    let evacuated = if lost == "east" { "north" } else { "east" };
+    read_orders(&mut subject, None, 2, &[(evacuated, true)]);
 
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let resumed = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
