--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -70,10 +70,10 @@
     let effects = read_orders(&mut subject, None, 2, &[(&zone, true)]);
     let answered = subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
 
-    let moved = effects.iter().any(|effect| {
+    let changed = effects.iter().any(|effect| {
         matches!(effect, RouteEffect::EvacuationChanged { order, in_flight: 1, .. } if order.evacuated)
     });
-    assert!(moved, "{effects:?}");
+    assert!(changed, "{effects:?}");
     assert!(matches!(answered[..], [RouteEffect::Relay(_)]), "{answered:?}");
 }
 
@@ -134,14 +134,14 @@
 fn the_furthest_read_position_wins_for_all_zones() {
     let mut subject = zoned_box();
     read_orders(&mut subject, None, 4, &[("east", true)]);
-    let told = |known_to, zones: &[&str]| {
+    let received = |known_to, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
         RouteEvent::EvacuationsReceived(EvacuationDigest { known_to: at(known_to), zones })
     };
 
-    subject.feed(told(3, &[]));
+    subject.feed(received(3, &[]));
     assert_eq!(zones(&subject), ["east"], "older word");
-    subject.feed(told(9, &["west"]));
+    subject.feed(received(9, &["west"]));
     assert_eq!(zones(&subject), ["west"], "east was given back meanwhile");
     read_orders(&mut subject, Some(12), 14, &[("west", false)]);
     assert_eq!(zones(&subject), ["west"], "records between 9 and 12 were not seen");
@@ -153,14 +153,15 @@
 
 #[test]
 fn a_box_that_receives_gossip_avoids_the_evacuated_zones_in_it() {
-    let mut teller = zoned_box();
+    let mut sender = zoned_box();
     let mut subject = zoned_box();
-    read_orders(&mut teller, None, 7, &[("east", true), ("north", true)]);
-    teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
+    read_orders(&mut sender, None, 7, &[("east", true), ("north", true)]);
+    sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
+    let note = note_in(&sender.feed(RouteEvent::Tick)).expect("a note");
 
-    let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message =
+        ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..message };
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
     let (_, order) = subject.sent(ask("/file/x"));
     assert_eq!(order.replica_id, "r-west");
 }
