--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -22,7 +22,7 @@
 }
 
 /// A part that was dealt the lease at 1 s, under token 5.
-fn granted() -> LeaderPart {
+fn granted_part() -> LeaderPart {
     let mut part = LeaderPart::default();
     part.apply_answer(
         LeaseAnswer { token: 5, granted: true },
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_new_leader_waits_until_the_former_lease_has_expired() {
-    let mut part = granted();
+    let mut part = granted_part();
     for at in [2_000, 3_000, 4_000] {
         part.apply_answer(
             LeaseAnswer { token: 7, granted: true },
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_lease_that_expired_during_a_freeze_starts_again_with_a_new_token() {
-    let mut part = granted();
+    let mut part = granted_part();
     part.advance(millis(9_000));
     part.apply_answer(
         LeaseAnswer { token: 9, granted: true },
@@ -134,17 +134,17 @@
         let mut fleet = LeaderFleet::new(4, seed, true);
         fleet.faults = true;
         fleet.run(120_000);
-        check(&fleet, seed);
+        assert_single_leader(&fleet, seed);
         fleet.faults = false;
         fleet.run(60_000);
-        check(&fleet, seed);
+        assert_single_leader(&fleet, seed);
         let last = fleet.window() - 1 - LATE_MS / WINDOW_MS;
         assert!(fleet.reports().contains_key(&last), "seed {seed}: nobody reports any more");
     }
 }
 
 /// The platform's rules on what one box does for all.
-fn check(fleet: &LeaderFleet, seed: u64) {
+fn assert_single_leader(fleet: &LeaderFleet, seed: u64) {
     for (window, counts) in fleet.reports() {
         assert_eq!(counts.len(), 1, "seed {seed}: window {window} has two reports");
     }
