--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -80,12 +80,12 @@
 
 #[test]
 fn spot_replicas_replace_on_demand_ones_only_once_they_serve() {
-    let stock = |usual, spot| ZoneCount { on_demand: usual, spot };
-    assert_eq!(zone_target(&PLAN, 20, stock(20, 0)), ZoneTarget { on_demand: 20, spot: 17 });
-    assert_eq!(zone_target(&PLAN, 20, stock(20, 9)), ZoneTarget { on_demand: 11, spot: 17 });
-    assert_eq!(zone_target(&PLAN, 20, stock(3, 17)), ZoneTarget { on_demand: 3, spot: 17 });
+    let count = |on_demand, spot| ZoneCount { on_demand, spot };
+    assert_eq!(zone_target(&PLAN, 20, count(20, 0)), ZoneTarget { on_demand: 20, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, count(20, 9)), ZoneTarget { on_demand: 11, spot: 17 });
+    assert_eq!(zone_target(&PLAN, 20, count(3, 17)), ZoneTarget { on_demand: 3, spot: 17 });
     assert_eq!(
-        zone_target(&PLAN, 20, stock(3, 0)),
+        zone_target(&PLAN, 20, count(3, 0)),
         ZoneTarget { on_demand: 20, spot: 17 },
         "taken away"
     );
@@ -94,23 +94,23 @@
 #[test]
 fn spot_and_on_demand_replicas_together_stay_within_the_limit() {
     let tight = ScalePlan { max: 24, ..PLAN };
-    for usual in 0..=24 {
+    for on_demand in 0..=24 {
         for spot in 0..=24 {
-            let wish = zone_target(&tight, 20, ZoneCount { on_demand: usual, spot });
+            let target = zone_target(&tight, 20, ZoneCount { on_demand, spot });
             assert!(
-                wish.on_demand + wish.spot <= tight.max.max(usual + spot),
-                "{usual} {spot} {wish:?}"
+                target.on_demand + target.spot <= tight.max.max(on_demand + spot),
+                "{on_demand} {spot} {target:?}"
             );
-            assert!(wish.on_demand >= 1);
+            assert!(target.on_demand >= 1);
         }
     }
 }
 
 #[test]
 fn without_spot_replicas_a_zone_keeps_its_size() {
-    let usual_only = ScalePlan { spot_price: None, ..PLAN };
-    let stock = ZoneCount { on_demand: 12, spot: 0 };
-    assert_eq!(zone_target(&usual_only, 20, stock), ZoneTarget { on_demand: 20, spot: 0 });
+    let on_demand_only = ScalePlan { spot_price: None, ..PLAN };
+    let count = ZoneCount { on_demand: 12, spot: 0 };
+    assert_eq!(zone_target(&on_demand_only, 20, count), ZoneTarget { on_demand: 20, spot: 0 });
 }
 
 #[test]
