--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -160,8 +160,8 @@
         }
     }
     for turn in turns.windows(3) {
-        let back = turn[0].1 == turn[2].1 && turn[2].0 - turn[1].0 < LEASE_MS;
-        assert!(!back, "seed {seed}: {turn:?}");
+        let is_back = turn[0].1 == turn[2].1 && turn[2].0 - turn[1].0 < LEASE_MS;
+        assert!(!is_back, "seed {seed}: {turn:?}");
     }
 }
 
@@ -215,15 +215,16 @@
 #[test]
 fn a_late_takeover_answer_does_not_reset_the_reports() {
     let left = UsageReport { window: 0, counts: [("alpha".to_owned(), 3)].into() };
-    let taken = |left: Vec<LeaderRecord>| RouteEvent::LeaderRecordsRead { token: 5, next: 0, left };
+    let records_read =
+        |left: Vec<LeaderRecord>| RouteEvent::LeaderRecordsRead { token: 5, next: 0, left };
     let mut subject = acting_box();
-    subject.feed(taken(vec![LeaderRecord::Usage(left.clone())]));
+    subject.feed(records_read(vec![LeaderRecord::Usage(left.clone())]));
     let again = sent_reports(&subject.feed(RouteEvent::Tick));
     assert_eq!(again.as_slice(), std::slice::from_ref(&left));
 
     let mut subject = acting_box();
-    subject.feed(taken(Vec::new()));
-    subject.feed(taken(vec![LeaderRecord::Usage(left)]));
+    subject.feed(records_read(Vec::new()));
+    subject.feed(records_read(vec![LeaderRecord::Usage(left)]));
     assert_eq!(sent_reports(&subject.feed(RouteEvent::Tick)), []);
 }
 
@@ -231,14 +232,14 @@
 fn counts_that_a_box_sends_twice_are_added_once() {
     let mut round = UsageRound::begin(7, [("alpha".to_owned(), 1)].into());
     let usage = UsageReport { window: 7, counts: [("alpha".to_owned(), 2)].into() };
-    let note = UsageResponse { gossip_address: "box-2:90".to_owned(), usage };
+    let response = UsageResponse { gossip_address: "box-2:90".to_owned(), usage };
 
-    round.add_response(&note);
-    round.add_response(&note);
+    round.add_response(&response);
+    round.add_response(&response);
 
     let bounds = UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS };
-    let ended = WallTime(8 * WINDOW_MS + LATE_MS);
-    let step = round.step(bounds, &["box-2:90".to_owned()], ended);
+    let due_at = WallTime(8 * WINDOW_MS + LATE_MS);
+    let step = round.step(bounds, &["box-2:90".to_owned()], due_at);
     let RoundStep::Report(report) = step else { panic!("{step:?}") };
     assert_eq!(report.counts["alpha"], 3);
 }
