--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -13,7 +13,7 @@
 use ravenspoke_core::time::{BoxTime, WallTime};
 
 use crate::fixture::{new_box, settings, TestBox};
-use crate::leader_fleet::{LeaderFleet, LATE_MS, LEASE_MS, WINDOW_MS, ZONES, ZONE_SIZE};
+use crate::leader_fleet::{LeaderFleet, LEASE_MS, REPORT_DUE_MS, WINDOW_MS, ZONES, ZONE_SIZE};
 
 const PLAN: ScalePlan = ScalePlan { min: 1, max: 40, spot_price: Some(0.15) };
 
@@ -119,7 +119,7 @@
     fleet.run(60_000);
 
     let reports = fleet.reports();
-    let last = fleet.window() - 1 - LATE_MS / WINDOW_MS;
+    let last = fleet.window() - 1 - REPORT_DUE_MS / WINDOW_MS;
     for window in last - 6..=last {
         let counts = reports.get(&window).unwrap_or_else(|| panic!("window {window} is missing"));
         assert_eq!(counts.len(), 1, "window {window}");
@@ -138,7 +138,7 @@
         fleet.faults = false;
         fleet.run(60_000);
         assert_single_leader(&fleet, seed);
-        let last = fleet.window() - 1 - LATE_MS / WINDOW_MS;
+        let last = fleet.window() - 1 - REPORT_DUE_MS / WINDOW_MS;
         assert!(fleet.reports().contains_key(&last), "seed {seed}: nobody reports any more");
     }
 }
@@ -186,7 +186,7 @@
 
 /// A box that acts for all, under token 5.
 fn acting_box() -> TestBox {
-    let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS });
+    let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS });
     let leader = Some(LeaderBounds { lease_ms: LEASE_MS, usage, scales: false });
     let mut subject = new_box("box-1");
     subject.state = RouteState::new(RouteSettings { leader, ..settings("box-1") });
@@ -237,8 +237,8 @@
     round.add_response(&response);
     round.add_response(&response);
 
-    let bounds = UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS };
-    let due_at = WallTime(8 * WINDOW_MS + LATE_MS);
+    let bounds = UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS };
+    let due_at = WallTime(8 * WINDOW_MS + REPORT_DUE_MS);
     let step = round.step(bounds, &["box-2:90".to_owned()], due_at);
     let RoundStep::Report(report) = step else { panic!("{step:?}") };
     assert_eq!(report.counts["alpha"], 3);
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -25,7 +25,7 @@
 pub const WINDOW_MS: u64 = 5_000;
 
 /// A report is due this long after its window's end, in milliseconds.
-pub const LATE_MS: u64 = 10_000;
+pub const REPORT_DUE_MS: u64 = 10_000;
 
 /// The wall clock at the start, in Unix milliseconds.
 const WALL_START_MS: u64 = 1_700_000_001_000;
@@ -193,7 +193,7 @@
 
     /// A box that starts, and knows the plan and the replicas.
     fn start(&mut self, number: usize, life: u32) -> FleetBox {
-        let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS });
+        let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS });
         let leader = Some(LeaderBounds { lease_ms: LEASE_MS, usage, scales: self.scales });
         let incarnation = 1 + u64::from(life);
         let name = format!("box-{number}");
