--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -34,7 +34,7 @@
 const TICK_MS: u64 = 200;
 
 /// A call that is slow is carried out this much later at most, in milliseconds.
-const SLOW_MS: u64 = 4_000;
+const SLOW_CALL_MS: u64 = 4_000;
 
 /// Zones of the service, and the replicas that each has at first.
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
@@ -463,7 +463,7 @@
             return;
         }
         let slow = self.faults && self.draw(4) == 0;
-        let way = 2 + if slow { self.draw(SLOW_MS) } else { self.draw(20) };
+        let way = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
         self.post(self.now + way, Parcel::Step(number, life, order));
     }
 
