--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -122,7 +122,7 @@
 }
 
 /// Something under way.
-enum Parcel {
+enum Delivery {
     Event(usize, u32, RouteEvent),
     Join(usize, u32, u64, u64),
     Step(usize, u32, LeaderOrder),
@@ -134,7 +134,7 @@
     random: u64,
     boxes: Vec<FleetBox>,
     store: LeaseStore,
-    parcels: BTreeMap<(u64, u64), Parcel>,
+    parcels: BTreeMap<(u64, u64), Delivery>,
     numbers: u64,
     pub done: Vec<DoneCall>,
     /// The highest token seen, by subject.
@@ -250,7 +250,7 @@
         (self.random >> 33) % below.max(1)
     }
 
-    fn post(&mut self, at: u64, parcel: Parcel) {
+    fn post(&mut self, at: u64, parcel: Delivery) {
         self.numbers += 1;
         self.parcels.insert((at, self.numbers), parcel);
     }
@@ -259,7 +259,7 @@
         for number in 0..self.boxes.len() {
             let life = self.boxes[number].life;
             let event = RouteEvent::BackendsChanged(vec![change.clone()]);
-            self.post(self.now + 1, Parcel::Event(number, life, event));
+            self.post(self.now + 1, Delivery::Event(number, life, event));
         }
     }
 
@@ -331,11 +331,11 @@
                 return;
             }
             match entry.remove() {
-                Parcel::Event(number, life, event) => self.merge(number, life, event),
-                Parcel::Join(number, life, asked_at, known) => {
+                Delivery::Event(number, life, event) => self.merge(number, life, event),
+                Delivery::Join(number, life, asked_at, known) => {
                     self.join(number, life, asked_at, known);
                 }
-                Parcel::Step(number, life, order) => self.carry_out(number, life, order),
+                Delivery::Step(number, life, order) => self.carry_out(number, life, order),
             }
         }
     }
@@ -347,7 +347,7 @@
         }
         if subject.frozen_until > self.now {
             let until = subject.frozen_until;
-            return self.post(until, Parcel::Event(number, life, event));
+            return self.post(until, Delivery::Event(number, life, event));
         }
         let random = self.draw(u64::MAX);
         let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
@@ -365,7 +365,7 @@
         let way = 2 + self.draw(20);
         self.post(
             self.now + way,
-            Parcel::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
+            Delivery::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
     }
 
@@ -417,7 +417,7 @@
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
         if !cut {
             let way = 2 + self.draw(60);
-            self.post(self.now + way, Parcel::Join(number, life, self.now, known));
+            self.post(self.now + way, Delivery::Join(number, life, self.now, known));
         }
     }
 
@@ -451,7 +451,7 @@
         let Some(number) = number.ok().filter(|number| *number < self.boxes.len()) else { return };
         let life = self.boxes[number].life;
         let way = 1 + self.draw(4);
-        self.post(self.now + way, Parcel::Event(number, life, event));
+        self.post(self.now + way, Delivery::Event(number, life, event));
     }
 
     /// A step leaves the box; a call may be carried out seconds later.
@@ -464,7 +464,7 @@
         }
         let slow = self.faults && self.draw(4) == 0;
         let way = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
-        self.post(self.now + way, Parcel::Step(number, life, order));
+        self.post(self.now + way, Delivery::Step(number, life, order));
     }
 
     fn carry_out(&mut self, number: usize, life: u32, order: LeaderOrder) {
@@ -480,7 +480,7 @@
                 let left = self.store.records.values().cloned().collect();
                 let next = self.store.next;
                 let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
-                self.post(self.now + 3, Parcel::Event(number, life, event));
+                self.post(self.now + 3, Delivery::Event(number, life, event));
             }
             LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
@@ -488,7 +488,7 @@
                 }
                 let token = order.token;
                 let kept = RouteEvent::RecordStored { token, number: count };
-                self.post(self.now + 3, Parcel::Event(number, life, kept));
+                self.post(self.now + 3, Delivery::Event(number, life, kept));
                 if count < self.store.next {
                     return;
                 }
@@ -503,7 +503,7 @@
                 let outcome = self.platform_call(number, order.token, &call);
                 self.post(
                     self.now + 3,
-                    Parcel::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
+                    Delivery::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
                 );
             }
         }
