--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -134,8 +134,8 @@
     random: u64,
     boxes: Vec<FleetBox>,
     store: LeaseStore,
-    parcels: BTreeMap<(u64, u64), Delivery>,
-    numbers: u64,
+    deliveries: BTreeMap<(u64, u64), Delivery>,
+    delivery_count: u64,
     pub done: Vec<DoneCall>,
     /// The highest token seen, by subject.
     seen: BTreeMap<String, u64>,
@@ -165,8 +165,8 @@
             random: seed.wrapping_mul(2).wrapping_add(1),
             boxes: Vec::new(),
             store: LeaseStore::default(),
-            parcels: BTreeMap::new(),
-            numbers: 0,
+            deliveries: BTreeMap::new(),
+            delivery_count: 0,
             done: Vec::new(),
             seen: BTreeMap::new(),
             truth: BTreeMap::new(),
@@ -250,16 +250,16 @@
         (self.random >> 33) % below.max(1)
     }
 
-    fn post(&mut self, at: u64, parcel: Delivery) {
-        self.numbers += 1;
-        self.parcels.insert((at, self.numbers), parcel);
+    fn schedule(&mut self, at: u64, delivery: Delivery) {
+        self.delivery_count += 1;
+        self.deliveries.insert((at, self.delivery_count), delivery);
     }
 
     fn tell_all(&mut self, change: BackendChange) {
         for number in 0..self.boxes.len() {
             let life = self.boxes[number].life;
             let event = RouteEvent::BackendsChanged(vec![change.clone()]);
-            self.post(self.now + 1, Delivery::Event(number, life, event));
+            self.schedule(self.now + 1, Delivery::Event(number, life, event));
         }
     }
 
@@ -326,7 +326,7 @@
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.deliveries.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
@@ -347,7 +347,7 @@
         }
         if subject.frozen_until > self.now {
             let until = subject.frozen_until;
-            return self.post(until, Delivery::Event(number, life, event));
+            return self.schedule(until, Delivery::Event(number, life, event));
         }
         let random = self.draw(u64::MAX);
         let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
@@ -363,7 +363,7 @@
         let answer = LeaseAnswer { token: token(0, generation), granted };
         let asked_at = BoxTime::from_millis(asked_at);
         let way = 2 + self.draw(20);
-        self.post(
+        self.schedule(
             self.now + way,
             Delivery::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
@@ -417,7 +417,7 @@
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
         if !cut {
             let way = 2 + self.draw(60);
-            self.post(self.now + way, Delivery::Join(number, life, self.now, known));
+            self.schedule(self.now + way, Delivery::Join(number, life, self.now, known));
         }
     }
 
@@ -451,7 +451,7 @@
         let Some(number) = number.ok().filter(|number| *number < self.boxes.len()) else { return };
         let life = self.boxes[number].life;
         let way = 1 + self.draw(4);
-        self.post(self.now + way, Delivery::Event(number, life, event));
+        self.schedule(self.now + way, Delivery::Event(number, life, event));
     }
 
     /// A step leaves the box; a call may be carried out seconds later.
@@ -464,7 +464,7 @@
         }
         let slow = self.faults && self.draw(4) == 0;
         let way = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
-        self.post(self.now + way, Delivery::Step(number, life, order));
+        self.schedule(self.now + way, Delivery::Step(number, life, order));
     }
 
     fn carry_out(&mut self, number: usize, life: u32, order: LeaderOrder) {
@@ -480,7 +480,7 @@
                 let left = self.store.records.values().cloned().collect();
                 let next = self.store.next;
                 let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
-                self.post(self.now + 3, Delivery::Event(number, life, event));
+                self.schedule(self.now + 3, Delivery::Event(number, life, event));
             }
             LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
@@ -488,7 +488,7 @@
                 }
                 let token = order.token;
                 let kept = RouteEvent::RecordStored { token, number: count };
-                self.post(self.now + 3, Delivery::Event(number, life, kept));
+                self.schedule(self.now + 3, Delivery::Event(number, life, kept));
                 if count < self.store.next {
                     return;
                 }
@@ -501,7 +501,7 @@
             }
             LeaderStep::Call(call) => {
                 let outcome = self.platform_call(number, order.token, &call);
-                self.post(
+                self.schedule(
                     self.now + 3,
                     Delivery::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
                 );
