--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -255,7 +255,7 @@
         self.deliveries.insert((at, self.delivery_count), delivery);
     }
 
-    fn tell_all(&mut self, change: BackendChange) {
+    fn broadcast(&mut self, change: BackendChange) {
         for number in 0..self.boxes.len() {
             let life = self.boxes[number].life;
             let event = RouteEvent::BackendsChanged(vec![change.clone()]);
@@ -269,14 +269,14 @@
         let id = format!("r-{}", self.replicas);
         self.standing.entry((zone.to_owned(), spot)).or_default().push(id.clone());
         let entry = Some(row(&id, zone, spot));
-        self.tell_all(BackendChange { id, at: at(self.offset), entry });
+        self.broadcast(BackendChange { id, at: at(self.offset), entry });
     }
 
     fn drop_replica(&mut self, zone: &str, spot: bool) {
         let ids = self.standing.entry((zone.to_owned(), spot)).or_default();
         let Some(id) = ids.pop() else { return };
         self.offset += 1;
-        self.tell_all(BackendChange { id, at: at(self.offset), entry: None });
+        self.broadcast(BackendChange { id, at: at(self.offset), entry: None });
     }
 
     /// The platform takes all replicas of the cheap kind of a zone away.
