--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -98,7 +98,7 @@
     }
 
     /// Deals the lease anew, unasked.
-    fn deal_anew(&mut self, draw: u64) {
+    fn regrant(&mut self, draw: u64) {
         let members: Vec<_> = self.members.keys().copied().collect();
         if let Some(index) = draw.checked_rem(members.len() as u64) {
             self.next_owner =
@@ -319,7 +319,7 @@
             }
             4 => {
                 let draw = self.draw(1_000);
-                self.store.deal_anew(draw);
+                self.store.regrant(draw);
             }
             _ => {}
         }
