--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -141,7 +141,7 @@
     seen: BTreeMap<String, u64>,
     /// Requests whose run began, by window.
     pub truth: BTreeMap<u64, u64>,
-    /// Whether faults strike.
+    /// Whether faults inject_fault.
     pub faults: bool,
     /// Whether the platform has replicas that may be taken away to give.
     pub has_spot: bool,
@@ -296,14 +296,14 @@
         let end = self.now + millis;
         while self.now < end {
             self.now += 10;
-            self.strike();
+            self.inject_fault();
             self.deliver();
             self.move_boxes();
             self.boot();
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         if !self.faults || self.draw(50) != 0 {
             return;
         }
