--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -331,7 +331,7 @@
                 return;
             }
             match entry.remove() {
-                Delivery::Event(number, life, event) => self.merge(number, life, event),
+                Delivery::Event(number, life, event) => self.deliver_event(number, life, event),
                 Delivery::Join(number, life, asked_at, known) => {
                     self.join(number, life, asked_at, known);
                 }
@@ -340,7 +340,7 @@
         }
     }
 
-    fn merge(&mut self, number: usize, life: u32, event: RouteEvent) {
+    fn deliver_event(&mut self, number: usize, life: u32, event: RouteEvent) {
         let subject = &self.boxes[number];
         if subject.life != life {
             return;
@@ -378,7 +378,7 @@
             self.boxes[number].next_tick = self.now + TICK_MS;
             self.renew(number);
             let life = self.boxes[number].life;
-            self.merge(number, life, RouteEvent::Tick);
+            self.deliver_event(number, life, RouteEvent::Tick);
             self.serve(number);
             self.ask_for_lease(number);
         }
@@ -389,7 +389,7 @@
         let asked_at = BoxTime::from_millis(self.now);
         let event = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
         let life = self.boxes[number].life;
-        self.merge(number, life, event);
+        self.deliver_event(number, life, event);
     }
 
     /// A request arrives, and is answered.
