--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -88,10 +88,10 @@
             self.generation += 1;
         }
         if self.owner == Some(member) && self.next_owner.is_some() && known >= self.generation {
-            self.owner = self.next_owner.take();
+            self.owner = self.next_owner.run_effects();
         }
         if self.owner.is_none() {
-            self.owner = Some(self.next_owner.take().unwrap_or(member));
+            self.owner = Some(self.next_owner.run_effects().unwrap_or(member));
             self.generation += 1;
         }
         (self.generation, self.owner == Some(member) && self.next_owner.is_none())
@@ -351,7 +351,7 @@
         }
         let random = self.draw(u64::MAX);
         let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
-        self.take(number, effects);
+        self.run_effects(number, effects);
     }
 
     fn join(&mut self, number: usize, life: u32, asked_at: u64, known: u64) {
@@ -421,7 +421,7 @@
         }
     }
 
-    fn take(&mut self, number: usize, effects: Vec<RouteEffect>) {
+    fn run_effects(&mut self, number: usize, effects: Vec<RouteEffect>) {
         let life = self.boxes[number].life;
         for effect in effects {
             match effect {
