--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -88,10 +88,10 @@
             self.generation += 1;
         }
         if self.owner == Some(member) && self.next_owner.is_some() && known >= self.generation {
-            self.owner = self.next_owner.run_effects();
+            self.owner = self.next_owner.take();
         }
         if self.owner.is_none() {
-            self.owner = Some(self.next_owner.run_effects().unwrap_or(member));
+            self.owner = Some(self.next_owner.take().unwrap_or(member));
             self.generation += 1;
         }
         (self.generation, self.owner == Some(member) && self.next_owner.is_none())
