--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -298,7 +298,7 @@
             self.now += 10;
             self.inject_fault();
             self.deliver();
-            self.move_boxes();
+            self.tick_boxes();
             self.boot();
         }
     }
@@ -369,7 +369,7 @@
         );
     }
 
-    fn move_boxes(&mut self) {
+    fn tick_boxes(&mut self) {
         for number in 0..self.boxes.len() {
             if self.boxes[number].frozen_until > self.now || self.boxes[number].next_tick > self.now
             {
