--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -376,7 +376,7 @@
                 continue;
             }
             self.boxes[number].next_tick = self.now + TICK_MS;
-            self.renew(number);
+            self.read_plan(number);
             let life = self.boxes[number].life;
             self.deliver_event(number, life, RouteEvent::Tick);
             self.serve(number);
@@ -385,7 +385,7 @@
     }
 
     /// The box reads the store, which shows nothing new.
-    fn renew(&mut self, number: usize) {
+    fn read_plan(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let event = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
         let life = self.boxes[number].life;
