--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -335,7 +335,7 @@
                 Delivery::Join(number, life, asked_at, known) => {
                     self.join(number, life, asked_at, known);
                 }
-                Delivery::Step(number, life, order) => self.carry_out(number, life, order),
+                Delivery::Step(number, life, order) => self.execute(number, life, order),
             }
         }
     }
@@ -467,7 +467,7 @@
         self.schedule(self.now + way, Delivery::Step(number, life, order));
     }
 
-    fn carry_out(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    fn execute(&mut self, number: usize, life: u32, order: LeaderOrder) {
         match order.step {
             LeaderStep::TakeOver => {
                 if order.token < self.store.epoch {
