--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -439,7 +439,7 @@
                 RouteEffect::RunLeaderStep(order)
                     if BoxTime::from_millis(self.now) < order.until =>
                 {
-                    self.launch(number, life, order);
+                    self.send_step(number, life, order);
                 }
                 _ => {}
             }
@@ -455,7 +455,7 @@
     }
 
     /// A step leaves the box; a call may be carried out seconds later.
-    fn launch(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    fn send_step(&mut self, number: usize, life: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let cloud = matches!(order.step, LeaderStep::Call(_));
         let until = if cloud { subject.cloudless_until } else { subject.storeless_until };
