--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -299,7 +299,7 @@
             self.inject_fault();
             self.deliver();
             self.tick_boxes();
-            self.boot();
+            self.apply_orders();
         }
     }
 
@@ -530,7 +530,7 @@
     }
 
     /// Replicas that were ordered start, and those that are too many go.
-    fn boot(&mut self) {
+    fn apply_orders(&mut self) {
         if self.now % BOOT_MS != 0 {
             return;
         }
