--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -113,7 +113,7 @@
     state: RouteState,
     life: u32,
     frozen_until: u64,
-    storeless_until: u64,
+    store_down_until: u64,
     cloudless_until: u64,
     next_tick: u64,
     next_join: u64,
@@ -216,7 +216,7 @@
             state,
             life,
             frozen_until: 0,
-            storeless_until: 0,
+            store_down_until: 0,
             cloudless_until: 0,
             next_tick: tick,
             next_join: tick,
@@ -311,7 +311,7 @@
         let until = self.now + 300 + self.draw(8_000);
         match self.draw(6) {
             0 => self.boxes[number].frozen_until = until,
-            1 => self.boxes[number].storeless_until = until,
+            1 => self.boxes[number].store_down_until = until,
             2 => self.boxes[number].cloudless_until = until,
             3 => {
                 let life = self.boxes[number].life + 1;
@@ -413,7 +413,7 @@
             return;
         }
         let (life, known, cut) =
-            (subject.life, subject.generation, subject.storeless_until > self.now);
+            (subject.life, subject.generation, subject.store_down_until > self.now);
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
         if !cut {
             let way = 2 + self.draw(60);
@@ -458,7 +458,7 @@
     fn send_step(&mut self, number: usize, life: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let cloud = matches!(order.step, LeaderStep::Call(_));
-        let until = if cloud { subject.cloudless_until } else { subject.storeless_until };
+        let until = if cloud { subject.cloudless_until } else { subject.store_down_until };
         if until > self.now {
             return;
         }
