--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -114,7 +114,7 @@
     life: u32,
     frozen_until: u64,
     store_down_until: u64,
-    cloudless_until: u64,
+    api_down_until: u64,
     next_tick: u64,
     next_join: u64,
     generation: u64,
@@ -217,7 +217,7 @@
             life,
             frozen_until: 0,
             store_down_until: 0,
-            cloudless_until: 0,
+            api_down_until: 0,
             next_tick: tick,
             next_join: tick,
             generation: 0,
@@ -312,7 +312,7 @@
         match self.draw(6) {
             0 => self.boxes[number].frozen_until = until,
             1 => self.boxes[number].store_down_until = until,
-            2 => self.boxes[number].cloudless_until = until,
+            2 => self.boxes[number].api_down_until = until,
             3 => {
                 let life = self.boxes[number].life + 1;
                 self.boxes[number] = self.start(number, life);
@@ -458,7 +458,7 @@
     fn send_step(&mut self, number: usize, life: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let cloud = matches!(order.step, LeaderStep::Call(_));
-        let until = if cloud { subject.cloudless_until } else { subject.store_down_until };
+        let until = if cloud { subject.api_down_until } else { subject.store_down_until };
         if until > self.now {
             return;
         }
