--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -180,8 +180,8 @@
             size: boxes,
         };
         for number in 0..boxes {
-            let fresh = fleet.start(number, 0);
-            fleet.boxes.push(fresh);
+            let started = fleet.start(number, 0);
+            fleet.boxes.push(started);
         }
         for zone in ZONES {
             for _ in 0..ZONE_SIZE {
@@ -212,7 +212,7 @@
         let read = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: Some(plan) };
         drop(state.apply(stamp(self.now, 1), read));
         let tick = self.now + self.draw(TICK_MS);
-        let mut fresh = FleetBox {
+        let mut started = FleetBox {
             state,
             life,
             frozen_until: 0,
@@ -224,11 +224,11 @@
             tickets: 0,
         };
         let others = (0..self.size).map(|other| format!("box-{other}:90")).collect();
-        drop(fresh.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
+        drop(started.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
         let listed = self.entries();
         let end = at(self.offset + 1);
-        drop(fresh.state.apply(stamp(self.now, 2), RouteEvent::BackendsListed { end, listed }));
-        fresh
+        drop(started.state.apply(stamp(self.now, 2), RouteEvent::BackendsListed { end, listed }));
+        started
     }
 
     fn entries(&self) -> Vec<BackendChange> {
@@ -362,9 +362,9 @@
         }
         let answer = LeaseAnswer { token: token(0, generation), granted };
         let asked_at = BoxTime::from_millis(asked_at);
-        let way = 2 + self.draw(20);
+        let delay_ms = 2 + self.draw(20);
         self.schedule(
-            self.now + way,
+            self.now + delay_ms,
             Delivery::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
     }
@@ -412,12 +412,12 @@
         if subject.next_join > self.now || !subject.state.wants_lease(now) {
             return;
         }
-        let (life, known, cut) =
+        let (life, known, store_down) =
             (subject.life, subject.generation, subject.store_down_until > self.now);
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
-        if !cut {
-            let way = 2 + self.draw(60);
-            self.schedule(self.now + way, Delivery::Join(number, life, self.now, known));
+        if !store_down {
+            let delay_ms = 2 + self.draw(60);
+            self.schedule(self.now + delay_ms, Delivery::Join(number, life, self.now, known));
         }
     }
 
@@ -450,21 +450,21 @@
         let number = target.trim_start_matches("box-").trim_end_matches(":90").parse::<usize>();
         let Some(number) = number.ok().filter(|number| *number < self.boxes.len()) else { return };
         let life = self.boxes[number].life;
-        let way = 1 + self.draw(4);
-        self.schedule(self.now + way, Delivery::Event(number, life, event));
+        let delay_ms = 1 + self.draw(4);
+        self.schedule(self.now + delay_ms, Delivery::Event(number, life, event));
     }
 
     /// A step leaves the box; a call may be carried out seconds later.
     fn send_step(&mut self, number: usize, life: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
-        let cloud = matches!(order.step, LeaderStep::Call(_));
-        let until = if cloud { subject.api_down_until } else { subject.store_down_until };
+        let is_call = matches!(order.step, LeaderStep::Call(_));
+        let until = if is_call { subject.api_down_until } else { subject.store_down_until };
         if until > self.now {
             return;
         }
         let slow = self.faults && self.draw(4) == 0;
-        let way = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
-        self.schedule(self.now + way, Delivery::Step(number, life, order));
+        let delay_ms = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
+        self.schedule(self.now + delay_ms, Delivery::Step(number, life, order));
     }
 
     fn execute(&mut self, number: usize, life: u32, order: LeaderOrder) {
@@ -487,8 +487,8 @@
                     return;
                 }
                 let token = order.token;
-                let kept = RouteEvent::RecordStored { token, number: count };
-                self.schedule(self.now + 3, Delivery::Event(number, life, kept));
+                let stored = RouteEvent::RecordStored { token, number: count };
+                self.schedule(self.now + 3, Delivery::Event(number, life, stored));
                 if count < self.store.next {
                     return;
                 }
