--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -111,7 +111,7 @@
 /// A box, its tasks, and what it suffers.
 struct FleetBox {
     state: RouteState,
-    life: u32,
+    restarts: u32,
     frozen_until: u64,
     store_down_until: u64,
     api_down_until: u64,
@@ -192,10 +192,10 @@
     }
 
     /// A box that starts, and knows the plan and the replicas.
-    fn start(&mut self, number: usize, life: u32) -> FleetBox {
+    fn start(&mut self, number: usize, restarts: u32) -> FleetBox {
         let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS });
         let leader = Some(LeaderBounds { lease_ms: LEASE_MS, usage, scales: self.scales });
-        let incarnation = 1 + u64::from(life);
+        let incarnation = 1 + u64::from(restarts);
         let name = format!("box-{number}");
         let mut state = RouteState::new(ravenspoke_core::route::RouteSettings {
             leader,
@@ -214,7 +214,7 @@
         let tick = self.now + self.draw(TICK_MS);
         let mut started = FleetBox {
             state,
-            life,
+            restarts,
             frozen_until: 0,
             store_down_until: 0,
             api_down_until: 0,
@@ -257,9 +257,9 @@
 
     fn broadcast(&mut self, change: BackendChange) {
         for number in 0..self.boxes.len() {
-            let life = self.boxes[number].life;
+            let restarts = self.boxes[number].restarts;
             let event = RouteEvent::BackendsChanged(vec![change.clone()]);
-            self.schedule(self.now + 1, Delivery::Event(number, life, event));
+            self.schedule(self.now + 1, Delivery::Event(number, restarts, event));
         }
     }
 
@@ -314,8 +314,8 @@
             1 => self.boxes[number].store_down_until = until,
             2 => self.boxes[number].api_down_until = until,
             3 => {
-                let life = self.boxes[number].life + 1;
-                self.boxes[number] = self.start(number, life);
+                let restarts = self.boxes[number].restarts + 1;
+                self.boxes[number] = self.start(number, restarts);
             }
             4 => {
                 let draw = self.draw(1_000);
@@ -331,33 +331,35 @@
                 return;
             }
             match entry.remove() {
-                Delivery::Event(number, life, event) => self.deliver_event(number, life, event),
-                Delivery::Join(number, life, asked_at, known) => {
-                    self.join(number, life, asked_at, known);
+                Delivery::Event(number, restarts, event) => {
+                    self.deliver_event(number, restarts, event)
                 }
-                Delivery::Step(number, life, order) => self.execute(number, life, order),
+                Delivery::Join(number, restarts, asked_at, known) => {
+                    self.join(number, restarts, asked_at, known);
+                }
+                Delivery::Step(number, restarts, order) => self.execute(number, restarts, order),
             }
         }
     }
 
-    fn deliver_event(&mut self, number: usize, life: u32, event: RouteEvent) {
+    fn deliver_event(&mut self, number: usize, restarts: u32, event: RouteEvent) {
         let subject = &self.boxes[number];
-        if subject.life != life {
+        if subject.restarts != restarts {
             return;
         }
         if subject.frozen_until > self.now {
             let until = subject.frozen_until;
-            return self.schedule(until, Delivery::Event(number, life, event));
+            return self.schedule(until, Delivery::Event(number, restarts, event));
         }
         let random = self.draw(u64::MAX);
         let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
         self.run_effects(number, effects);
     }
 
-    fn join(&mut self, number: usize, life: u32, asked_at: u64, known: u64) {
-        let (generation, granted) = self.store.join((number, life), known, self.now);
+    fn join(&mut self, number: usize, restarts: u32, asked_at: u64, known: u64) {
+        let (generation, granted) = self.store.join((number, restarts), known, self.now);
         let subject = &mut self.boxes[number];
-        if subject.life == life {
+        if subject.restarts == restarts {
             subject.generation = generation;
         }
         let answer = LeaseAnswer { token: token(0, generation), granted };
@@ -365,7 +367,7 @@
         let delay_ms = 2 + self.draw(20);
         self.schedule(
             self.now + delay_ms,
-            Delivery::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
+            Delivery::Event(number, restarts, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
     }
 
@@ -377,8 +379,8 @@
             }
             self.boxes[number].next_tick = self.now + TICK_MS;
             self.read_plan(number);
-            let life = self.boxes[number].life;
-            self.deliver_event(number, life, RouteEvent::Tick);
+            let restarts = self.boxes[number].restarts;
+            self.deliver_event(number, restarts, RouteEvent::Tick);
             self.serve(number);
             self.ask_for_lease(number);
         }
@@ -388,8 +390,8 @@
     fn read_plan(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let event = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
-        let life = self.boxes[number].life;
-        self.deliver_event(number, life, event);
+        let restarts = self.boxes[number].restarts;
+        self.deliver_event(number, restarts, event);
     }
 
     /// A request arrives, and is answered.
@@ -412,17 +414,17 @@
         if subject.next_join > self.now || !subject.state.wants_lease(now) {
             return;
         }
-        let (life, known, store_down) =
-            (subject.life, subject.generation, subject.store_down_until > self.now);
+        let (restarts, known, store_down) =
+            (subject.restarts, subject.generation, subject.store_down_until > self.now);
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
         if !store_down {
             let delay_ms = 2 + self.draw(60);
-            self.schedule(self.now + delay_ms, Delivery::Join(number, life, self.now, known));
+            self.schedule(self.now + delay_ms, Delivery::Join(number, restarts, self.now, known));
         }
     }
 
     fn run_effects(&mut self, number: usize, effects: Vec<RouteEffect>) {
-        let life = self.boxes[number].life;
+        let restarts = self.boxes[number].restarts;
         for effect in effects {
             match effect {
                 RouteEffect::SendGossip(to, note) => {
@@ -439,7 +441,7 @@
                 RouteEffect::RunLeaderStep(order)
                     if BoxTime::from_millis(self.now) < order.until =>
                 {
-                    self.send_step(number, life, order);
+                    self.send_step(number, restarts, order);
                 }
                 _ => {}
             }
@@ -449,13 +451,13 @@
     fn send(&mut self, target: &str, event: RouteEvent) {
         let number = target.trim_start_matches("box-").trim_end_matches(":90").parse::<usize>();
         let Some(number) = number.ok().filter(|number| *number < self.boxes.len()) else { return };
-        let life = self.boxes[number].life;
+        let restarts = self.boxes[number].restarts;
         let delay_ms = 1 + self.draw(4);
-        self.schedule(self.now + delay_ms, Delivery::Event(number, life, event));
+        self.schedule(self.now + delay_ms, Delivery::Event(number, restarts, event));
     }
 
     /// A step leaves the box; a call may be carried out seconds later.
-    fn send_step(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    fn send_step(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let is_call = matches!(order.step, LeaderStep::Call(_));
         let until = if is_call { subject.api_down_until } else { subject.store_down_until };
@@ -464,10 +466,10 @@
         }
         let slow = self.faults && self.draw(4) == 0;
         let delay_ms = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
-        self.schedule(self.now + delay_ms, Delivery::Step(number, life, order));
+        self.schedule(self.now + delay_ms, Delivery::Step(number, restarts, order));
     }
 
-    fn execute(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    fn execute(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         match order.step {
             LeaderStep::TakeOver => {
                 if order.token < self.store.epoch {
@@ -480,7 +482,7 @@
                 let left = self.store.records.values().cloned().collect();
                 let next = self.store.next;
                 let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
-                self.schedule(self.now + 3, Delivery::Event(number, life, event));
+                self.schedule(self.now + 3, Delivery::Event(number, restarts, event));
             }
             LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
@@ -488,7 +490,7 @@
                 }
                 let token = order.token;
                 let stored = RouteEvent::RecordStored { token, number: count };
-                self.schedule(self.now + 3, Delivery::Event(number, life, stored));
+                self.schedule(self.now + 3, Delivery::Event(number, restarts, stored));
                 if count < self.store.next {
                     return;
                 }
@@ -503,7 +505,7 @@
                 let outcome = self.platform_call(number, order.token, &call);
                 self.schedule(
                     self.now + 3,
-                    Delivery::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
+                    Delivery::Event(number, restarts, RouteEvent::LeaderCallEnded(call, outcome)),
                 );
             }
         }
