--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -124,7 +124,11 @@
         let counts = reports.get(&window).unwrap_or_else(|| panic!("window {window} is missing"));
         assert_eq!(counts.len(), 1, "window {window}");
         let reported: u64 = counts.iter().flat_map(BTreeMap::values).sum();
-        assert_eq!(reported, fleet.truth[&window], "window {window} {:?}", fleet.truth);
+        assert_eq!(
+            reported, fleet.expected_counts[&window],
+            "window {window} {:?}",
+            fleet.expected_counts
+        );
     }
 }
 
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -140,7 +140,7 @@
     /// The highest token seen, by subject.
     seen: BTreeMap<String, u64>,
     /// Requests whose run began, by window.
-    pub truth: BTreeMap<u64, u64>,
+    pub expected_counts: BTreeMap<u64, u64>,
     /// Whether faults inject_fault.
     pub faults: bool,
     /// Whether the platform has replicas that may be taken away to give.
@@ -169,7 +169,7 @@
             delivery_count: 0,
             done: Vec::new(),
             seen: BTreeMap::new(),
-            truth: BTreeMap::new(),
+            expected_counts: BTreeMap::new(),
             faults: false,
             has_spot: true,
             orders: BTreeMap::new(),
@@ -404,7 +404,7 @@
         if order_in(&sent).is_some() {
             drop(state.apply(now, RouteEvent::HeadReceived(ticket, head(200))));
             drop(state.apply(now, RouteEvent::ResponseFinished(ticket)));
-            *self.truth.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
+            *self.expected_counts.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
         }
     }
 
