--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -138,7 +138,7 @@
     delivery_count: u64,
     pub done: Vec<DoneCall>,
     /// The highest token seen, by subject.
-    seen: BTreeMap<String, u64>,
+    highest_tokens: BTreeMap<String, u64>,
     /// Requests whose run began, by window.
     pub expected_counts: BTreeMap<u64, u64>,
     /// Whether faults inject_fault.
@@ -147,11 +147,11 @@
     pub has_spot: bool,
     orders: BTreeMap<ScaleSubject, u32>,
     offset: u64,
-    replicas: u64,
-    standing: BTreeMap<(String, bool), Vec<String>>,
+    replica_count: u64,
+    running_replicas: BTreeMap<(String, bool), Vec<String>>,
     /// Whether the plan lets the router order replicas.
     scales: bool,
-    size: usize,
+    box_count: usize,
 }
 
 fn stamp(now: u64, random: u64) -> EventStamp {
@@ -168,16 +168,16 @@
             deliveries: BTreeMap::new(),
             delivery_count: 0,
             done: Vec::new(),
-            seen: BTreeMap::new(),
+            highest_tokens: BTreeMap::new(),
             expected_counts: BTreeMap::new(),
             faults: false,
             has_spot: true,
             orders: BTreeMap::new(),
             offset: 0,
-            replicas: 0,
-            standing: BTreeMap::new(),
+            replica_count: 0,
+            running_replicas: BTreeMap::new(),
             scales,
-            size: boxes,
+            box_count: boxes,
         };
         for number in 0..boxes {
             let started = fleet.start(number, 0);
@@ -223,7 +223,7 @@
             generation: 0,
             tickets: 0,
         };
-        let others = (0..self.size).map(|other| format!("box-{other}:90")).collect();
+        let others = (0..self.box_count).map(|other| format!("box-{other}:90")).collect();
         drop(started.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
         let listed = self.entries();
         let end = at(self.offset + 1);
@@ -233,7 +233,7 @@
 
     fn entries(&self) -> Vec<BackendChange> {
         let mut rows = Vec::new();
-        for ((zone, spot), ids) in &self.standing {
+        for ((zone, spot), ids) in &self.running_replicas {
             for id in ids {
                 rows.push(BackendChange {
                     id: id.clone(),
@@ -264,16 +264,16 @@
     }
 
     fn add_replica(&mut self, zone: &str, spot: bool) {
-        self.replicas += 1;
+        self.replica_count += 1;
         self.offset += 1;
-        let id = format!("r-{}", self.replicas);
-        self.standing.entry((zone.to_owned(), spot)).or_default().push(id.clone());
+        let id = format!("r-{}", self.replica_count);
+        self.running_replicas.entry((zone.to_owned(), spot)).or_default().push(id.clone());
         let entry = Some(row(&id, zone, spot));
         self.broadcast(BackendChange { id, at: at(self.offset), entry });
     }
 
     fn drop_replica(&mut self, zone: &str, spot: bool) {
-        let ids = self.standing.entry((zone.to_owned(), spot)).or_default();
+        let ids = self.running_replicas.entry((zone.to_owned(), spot)).or_default();
         let Some(id) = ids.pop() else { return };
         self.offset += 1;
         self.broadcast(BackendChange { id, at: at(self.offset), entry: None });
@@ -288,7 +288,7 @@
     }
 
     pub fn count(&self, zone: &str, spot: bool) -> usize {
-        self.standing.get(&(zone.to_owned(), spot)).map_or(0, Vec::len)
+        self.running_replicas.get(&(zone.to_owned(), spot)).map_or(0, Vec::len)
     }
 
     /// Lets so many milliseconds pass.
@@ -516,11 +516,11 @@
             LeaderCall::Report(_) => "usage".to_owned(),
             LeaderCall::Scale(subject, _) => format!("{} {}", subject.service, subject.zone),
         };
-        let seen = self.seen.entry(subject).or_default();
-        if token < *seen {
+        let highest = self.highest_tokens.entry(subject).or_default();
+        if token < *highest {
             return CallOutcome::Refused;
         }
-        *seen = token;
+        *highest = token;
         if let LeaderCall::Scale(subject, wanted) = call {
             if subject.spot && !self.has_spot && *wanted > 0 {
                 return CallOutcome::Refused;
