--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -70,7 +70,7 @@
 impl LeaseStore {
     fn expire(&mut self, now: u64) {
         let before = self.members.len();
-        self.members.retain(|_, heard| now - *heard < LEASE_MS);
+        self.members.retain(|_, last_seen| now - *last_seen < LEASE_MS);
         if self.members.len() != before {
             self.generation += 1;
         }
@@ -238,7 +238,7 @@
                 rows.push(BackendChange {
                     id: id.clone(),
                     at: at(1),
-                    entry: Some(row(id, zone, *spot)),
+                    entry: Some(replica_entry(id, zone, *spot)),
                 });
             }
         }
@@ -268,7 +268,7 @@
         self.offset += 1;
         let id = format!("r-{}", self.replica_count);
         self.running_replicas.entry((zone.to_owned(), spot)).or_default().push(id.clone());
-        let entry = Some(row(&id, zone, spot));
+        let entry = Some(replica_entry(&id, zone, spot));
         self.broadcast(BackendChange { id, at: at(self.offset), entry });
     }
 
@@ -427,17 +427,19 @@
         let restarts = self.boxes[number].restarts;
         for effect in effects {
             match effect {
-                RouteEffect::SendGossip(to, note) => {
+                RouteEffect::SendGossip(to, message) => {
                     for target in to {
-                        self.send(&target, RouteEvent::GossipReceived(note.clone()));
+                        self.send(&target, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
-                RouteEffect::RequestUsage(to, ask) => {
+                RouteEffect::RequestUsage(to, request) => {
                     for target in to {
-                        self.send(&target, RouteEvent::UsageRequested(ask.clone()));
+                        self.send(&target, RouteEvent::UsageRequested(request.clone()));
                     }
                 }
-                RouteEffect::SendUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
+                RouteEffect::SendUsage(to, response) => {
+                    self.send(&to, RouteEvent::UsageReceived(response))
+                }
                 RouteEffect::RunLeaderStep(order)
                     if BoxTime::from_millis(self.now) < order.until =>
                 {
@@ -563,6 +565,6 @@
     }
 }
 
-fn row(id: &str, zone: &str, spot: bool) -> BackendEntry {
+fn replica_entry(id: &str, zone: &str, spot: bool) -> BackendEntry {
     BackendEntry { zone: zone.to_owned(), spot, ..entry(id, "v1") }
 }
