--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -9,7 +9,7 @@
 /// Requests of which some would go to a replica of two, by chance.
 const REQUESTS: usize = 40;
 
-fn note_of_other(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
+fn peer_message(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
@@ -22,9 +22,9 @@
 }
 
 /// A box whose replica `a` has just said that it leaves, and the note that follows.
-fn box_that_was_told() -> (TestBox, GossipMessage) {
+fn box_with_leaving_replica() -> (TestBox, GossipMessage) {
     let mut subject = ready_box();
-    subject.feed(note_of_other(1, Vec::new()));
+    subject.feed(peer_message(1, Vec::new()));
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
         let leaving = order.replica_id == "a";
@@ -41,27 +41,27 @@
 }
 
 /// Whether the box sends any of many requests to replica `a`.
-fn uses_a(subject: &mut TestBox) -> bool {
+fn sends_to_a(subject: &mut TestBox) -> bool {
     (0..REQUESTS).any(|_| subject.sent(ask("/read/x")).1.replica_id == "a")
 }
 
 #[test]
 fn a_leaving_replica_gets_nothing_even_if_the_store_shows_it_serving() {
-    let (mut subject, _) = box_that_was_told();
-    assert!(!uses_a(&mut subject));
+    let (mut subject, _) = box_with_leaving_replica();
+    assert!(!sends_to_a(&mut subject));
     subject.put(BackendEntry { cold_ms: 5, ..entry("a", "v1") });
-    assert!(!uses_a(&mut subject), "the store's word is older than the replica's own");
+    assert!(!sends_to_a(&mut subject), "the store's word is older than the replica's own");
 }
 
 #[test]
 fn a_box_that_receives_a_leaving_mark_avoids_the_replica_and_gossips_the_mark() {
-    let (_, note) = box_that_was_told();
+    let (_, note) = box_with_leaving_replica();
     let mut other = ready_box();
-    let effects = other.feed(note_of_other(1, note.changes.clone()));
+    let effects = other.feed(peer_message(1, note.changes.clone()));
     let news =
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
     assert!(effects.iter().any(news));
-    assert!(!uses_a(&mut other));
+    assert!(!sends_to_a(&mut other));
     let told = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
     assert!(told.iter().any(|change| change.id == "a"));
 }
@@ -74,10 +74,10 @@
         let entry = BackendEntry { born, leaving: true, ..entry("a", "v1") };
         vec![BackendChange { id: "a".to_owned(), at: at(1), entry: Some(entry) }]
     };
-    subject.feed(note_of_other(1, mark(Some(1))));
-    assert!(uses_a(&mut subject), "a former life left");
-    subject.feed(note_of_other(2, mark(Some(2))));
-    assert!(!uses_a(&mut subject));
+    subject.feed(peer_message(1, mark(Some(1))));
+    assert!(sends_to_a(&mut subject), "a former life left");
+    subject.feed(peer_message(2, mark(Some(2))));
+    assert!(!sends_to_a(&mut subject));
 }
 
 #[test]
