--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -11,14 +11,14 @@
 
 fn peer_message(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         card,
         changes,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
 /// A box whose replica `a` has just said that it leaves, and the note that follows.
@@ -31,10 +31,10 @@
         let effects =
             subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { leaving, ..head(200) }));
         if leaving {
-            let said = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
-            assert!(effects.iter().any(said));
-            let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
-            return (subject, note);
+            let reported = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
+            assert!(effects.iter().any(reported));
+            let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+            return (subject, message);
         }
     }
     panic!("no request went to the replica");
@@ -55,15 +55,15 @@
 
 #[test]
 fn a_box_that_receives_a_leaving_mark_avoids_the_replica_and_gossips_the_mark() {
-    let (_, note) = box_with_leaving_replica();
+    let (_, message) = box_with_leaving_replica();
     let mut other = ready_box();
-    let effects = other.feed(peer_message(1, note.changes.clone()));
-    let news =
+    let effects = other.feed(peer_message(1, message.changes.clone()));
+    let is_leaving =
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
-    assert!(effects.iter().any(news));
+    assert!(effects.iter().any(is_leaving));
     assert!(!sends_to_a(&mut other));
-    let told = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
-    assert!(told.iter().any(|change| change.id == "a"));
+    let changes = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
+    assert!(changes.iter().any(|change| change.id == "a"));
 }
 
 #[test]
