--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -8,7 +8,7 @@
 use crate::fixture::{ask, entry, head, is_refused, new_box, order_in, plan, settings, TestBox};
 
 /// A plan whose routes, and whose client account, allow these regions.
-fn bound_plan(of_routes: &[&str], of_account: &[&str]) -> RoutePlan {
+fn region_plan(of_routes: &[&str], of_account: &[&str]) -> RoutePlan {
     let names = |regions: &[&str]| regions.iter().map(|name| (*name).to_owned()).collect();
     let mut plan = plan(1);
     for route in &mut plan.routes {
@@ -21,7 +21,7 @@
 }
 
 /// A box between two regions of two zones each, with a replica in each zone.
-fn subject(plan: RoutePlan) -> TestBox {
+fn two_region_box(plan: RoutePlan) -> TestBox {
     let mut subject = new_box("box-1");
     let zones = [("east", "inland"), ("north", "inland"), ("south", "coast"), ("west", "coast")];
     let regions = zones.map(|(zone, region)| (zone.to_owned(), region.to_owned())).into();
@@ -35,7 +35,7 @@
 
 #[test]
 fn retries_and_resumed_streams_stay_in_the_allowed_region() {
-    let mut subject = subject(bound_plan(&["coast"], &[]));
+    let mut subject = two_region_box(region_plan(&["coast"], &[]));
     for _ in 0..20 {
         let (ticket, first) = subject.sent(ask("/chat/x"));
         subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
@@ -53,14 +53,14 @@
 
 #[test]
 fn a_request_needs_a_region_that_both_route_and_account_allow() {
-    let mut subject = subject(bound_plan(&["coast"], &["inland"]));
+    let mut subject = two_region_box(region_plan(&["coast"], &["inland"]));
     let refusal = subject.refused(ask("/read/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoRegion), "{refusal:?}");
 }
 
 #[test]
 fn a_route_limited_to_an_unknown_region_is_refused_at_once() {
-    let mut subject = subject(bound_plan(&["moon"], &[]));
+    let mut subject = two_region_box(region_plan(&["moon"], &[]));
     let refusal = subject.refused(ask("/file/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoRegion), "{refusal:?}");
     assert!(refusal.retry_after_ms.is_some());
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_plan_without_regions_uses_all_zones() {
-    let mut subject = subject(bound_plan(&[], &[]));
+    let mut subject = two_region_box(region_plan(&[], &[]));
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..60 {
         let (ticket, order) = subject.sent(ask("/read/x"));
