--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -29,7 +29,7 @@
 }
 
 /// Lets time pass with the plan read anew.
-fn pass(subject: &mut TestBox, millis: u64) -> Vec<RouteEffect> {
+fn advance(subject: &mut TestBox, millis: u64) -> Vec<RouteEffect> {
     subject.now += millis;
     subject.read_plan(None);
     subject.feed(RouteEvent::Tick)
