--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -50,7 +50,7 @@
     RouteEvent::VerdictsRead { asked_at: BoxTime::from_millis(subject.now), verdicts }
 }
 
-fn due(effects: &[RouteEffect]) -> Option<TrialState> {
+fn due_verdict(effects: &[RouteEffect]) -> Option<TrialState> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::WriteVerdict(verdict) => Some(verdict.state),
         _ => None,
@@ -60,7 +60,7 @@
 #[test]
 fn no_session_is_moved_in_the_first_half() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_000);
+    advance(&mut subject, 5_000);
     for number in 1..200 {
         assert_eq!(serve(&mut subject, session(number), 200), "v1");
     }
@@ -69,13 +69,13 @@
 #[test]
 fn a_session_moved_in_the_second_half_is_never_moved_back() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     let moved: Vec<u64> =
         (1..400).map(session).filter(|key| serve(&mut subject, *key, 200) == "v2").collect();
     let share = moved.len() as f64 / 399.0;
     assert!((share - TRIAL_SHARE).abs() < 0.07, "{share}");
     for millis in [500, 1_500, 1_000, 500] {
-        pass(&mut subject, millis);
+        advance(&mut subject, millis);
         assert!(moved.iter().all(|key| serve(&mut subject, *key, 200) == "v2"));
     }
 }
@@ -100,7 +100,7 @@
 #[test]
 fn a_bad_version_is_rolled_back_and_gets_no_more_requests() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     let mut exposed = 0;
     for number in 1..400 {
         let status = if number % 2 == 0 { 500 } else { 200 };
@@ -108,7 +108,7 @@
         // The store takes a verdict at once.
         let (ticket, effects) = subject.arrive(ask("/file/x"));
         subject.feed(RouteEvent::CallerDisconnected(ticket));
-        if let Some(state) = due(&effects) {
+        if let Some(state) = due_verdict(&effects) {
             assert_eq!(state, TrialState::RolledBack);
             subject.feed(RouteEvent::VerdictStored(verdict(state)));
         }
@@ -120,7 +120,7 @@
 #[test]
 fn a_box_that_finds_a_version_bad_moves_no_session_back_before_the_verdict_is_stored() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     let served = serve_until_bad(&mut subject);
     let version = |subject: &mut TestBox, session: &u64| {
         let (ticket, order) = subject.sent(CallerRequest { session: *session, ..ask("/file/x") });
@@ -132,7 +132,7 @@
     };
     assert!(on_new(&mut subject) > 0, "other boxes go on giving it sessions");
 
-    assert_eq!(due(&pass(&mut subject, 1_000)), Some(TrialState::RolledBack));
+    assert_eq!(due_verdict(&advance(&mut subject, 1_000)), Some(TrialState::RolledBack));
     assert!(on_new(&mut subject) > 0);
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::RolledBack)));
 
@@ -142,21 +142,21 @@
 #[test]
 fn a_bad_version_is_ejected_after_three_seconds_without_the_store() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     serve_until_bad(&mut subject);
     for _ in 0..15 {
         subject.feed(RouteEvent::StoreFailed);
-        pass(&mut subject, 200);
+        advance(&mut subject, 200);
     }
     subject.feed(RouteEvent::StoreFailed);
-    pass(&mut subject, 200);
+    advance(&mut subject, 200);
     assert!((1..200).all(|number| serve(&mut subject, session(number), 200) == "v1"));
 }
 
 #[test]
 fn temporary_evidence_before_a_verdict_moves_no_session() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     let versions = |subject: &mut TestBox| {
         let asked = |number| {
             let request = CallerRequest { session: session(number), ..ask("/file/x") };
@@ -178,7 +178,7 @@
         subject.feed(RouteEvent::ResponseFinished(ticket));
     }
     assert!(!is_bad(&subject));
-    assert_eq!(due(&pass(&mut subject, 200)), None);
+    assert_eq!(due_verdict(&advance(&mut subject, 200)), None);
     assert_eq!(versions(&mut subject), before);
 }
 
@@ -186,7 +186,7 @@
 fn a_stream_is_resumed_by_the_version_that_began_it() {
     for number in 1..40 {
         let mut subject = box_on_trial();
-        pass(&mut subject, 4_900);
+        advance(&mut subject, 4_900);
         let request = CallerRequest { session: session(number), ..ask("/chat/x") };
         let (ticket, first) = subject.sent(request);
         assert_eq!(first.version, "v1");
@@ -195,7 +195,7 @@
             [RouteEffect::Relay(ticket)]
         );
         // The second half begins: a fifth of the sessions goes to the new version.
-        pass(&mut subject, 600);
+        advance(&mut subject, 600);
         let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
         let next = order_in(&subject.feed(failed)).expect("another replica goes on");
         assert_eq!(next.version, "v1", "session {number}");
@@ -205,7 +205,7 @@
 #[test]
 fn a_stream_of_a_rolled_back_version_is_resumed_by_another_version() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     let moved = (1..).map(session).find(|key| serve(&mut subject, *key, 200) == "v2");
     let session = moved.expect("a session that is moved");
     let (ticket, _) = subject.sent(CallerRequest { session, ..ask("/chat/x") });
@@ -231,20 +231,20 @@
 #[test]
 fn a_good_version_is_accepted_before_its_duration_ends() {
     let mut subject = box_on_trial();
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     for number in 1..200 {
         serve(&mut subject, session(number), 200);
     }
-    (0..13).for_each(|_| drop(pass(&mut subject, 200)));
+    (0..13).for_each(|_| drop(advance(&mut subject, 200)));
     assert_eq!(serve(&mut subject, session(1), 200), "v2", "it carries all for a while");
-    let effects = pass(&mut subject, 900);
-    assert_eq!(due(&effects), Some(TrialState::Done));
+    let effects = advance(&mut subject, 900);
+    assert_eq!(due_verdict(&effects), Some(TrialState::Done));
 }
 
 #[test]
 fn a_version_without_responses_is_not_accepted() {
     let mut subject = box_on_trial();
-    assert_eq!(due(&pass(&mut subject, 9_500)), None);
+    assert_eq!(due_verdict(&advance(&mut subject, 9_500)), None);
 }
 
 #[test]
@@ -290,7 +290,7 @@
     subject.feed(read);
     let read = verdicts_read(&subject, vec![verdict(TrialState::Done)]);
     subject.feed(read);
-    pass(&mut subject, 6_000);
+    advance(&mut subject, 6_000);
     for number in 1..100 {
         assert_eq!(serve(&mut subject, session(number), 200), "v1");
     }
@@ -312,15 +312,15 @@
         },
     )));
     subject.give_order(order());
-    assert_eq!(due(&subject.feed(RouteEvent::Tick)), None, "box-3 goes first");
+    assert_eq!(due_verdict(&subject.feed(RouteEvent::Tick)), None, "box-3 goes first");
     subject.now += 600;
-    assert_eq!(due(&subject.feed(RouteEvent::Tick)), Some(TrialState::Running));
+    assert_eq!(due_verdict(&subject.feed(RouteEvent::Tick)), Some(TrialState::Running));
 }
 
 #[test]
 fn the_evidence_of_other_boxes_counts() {
     let mut seen_bad = box_on_trial();
-    pass(&mut seen_bad, 5_500);
+    advance(&mut seen_bad, 5_500);
     for number in 1..100 {
         serve(&mut seen_bad, session(number), 500);
     }
@@ -345,7 +345,7 @@
             ..Default::default()
         },
     )));
-    assert_eq!(due(&other.feed(RouteEvent::Tick)), Some(TrialState::RolledBack));
+    assert_eq!(due_verdict(&other.feed(RouteEvent::Tick)), Some(TrialState::RolledBack));
 }
 
 /// Runs and failures of the version on trial and of the others, as this box saw them.
@@ -378,7 +378,7 @@
         assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
     }
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    pass(&mut subject, 5_000);
+    advance(&mut subject, 5_000);
     assert_eq!(tallied(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
 
@@ -387,7 +387,7 @@
     let mut subject = box_on_trial();
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.feed(RouteEvent::DeadlinePassed(ticket));
-    pass(&mut subject, 5_000);
+    advance(&mut subject, 5_000);
     assert_eq!(tallied(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
 
@@ -414,7 +414,7 @@
 fn box_before_one_new_replica() -> TestBox {
     let mut subject = box_on_trial();
     subject.drop_entry("d");
-    pass(&mut subject, 5_500);
+    advance(&mut subject, 5_500);
     subject
 }
 
@@ -424,9 +424,9 @@
     break_answers(&mut subject, 12);
     subject.now += 4_000;
     subject.drop_entry("c");
-    let effects = pass(&mut subject, 200);
+    let effects = advance(&mut subject, 200);
     assert_eq!(tallied(&subject)[0], (0.0, 0.0));
-    assert_eq!(due(&effects), None);
+    assert_eq!(due_verdict(&effects), None);
 }
 
 #[test]
@@ -442,8 +442,8 @@
 fn responses_lost_by_a_listed_replica_count_against_its_version_after_five_seconds() {
     let mut subject = box_before_one_new_replica();
     break_answers(&mut subject, 12);
-    assert_eq!(due(&pass(&mut subject, 4_800)), None);
-    assert_eq!(due(&pass(&mut subject, 200)), Some(TrialState::RolledBack));
+    assert_eq!(due_verdict(&advance(&mut subject, 4_800)), None);
+    assert_eq!(due_verdict(&advance(&mut subject, 200)), Some(TrialState::RolledBack));
 }
 
 #[test]
