--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -349,7 +349,7 @@
 }
 
 /// Runs and failures of the version on trial and of the others, as this box saw them.
-fn tallied(subject: &TestBox) -> [(f64, f64); 2] {
+fn own_counts(subject: &TestBox) -> [(f64, f64); 2] {
     let dump = subject.state.dump(Default::default());
     let sum = |side: fn(&TrialStats) -> &VersionStats| {
         let rows = dump.trials[0].own.values().map(side);
@@ -364,7 +364,7 @@
     subject.drop_entry("a");
     subject.drop_entry("b");
     assert_eq!(serve(&mut subject, session(1), 500), "v2");
-    assert_eq!(tallied(&subject), [(1.0, 1.0), (0.0, 0.0)]);
+    assert_eq!(own_counts(&subject), [(1.0, 1.0), (0.0, 0.0)]);
 }
 
 #[test]
@@ -379,7 +379,7 @@
     }
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     advance(&mut subject, 5_000);
-    assert_eq!(tallied(&subject), [(0.0, 0.0), (1.0, 1.0)]);
+    assert_eq!(own_counts(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
 
 #[test]
@@ -388,7 +388,7 @@
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.feed(RouteEvent::DeadlinePassed(ticket));
     advance(&mut subject, 5_000);
-    assert_eq!(tallied(&subject), [(0.0, 0.0), (1.0, 1.0)]);
+    assert_eq!(own_counts(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
 
 /// Breaks `count` answers of the new version's replica `c`, the only one of it.
@@ -425,7 +425,7 @@
     subject.now += 4_000;
     subject.drop_entry("c");
     let effects = advance(&mut subject, 200);
-    assert_eq!(tallied(&subject)[0], (0.0, 0.0));
+    assert_eq!(own_counts(&subject)[0], (0.0, 0.0));
     assert_eq!(due_verdict(&effects), None);
 }
 
@@ -434,8 +434,8 @@
     let mut subject = box_before_one_new_replica();
     break_answers(&mut subject, 12);
     let answered = (1..).any(|number| serve(&mut subject, session(number), 200) == "v2");
-    assert!(answered && is_bad(&subject), "{:?}", tallied(&subject));
-    assert_eq!(tallied(&subject)[0], (13.0, 12.0));
+    assert!(answered && is_bad(&subject), "{:?}", own_counts(&subject));
+    assert_eq!(own_counts(&subject)[0], (13.0, 12.0));
 }
 
 #[test]
