--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -392,7 +392,7 @@
 }
 
 /// Breaks `count` answers of the new version's replica `c`, the only one of it.
-fn break_answers(subject: &mut TestBox, count: usize) {
+fn break_responses(subject: &mut TestBox, count: usize) {
     let mut broken = 0;
     for number in 1.. {
         let (ticket, order) =
@@ -421,7 +421,7 @@
 #[test]
 fn responses_lost_with_a_replica_do_not_count_against_its_version() {
     let mut subject = box_before_one_new_replica();
-    break_answers(&mut subject, 12);
+    break_responses(&mut subject, 12);
     subject.now += 4_000;
     subject.drop_entry("c");
     let effects = advance(&mut subject, 200);
@@ -432,7 +432,7 @@
 #[test]
 fn responses_lost_by_a_replica_that_keeps_serving_count_against_its_version() {
     let mut subject = box_before_one_new_replica();
-    break_answers(&mut subject, 12);
+    break_responses(&mut subject, 12);
     let answered = (1..).any(|number| serve(&mut subject, session(number), 200) == "v2");
     assert!(answered && is_bad(&subject), "{:?}", own_counts(&subject));
     assert_eq!(own_counts(&subject)[0], (13.0, 12.0));
@@ -441,7 +441,7 @@
 #[test]
 fn responses_lost_by_a_listed_replica_count_against_its_version_after_five_seconds() {
     let mut subject = box_before_one_new_replica();
-    break_answers(&mut subject, 12);
+    break_responses(&mut subject, 12);
     assert_eq!(due_verdict(&advance(&mut subject, 4_800)), None);
     assert_eq!(due_verdict(&advance(&mut subject, 200)), Some(TrialState::RolledBack));
 }
