--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -461,7 +461,7 @@
 }
 
 /// A tally of `quick` answers of 100 ms and `slow` ones that take six times as long.
-fn timed(quick: u32, slow: u32) -> VersionStats {
+fn timed_stats(quick: u32, slow: u32) -> VersionStats {
     let mut tally = VersionStats::default();
     (0..quick).for_each(|_| tally.add(false, Some(100.0)));
     (0..slow).for_each(|_| tally.add(false, Some(600.0)));
