--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -319,12 +319,12 @@
 
 #[test]
 fn the_evidence_of_other_boxes_counts() {
-    let mut seen_bad = box_on_trial();
-    advance(&mut seen_bad, 5_500);
+    let mut sender = box_on_trial();
+    advance(&mut sender, 5_500);
     for number in 1..100 {
-        serve(&mut seen_bad, session(number), 500);
+        serve(&mut sender, session(number), 500);
     }
-    let dump = seen_bad.state.dump(Default::default());
+    let dump = sender.state.dump(Default::default());
     let stats = dump.trials[0].own.clone();
     let mut other = box_on_trial();
     other.feed(RouteEvent::GossipReceived(Box::new(
@@ -411,7 +411,7 @@
 }
 
 /// A box in the second half of a trial whose new version has one replica, `c`.
-fn box_before_one_new_replica() -> TestBox {
+fn trial_box_with_one_new_replica() -> TestBox {
     let mut subject = box_on_trial();
     subject.drop_entry("d");
     advance(&mut subject, 5_500);
@@ -420,7 +420,7 @@
 
 #[test]
 fn responses_lost_with_a_replica_do_not_count_against_its_version() {
-    let mut subject = box_before_one_new_replica();
+    let mut subject = trial_box_with_one_new_replica();
     break_responses(&mut subject, 12);
     subject.now += 4_000;
     subject.drop_entry("c");
@@ -431,7 +431,7 @@
 
 #[test]
 fn responses_lost_by_a_replica_that_keeps_serving_count_against_its_version() {
-    let mut subject = box_before_one_new_replica();
+    let mut subject = trial_box_with_one_new_replica();
     break_responses(&mut subject, 12);
     let answered = (1..).any(|number| serve(&mut subject, session(number), 200) == "v2");
     assert!(answered && is_bad(&subject), "{:?}", own_counts(&subject));
@@ -440,7 +440,7 @@
 
 #[test]
 fn responses_lost_by_a_listed_replica_count_against_its_version_after_five_seconds() {
-    let mut subject = box_before_one_new_replica();
+    let mut subject = trial_box_with_one_new_replica();
     break_responses(&mut subject, 12);
     assert_eq!(due_verdict(&advance(&mut subject, 4_800)), None);
     assert_eq!(due_verdict(&advance(&mut subject, 200)), Some(TrialState::RolledBack));
@@ -462,16 +462,17 @@
 
 /// A tally of `quick` answers of 100 ms and `slow` ones that take six times as long.
 fn timed_stats(quick: u32, slow: u32) -> VersionStats {
-    let mut tally = VersionStats::default();
-    (0..quick).for_each(|_| tally.add(false, Some(100.0)));
-    (0..slow).for_each(|_| tally.add(false, Some(600.0)));
-    tally
+    let mut stats = VersionStats::default();
+    (0..quick).for_each(|_| stats.add(false, Some(100.0)));
+    (0..slow).for_each(|_| stats.add(false, Some(600.0)));
+    stats
 }
 
 #[test]
 fn a_few_slow_responses_are_no_finding_and_many_are() {
-    let judged =
-        |quick, slow| TrialStats { canary: timed(quick, slow), baseline: timed(52, 0) }.fault();
-    assert_eq!(judged(9, 5), None, "five of fourteen: its caches may be cold");
-    assert_eq!(judged(27, 15), Some(TrialFault::Slower), "the same share of three times as many");
+    let judged = |quick, slow| {
+        TrialStats { canary: timed_stats(quick, slow), baseline: timed_stats(52, 0) }.fault()
+    };
+    assert_eq!(fault(9, 5), None, "five of fourteen: its caches may be cold");
+    assert_eq!(fault(27, 15), Some(TrialFault::Slower), "the same share of three times as many");
 }
