--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -55,7 +55,7 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let resumed = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     let next = order_in(&resumed).expect("it is resumed").replica_id;
-    assert!(next != format!("r-{emptied}") && next != first.replica_id, "{next}");
+    assert!(next != format!("r-{evacuated}") && next != first.replica_id, "{next}");
 
     let again = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(order_in(&again), None, "the only replica left is in the emptied zone");
@@ -157,7 +157,7 @@
     let mut subject = zoned_box();
     read_orders(&mut sender, None, 7, &[("east", true), ("north", true)]);
     sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let note = note_in(&sender.feed(RouteEvent::Tick)).expect("a note");
+    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a note");
 
     let message =
         ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..message };
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -470,7 +470,7 @@
 
 #[test]
 fn a_few_slow_responses_are_no_finding_and_many_are() {
-    let judged = |quick, slow| {
+    let fault = |quick, slow| {
         TrialStats { canary: timed_stats(quick, slow), baseline: timed_stats(52, 0) }.fault()
     };
     assert_eq!(fault(9, 5), None, "five of fourteen: its caches may be cold");
