--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -1,4 +1,5 @@
-//! Zones that the operator empties: their replicas get nothing, by whichever way a request would come there.
+//! Zones under evacuation: their replicas get no requests, whichever way a request would reach
+//! them.
 
 use ravenspoke_core::route::backend::BackendEntry;
 use ravenspoke_core::route::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
@@ -21,7 +22,7 @@
     subject
 }
 
-/// The store shows these orders, as a read from `from` up to `to`.
+/// Feeds the box orders from the store, read from `from` up to `to`.
 fn read_orders(
     subject: &mut TestBox,
     from: Option<u64>,
@@ -54,11 +55,11 @@
 
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let resumed = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    let next = order_in(&resumed).expect("it is resumed").replica_id;
+    let next = order_in(&resumed).expect("an order that resumes the stream").replica_id;
     assert!(next != format!("r-{evacuated}") && next != first.replica_id, "{next}");
 
     let again = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    assert_eq!(order_in(&again), None, "the only replica left is in the emptied zone");
+    assert_eq!(order_in(&again), None, "the only replica left is in the evacuated zone");
 }
 
 #[test]
@@ -90,9 +91,9 @@
         assert!(!subject.state.may_write(ticket, now));
         let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Withdrawn));
 
-        let next = order_in(&effects).expect("another replica gets it");
+        let next = order_in(&effects).expect("an order for another replica");
         assert_ne!(next.replica_id, order.replica_id);
-        assert_eq!(next.number, 1, "nothing was written: it is still the first attempt");
+        assert_eq!(next.number, 1, "nothing was written, so it is still the first attempt");
         read_orders(&mut subject, Some(2), 3, &[(&zone, false)]);
         let rows = subject.state.backends().rows();
         assert!(rows.into_iter().all(|(_, row)| row.failures == 0 && row.ejections == 0));
@@ -127,7 +128,7 @@
     let (ticket, _) = subject.sent(ask("/file/x"));
     read_orders(&mut subject, None, 4, &[("east", true), ("north", true), ("west", true)]);
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    assert_eq!(refusal_in(&effects).expect("it ends").status, 502);
+    assert_eq!(refusal_in(&effects).expect("a refusal").status, 502);
 }
 
 #[test]
@@ -140,11 +141,11 @@
     };
 
     subject.feed(received(3, &[]));
-    assert_eq!(zones(&subject), ["east"], "older word");
+    assert_eq!(zones(&subject), ["east"], "an older digest changes nothing");
     subject.feed(received(9, &["west"]));
-    assert_eq!(zones(&subject), ["west"], "east was given back meanwhile");
+    assert_eq!(zones(&subject), ["west"], "the order for east was withdrawn in the meantime");
     read_orders(&mut subject, Some(12), 14, &[("west", false)]);
-    assert_eq!(zones(&subject), ["west"], "records between 9 and 12 were not seen");
+    assert_eq!(zones(&subject), ["west"], "records between 9 and 12 were not read");
     read_orders(&mut subject, Some(9), 14, &[("west", false), ("north", true)]);
     assert_eq!(zones(&subject), ["north"]);
     read_orders(&mut subject, None, 20, &[]);
@@ -157,7 +158,7 @@
     let mut subject = zoned_box();
     read_orders(&mut sender, None, 7, &[("east", true), ("north", true)]);
     sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a note");
+    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message");
 
     let message =
         ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..message };
