--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -1,4 +1,5 @@
-//! What one box does for all: never two at once, each window reported once, replicas ordered from what there is.
+//! The leader's lease, usage reports and replica orders: there are never two leaders at once, each
+//! window is reported once, and orders follow the replicas that there are.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,7 +22,7 @@
     BoxTime::from_millis(ms)
 }
 
-/// A part that was dealt the lease at 1 s, under token 5.
+/// A part that was granted the lease at 1 s, under token 5.
 fn granted_part() -> LeaderPart {
     let mut part = LeaderPart::default();
     part.apply_answer(
@@ -48,9 +49,9 @@
     }
     part.advance(millis(4_011));
 
-    let lease = part.acting(millis(4_011)).expect("it acts");
+    let lease = part.acting(millis(4_011)).expect("an active lease");
     assert_eq!(lease.token(), 5, "a lease keeps the token that it began with");
-    assert!(part.acting(millis(6_900)).is_none(), "it was asked for last at 4 s");
+    assert!(part.acting(millis(6_900)).is_none(), "the last request was sent at 4 s");
 }
 
 #[test]
@@ -87,7 +88,7 @@
     assert_eq!(
         zone_target(&PLAN, 20, count(3, 0)),
         ZoneTarget { on_demand: 20, spot: 17 },
-        "taken away"
+        "spot replicas were reclaimed"
     );
 }
 
@@ -143,11 +144,12 @@
         fleet.run(60_000);
         assert_single_leader(&fleet, seed);
         let last = fleet.window() - 1 - REPORT_DUE_MS / WINDOW_MS;
-        assert!(fleet.reports().contains_key(&last), "seed {seed}: nobody reports any more");
+        assert!(fleet.reports().contains_key(&last), "seed {seed}: reports have stopped");
     }
 }
 
-/// The platform's rules on what one box does for all.
+/// Checks the platform's rules: one report for each window, one box for each token, and no change
+/// of the leader and back within one lease length.
 fn assert_single_leader(fleet: &LeaderFleet, seed: u64) {
     for (window, counts) in fleet.reports() {
         assert_eq!(counts.len(), 1, "seed {seed}: window {window} has two reports");
@@ -181,14 +183,14 @@
     fleet.reclaim("east");
     fleet.run(8_000);
     assert_eq!(fleet.count("east", false), ZONE_SIZE as usize);
-    assert_eq!(fleet.count("north", true), 17, "the others stay as they are");
+    assert_eq!(fleet.count("north", true), 17, "other zones are unchanged");
 
     fleet.has_spot = true;
     fleet.run(40_000);
     assert_eq!((fleet.count("east", false), fleet.count("east", true)), (3, 17));
 }
 
-/// A box that acts for all, under token 5.
+/// A box that acts as the leader, under token 5.
 fn acting_box() -> TestBox {
     let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS });
     let leader = Some(LeaderBounds { lease_ms: LEASE_MS, usage, scales: false });
@@ -204,7 +206,7 @@
     subject
 }
 
-/// Reports that effects send.
+/// Reports that the effects send.
 fn sent_reports(effects: &[RouteEffect]) -> Vec<UsageReport> {
     let report = |effect: &RouteEffect| match effect {
         RouteEffect::RunLeaderStep(order) => match &order.step {
