--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -1,5 +1,6 @@
-//! Boxes that ask a store for the lease of what one does for all, and a platform that takes the holder's calls, in virtual
-//! time: boxes freeze, die, and lose the store or the platform's API; calls are carried out late.
+//! A simulated fleet in virtual time: boxes that ask a store for the leader's lease, and a platform
+//! that carries out the leader's calls. Boxes freeze, restart, and lose the store or the platform's
+//! API; calls are carried out late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,26 +25,26 @@
 /// Length of a window, in milliseconds.
 pub const WINDOW_MS: u64 = 5_000;
 
-/// A report is due this long after its window's end, in milliseconds.
+/// A report is due this long after the end of its window, in milliseconds.
 pub const REPORT_DUE_MS: u64 = 10_000;
 
 /// The wall clock at the start, in Unix milliseconds.
 const WALL_START_MS: u64 = 1_700_000_001_000;
 
-/// Boxes tick this often, in milliseconds.
+/// Interval between ticks of a box, in milliseconds.
 const TICK_MS: u64 = 200;
 
-/// A call that is slow is carried out this much later at most, in milliseconds.
+/// Greatest extra delay of a slow call, in milliseconds.
 const SLOW_CALL_MS: u64 = 4_000;
 
-/// Zones of the service, and the replicas that each has at first.
+/// Zones of the service, and the number of replicas in each at the start.
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
 pub const ZONE_SIZE: u32 = 20;
 
-/// A replica that was ordered serves after this, in milliseconds.
+/// Interval at which the platform carries out orders of replicas, in milliseconds.
 const BOOT_MS: u64 = 4_000;
 
-/// What the platform has done, as it saw it.
+/// A call that the platform carried out.
 #[derive(Debug)]
 pub struct DoneCall {
     pub at: u64,
@@ -52,14 +53,14 @@
     pub call: LeaderCall,
 }
 
-/// The store's group and topic.
+/// The store: a membership group, which grants the lease, and the leader's records.
 #[derive(Debug, Default)]
 struct LeaseStore {
     generation: u64,
-    /// Members with when they were heard last.
+    /// Members, each with the time of its last request.
     members: BTreeMap<(usize, u32), u64>,
     owner: Option<(usize, u32)>,
-    /// The owner is to let go first.
+    /// The owner loses the lease to this member when it asks again.
     next_owner: Option<(usize, u32)>,
     epoch: u64,
     /// Number of the next record in the epoch.
@@ -97,7 +98,7 @@
         (self.generation, self.owner == Some(member) && self.next_owner.is_none())
     }
 
-    /// Deals the lease anew, unasked.
+    /// Grants the lease to a random member, unasked.
     fn regrant(&mut self, draw: u64) {
         let members: Vec<_> = self.members.keys().copied().collect();
         if let Some(index) = draw.checked_rem(members.len() as u64) {
@@ -108,7 +109,7 @@
     }
 }
 
-/// A box, its tasks, and what it suffers.
+/// A box, with its faults and timers.
 struct FleetBox {
     state: RouteState,
     restarts: u32,
@@ -121,14 +122,14 @@
     tickets: u64,
 }
 
-/// Something under way.
+/// An event, request or step under way.
 enum Delivery {
     Event(usize, u32, RouteEvent),
     Join(usize, u32, u64, u64),
     Step(usize, u32, LeaderOrder),
 }
 
-/// The fleet.
+/// The fleet, the store and the platform.
 pub struct LeaderFleet {
     pub now: u64,
     random: u64,
@@ -137,19 +138,19 @@
     deliveries: BTreeMap<(u64, u64), Delivery>,
     delivery_count: u64,
     pub done: Vec<DoneCall>,
-    /// The highest token seen, by subject.
+    /// Highest token seen, by subject of the call.
     highest_tokens: BTreeMap<String, u64>,
-    /// Requests whose run began, by window.
+    /// Requests that started to run, by window.
     pub expected_counts: BTreeMap<u64, u64>,
-    /// Whether faults inject_fault.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// Whether the platform has replicas that may be taken away to give.
+    /// Whether the platform has spot replicas to give.
     pub has_spot: bool,
     orders: BTreeMap<ScaleSubject, u32>,
     offset: u64,
     replica_count: u64,
     running_replicas: BTreeMap<(String, bool), Vec<String>>,
-    /// Whether the plan lets the router order replicas.
+    /// Whether the plan lets the leader order replicas.
     scales: bool,
     box_count: usize,
 }
@@ -279,7 +280,7 @@
         self.broadcast(BackendChange { id, at: at(self.offset), entry: None });
     }
 
-    /// The platform takes all replicas of the cheap kind of a zone away.
+    /// The platform takes away all spot replicas of a zone.
     pub fn reclaim(&mut self, zone: &str) {
         while self.count(zone, true) > 0 {
             self.drop_replica(zone, true);
@@ -291,7 +292,7 @@
         self.running_replicas.get(&(zone.to_owned(), spot)).map_or(0, Vec::len)
     }
 
-    /// Lets so many milliseconds pass.
+    /// Runs the fleet for this time.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
@@ -386,7 +387,7 @@
         }
     }
 
-    /// The box reads the store, which shows nothing new.
+    /// The box reads the store, which has nothing new.
     fn read_plan(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let event = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
@@ -394,7 +395,7 @@
         self.deliver_event(number, restarts, event);
     }
 
-    /// A request arrives, and is answered.
+    /// A request arrives at the box and is answered.
     fn serve(&mut self, number: usize) {
         self.boxes[number].tickets += 1;
         let ticket = ravenspoke_core::event::RequestTicket(self.boxes[number].tickets);
@@ -458,7 +459,7 @@
         self.schedule(self.now + delay_ms, Delivery::Event(number, restarts, event));
     }
 
-    /// A step leaves the box; a call may be carried out seconds later.
+    /// Sends a step off; a call may be carried out seconds later.
     fn send_step(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let is_call = matches!(order.step, LeaderStep::Call(_));
@@ -533,7 +534,7 @@
         CallOutcome::Done
     }
 
-    /// Replicas that were ordered start, and those that are too many go.
+    /// Starts replicas that were ordered, and removes surplus ones.
     fn apply_orders(&mut self) {
         if self.now % BOOT_MS != 0 {
             return;
@@ -548,7 +549,7 @@
         }
     }
 
-    /// Reports that the platform took, by window.
+    /// Reports that the platform accepted, by window.
     pub fn reports(&self) -> BTreeMap<u64, BTreeSet<AccountCounts>> {
         let mut reports: BTreeMap<u64, BTreeSet<AccountCounts>> = BTreeMap::new();
         for done in &self.done {
@@ -559,7 +560,7 @@
         reports
     }
 
-    /// The window of a moment.
+    /// The current window.
     pub fn window(&self) -> u64 {
         (WALL_START_MS + self.now) / WINDOW_MS
     }
