--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -1,4 +1,5 @@
-//! Replicas that say in an answer that they leave: the box that got it, and those that it tells.
+//! Replicas that announce in a response that they are leaving: the box that gets the response, and
+//! the boxes that it gossips to.
 
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{AnswerHead, RouteEffect, RouteEvent};
@@ -6,7 +7,7 @@
 
 use crate::fixture::{ask, at, entry, head, note_in, ready_box, TestBox};
 
-/// Requests of which some would go to a replica of two, by chance.
+/// Enough requests that a random choice between two replicas sends some to each.
 const REQUESTS: usize = 40;
 
 fn peer_message(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
@@ -21,7 +22,8 @@
     RouteEvent::GossipReceived(Box::new(message))
 }
 
-/// A box whose replica `a` has just said that it leaves, and the note that follows.
+/// A box whose replica `a` has just announced that it is leaving, and the gossip message that
+/// follows.
 fn box_with_leaving_replica() -> (TestBox, GossipMessage) {
     let mut subject = ready_box();
     subject.feed(peer_message(1, Vec::new()));
@@ -33,14 +35,15 @@
         if leaving {
             let reported = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
             assert!(effects.iter().any(reported));
-            let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+            let message = note_in(&subject.feed(RouteEvent::Tick))
+                .expect("a gossip message in the next tick");
             return (subject, message);
         }
     }
     panic!("no request went to the replica");
 }
 
-/// Whether the box sends any of many requests to replica `a`.
+/// Whether any of many requests goes to replica `a`.
 fn sends_to_a(subject: &mut TestBox) -> bool {
     (0..REQUESTS).any(|_| subject.sent(ask("/read/x")).1.replica_id == "a")
 }
@@ -50,7 +53,7 @@
     let (mut subject, _) = box_with_leaving_replica();
     assert!(!sends_to_a(&mut subject));
     subject.put(BackendEntry { cold_ms: 5, ..entry("a", "v1") });
-    assert!(!sends_to_a(&mut subject), "the store's word is older than the replica's own");
+    assert!(!sends_to_a(&mut subject), "the store's entry does not withdraw the leaving mark");
 }
 
 #[test]
@@ -62,7 +65,8 @@
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
     assert!(effects.iter().any(is_leaving));
     assert!(!sends_to_a(&mut other));
-    let changes = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
+    let changes =
+        note_in(&other.feed(RouteEvent::Tick)).expect("a gossip message in the next tick").changes;
     assert!(changes.iter().any(|change| change.id == "a"));
 }
 
@@ -75,7 +79,7 @@
         vec![BackendChange { id: "a".to_owned(), at: at(1), entry: Some(entry) }]
     };
     subject.feed(peer_message(1, mark(Some(1))));
-    assert!(sends_to_a(&mut subject), "a former life left");
+    assert!(sends_to_a(&mut subject), "the mark is of a former incarnation");
     subject.feed(peer_message(2, mark(Some(2))));
     assert!(!sends_to_a(&mut subject));
 }
