--- a/crates/core/tests/route/regions.rs
+++ b/crates/core/tests/route/regions.rs
@@ -1,4 +1,4 @@
-//! Regions that a route or a client account allows, at every attempt of a request.
+//! Regions that a route or a client account allows: every attempt of a request stays in them.
 
 use ravenspoke_core::route::backend::BackendEntry;
 use ravenspoke_core::route::event::{AttemptFailure, RefusalReason, RouteEvent};
@@ -7,7 +7,7 @@
 
 use crate::fixture::{ask, entry, head, is_refused, new_box, order_in, plan, settings, TestBox};
 
-/// A plan whose routes, and whose client account, allow these regions.
+/// A plan whose routes and client account allow these regions; an empty list allows all.
 fn region_plan(of_routes: &[&str], of_account: &[&str]) -> RoutePlan {
     let names = |regions: &[&str]| regions.iter().map(|name| (*name).to_owned()).collect();
     let mut plan = plan(1);
@@ -40,12 +40,12 @@
         let (ticket, first) = subject.sent(ask("/chat/x"));
         subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
         let broken = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-        let next = order_in(&broken).expect("it is resumed");
+        let next = order_in(&broken).expect("an order that resumes the stream");
         let mut used = [first.replica_id, next.replica_id];
         used.sort();
         assert_eq!(used, ["r-south", "r-west"]);
         let again = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-        assert_eq!(order_in(&again), None, "no replica of the region is left");
+        assert_eq!(order_in(&again), None, "no unused replica of the region is left");
         subject.now += 10_000;
         subject.read_plan(None);
     }
