--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -1,4 +1,5 @@
-//! New versions: whose sessions they get, the verdict, and who writes it.
+//! Trials of new versions: which sessions they get, what counts as evidence, the verdict, and which
+//! box writes it.
 
 use ravenspoke_core::route::event::{AttemptFailure, CallerRequest, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::PeerInfo;
@@ -17,7 +18,7 @@
     TrialVerdict { service: "pool".to_owned(), version: "v2".to_owned(), state }
 }
 
-/// A box with two replicas of each version, told to bring in `v2` within ten seconds.
+/// A box with two replicas of each version, and an order to roll out `v2` within ten seconds.
 fn box_on_trial() -> TestBox {
     let mut subject = ready_box();
     subject.put(entry("c", "v2"));
@@ -28,14 +29,14 @@
     subject
 }
 
-/// Lets time pass with the plan read anew.
+/// Advances the time, reads the plan again, and ticks.
 fn advance(subject: &mut TestBox, millis: u64) -> Vec<RouteEffect> {
     subject.now += millis;
     subject.read_plan(None);
     subject.feed(RouteEvent::Tick)
 }
 
-/// Version that serves a session's request, which ends with `status`.
+/// Version that serves a session's request; `v2` answers with `status`.
 fn serve(subject: &mut TestBox, session: u64, status: u16) -> String {
     let request = CallerRequest { session, ..ask("/file/x") };
     let (ticket, order) = subject.sent(request);
@@ -45,7 +46,7 @@
     order.version
 }
 
-/// A listing of the store's verdicts that was asked for now.
+/// A listing of the store's verdicts, requested now.
 fn verdicts_read(subject: &TestBox, verdicts: Vec<TrialVerdict>) -> RouteEvent {
     RouteEvent::VerdictsRead { asked_at: BoxTime::from_millis(subject.now), verdicts }
 }
@@ -80,8 +81,8 @@
     }
 }
 
-/// Serves sessions until the version on trial was found bad, half of its answers being failures, and gives
-/// them.
+/// Serves sessions until the box finds the version on trial bad, with every second of its responses
+/// a failure, and returns the sessions.
 fn serve_until_bad(subject: &mut TestBox) -> Vec<u64> {
     let mut served = Vec::new();
     while !is_bad(subject) {
@@ -92,7 +93,7 @@
     served
 }
 
-/// Whether the evidence speaks against the version on trial now.
+/// Whether there is a finding against the version on trial now.
 fn is_bad(subject: &TestBox) -> bool {
     subject.state.dump(BoxTime::default()).trials[0].is_bad()
 }
@@ -105,7 +106,7 @@
     for number in 1..400 {
         let status = if number % 2 == 0 { 500 } else { 200 };
         exposed += usize::from(serve(&mut subject, session(number), status) == "v2");
-        // The store takes a verdict at once.
+        // The store accepts a verdict at once.
         let (ticket, effects) = subject.arrive(ask("/file/x"));
         subject.feed(RouteEvent::CallerDisconnected(ticket));
         if let Some(state) = due_verdict(&effects) {
@@ -113,7 +114,7 @@
             subject.feed(RouteEvent::VerdictStored(verdict(state)));
         }
     }
-    assert!(exposed < 30, "{exposed} of 399 met the bad version");
+    assert!(exposed < 30, "{exposed} of 399 requests got the bad version");
     assert_eq!(serve(&mut subject, session(2), 200), "v1");
 }
 
@@ -130,7 +131,7 @@
     let on_new = |subject: &mut TestBox| {
         served.iter().filter(|session| version(subject, session) == "v2").count()
     };
-    assert!(on_new(&mut subject) > 0, "other boxes go on giving it sessions");
+    assert!(on_new(&mut subject) > 0, "the version keeps its sessions, as on other boxes");
 
     assert_eq!(due_verdict(&advance(&mut subject, 1_000)), Some(TrialState::RolledBack));
     assert!(on_new(&mut subject) > 0);
@@ -169,7 +170,7 @@
     let before = versions(&mut subject);
     serve_until_bad(&mut subject);
     assert_eq!(versions(&mut subject), before);
-    // The old version fails as well from now on, so that the new one is no worse.
+    // From now on the old version fails as well, so that the new one is no worse.
     for number in 1_000..1_400 {
         let (ticket, order) =
             subject.sent(CallerRequest { session: session(number), ..ask("/file/x") });
@@ -197,7 +198,7 @@
         // The second half begins: a fifth of the sessions goes to the new version.
         advance(&mut subject, 600);
         let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
-        let next = order_in(&subject.feed(failed)).expect("another replica goes on");
+        let next = order_in(&subject.feed(failed)).expect("another replica resumes it");
         assert_eq!(next.version, "v1", "session {number}");
     }
 }
@@ -212,7 +213,7 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::RolledBack)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
-    let next = order_in(&subject.feed(failed)).expect("another replica goes on");
+    let next = order_in(&subject.feed(failed)).expect("another replica resumes it");
     assert_eq!(next.version, "v1");
 }
 
@@ -224,8 +225,8 @@
     assert_eq!(first.version, "v2");
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let failed = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
-    let next = order_in(&subject.feed(failed)).expect("another replica goes on");
-    assert_eq!(next.version, "v2", "the old replicas are about to end");
+    let next = order_in(&subject.feed(failed)).expect("another replica resumes it");
+    assert_eq!(next.version, "v2", "the old replicas are about to stop");
 }
 
 #[test]
@@ -236,7 +237,7 @@
         serve(&mut subject, session(number), 200);
     }
     (0..13).for_each(|_| drop(advance(&mut subject, 200)));
-    assert_eq!(serve(&mut subject, session(1), 200), "v2", "it carries all for a while");
+    assert_eq!(serve(&mut subject, session(1), 200), "v2", "it carries all sessions for a while");
     let effects = advance(&mut subject, 900);
     assert_eq!(due_verdict(&effects), Some(TrialState::Done));
 }
@@ -312,7 +313,7 @@
         },
     )));
     subject.give_order(order());
-    assert_eq!(due_verdict(&subject.feed(RouteEvent::Tick)), None, "box-3 goes first");
+    assert_eq!(due_verdict(&subject.feed(RouteEvent::Tick)), None, "box-3 has the first turn");
     subject.now += 600;
     assert_eq!(due_verdict(&subject.feed(RouteEvent::Tick)), Some(TrialState::Running));
 }
@@ -348,7 +349,7 @@
     assert_eq!(due_verdict(&other.feed(RouteEvent::Tick)), Some(TrialState::RolledBack));
 }
 
-/// Runs and failures of the version on trial and of the others, as this box saw them.
+/// Responses and failures of the version on trial and of the others, as this box counted them.
 fn own_counts(subject: &TestBox) -> [(f64, f64); 2] {
     let dump = subject.state.dump(Default::default());
     let sum = |side: fn(&TrialStats) -> &VersionStats| {
@@ -391,7 +392,7 @@
     assert_eq!(own_counts(&subject), [(0.0, 0.0), (1.0, 1.0)]);
 }
 
-/// Breaks `count` answers of the new version's replica `c`, the only one of it.
+/// Breaks `count` responses of replica `c`, the only one of the new version.
 fn break_responses(subject: &mut TestBox, count: usize) {
     let mut broken = 0;
     for number in 1.. {
@@ -460,7 +461,7 @@
     assert!(!subject.state.has_unread_verdicts());
 }
 
-/// A tally of `quick` answers of 100 ms and `slow` ones that take six times as long.
+/// Statistics of `quick` responses of 100 ms and `slow` ones that take six times as long.
 fn timed_stats(quick: u32, slow: u32) -> VersionStats {
     let mut stats = VersionStats::default();
     (0..quick).for_each(|_| stats.add(false, Some(100.0)));
@@ -473,6 +474,6 @@
     let fault = |quick, slow| {
         TrialStats { canary: timed_stats(quick, slow), baseline: timed_stats(52, 0) }.fault()
     };
-    assert_eq!(fault(9, 5), None, "five of fourteen: its caches may be cold");
+    assert_eq!(fault(9, 5), None, "five of fourteen may be slow because of cold caches");
     assert_eq!(fault(27, 15), Some(TrialFault::Slower), "the same share of three times as many");
 }
