--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -42,7 +42,7 @@
 pub const ZONE_SIZE: u32 = 20;
 
 /// Interval at which the platform carries out orders of replicas, in milliseconds.
-const BOOT_MS: u64 = 4_000;
+const ORDER_INTERVAL_MS: u64 = 4_000;
 
 /// A call that the platform carried out.
 #[derive(Debug)]
@@ -536,7 +536,7 @@
 
     /// Starts replicas that were ordered, and removes surplus ones.
     fn apply_orders(&mut self) {
-        if self.now % BOOT_MS != 0 {
+        if self.now % ORDER_INTERVAL_MS != 0 {
             return;
         }
         for (subject, wanted) in self.orders.clone() {
