--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -19,7 +19,7 @@
 }
 
 /// A box with two replicas of each version, and an order to roll out `v2` within ten seconds.
-fn box_on_trial() -> TestBox {
+fn trial_box() -> TestBox {
     let mut subject = ready_box();
     subject.put(entry("c", "v2"));
     subject.put(entry("d", "v2"));
@@ -60,7 +60,7 @@
 
 #[test]
 fn no_session_is_moved_in_the_first_half() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_000);
     for number in 1..200 {
         assert_eq!(serve(&mut subject, session(number), 200), "v1");
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_session_moved_in_the_second_half_is_never_moved_back() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     let moved: Vec<u64> =
         (1..400).map(session).filter(|key| serve(&mut subject, *key, 200) == "v2").collect();
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_bad_version_is_rolled_back_and_gets_no_more_requests() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     let mut exposed = 0;
     for number in 1..400 {
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_box_that_finds_a_version_bad_moves_no_session_back_before_the_verdict_is_stored() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     let served = serve_until_bad(&mut subject);
     let version = |subject: &mut TestBox, session: &u64| {
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_bad_version_is_ejected_after_three_seconds_without_the_store() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     serve_until_bad(&mut subject);
     for _ in 0..15 {
@@ -156,7 +156,7 @@
 
 #[test]
 fn temporary_evidence_before_a_verdict_moves_no_session() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     let versions = |subject: &mut TestBox| {
         let asked = |number| {
@@ -186,7 +186,7 @@
 #[test]
 fn a_stream_is_resumed_by_the_version_that_began_it() {
     for number in 1..40 {
-        let mut subject = box_on_trial();
+        let mut subject = trial_box();
         advance(&mut subject, 4_900);
         let request = CallerRequest { session: session(number), ..ask("/chat/x") };
         let (ticket, first) = subject.sent(request);
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_stream_of_a_rolled_back_version_is_resumed_by_another_version() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     let moved = (1..).map(session).find(|key| serve(&mut subject, *key, 200) == "v2");
     let session = moved.expect("a session that is moved");
@@ -219,7 +219,7 @@
 
 #[test]
 fn a_stream_of_an_accepted_version_is_resumed_by_it() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     let (ticket, first) = subject.sent(ask("/chat/x"));
     assert_eq!(first.version, "v2");
@@ -231,7 +231,7 @@
 
 #[test]
 fn a_good_version_is_accepted_before_its_duration_ends() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     advance(&mut subject, 5_500);
     for number in 1..200 {
         serve(&mut subject, session(number), 200);
@@ -244,13 +244,13 @@
 
 #[test]
 fn a_version_without_responses_is_not_accepted() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     assert_eq!(due_verdict(&advance(&mut subject, 9_500)), None);
 }
 
 #[test]
 fn the_version_on_trial_serves_when_no_old_replica_is_left() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     subject.drop_entry("a");
     subject.drop_entry("b");
     assert_eq!(serve(&mut subject, session(1), 200), "v2");
@@ -286,7 +286,7 @@
 
 #[test]
 fn a_verdict_is_never_reversed() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     let read = verdicts_read(&subject, vec![verdict(TrialState::RolledBack)]);
     subject.feed(read);
     let read = verdicts_read(&subject, vec![verdict(TrialState::Done)]);
@@ -320,14 +320,14 @@
 
 #[test]
 fn the_evidence_of_other_boxes_counts() {
-    let mut sender = box_on_trial();
+    let mut sender = trial_box();
     advance(&mut sender, 5_500);
     for number in 1..100 {
         serve(&mut sender, session(number), 500);
     }
     let dump = sender.state.dump(Default::default());
     let stats = dump.trials[0].own.clone();
-    let mut other = box_on_trial();
+    let mut other = trial_box();
     other.feed(RouteEvent::GossipReceived(Box::new(
         ravenspoke_core::route::peers::GossipMessage {
             name: "box-9".to_owned(),
@@ -361,7 +361,7 @@
 
 #[test]
 fn a_response_of_the_version_on_trial_counts_for_it_when_no_other_replica_was_left() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     subject.drop_entry("a");
     subject.drop_entry("b");
     assert_eq!(serve(&mut subject, session(1), 500), "v2");
@@ -370,7 +370,7 @@
 
 #[test]
 fn an_attempt_that_stalls_repeatedly_counts_once_against_its_version() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     let (ticket, order) = subject.sent(ask("/chat/x"));
     for id in ["a", "b", "c", "d"].into_iter().filter(|id| *id != order.replica_id) {
         subject.drop_entry(id);
@@ -385,7 +385,7 @@
 
 #[test]
 fn an_attempt_that_times_out_before_a_head_counts_against_its_version() {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.feed(RouteEvent::DeadlinePassed(ticket));
     advance(&mut subject, 5_000);
@@ -413,7 +413,7 @@
 
 /// A box in the second half of a trial whose new version has one replica, `c`.
 fn trial_box_with_one_new_replica() -> TestBox {
-    let mut subject = box_on_trial();
+    let mut subject = trial_box();
     subject.drop_entry("d");
     advance(&mut subject, 5_500);
     subject
