--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -49,8 +49,8 @@
 fn retries_and_resumed_streams_avoid_an_evacuated_zone() {
     let mut subject = zoned_box();
     let (ticket, first) = subject.sent(ask("/chat/x"));
-    let lost = first.replica_id.trim_start_matches("r-").to_owned();
-    let evacuated = if lost == "east" { "north" } else { "east" };
+    let first_zone = first.replica_id.trim_start_matches("r-").to_owned();
+    let evacuated = if first_zone == "east" { "north" } else { "east" };
     read_orders(&mut subject, None, 2, &[(evacuated, true)]);
 
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
