--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -76,7 +76,7 @@
 
     /// Whether the operator's records up to the known position hold an order for a zone.
     fn has_order(&self, zone: &str) -> bool {
-        self.zones.iter().any(|shown| shown == zone)
+        self.zones.iter().any(|evacuated| evacuated == zone)
     }
 
     /// All zones that get no requests, sorted.
