--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -185,8 +185,8 @@
     /// already.
     pub fn wants_lease(&self, now: BoxTime) -> bool {
         let bounds = self.settings.leader;
-        let any = bounds.is_some_and(|bounds| bounds.usage.is_some() || bounds.scales);
-        any && !self.stopping() && (self.is_reader(now) || self.leader.part.has_lease())
+        let has_work = bounds.is_some_and(|bounds| bounds.usage.is_some() || bounds.scales);
+        has_work && !self.stopping() && (self.is_reader(now) || self.leader.part.has_lease())
     }
 
     /// Whether this box has the lease, which it gives back when it stops.
