--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -407,14 +407,14 @@
             let own = self.leader.counts.of(next);
             self.leader.round = Some(UsageRound::begin(next, own));
         }
-        let boxes = self.peers.addresses();
+        let addresses = self.peers.addresses();
         let Some(round) = &mut self.leader.round else { return };
-        match round.step(bounds, &boxes, stamp.wall) {
+        match round.step(bounds, &addresses, stamp.wall) {
             RoundStep::Wait => {}
-            RoundStep::Request(boxes) => {
+            RoundStep::Request(addresses) => {
                 let gossip_address = self.settings.gossip_address.clone();
                 out.push(RouteEffect::RequestUsage(
-                    boxes,
+                    addresses,
                     UsageRequest { window: next, gossip_address },
                 ));
             }
