--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -185,8 +185,8 @@
     pub fn spread_evacuated(&self, is_evacuated: &dyn Fn(&str) -> bool) -> BTreeMap<&str, u32> {
         let missing: u32 =
             self.zones.iter().filter(|(zone, _)| is_evacuated(zone)).map(|(_, size)| size).sum();
-        let left = self.zones.keys().filter(|zone| !is_evacuated(zone)).count() as u32;
-        let share = missing.checked_div(left).unwrap_or(0);
+        let remaining = self.zones.keys().filter(|zone| !is_evacuated(zone)).count() as u32;
+        let share = missing.checked_div(remaining).unwrap_or(0);
         let size = |zone: &str, size: u32| if is_evacuated(zone) { size } else { size + share };
         self.zones.iter().map(|(zone, own)| (zone.as_str(), size(zone, *own))).collect()
     }
