--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -61,12 +61,12 @@
         }
         // The listing may lack the verdict of a trial whose order was received after the request.
         for trial in self.trials.values_mut().filter(|trial| trial.received_at <= asked_at) {
-            let first_read = !trial.verdict_read;
+            let is_first_read = !trial.verdict_read;
             trial.verdict_read = true;
             // The store has its state already, so it made progress before this box received the
             // order.
             let under_way = trial.written && trial.state == TrialState::Running;
-            trial.checkpoint_unread |= first_read && under_way;
+            trial.checkpoint_unread |= is_first_read && under_way;
         }
     }
 
