--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -303,8 +303,8 @@
         }
     }
 
-    /// Whether the version was rolled back or this box finds it bad, so that it gets no additional
-    /// sessions.
+    /// Whether the version was rolled back or this box finds it bad, so that it gets no sessions
+    /// beyond its share.
     pub fn is_rejected(&self) -> bool {
         self.is_rollback_due() || self.state == TrialState::RolledBack
     }
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -157,8 +157,9 @@
         self.peers.rank(&self.local_peer(now), now) as u64
     }
 
-    /// Writes verdicts that are due: the first box by rank does so at once, each other box in its
-    /// turn if the store has no verdict by then.
+    /// Writes verdicts that are due, and the state of trials that the store has no record of. The
+    /// first box by rank does so at once, each other box in its turn if the store has no record by
+    /// then.
     pub(super) fn judge_trials(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
