--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Serves sessions until the box finds the version on trial bad, with every second of its responses
-/// a failure, and returns the sessions.
+/// Serves sessions until the box finds the version on trial bad, with half of its responses being
+/// failures, and returns the sessions.
 fn serve_until_bad(subject: &mut TestBox) -> Vec<u64> {
     let mut served = Vec::new();
     while !is_bad(subject) {
