--- a/crates/box/src/gateway/gossip_wire/trial.rs
+++ b/crates/box/src/gateway/gossip_wire/trial.rs
@@ -19,7 +19,7 @@
     #[prost(enumeration = "WirePhase", tag = "5")]
     phase: i32,
     #[prost(message, optional, tag = "6")]
-    marked: Option<WireProgress>,
+    checkpoint: Option<WireProgress>,
     #[prost(uint64, optional, tag = "7")]
     carries_at_ms: Option<u64>,
 }
@@ -67,9 +67,9 @@
     #[prost(string, tag = "1")]
     route: String,
     #[prost(message, optional, tag = "2")]
-    fresh: Option<WireStats>,
+    canary: Option<WireStats>,
     #[prost(message, optional, tag = "3")]
-    base: Option<WireStats>,
+    baseline: Option<WireStats>,
 }
 
 #[derive(Clone, Copy, PartialEq, Message)]
@@ -121,8 +121,8 @@
 pub(super) fn write_trial(trial: &TrialUpdate) -> WireTrial {
     let route = |(route, stats): (&String, &TrialStats)| WireRoute {
         route: route.clone(),
-        fresh: Some(write_stats(&stats.fresh)),
-        base: Some(write_stats(&stats.base)),
+        canary: Some(write_stats(&stats.canary)),
+        baseline: Some(write_stats(&stats.baseline)),
     };
     WireTrial {
         service: trial.service.clone(),
@@ -130,8 +130,8 @@
         age_ms: trial.progress.age_ms,
         phase: WirePhase::from(trial.progress.phase) as i32,
         carries_at_ms: trial.progress.carries_at_ms,
-        marked: Some(write_progress(trial.marked)),
-        routes: trial.tallies.iter().map(route).collect(),
+        checkpoint: Some(write_progress(trial.checkpoint)),
+        routes: trial.stats.iter().map(route).collect(),
     }
 }
 
@@ -146,22 +146,23 @@
         age_ms: trial.age_ms,
         carries_at_ms: trial.carries_at_ms,
     };
-    let marked = trial.marked.unwrap_or_default();
-    let marked = TrialProgress {
-        phase: marked.phase().into(),
-        age_ms: marked.age_ms,
-        carries_at_ms: marked.carries_at_ms,
+    let checkpoint = trial.checkpoint.unwrap_or_default();
+    let checkpoint = TrialProgress {
+        phase: checkpoint.phase().into(),
+        age_ms: checkpoint.age_ms,
+        carries_at_ms: checkpoint.carries_at_ms,
     };
     let route = |wire: WireRoute| {
-        let stats = TrialStats { fresh: read_stats(wire.fresh), base: read_stats(wire.base) };
+        let stats =
+            TrialStats { canary: read_stats(wire.canary), baseline: read_stats(wire.baseline) };
         (wire.route, stats)
     };
     TrialUpdate {
         service: trial.service,
         version: trial.version,
         progress,
-        marked,
-        tallies: trial.routes.into_iter().map(route).collect(),
+        checkpoint,
+        stats: trial.routes.into_iter().map(route).collect(),
     }
 }
 
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -197,10 +197,10 @@
                 version,
                 route,
                 fault = ?finding.fault,
-                runs = stats.fresh.runs,
-                bad = stats.fresh.bad,
-                other_runs = stats.base.runs,
-                other_bad = stats.base.bad,
+                runs = stats.canary.runs,
+                bad = stats.canary.bad,
+                other_runs = stats.baseline.runs,
+                other_bad = stats.baseline.bad,
                 times_slower = stats.times_slower(),
             );
         }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -105,8 +105,8 @@
             service: trial.order.service.clone(),
             version: trial.order.version.clone(),
             progress: trial.progress(stamp.now),
-            marked: trial.marked,
-            tallies: trial.own.clone(),
+            checkpoint: trial.checkpoint,
+            stats: trial.own.clone(),
         });
         GossipMessage {
             name: self.settings.name.clone(),
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -156,7 +156,7 @@
     /// When a verdict became due or was last sent to the store, by service.
     verdict_at: BTreeMap<String, BoxTime>,
     /// The same of marks.
-    mark_at: BTreeMap<String, BoxTime>,
+    checkpoint_at: BTreeMap<String, BoxTime>,
     budgets: HashMap<String, SendBudget>,
     /// How much surer larger models are, by service.
     lifts: HashMap<String, ConfidenceGains>,
@@ -200,7 +200,7 @@
             peers: PeerTable::default(),
             trials: BTreeMap::new(),
             verdict_at: BTreeMap::new(),
-            mark_at: BTreeMap::new(),
+            checkpoint_at: BTreeMap::new(),
             budgets: HashMap::new(),
             lifts: HashMap::new(),
             paces: HashMap::new(),
@@ -328,7 +328,7 @@
         for change in self.backends.drop_expired(stamp.now) {
             self.announce_change(stamp, change, ChangeKind::Leaving, out);
         }
-        let evacuations = self.evacuated.drop_unseen(stamp.now);
+        let evacuations = self.evacuated.drop_expired(stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
         self.share_limits(stamp.now);
         self.share_cold(stamp.now);
@@ -344,7 +344,7 @@
         self.write_checkpoints(stamp, out);
         self.ask_reader(stamp, out);
         self.send_gossip(stamp, out);
-        self.lead(stamp, out);
+        self.run_leader(stamp, out);
     }
 
     /// Tells of zones that are under evacuation from now on, or no longer.
@@ -514,13 +514,13 @@
     /// Whether the store was not yet asked for its word of some trial: it may have ended before this
     /// box was started.
     pub fn has_unread_verdicts(&self) -> bool {
-        self.trials.values().any(|trial| !trial.looked)
+        self.trials.values().any(|trial| !trial.verdict_read)
     }
 
     /// Whether the store's mark of some trial is still to be read: it was under way before this box heard
     /// of it, and sessions may have been moved.
     pub fn has_unread_checkpoints(&self) -> bool {
-        self.trials.values().any(|trial| trial.mark_unread)
+        self.trials.values().any(|trial| trial.checkpoint_unread)
     }
 
     /// Whether the box knows enough to serve: a plan, how far trials have come, and replicas.
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -1,4 +1,5 @@
-//! Zones that the operator empties: their replicas get nothing, by whichever way a request would come there.
+//! Zones under evacuation: their replicas get no requests, whichever way a request would reach
+//! them.
 
 use ravenspoke_core::route::backend::BackendEntry;
 use ravenspoke_core::route::evacuation::{EvacuationDigest, EvacuationRead, ZoneOrder};
@@ -21,7 +22,7 @@
     subject
 }
 
-/// The store shows these orders, as a read from `from` up to `to`.
+/// Feeds the box orders from the store, read from `from` up to `to`.
 fn read_orders(
     subject: &mut TestBox,
     from: Option<u64>,
@@ -45,24 +46,24 @@
 }
 
 #[test]
-fn further_sends_restarts_and_resumed_streams_leave_an_emptied_zone_out() {
+fn retries_and_resumed_streams_avoid_an_evacuated_zone() {
     let mut subject = zoned_box();
     let (ticket, first) = subject.sent(ask("/chat/x"));
-    let lost = first.replica_id.trim_start_matches("r-").to_owned();
-    let emptied = if lost == "east" { "north" } else { "east" };
-    read_orders(&mut subject, None, 2, &[(emptied, true)]);
+    let first_zone = first.replica_id.trim_start_matches("r-").to_owned();
+    let evacuated = if first_zone == "east" { "north" } else { "east" };
+    read_orders(&mut subject, None, 2, &[(evacuated, true)]);
 
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     let resumed = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    let next = order_in(&resumed).expect("it is resumed").replica_id;
-    assert!(next != format!("r-{emptied}") && next != first.replica_id, "{next}");
+    let next = order_in(&resumed).expect("an order that resumes the stream").replica_id;
+    assert!(next != format!("r-{evacuated}") && next != first.replica_id, "{next}");
 
     let again = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    assert_eq!(order_in(&again), None, "the only replica left is in the emptied zone");
+    assert_eq!(order_in(&again), None, "the only replica left is in the evacuated zone");
 }
 
 #[test]
-fn what_runs_in_an_emptied_zone_runs_on() {
+fn running_requests_in_an_evacuated_zone_continue() {
     let mut subject = zoned_box();
     let (ticket, order) = subject.sent(ask("/file/x"));
     let zone = order.replica_id.trim_start_matches("r-").to_owned();
@@ -70,15 +71,15 @@
     let effects = read_orders(&mut subject, None, 2, &[(&zone, true)]);
     let answered = subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
 
-    let moved = effects.iter().any(|effect| {
+    let changed = effects.iter().any(|effect| {
         matches!(effect, RouteEffect::EvacuationChanged { order, in_flight: 1, .. } if order.evacuated)
     });
-    assert!(moved, "{effects:?}");
+    assert!(changed, "{effects:?}");
     assert!(matches!(answered[..], [RouteEffect::Relay(_)]), "{answered:?}");
 }
 
 #[test]
-fn a_zone_emptied_between_the_choice_and_the_write_gets_nothing_and_costs_no_attempt() {
+fn a_zone_evacuated_between_choice_and_write_gets_nothing_and_costs_no_attempt() {
     for path in ["/file/x", "/read/x", "/chat/x"] {
         let mut subject = zoned_box();
         let (ticket, order) = subject.sent(ask(path));
@@ -90,9 +91,9 @@
         assert!(!subject.state.may_write(ticket, now));
         let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Withdrawn));
 
-        let next = order_in(&effects).expect("another replica gets it");
+        let next = order_in(&effects).expect("an order for another replica");
         assert_ne!(next.replica_id, order.replica_id);
-        assert_eq!(next.number, 1, "nothing was written: it is still the first attempt");
+        assert_eq!(next.number, 1, "nothing was written, so it is still the first attempt");
         read_orders(&mut subject, Some(2), 3, &[(&zone, false)]);
         let rows = subject.state.backends().rows();
         assert!(rows.into_iter().all(|(_, row)| row.failures == 0 && row.ejections == 0));
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn a_replica_that_leaves_between_the_choice_and_the_write_gets_nothing() {
+fn a_replica_leaving_between_choice_and_write_gets_nothing() {
     let mut subject = ready_box();
     let (ticket, order) = subject.sent(ask("/file/x"));
     subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn with_all_zones_of_a_service_emptied_a_request_ends_at_once() {
+fn with_all_zones_evacuated_a_request_is_refused_at_once() {
     let mut subject = zoned_box();
     let all = [("east", true), ("north", true), ("west", true)];
     read_orders(&mut subject, None, 4, &all);
@@ -122,29 +123,29 @@
 }
 
 #[test]
-fn what_was_sent_and_may_have_run_is_not_called_not_run() {
+fn a_request_that_may_have_run_is_not_reported_as_not_run() {
     let mut subject = zoned_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     read_orders(&mut subject, None, 4, &[("east", true), ("north", true), ("west", true)]);
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
-    assert_eq!(refusal_in(&effects).expect("it ends").status, 502);
+    assert_eq!(refusal_in(&effects).expect("a refusal").status, 502);
 }
 
 #[test]
-fn who_has_read_further_is_right_about_all_zones() {
+fn the_furthest_read_position_wins_for_all_zones() {
     let mut subject = zoned_box();
     read_orders(&mut subject, None, 4, &[("east", true)]);
-    let told = |known_to, zones: &[&str]| {
+    let received = |known_to, zones: &[&str]| {
         let zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
         RouteEvent::EvacuationsReceived(EvacuationDigest { known_to: at(known_to), zones })
     };
 
-    subject.feed(told(3, &[]));
-    assert_eq!(zones(&subject), ["east"], "older word");
-    subject.feed(told(9, &["west"]));
-    assert_eq!(zones(&subject), ["west"], "east was given back meanwhile");
+    subject.feed(received(3, &[]));
+    assert_eq!(zones(&subject), ["east"], "an older digest changes nothing");
+    subject.feed(received(9, &["west"]));
+    assert_eq!(zones(&subject), ["west"], "the order for east was withdrawn in the meantime");
     read_orders(&mut subject, Some(12), 14, &[("west", false)]);
-    assert_eq!(zones(&subject), ["west"], "records between 9 and 12 were not seen");
+    assert_eq!(zones(&subject), ["west"], "records between 9 and 12 were not read");
     read_orders(&mut subject, Some(9), 14, &[("west", false), ("north", true)]);
     assert_eq!(zones(&subject), ["north"]);
     read_orders(&mut subject, None, 20, &[]);
@@ -152,15 +153,16 @@
 }
 
 #[test]
-fn each_note_carries_the_zones_and_a_box_that_hears_it_acts_on_them() {
-    let mut teller = zoned_box();
+fn a_box_that_receives_gossip_avoids_the_evacuated_zones_in_it() {
+    let mut sender = zoned_box();
     let mut subject = zoned_box();
-    read_orders(&mut teller, None, 7, &[("east", true), ("north", true)]);
-    teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
+    read_orders(&mut sender, None, 7, &[("east", true), ("north", true)]);
+    sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
+    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message");
 
-    let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message =
+        ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..message };
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
     let (_, order) = subject.sent(ask("/file/x"));
     assert_eq!(order.replica_id, "r-west");
 }
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -1,5 +1,6 @@
-//! Boxes that ask a store for the lease of what one does for all, and a platform that takes the holder's calls, in virtual
-//! time: boxes freeze, die, and lose the store or the platform's API; calls are carried out late.
+//! A simulated fleet in virtual time: boxes that ask a store for the leader's lease, and a platform
+//! that carries out the leader's calls. Boxes freeze, restart, and lose the store or the platform's
+//! API; calls are carried out late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,26 +25,26 @@
 /// Length of a window, in milliseconds.
 pub const WINDOW_MS: u64 = 5_000;
 
-/// A report is due this long after its window's end, in milliseconds.
-pub const LATE_MS: u64 = 10_000;
+/// A report is due this long after the end of its window, in milliseconds.
+pub const REPORT_DUE_MS: u64 = 10_000;
 
 /// The wall clock at the start, in Unix milliseconds.
 const WALL_START_MS: u64 = 1_700_000_001_000;
 
-/// Boxes tick this often, in milliseconds.
+/// Interval between ticks of a box, in milliseconds.
 const TICK_MS: u64 = 200;
 
-/// A call that is slow is carried out this much later at most, in milliseconds.
-const SLOW_MS: u64 = 4_000;
+/// Greatest extra delay of a slow call, in milliseconds.
+const SLOW_CALL_MS: u64 = 4_000;
 
-/// Zones of the service, and the replicas that each has at first.
+/// Zones of the service, and the number of replicas in each at the start.
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
 pub const ZONE_SIZE: u32 = 20;
 
-/// A replica that was ordered serves after this, in milliseconds.
-const BOOT_MS: u64 = 4_000;
+/// Interval at which the platform carries out orders of replicas, in milliseconds.
+const ORDER_INTERVAL_MS: u64 = 4_000;
 
-/// What the platform has done, as it saw it.
+/// A call that the platform carried out.
 #[derive(Debug)]
 pub struct DoneCall {
     pub at: u64,
@@ -52,14 +53,14 @@
     pub call: LeaderCall,
 }
 
-/// The store's group and topic.
+/// The store: a membership group, which grants the lease, and the leader's records.
 #[derive(Debug, Default)]
 struct LeaseStore {
     generation: u64,
-    /// Members with when they were heard last.
+    /// Members, each with the time of its last request.
     members: BTreeMap<(usize, u32), u64>,
     owner: Option<(usize, u32)>,
-    /// The owner is to let go first.
+    /// The owner loses the lease to this member when it asks again.
     next_owner: Option<(usize, u32)>,
     epoch: u64,
     /// Number of the next record in the epoch.
@@ -70,7 +71,7 @@
 impl LeaseStore {
     fn expire(&mut self, now: u64) {
         let before = self.members.len();
-        self.members.retain(|_, heard| now - *heard < LEASE_MS);
+        self.members.retain(|_, last_seen| now - *last_seen < LEASE_MS);
         if self.members.len() != before {
             self.generation += 1;
         }
@@ -97,8 +98,8 @@
         (self.generation, self.owner == Some(member) && self.next_owner.is_none())
     }
 
-    /// Deals the lease anew, unasked.
-    fn deal_anew(&mut self, draw: u64) {
+    /// Grants the lease to a random member, unasked.
+    fn regrant(&mut self, draw: u64) {
         let members: Vec<_> = self.members.keys().copied().collect();
         if let Some(index) = draw.checked_rem(members.len() as u64) {
             self.next_owner =
@@ -108,50 +109,50 @@
     }
 }
 
-/// A box, its tasks, and what it suffers.
+/// A box, with its faults and timers.
 struct FleetBox {
     state: RouteState,
-    life: u32,
+    restarts: u32,
     frozen_until: u64,
-    storeless_until: u64,
-    cloudless_until: u64,
+    store_down_until: u64,
+    api_down_until: u64,
     next_tick: u64,
     next_join: u64,
     generation: u64,
     tickets: u64,
 }
 
-/// Something under way.
-enum Parcel {
+/// An event, request or step under way.
+enum Delivery {
     Event(usize, u32, RouteEvent),
     Join(usize, u32, u64, u64),
     Step(usize, u32, LeaderOrder),
 }
 
-/// The fleet.
+/// The fleet, the store and the platform.
 pub struct LeaderFleet {
     pub now: u64,
     random: u64,
     boxes: Vec<FleetBox>,
     store: LeaseStore,
-    parcels: BTreeMap<(u64, u64), Parcel>,
-    numbers: u64,
+    deliveries: BTreeMap<(u64, u64), Delivery>,
+    delivery_count: u64,
     pub done: Vec<DoneCall>,
-    /// The highest token seen, by subject.
-    seen: BTreeMap<String, u64>,
-    /// Requests whose run began, by window.
-    pub truth: BTreeMap<u64, u64>,
-    /// Whether faults strike.
+    /// Highest token seen, by subject of the call.
+    highest_tokens: BTreeMap<String, u64>,
+    /// Requests that started to run, by window.
+    pub expected_counts: BTreeMap<u64, u64>,
+    /// Whether faults are injected.
     pub faults: bool,
-    /// Whether the platform has replicas that may be taken away to give.
+    /// Whether the platform has spot replicas to give.
     pub has_spot: bool,
     orders: BTreeMap<ScaleSubject, u32>,
     offset: u64,
-    replicas: u64,
-    standing: BTreeMap<(String, bool), Vec<String>>,
-    /// Whether the plan lets the router order replicas.
+    replica_count: u64,
+    running_replicas: BTreeMap<(String, bool), Vec<String>>,
+    /// Whether the plan lets the leader order replicas.
     scales: bool,
-    size: usize,
+    box_count: usize,
 }
 
 fn stamp(now: u64, random: u64) -> EventStamp {
@@ -165,23 +166,23 @@
             random: seed.wrapping_mul(2).wrapping_add(1),
             boxes: Vec::new(),
             store: LeaseStore::default(),
-            parcels: BTreeMap::new(),
-            numbers: 0,
+            deliveries: BTreeMap::new(),
+            delivery_count: 0,
             done: Vec::new(),
-            seen: BTreeMap::new(),
-            truth: BTreeMap::new(),
+            highest_tokens: BTreeMap::new(),
+            expected_counts: BTreeMap::new(),
             faults: false,
             has_spot: true,
             orders: BTreeMap::new(),
             offset: 0,
-            replicas: 0,
-            standing: BTreeMap::new(),
+            replica_count: 0,
+            running_replicas: BTreeMap::new(),
             scales,
-            size: boxes,
+            box_count: boxes,
         };
         for number in 0..boxes {
-            let fresh = fleet.start(number, 0);
-            fleet.boxes.push(fresh);
+            let started = fleet.start(number, 0);
+            fleet.boxes.push(started);
         }
         for zone in ZONES {
             for _ in 0..ZONE_SIZE {
@@ -192,10 +193,10 @@
     }
 
     /// A box that starts, and knows the plan and the replicas.
-    fn start(&mut self, number: usize, life: u32) -> FleetBox {
-        let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: LATE_MS });
+    fn start(&mut self, number: usize, restarts: u32) -> FleetBox {
+        let usage = Some(UsageBounds { window_ms: WINDOW_MS, late_ms: REPORT_DUE_MS });
         let leader = Some(LeaderBounds { lease_ms: LEASE_MS, usage, scales: self.scales });
-        let incarnation = 1 + u64::from(life);
+        let incarnation = 1 + u64::from(restarts);
         let name = format!("box-{number}");
         let mut state = RouteState::new(ravenspoke_core::route::RouteSettings {
             leader,
@@ -212,33 +213,33 @@
         let read = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: Some(plan) };
         drop(state.apply(stamp(self.now, 1), read));
         let tick = self.now + self.draw(TICK_MS);
-        let mut fresh = FleetBox {
+        let mut started = FleetBox {
             state,
-            life,
+            restarts,
             frozen_until: 0,
-            storeless_until: 0,
-            cloudless_until: 0,
+            store_down_until: 0,
+            api_down_until: 0,
             next_tick: tick,
             next_join: tick,
             generation: 0,
             tickets: 0,
         };
-        let others = (0..self.size).map(|other| format!("box-{other}:90")).collect();
-        drop(fresh.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
+        let others = (0..self.box_count).map(|other| format!("box-{other}:90")).collect();
+        drop(started.state.apply(stamp(self.now, 3), RouteEvent::PeersDiscovered(others)));
         let listed = self.entries();
         let end = at(self.offset + 1);
-        drop(fresh.state.apply(stamp(self.now, 2), RouteEvent::BackendsListed { end, listed }));
-        fresh
+        drop(started.state.apply(stamp(self.now, 2), RouteEvent::BackendsListed { end, listed }));
+        started
     }
 
     fn entries(&self) -> Vec<BackendChange> {
         let mut rows = Vec::new();
-        for ((zone, spot), ids) in &self.standing {
+        for ((zone, spot), ids) in &self.running_replicas {
             for id in ids {
                 rows.push(BackendChange {
                     id: id.clone(),
                     at: at(1),
-                    entry: Some(row(id, zone, *spot)),
+                    entry: Some(replica_entry(id, zone, *spot)),
                 });
             }
         }
@@ -250,36 +251,36 @@
         (self.random >> 33) % below.max(1)
     }
 
-    fn post(&mut self, at: u64, parcel: Parcel) {
-        self.numbers += 1;
-        self.parcels.insert((at, self.numbers), parcel);
+    fn schedule(&mut self, at: u64, delivery: Delivery) {
+        self.delivery_count += 1;
+        self.deliveries.insert((at, self.delivery_count), delivery);
     }
 
-    fn tell_all(&mut self, change: BackendChange) {
+    fn broadcast(&mut self, change: BackendChange) {
         for number in 0..self.boxes.len() {
-            let life = self.boxes[number].life;
+            let restarts = self.boxes[number].restarts;
             let event = RouteEvent::BackendsChanged(vec![change.clone()]);
-            self.post(self.now + 1, Parcel::Event(number, life, event));
+            self.schedule(self.now + 1, Delivery::Event(number, restarts, event));
         }
     }
 
     fn add_replica(&mut self, zone: &str, spot: bool) {
-        self.replicas += 1;
+        self.replica_count += 1;
         self.offset += 1;
-        let id = format!("r-{}", self.replicas);
-        self.standing.entry((zone.to_owned(), spot)).or_default().push(id.clone());
-        let entry = Some(row(&id, zone, spot));
-        self.tell_all(BackendChange { id, at: at(self.offset), entry });
+        let id = format!("r-{}", self.replica_count);
+        self.running_replicas.entry((zone.to_owned(), spot)).or_default().push(id.clone());
+        let entry = Some(replica_entry(&id, zone, spot));
+        self.broadcast(BackendChange { id, at: at(self.offset), entry });
     }
 
     fn drop_replica(&mut self, zone: &str, spot: bool) {
-        let ids = self.standing.entry((zone.to_owned(), spot)).or_default();
+        let ids = self.running_replicas.entry((zone.to_owned(), spot)).or_default();
         let Some(id) = ids.pop() else { return };
         self.offset += 1;
-        self.tell_all(BackendChange { id, at: at(self.offset), entry: None });
+        self.broadcast(BackendChange { id, at: at(self.offset), entry: None });
     }
 
-    /// The platform takes all replicas of the cheap kind of a zone away.
+    /// The platform takes away all spot replicas of a zone.
     pub fn reclaim(&mut self, zone: &str) {
         while self.count(zone, true) > 0 {
             self.drop_replica(zone, true);
@@ -288,22 +289,22 @@
     }
 
     pub fn count(&self, zone: &str, spot: bool) -> usize {
-        self.standing.get(&(zone.to_owned(), spot)).map_or(0, Vec::len)
+        self.running_replicas.get(&(zone.to_owned(), spot)).map_or(0, Vec::len)
     }
 
-    /// Lets so many milliseconds pass.
+    /// Runs the fleet for this time.
     pub fn run(&mut self, millis: u64) {
         let end = self.now + millis;
         while self.now < end {
             self.now += 10;
-            self.strike();
+            self.inject_fault();
             self.deliver();
-            self.move_boxes();
-            self.boot();
+            self.tick_boxes();
+            self.apply_orders();
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         if !self.faults || self.draw(50) != 0 {
             return;
         }
@@ -311,88 +312,90 @@
         let until = self.now + 300 + self.draw(8_000);
         match self.draw(6) {
             0 => self.boxes[number].frozen_until = until,
-            1 => self.boxes[number].storeless_until = until,
-            2 => self.boxes[number].cloudless_until = until,
+            1 => self.boxes[number].store_down_until = until,
+            2 => self.boxes[number].api_down_until = until,
             3 => {
-                let life = self.boxes[number].life + 1;
-                self.boxes[number] = self.start(number, life);
+                let restarts = self.boxes[number].restarts + 1;
+                self.boxes[number] = self.start(number, restarts);
             }
             4 => {
                 let draw = self.draw(1_000);
-                self.store.deal_anew(draw);
+                self.store.regrant(draw);
             }
             _ => {}
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.parcels.first_entry() {
+        while let Some(entry) = self.deliveries.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             match entry.remove() {
-                Parcel::Event(number, life, event) => self.merge(number, life, event),
-                Parcel::Join(number, life, asked_at, known) => {
-                    self.join(number, life, asked_at, known);
+                Delivery::Event(number, restarts, event) => {
+                    self.deliver_event(number, restarts, event)
                 }
-                Parcel::Step(number, life, order) => self.carry_out(number, life, order),
+                Delivery::Join(number, restarts, asked_at, known) => {
+                    self.join(number, restarts, asked_at, known);
+                }
+                Delivery::Step(number, restarts, order) => self.execute(number, restarts, order),
             }
         }
     }
 
-    fn merge(&mut self, number: usize, life: u32, event: RouteEvent) {
+    fn deliver_event(&mut self, number: usize, restarts: u32, event: RouteEvent) {
         let subject = &self.boxes[number];
-        if subject.life != life {
+        if subject.restarts != restarts {
             return;
         }
         if subject.frozen_until > self.now {
             let until = subject.frozen_until;
-            return self.post(until, Parcel::Event(number, life, event));
+            return self.schedule(until, Delivery::Event(number, restarts, event));
         }
         let random = self.draw(u64::MAX);
         let effects = self.boxes[number].state.apply(stamp(self.now, random), event);
-        self.take(number, effects);
+        self.run_effects(number, effects);
     }
 
-    fn join(&mut self, number: usize, life: u32, asked_at: u64, known: u64) {
-        let (generation, granted) = self.store.join((number, life), known, self.now);
+    fn join(&mut self, number: usize, restarts: u32, asked_at: u64, known: u64) {
+        let (generation, granted) = self.store.join((number, restarts), known, self.now);
         let subject = &mut self.boxes[number];
-        if subject.life == life {
+        if subject.restarts == restarts {
             subject.generation = generation;
         }
         let answer = LeaseAnswer { token: token(0, generation), granted };
         let asked_at = BoxTime::from_millis(asked_at);
-        let way = 2 + self.draw(20);
-        self.post(
-            self.now + way,
-            Parcel::Event(number, life, RouteEvent::LeaseAnswered { asked_at, answer }),
+        let delay_ms = 2 + self.draw(20);
+        self.schedule(
+            self.now + delay_ms,
+            Delivery::Event(number, restarts, RouteEvent::LeaseAnswered { asked_at, answer }),
         );
     }
 
-    fn move_boxes(&mut self) {
+    fn tick_boxes(&mut self) {
         for number in 0..self.boxes.len() {
             if self.boxes[number].frozen_until > self.now || self.boxes[number].next_tick > self.now
             {
                 continue;
             }
             self.boxes[number].next_tick = self.now + TICK_MS;
-            self.renew(number);
-            let life = self.boxes[number].life;
-            self.merge(number, life, RouteEvent::Tick);
+            self.read_plan(number);
+            let restarts = self.boxes[number].restarts;
+            self.deliver_event(number, restarts, RouteEvent::Tick);
             self.serve(number);
             self.ask_for_lease(number);
         }
     }
 
-    /// The box reads the store, which shows nothing new.
-    fn renew(&mut self, number: usize) {
+    /// The box reads the store, which has nothing new.
+    fn read_plan(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let event = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
-        let life = self.boxes[number].life;
-        self.merge(number, life, event);
+        let restarts = self.boxes[number].restarts;
+        self.deliver_event(number, restarts, event);
     }
 
-    /// A request arrives, and is answered.
+    /// A request arrives at the box and is answered.
     fn serve(&mut self, number: usize) {
         self.boxes[number].tickets += 1;
         let ticket = ravenspoke_core::event::RequestTicket(self.boxes[number].tickets);
@@ -402,7 +405,7 @@
         if order_in(&sent).is_some() {
             drop(state.apply(now, RouteEvent::HeadReceived(ticket, head(200))));
             drop(state.apply(now, RouteEvent::ResponseFinished(ticket)));
-            *self.truth.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
+            *self.expected_counts.entry(now.wall.0 / WINDOW_MS).or_default() += 1;
         }
     }
 
@@ -412,34 +415,36 @@
         if subject.next_join > self.now || !subject.state.wants_lease(now) {
             return;
         }
-        let (life, known, cut) =
-            (subject.life, subject.generation, subject.storeless_until > self.now);
+        let (restarts, known, store_down) =
+            (subject.restarts, subject.generation, subject.store_down_until > self.now);
         self.boxes[number].next_join = self.now + LEASE_MS / 3;
-        if !cut {
-            let way = 2 + self.draw(60);
-            self.post(self.now + way, Parcel::Join(number, life, self.now, known));
+        if !store_down {
+            let delay_ms = 2 + self.draw(60);
+            self.schedule(self.now + delay_ms, Delivery::Join(number, restarts, self.now, known));
         }
     }
 
-    fn take(&mut self, number: usize, effects: Vec<RouteEffect>) {
-        let life = self.boxes[number].life;
+    fn run_effects(&mut self, number: usize, effects: Vec<RouteEffect>) {
+        let restarts = self.boxes[number].restarts;
         for effect in effects {
             match effect {
-                RouteEffect::SendGossip(to, note) => {
+                RouteEffect::SendGossip(to, message) => {
                     for target in to {
-                        self.send(&target, RouteEvent::GossipReceived(note.clone()));
+                        self.send(&target, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
-                RouteEffect::RequestUsage(to, ask) => {
+                RouteEffect::RequestUsage(to, request) => {
                     for target in to {
-                        self.send(&target, RouteEvent::UsageRequested(ask.clone()));
+                        self.send(&target, RouteEvent::UsageRequested(request.clone()));
                     }
                 }
-                RouteEffect::SendUsage(to, note) => self.send(&to, RouteEvent::UsageReceived(note)),
+                RouteEffect::SendUsage(to, response) => {
+                    self.send(&to, RouteEvent::UsageReceived(response))
+                }
                 RouteEffect::RunLeaderStep(order)
                     if BoxTime::from_millis(self.now) < order.until =>
                 {
-                    self.launch(number, life, order);
+                    self.send_step(number, restarts, order);
                 }
                 _ => {}
             }
@@ -449,25 +454,25 @@
     fn send(&mut self, target: &str, event: RouteEvent) {
         let number = target.trim_start_matches("box-").trim_end_matches(":90").parse::<usize>();
         let Some(number) = number.ok().filter(|number| *number < self.boxes.len()) else { return };
-        let life = self.boxes[number].life;
-        let way = 1 + self.draw(4);
-        self.post(self.now + way, Parcel::Event(number, life, event));
+        let restarts = self.boxes[number].restarts;
+        let delay_ms = 1 + self.draw(4);
+        self.schedule(self.now + delay_ms, Delivery::Event(number, restarts, event));
     }
 
-    /// A step leaves the box; a call may be carried out seconds later.
-    fn launch(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    /// Sends a step off; a call may be carried out seconds later.
+    fn send_step(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
-        let cloud = matches!(order.step, LeaderStep::Call(_));
-        let until = if cloud { subject.cloudless_until } else { subject.storeless_until };
+        let is_call = matches!(order.step, LeaderStep::Call(_));
+        let until = if is_call { subject.api_down_until } else { subject.store_down_until };
         if until > self.now {
             return;
         }
         let slow = self.faults && self.draw(4) == 0;
-        let way = 2 + if slow { self.draw(SLOW_MS) } else { self.draw(20) };
-        self.post(self.now + way, Parcel::Step(number, life, order));
+        let delay_ms = 2 + if slow { self.draw(SLOW_CALL_MS) } else { self.draw(20) };
+        self.schedule(self.now + delay_ms, Delivery::Step(number, restarts, order));
     }
 
-    fn carry_out(&mut self, number: usize, life: u32, order: LeaderOrder) {
+    fn execute(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         match order.step {
             LeaderStep::TakeOver => {
                 if order.token < self.store.epoch {
@@ -480,15 +485,15 @@
                 let left = self.store.records.values().cloned().collect();
                 let next = self.store.next;
                 let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
-                self.post(self.now + 3, Parcel::Event(number, life, event));
+                self.schedule(self.now + 3, Delivery::Event(number, restarts, event));
             }
             LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
                 if order.token != self.store.epoch || count > self.store.next {
                     return;
                 }
                 let token = order.token;
-                let kept = RouteEvent::RecordStored { token, number: count };
-                self.post(self.now + 3, Parcel::Event(number, life, kept));
+                let stored = RouteEvent::RecordStored { token, number: count };
+                self.schedule(self.now + 3, Delivery::Event(number, restarts, stored));
                 if count < self.store.next {
                     return;
                 }
@@ -501,9 +506,9 @@
             }
             LeaderStep::Call(call) => {
                 let outcome = self.platform_call(number, order.token, &call);
-                self.post(
+                self.schedule(
                     self.now + 3,
-                    Parcel::Event(number, life, RouteEvent::LeaderCallEnded(call, outcome)),
+                    Delivery::Event(number, restarts, RouteEvent::LeaderCallEnded(call, outcome)),
                 );
             }
         }
@@ -514,11 +519,11 @@
             LeaderCall::Report(_) => "usage".to_owned(),
             LeaderCall::Scale(subject, _) => format!("{} {}", subject.service, subject.zone),
         };
-        let seen = self.seen.entry(subject).or_default();
-        if token < *seen {
+        let highest = self.highest_tokens.entry(subject).or_default();
+        if token < *highest {
             return CallOutcome::Refused;
         }
-        *seen = token;
+        *highest = token;
         if let LeaderCall::Scale(subject, wanted) = call {
             if subject.spot && !self.has_spot && *wanted > 0 {
                 return CallOutcome::Refused;
@@ -529,9 +534,9 @@
         CallOutcome::Done
     }
 
-    /// Replicas that were ordered start, and those that are too many go.
-    fn boot(&mut self) {
-        if self.now % BOOT_MS != 0 {
+    /// Starts replicas that were ordered, and removes surplus ones.
+    fn apply_orders(&mut self) {
+        if self.now % ORDER_INTERVAL_MS != 0 {
             return;
         }
         for (subject, wanted) in self.orders.clone() {
@@ -544,7 +549,7 @@
         }
     }
 
-    /// Reports that the platform took, by window.
+    /// Reports that the platform accepted, by window.
     pub fn reports(&self) -> BTreeMap<u64, BTreeSet<AccountCounts>> {
         let mut reports: BTreeMap<u64, BTreeSet<AccountCounts>> = BTreeMap::new();
         for done in &self.done {
@@ -555,12 +560,12 @@
         reports
     }
 
-    /// The window of a moment.
+    /// The current window.
     pub fn window(&self) -> u64 {
         (WALL_START_MS + self.now) / WINDOW_MS
     }
 }
 
-fn row(id: &str, zone: &str, spot: bool) -> BackendEntry {
+fn replica_entry(id: &str, zone: &str, spot: bool) -> BackendEntry {
     BackendEntry { zone: zone.to_owned(), spot, ..entry(id, "v1") }
 }
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -1,4 +1,5 @@
-//! Replicas that say in an answer that they leave: the box that got it, and those that it tells.
+//! Replicas that announce in a response that they are leaving: the box that gets the response, and
+//! the boxes that it gossips to.
 
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{AnswerHead, RouteEffect, RouteEvent};
@@ -6,82 +7,85 @@
 
 use crate::fixture::{ask, at, entry, head, note_in, ready_box, TestBox};
 
-/// Requests of which some would go to a replica of two, by chance.
+/// Enough requests that a random choice between two replicas sends some to each.
 const REQUESTS: usize = 40;
 
-fn note_of_other(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
+fn peer_message(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         card,
         changes,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
-/// A box whose replica `a` has just said that it leaves, and the note that follows.
-fn box_that_was_told() -> (TestBox, GossipMessage) {
+/// A box whose replica `a` has just announced that it is leaving, and the gossip message that
+/// follows.
+fn box_with_leaving_replica() -> (TestBox, GossipMessage) {
     let mut subject = ready_box();
-    subject.feed(note_of_other(1, Vec::new()));
+    subject.feed(peer_message(1, Vec::new()));
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
         let leaving = order.replica_id == "a";
         let effects =
             subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { leaving, ..head(200) }));
         if leaving {
-            let said = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
-            assert!(effects.iter().any(said));
-            let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
-            return (subject, note);
+            let reported = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
+            assert!(effects.iter().any(reported));
+            let message = note_in(&subject.feed(RouteEvent::Tick))
+                .expect("a gossip message in the next tick");
+            return (subject, message);
         }
     }
     panic!("no request went to the replica");
 }
 
-/// Whether the box sends any of many requests to replica `a`.
-fn uses_a(subject: &mut TestBox) -> bool {
+/// Whether any of many requests goes to replica `a`.
+fn sends_to_a(subject: &mut TestBox) -> bool {
     (0..REQUESTS).any(|_| subject.sent(ask("/read/x")).1.replica_id == "a")
 }
 
 #[test]
-fn a_replica_gets_nothing_after_it_said_that_it_leaves_whatever_the_store_says() {
-    let (mut subject, _) = box_that_was_told();
-    assert!(!uses_a(&mut subject));
+fn a_leaving_replica_gets_nothing_even_if_the_store_shows_it_serving() {
+    let (mut subject, _) = box_with_leaving_replica();
+    assert!(!sends_to_a(&mut subject));
     subject.put(BackendEntry { cold_ms: 5, ..entry("a", "v1") });
-    assert!(!uses_a(&mut subject), "the store's word is older than the replica's own");
+    assert!(!sends_to_a(&mut subject), "the store's entry does not withdraw the leaving mark");
 }
 
 #[test]
-fn boxes_that_are_told_that_a_replica_leaves_send_nothing_there_and_tell_it_on() {
-    let (_, note) = box_that_was_told();
+fn a_box_that_receives_a_leaving_mark_avoids_the_replica_and_gossips_the_mark() {
+    let (_, message) = box_with_leaving_replica();
     let mut other = ready_box();
-    let effects = other.feed(note_of_other(1, note.changes.clone()));
-    let news =
+    let effects = other.feed(peer_message(1, message.changes.clone()));
+    let is_leaving =
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
-    assert!(effects.iter().any(news));
-    assert!(!uses_a(&mut other));
-    let told = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
-    assert!(told.iter().any(|change| change.id == "a"));
+    assert!(effects.iter().any(is_leaving));
+    assert!(!sends_to_a(&mut other));
+    let changes =
+        note_in(&other.feed(RouteEvent::Tick)).expect("a gossip message in the next tick").changes;
+    assert!(changes.iter().any(|change| change.id == "a"));
 }
 
 #[test]
-fn a_leaving_mark_counts_however_old_its_entry_is_but_not_for_another_life() {
+fn a_leaving_mark_of_an_old_entry_counts_unless_it_is_of_another_incarnation() {
     let mut subject = ready_box();
     subject.put(BackendEntry { born: Some(2), ..entry("a", "v1") });
     let mark = |born| {
         let entry = BackendEntry { born, leaving: true, ..entry("a", "v1") };
         vec![BackendChange { id: "a".to_owned(), at: at(1), entry: Some(entry) }]
     };
-    subject.feed(note_of_other(1, mark(Some(1))));
-    assert!(uses_a(&mut subject), "a former life left");
-    subject.feed(note_of_other(2, mark(Some(2))));
-    assert!(!uses_a(&mut subject));
+    subject.feed(peer_message(1, mark(Some(1))));
+    assert!(sends_to_a(&mut subject), "the mark is of a former incarnation");
+    subject.feed(peer_message(2, mark(Some(2))));
+    assert!(!sends_to_a(&mut subject));
 }
 
 #[test]
-fn another_replica_at_the_address_says_nothing_of_the_one_that_was_asked() {
+fn a_leaving_mark_from_another_replica_at_the_address_is_ignored() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     let answer = AnswerHead { leaving: true, other_replica: true, ..head(421) };
