--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -352,6 +352,6 @@
 }
 
 /// Spreads one random number into another, for a second use within one event.
-fn next_dice(random: u64) -> u64 {
+fn next_random(random: u64) -> u64 {
     crate::replica::mix(random)
 }
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -13,7 +13,7 @@
 use crate::session::SessionPins;
 use crate::{appender::LogStream, fair_queue::FairQueue};
 
-use super::{next_dice, BoxState, DecisionRecord, RequestStage, RequestState};
+use super::{next_random, BoxState, DecisionRecord, RequestStage, RequestState};
 
 /// When a caller should come back to a box that waits for its bundle, in milliseconds.
 const BUNDLE_WAIT_MS: u64 = 1_000;
@@ -143,7 +143,7 @@
         }
         if let Some(cascade) = spec.cascades.get(name) {
             let cascade = cascade.clone();
-            let plan = self.plan_cascade(name, &cascade, *class, next_dice(stamp.random));
+            let plan = self.plan_cascade(name, &cascade, *class, next_random(stamp.random));
             request.rung = plan.rung;
             request.gated = plan.gated;
             request.reasons.push(plan.reason);
@@ -208,7 +208,7 @@
             let refusal = Attempt::first().refuse(ReasonCode::LogDown).retry_after(LOG_WAIT_MS);
             return Err(refusal);
         }
-        let nonce = next_dice(stamp.random ^ self.settings.incarnation);
+        let nonce = next_random(stamp.random ^ self.settings.incarnation);
         request.claim = Some((key.clone(), nonce));
         request.deadline = stamp.now.plus_millis(self.settings.claim_ms);
         request.stage = RequestStage::Claiming(Attempt::first());
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -13,7 +13,7 @@
 use crate::session::SessionClaims;
 use crate::time::BoxTime;
 
-use super::{next_dice, BoxState, QueueName, RequestStage};
+use super::{next_random, BoxState, QueueName, RequestStage};
 
 /// How long a box may take from a decision to its write, in milliseconds.
 const SEND_WITHIN_MS: u64 = 1_000;
@@ -103,7 +103,7 @@
             self.note_exposed(version);
             return Ok((version, ReasonCode::SessionVersion));
         }
-        if let Some(version) = self.rollout_version(model, account, next_dice(stamp.random ^ 1)) {
+        if let Some(version) = self.rollout_version(model, account, next_random(stamp.random ^ 1)) {
             self.note_exposed(version);
             return Ok((version, ReasonCode::RolloutShare));
         }
@@ -147,7 +147,7 @@
             (RequestTarget::Service { name, .. }, _) => (self.replicas.service_subset(name), 0),
             _ => return PickOutcome::NoReplica,
         };
-        let random = next_dice(stamp.random ^ 2);
+        let random = next_random(stamp.random ^ 2);
         self.replicas.pick(keys, PickAsk { prefix, random, now: stamp.now, avoid: request.avoid })
     }
 
@@ -206,7 +206,7 @@
             return None;
         }
         let claims = SessionClaims {
-            session: next_dice(stamp.random ^ 3),
+            session: next_random(stamp.random ^ 3),
             account: self.names.accounts.name(request.account).to_owned(),
             pins: request.pins.clone(),
         };
@@ -231,7 +231,7 @@
         let weight = self.weight(account);
         let queue = self.queues.entry(name).or_default();
         if let Err(refusal) = queue.push(account, weight, key, deadline, stamp.now) {
-            let come_back = Self::come_back_ms(Some(queue), next_dice(stamp.random ^ 4));
+            let come_back = Self::come_back_ms(Some(queue), next_random(stamp.random ^ 4));
             let reason = match refusal {
                 QueueRefusal::Full => ReasonCode::QueueFull,
                 QueueRefusal::Late => ReasonCode::QueueLate,
@@ -258,14 +258,14 @@
     ) {
         let Some(mut queue) = self.queues.remove(name) else { return };
         for (count, key) in queue.expire(stamp.now).into_iter().enumerate() {
-            let random = next_dice(stamp.random ^ (count as u64 + 5));
+            let random = next_random(stamp.random ^ (count as u64 + 5));
             let come_back = Self::come_back_ms(Some(&queue), random);
             self.refuse_waiting(key, ReasonCode::QueueLate, come_back, out);
         }
         let mut random = stamp.random;
         while self.queue_has_room(name, stamp) {
             let Some(key) = queue.pop(stamp.now) else { break };
-            random = next_dice(random);
+            random = next_random(random);
             if !self.place(EventStamp { random, ..stamp }, key, true, out) {
                 self.put_back(stamp, &mut queue, key);
                 break;
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -12,7 +12,7 @@
 };
 use crate::reason::ReasonCode;
 
-use super::{next_dice, BoxState, RequestStage};
+use super::{next_random, BoxState, RequestStage};
 
 /// A whole answer of a replica.
 pub(super) struct WholeAnswer {
@@ -71,7 +71,7 @@
         let Some(version) = request.version else { return false };
         self.under_rollout(version).is_some()
             || request.reasons.contains(&ReasonCode::CascadeExplore)
-            || next_dice(stamp.random ^ 6) % 256 < self.settings.rate_share
+            || next_random(stamp.random ^ 6) % 256 < self.settings.rate_share
     }
 
     /// A held answer was rated: release it, or let the next rung answer.
