--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -248,7 +248,7 @@
                 self.on_load_reported(stamp, &replica, at, &report, out);
             }
             BoxEvent::RequestArrived(ask) => self.on_request(stamp, ask, out),
-            BoxEvent::SendStarting(key) => self.on_send_begins(stamp, key, out),
+            BoxEvent::SendStarting(key) => self.on_send_starting(stamp, key, out),
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
             BoxEvent::HeldAnswerRated(key, good) => self.on_judged(stamp, key, good, out),
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -15,7 +15,7 @@
 impl BoxState {
     /// The box is about to write. It may have been paused since the decision, and the bundle may
     /// have changed, so everything that allows the write is checked here, last thing.
-    pub(super) fn on_send_begins(
+    pub(super) fn on_send_starting(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
