--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -251,7 +251,9 @@
             BoxEvent::SendStarting(key) => self.on_send_starting(stamp, key, out),
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
-            BoxEvent::HeldAnswerRated(key, good) => self.on_judged(stamp, key, good, out),
+            BoxEvent::HeldAnswerRated(key, good) => {
+                self.on_held_answer_rated(stamp, key, good, out)
+            }
             BoxEvent::ReleasedAnswerRated { version, class, good } => {
                 self.on_rated(stamp, &version, class, good, out);
             }
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -75,7 +75,7 @@
     }
 
     /// A held answer was rated: release it, or let the next rung answer.
-    pub(super) fn on_judged(
+    pub(super) fn on_held_answer_rated(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
