--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -255,7 +255,7 @@
                 self.on_held_answer_rated(stamp, key, good, out)
             }
             BoxEvent::ReleasedAnswerRated { version, class, good } => {
-                self.on_rated(stamp, &version, class, good, out);
+                self.apply_rating(stamp, &version, class, good, out);
             }
             BoxEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket, out),
             BoxEvent::StopRequested => self.on_stop_asked(stamp, out),
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn on_rated(
+    pub(super) fn apply_rating(
         &mut self,
         stamp: EventStamp,
         version: &str,
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -106,7 +106,7 @@
             return;
         };
         let (name, class) = (self.names.versions.name(version).to_owned(), *class);
-        self.on_rated(stamp, &name, class, good, out);
+        self.apply_rating(stamp, &name, class, good, out);
     }
 
     fn escalate(
