--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -258,7 +258,7 @@
                 self.apply_rating(stamp, &version, class, good, out);
             }
             BoxEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket, out),
-            BoxEvent::StopRequested => self.on_stop_asked(stamp, out),
+            BoxEvent::StopRequested => self.on_stop_requested(stamp, out),
         }
         effects
     }
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -15,7 +15,7 @@
 const TOLD_DIRECTLY: usize = 32;
 
 impl BoxState {
-    pub(super) fn on_stop_asked(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
+    pub(super) fn on_stop_requested(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         if self.stopping_since.is_some() {
             return;
         }
