--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -87,7 +87,7 @@
     /// Runs.
     Running(Attempt<Dispatched>),
     /// Its held answer is being rated.
-    Judging(Attempt<Dispatched>),
+    Rating(Attempt<Dispatched>),
     /// Its end waits for witnesses.
     Billing,
 }
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -179,7 +179,7 @@
                 self.replicas.ended(attempt.state.replica, attempt.state.assigned_at);
                 attempt.lose(ReasonCode::Cancelled)
             }
-            RequestStage::Judging(attempt) => attempt.fail(ReasonCode::Cancelled),
+            RequestStage::Rating(attempt) => attempt.fail(ReasonCode::Cancelled),
             // The answer was whole; its bill stands, and the end of it goes nowhere.
             RequestStage::Billing => return,
         };
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -36,7 +36,7 @@
         request.cost += cost;
         request.tokens += tokens;
         if request.gated {
-            request.stage = RequestStage::Judging(attempt);
+            request.stage = RequestStage::Rating(attempt);
             out.push(BoxEffect::RateHeldAnswer(request.ticket, key));
             return;
         }
@@ -83,7 +83,7 @@
         out: &mut Vec<BoxEffect>,
     ) {
         let Some(request) = self.requests.get(key) else { return };
-        let RequestStage::Judging(attempt) = request.stage else { return };
+        let RequestStage::Rating(attempt) = request.stage else { return };
         self.learn(stamp, key, good, out);
         if good == Some(true) {
             self.bill(stamp, key, out);
