--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -285,7 +285,7 @@
     }
 
     /// When a caller refused by this queue should come back.
-    pub(super) fn come_back_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
+    pub(super) fn queue_retry_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
         queue.map_or(BUNDLE_WAIT_MS, |queue| queue.retry_after_ms(random))
     }
 }
