--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -301,12 +301,12 @@
         &mut self,
         key: RequestKey,
         reason: ReasonCode,
-        come_back_ms: u64,
+        retry_ms: u64,
         out: &mut Vec<BoxEffect>,
     ) {
         let Some(request) = self.requests.get(key) else { return };
         if let RequestStage::Waiting(attempt) = request.stage {
-            self.end_refused(key, attempt.refuse(reason).retry_after(come_back_ms), out);
+            self.end_refused(key, attempt.refuse(reason).retry_after(retry_ms), out);
         }
     }
 }
