--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -231,12 +231,12 @@
         let weight = self.weight(account);
         let queue = self.queues.entry(name).or_default();
         if let Err(refusal) = queue.push(account, weight, key, deadline, stamp.now) {
-            let come_back = Self::queue_retry_ms(Some(queue), next_random(stamp.random ^ 4));
+            let retry_ms = Self::queue_retry_ms(Some(queue), next_random(stamp.random ^ 4));
             let reason = match refusal {
                 QueueRefusal::Full => ReasonCode::QueueFull,
                 QueueRefusal::Late => ReasonCode::QueueLate,
             };
-            self.end_refused(key, attempt.refuse(reason).retry_after(come_back), out);
+            self.end_refused(key, attempt.refuse(reason).retry_after(retry_ms), out);
         }
     }
 
@@ -259,8 +259,8 @@
         let Some(mut queue) = self.queues.remove(name) else { return };
         for (count, key) in queue.expire(stamp.now).into_iter().enumerate() {
             let random = next_random(stamp.random ^ (count as u64 + 5));
-            let come_back = Self::queue_retry_ms(Some(&queue), random);
-            self.refuse_waiting(key, ReasonCode::QueueLate, come_back, out);
+            let retry_ms = Self::queue_retry_ms(Some(&queue), random);
+            self.refuse_waiting(key, ReasonCode::QueueLate, retry_ms, out);
         }
         let mut random = stamp.random;
         while self.queue_has_room(name, stamp) {
