--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -119,7 +119,7 @@
 
 /// What a pick needs to know.
 #[derive(Clone, Copy, Debug)]
-pub struct PickAsk {
+pub struct PickQuery {
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
     /// A random number.
@@ -287,7 +287,7 @@
     }
 
     /// Picks one of `keys`.
-    pub fn pick(&self, keys: &[ReplicaKey], ask: PickAsk) -> PickOutcome {
+    pub fn pick(&self, keys: &[ReplicaKey], ask: PickQuery) -> PickOutcome {
         let staying: Vec<ReplicaKey> =
             keys.iter().copied().filter(|key| !self.rows[*key].leaving).collect();
         if staying.is_empty() {
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -9,7 +9,7 @@
 use crate::freshness::FreshState;
 use crate::ids::{AccountKey, RequestKey, VersionKey};
 use crate::reason::ReasonCode;
-use crate::replica::{PickAsk, PickOutcome, PickWay};
+use crate::replica::{PickOutcome, PickQuery, PickWay};
 use crate::session::SessionClaims;
 use crate::time::BoxTime;
 
@@ -148,7 +148,7 @@
             _ => return PickOutcome::NoReplica,
         };
         let random = next_random(stamp.random ^ 2);
-        self.replicas.pick(keys, PickAsk { prefix, random, now: stamp.now, avoid: request.avoid })
+        self.replicas.pick(keys, PickQuery { prefix, random, now: stamp.now, avoid: request.avoid })
     }
 
     fn assign(
@@ -279,7 +279,7 @@
             QueueName::Version(version) => self.replicas.subset(*version),
             QueueName::Service(service) => self.replicas.service_subset(service),
         };
-        let ask = PickAsk { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
+        let ask = PickQuery { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
         // With no replica at all, what waits is placed too, so that it is refused at once.
         !matches!(self.replicas.pick(keys, ask), PickOutcome::Full)
     }
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::ids::{AccountKey, NameKey, NameTable, RequestKey, VersionKey};
 use ravenspoke_core::reason::ReasonCode;
 use ravenspoke_core::replica::{
-    ListedReplica, LoadReport, PickAsk, PickOutcome, PickWay, ReplicaTable, EJECT_FAILURES,
+    ListedReplica, LoadReport, PickOutcome, PickQuery, PickWay, ReplicaTable, EJECT_FAILURES,
 };
 use ravenspoke_core::retry::{RetryBudget, RETRY_BURST};
 use ravenspoke_core::rollout::{GuardVerdict, JudgedCount, RolloutState, CANARY_BOXES};
@@ -108,8 +108,8 @@
     (table, version)
 }
 
-fn ask(random: u64, prefix: u64) -> PickAsk {
-    PickAsk { prefix, random, now: BoxTime::from_millis(10), avoid: None }
+fn ask(random: u64, prefix: u64) -> PickQuery {
+    PickQuery { prefix, random, now: BoxTime::from_millis(10), avoid: None }
 }
 
 #[test]
