--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -287,7 +287,7 @@
     }
 
     /// Picks one of `keys`.
-    pub fn pick(&self, keys: &[ReplicaKey], ask: PickQuery) -> PickOutcome {
+    pub fn pick(&self, keys: &[ReplicaKey], query: PickQuery) -> PickOutcome {
         let staying: Vec<ReplicaKey> =
             keys.iter().copied().filter(|key| !self.rows[*key].leaving).collect();
         if staying.is_empty() {
@@ -299,9 +299,9 @@
             .copied()
             .filter(|key| {
                 let row = &self.rows[*key];
-                row.ejected_until <= ask.now && !row.stalled(ask.now, stall_ms)
+                row.ejected_until <= query.now && !row.stalled(query.now, stall_ms)
             })
-            .filter(|key| Some(*key) != ask.avoid)
+            .filter(|key| Some(*key) != query.avoid)
             .collect();
         // The floor: with more than half ejected the cause is not the replicas, and those that are
         // left would be overrun.
@@ -313,10 +313,10 @@
         if open.is_empty() {
             return PickOutcome::Full;
         }
-        if let Some(key) = self.affine(pool, ask.prefix, sharers) {
+        if let Some(key) = self.affine(pool, query.prefix, sharers) {
             return PickOutcome::Picked(key, PickWay::Affinity);
         }
-        let key = self.less_loaded(&open, ask.random);
+        let key = self.less_loaded(&open, query.random);
         PickOutcome::Picked(key, if floor { PickWay::AllEjected } else { PickWay::TwoChoices })
     }
 
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -279,9 +279,9 @@
             QueueName::Version(version) => self.replicas.subset(*version),
             QueueName::Service(service) => self.replicas.service_subset(service),
         };
-        let ask = PickQuery { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
+        let query = PickQuery { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
         // With no replica at all, what waits is placed too, so that it is refused at once.
-        !matches!(self.replicas.pick(keys, ask), PickOutcome::Full)
+        !matches!(self.replicas.pick(keys, query), PickOutcome::Full)
     }
 
     fn put_back(
