--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -247,7 +247,7 @@
             BoxEvent::LoadReported { replica, at, report } => {
                 self.on_load_reported(stamp, &replica, at, &report, out);
             }
-            BoxEvent::RequestArrived(ask) => self.on_request(stamp, ask, out),
+            BoxEvent::RequestArrived(details) => self.on_request(stamp, details, out),
             BoxEvent::SendStarting(key) => self.on_send_starting(stamp, key, out),
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -25,14 +25,14 @@
     pub(super) fn on_request(
         &mut self,
         stamp: EventStamp,
-        ask: RequestDetails,
+        details: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) {
         self.counts.arrived += 1;
-        let ticket = ask.ticket;
-        let id = ask.id;
-        let target = ask.target.clone();
-        match self.admit(stamp, ask, out) {
+        let ticket = details.ticket;
+        let id = details.id;
+        let target = details.target.clone();
+        match self.admit(stamp, details, out) {
             Ok(()) => {}
             Err(refusal) => {
                 self.counts.refused += 1;
@@ -45,21 +45,21 @@
     fn admit(
         &mut self,
         stamp: EventStamp,
-        ask: RequestDetails,
+        details: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) -> Result<(), RequestRefusal> {
         self.check_box(stamp)?;
         let account = self
             .index
-            .account(&ask.key_hash)
+            .account(&details.key_hash)
             .ok_or_else(|| Attempt::first().refuse(ReasonCode::UnknownKey))?;
-        let bill_key = ask
+        let bill_key = details
             .caller_key
             .as_ref()
             .map(|key| format!("{}/{key}", self.names.accounts.name(account)));
         let mut request = RequestState {
-            ticket: ask.ticket,
-            id: ask.id,
+            ticket: details.ticket,
+            id: details.id,
             account,
             bill_key,
             claim: None,
@@ -77,12 +77,12 @@
             cost: 0.0,
             tokens: 0,
             attempts: 0,
-            target: ask.target,
+            target: details.target,
         };
         match &request.target {
             RequestTarget::Model { .. } => self.admit_model(stamp, &mut request)?,
             RequestTarget::Service { .. } => {
-                self.admit_service(stamp, &mut request, ask.caller_key.as_deref())?;
+                self.admit_service(stamp, &mut request, details.caller_key.as_deref())?;
             }
         }
         if request.repeatable {
