--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -132,7 +132,7 @@
 
 /// How a replica was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PickWay {
+pub enum PickMethod {
     /// It holds the prompt's prefix.
     Affinity,
     /// The less loaded of two.
@@ -145,7 +145,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickOutcome {
     /// This replica.
-    Picked(ReplicaKey, PickWay),
+    Picked(ReplicaKey, PickMethod),
     /// Every replica is full: wait.
     Full,
     /// There is none.
@@ -314,10 +314,13 @@
             return PickOutcome::Full;
         }
         if let Some(key) = self.affine(pool, query.prefix, sharers) {
-            return PickOutcome::Picked(key, PickWay::Affinity);
+            return PickOutcome::Picked(key, PickMethod::Affinity);
         }
         let key = self.less_loaded(&open, query.random);
-        PickOutcome::Picked(key, if floor { PickWay::AllEjected } else { PickWay::TwoChoices })
+        PickOutcome::Picked(
+            key,
+            if floor { PickMethod::AllEjected } else { PickMethod::TwoChoices },
+        )
     }
 
     /// Whether this box may send one more: while the replica is not busy, or within this box's own
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -9,7 +9,7 @@
 use crate::freshness::FreshState;
 use crate::ids::{AccountKey, RequestKey, VersionKey};
 use crate::reason::ReasonCode;
-use crate::replica::{PickOutcome, PickQuery, PickWay};
+use crate::replica::{PickMethod, PickOutcome, PickQuery};
 use crate::session::SessionClaims;
 use crate::time::BoxTime;
 
@@ -157,7 +157,7 @@
         key: RequestKey,
         attempt: Attempt<Queued>,
         replica: crate::ids::ReplicaKey,
-        way: PickWay,
+        way: PickMethod,
         out: &mut Vec<BoxEffect>,
     ) {
         self.replicas.assigned(replica, stamp.now);
@@ -166,9 +166,9 @@
         let request = &mut self.requests[key];
         request.pins_changed = false;
         match way {
-            PickWay::Affinity => request.reasons.push(ReasonCode::PrefixAffinity),
-            PickWay::TwoChoices => request.reasons.push(ReasonCode::TwoChoices),
-            PickWay::AllEjected => request.reasons.push(ReasonCode::NoHealthy),
+            PickMethod::Affinity => request.reasons.push(ReasonCode::PrefixAffinity),
+            PickMethod::TwoChoices => request.reasons.push(ReasonCode::TwoChoices),
+            PickMethod::AllEjected => request.reasons.push(ReasonCode::NoHealthy),
         }
         let version = request.version;
         request.stage = RequestStage::Ready(attempt.assign(Ready {
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::ids::{AccountKey, NameKey, NameTable, RequestKey, VersionKey};
 use ravenspoke_core::reason::ReasonCode;
 use ravenspoke_core::replica::{
-    ListedReplica, LoadReport, PickOutcome, PickQuery, PickWay, ReplicaTable, EJECT_FAILURES,
+    ListedReplica, LoadReport, PickMethod, PickOutcome, PickQuery, ReplicaTable, EJECT_FAILURES,
 };
 use ravenspoke_core::retry::{RetryBudget, RETRY_BURST};
 use ravenspoke_core::rollout::{GuardVerdict, JudgedCount, RolloutState, CANARY_BOXES};
@@ -148,7 +148,7 @@
     for key in &keys[1..] {
         fail(&mut table, *key);
     }
-    assert!(matches!(picked(&table, 1), PickOutcome::Picked(_, PickWay::AllEjected)));
+    assert!(matches!(picked(&table, 1), PickOutcome::Picked(_, PickMethod::AllEjected)));
 }
 
 #[test]
@@ -161,14 +161,14 @@
         };
 
     let (home, way) = pick(&table, 1);
-    assert_eq!(way, PickWay::Affinity);
+    assert_eq!(way, PickMethod::Affinity);
     assert!((0..20).all(|random| pick(&table, random).0 == home));
     for _ in 0..4 {
         table.assigned(home, BoxTime::from_millis(10));
     }
     let (_, way) = pick(&table, 3);
 
-    assert_eq!(way, PickWay::TwoChoices, "past the load bound the prefix gives way");
+    assert_eq!(way, PickMethod::TwoChoices, "past the load bound the prefix gives way");
 }
 
 fn rungs() -> [RungView<'static>; 2] {
