--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -39,8 +39,8 @@
             return true;
         }
         match self.pick_replica(stamp, key) {
-            PickOutcome::Picked(replica, way) => {
-                self.assign(stamp, key, attempt, replica, way, out);
+            PickOutcome::Picked(replica, method) => {
+                self.assign(stamp, key, attempt, replica, method, out);
                 true
             }
             PickOutcome::NoReplica => {
@@ -157,7 +157,7 @@
         key: RequestKey,
         attempt: Attempt<Queued>,
         replica: crate::ids::ReplicaKey,
-        way: PickMethod,
+        method: PickMethod,
         out: &mut Vec<BoxEffect>,
     ) {
         self.replicas.assigned(replica, stamp.now);
@@ -165,7 +165,7 @@
         let session_token = self.session_token(stamp, key);
         let request = &mut self.requests[key];
         request.pins_changed = false;
-        match way {
+        match method {
             PickMethod::Affinity => request.reasons.push(ReasonCode::PrefixAffinity),
             PickMethod::TwoChoices => request.reasons.push(ReasonCode::TwoChoices),
             PickMethod::AllEjected => request.reasons.push(ReasonCode::NoHealthy),
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -156,19 +156,19 @@
     let (mut table, version) = table(4);
     let pick =
         |table: &ReplicaTable, random| match table.pick(table.subset(version), ask(random, 77)) {
-            PickOutcome::Picked(key, way) => (key, way),
+            PickOutcome::Picked(key, method) => (key, method),
             other => panic!("{other:?}"),
         };
 
-    let (home, way) = pick(&table, 1);
-    assert_eq!(way, PickMethod::Affinity);
+    let (home, method) = pick(&table, 1);
+    assert_eq!(method, PickMethod::Affinity);
     assert!((0..20).all(|random| pick(&table, random).0 == home));
     for _ in 0..4 {
         table.assigned(home, BoxTime::from_millis(10));
     }
-    let (_, way) = pick(&table, 3);
+    let (_, method) = pick(&table, 3);
 
-    assert_eq!(way, PickMethod::TwoChoices, "past the load bound the prefix gives way");
+    assert_eq!(method, PickMethod::TwoChoices, "past the load bound the prefix gives way");
 }
 
 fn rungs() -> [RungView<'static>; 2] {
