--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -97,7 +97,7 @@
     /// Checks that concern the box and not the request.
     fn check_box(&self, stamp: EventStamp) -> Result<(), RequestRefusal> {
         let refuse = |reason| Err(Attempt::first().refuse(reason).retry_after(BUNDLE_WAIT_MS));
-        if self.stop_is_over(stamp.now) {
+        if self.has_stopped_accepting(stamp.now) {
             return refuse(ReasonCode::Stopping);
         }
         if self.fold.in_force().is_none() {
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -35,14 +35,14 @@
     }
 
     /// Whether the box takes no new requests any more.
-    pub(super) fn stop_is_over(&self, now: BoxTime) -> bool {
+    pub(super) fn has_stopped_accepting(&self, now: BoxTime) -> bool {
         self.stopping_since
             .is_some_and(|since| now.millis_since(since) >= self.settings.entry_keep_ms)
     }
 
     pub(super) fn check_stopped(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let Some(since) = self.stopping_since else { return };
-        if !self.stop_is_over(stamp.now) || !self.requests.is_empty() {
+        if !self.has_stopped_accepting(stamp.now) || !self.requests.is_empty() {
             return;
         }
         let owed = self.appends.values().any(|queue| !queue.is_empty());
