--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -12,7 +12,7 @@
 const BILL_GRACE_MS: u64 = 5_000;
 
 /// Boxes told directly of a stop; beyond that the word goes round with the heartbeats.
-const TOLD_DIRECTLY: usize = 32;
+const STOP_FAN_OUT: usize = 32;
 
 impl BoxState {
     pub(super) fn on_stop_requested(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
@@ -29,7 +29,7 @@
             leaving: true,
             ..PeerHeartbeat::default()
         };
-        for row in self.members.peers().take(TOLD_DIRECTLY) {
+        for row in self.members.peers().take(STOP_FAN_OUT) {
             out.push(BoxEffect::SendPeer(row.listed.name.clone(), PeerBody::Beat(beat.clone())));
         }
     }
