--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -76,10 +76,10 @@
     ) {
         let Some(row) = self.replicas.get(key) else { return };
         let name = row.listed.name.clone();
-        self.take_leaving_mark(stamp, &name, out);
+        self.apply_leaving(stamp, &name, out);
     }
 
-    fn take_leaving_mark(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
+    fn apply_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
         if self.replicas.mark_leaving(name) {
             self.spread_leaving(stamp, name, out);
         }
@@ -192,7 +192,7 @@
             PeerBody::Release(done) => self.ledger.release(&from, incarnation, &done.numbers),
             PeerBody::Verdict(verdict) => self.take_verdict(&verdict, out),
             PeerBody::Leaving(mark) => {
-                self.take_leaving_mark(stamp, &mark.replica, out);
+                self.apply_leaving(stamp, &mark.replica, out);
             }
             PeerBody::Evidence(evidence) => self.on_evidence(stamp, &evidence, out),
             PeerBody::Quality(share) => self.on_quality(&share),
@@ -214,7 +214,7 @@
             self.want_bundle(from, out);
         }
         for replica in &beat.leaving_replicas {
-            self.take_leaving_mark(stamp, replica, out);
+            self.apply_leaving(stamp, replica, out);
         }
         for version in &beat.halted {
             let verdict = VerdictRecord { version: version.clone(), halted: true, step: 0 };
