--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -274,7 +274,7 @@
 
 /// A replica's leaving mark, passed between boxes because the box list lags.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct LeavingMark {
+pub struct LeavingNotice {
     /// Replica name.
     #[prost(string, tag = "1")]
     pub replica: String,
@@ -306,7 +306,7 @@
     Verdict(VerdictRecord),
     /// A leaving replica.
     #[prost(message, tag = "10")]
-    Leaving(LeavingMark),
+    Leaving(LeavingNotice),
     /// A call for the whole bundle in force.
     #[prost(message, tag = "11")]
     WantBundle(BundleWanted),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -8,7 +8,7 @@
 use crate::ids::ReplicaKey;
 use crate::membership::ListedBox;
 use crate::message::{
-    BillNumbers, BundleWanted, HeartbeatReply, LeavingMark, PeerBody, PeerHeartbeat, PeerMessage,
+    BillNumbers, BundleWanted, HeartbeatReply, LeavingNotice, PeerBody, PeerHeartbeat, PeerMessage,
     PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
@@ -88,7 +88,7 @@
     fn spread_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
         self.leaving_marks.push_back((stamp.now, name.to_owned()));
         out.push(BoxEffect::ReplicaLeaving(name.to_owned()));
-        let mark = LeavingMark { replica: name.to_owned() };
+        let mark = LeavingNotice { replica: name.to_owned() };
         self.spread(PeerBody::Leaving(mark), out);
     }
 
