--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -162,7 +162,7 @@
     tickets: HashMap<RequestTicket, RequestKey>,
     decisions: VecDeque<DecisionRecord>,
     /// Replicas lately heard to be leaving, with when; repeated in heartbeats for a while.
-    leaving_marks: VecDeque<(BoxTime, String)>,
+    leaving_notices: VecDeque<(BoxTime, String)>,
     next_beat: BoxTime,
     next_evidence: BoxTime,
     stopping_since: Option<BoxTime>,
@@ -219,7 +219,7 @@
             requests: SlotMap::with_key(),
             tickets: HashMap::new(),
             decisions: VecDeque::new(),
-            leaving_marks: VecDeque::new(),
+            leaving_notices: VecDeque::new(),
             next_beat: BoxTime::default(),
             next_evidence: BoxTime::default(),
             stopping_since: None,
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -86,7 +86,7 @@
     }
 
     fn spread_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
-        self.leaving_marks.push_back((stamp.now, name.to_owned()));
+        self.leaving_notices.push_back((stamp.now, name.to_owned()));
         out.push(BoxEffect::ReplicaLeaving(name.to_owned()));
         let mark = LeavingNotice { replica: name.to_owned() };
         self.spread(PeerBody::Leaving(mark), out);
@@ -101,13 +101,13 @@
 
     pub(super) fn beat(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         while self
-            .leaving_marks
+            .leaving_notices
             .front()
             .is_some_and(|(at, _)| stamp.now.millis_since(*at) > MARK_REPEAT_MS)
         {
-            self.leaving_marks.pop_front();
+            self.leaving_notices.pop_front();
         }
-        let marks = self.leaving_marks.iter().rev().take(MARKS_IN_BEAT);
+        let marks = self.leaving_notices.iter().rev().take(MARKS_IN_BEAT);
         let named = &self.index.spec.rollouts;
         let halted =
             self.rollouts.iter().filter(|(name, row)| row.halted && named.contains_key(*name));
