--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -17,7 +17,7 @@
 use super::BoxState;
 
 /// How long a leaving mark is repeated in heartbeats, in milliseconds.
-const MARK_REPEAT_MS: u64 = 10_000;
+const NOTICE_REPEAT_MS: u64 = 10_000;
 
 /// Marks of one kind in one heartbeat, at most.
 const MARKS_IN_BEAT: usize = 16;
@@ -103,7 +103,7 @@
         while self
             .leaving_notices
             .front()
-            .is_some_and(|(at, _)| stamp.now.millis_since(*at) > MARK_REPEAT_MS)
+            .is_some_and(|(at, _)| stamp.now.millis_since(*at) > NOTICE_REPEAT_MS)
         {
             self.leaving_notices.pop_front();
         }
