--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -20,7 +20,7 @@
 const NOTICE_REPEAT_MS: u64 = 10_000;
 
 /// Marks of one kind in one heartbeat, at most.
-const MARKS_IN_BEAT: usize = 16;
+const NOTICES_PER_HEARTBEAT: usize = 16;
 
 impl BoxState {
     pub(super) fn on_list_read(
@@ -107,7 +107,7 @@
         {
             self.leaving_notices.pop_front();
         }
-        let marks = self.leaving_notices.iter().rev().take(MARKS_IN_BEAT);
+        let marks = self.leaving_notices.iter().rev().take(NOTICES_PER_HEARTBEAT);
         let named = &self.index.spec.rollouts;
         let halted =
             self.rollouts.iter().filter(|(name, row)| row.halted && named.contains_key(*name));
@@ -116,7 +116,7 @@
             sequence: self.fold.sequence(),
             leaving: self.stopping_since.is_some(),
             leaving_replicas: marks.map(|(_, name)| name.clone()).collect(),
-            halted: halted.map(|(name, _)| name.clone()).take(MARKS_IN_BEAT).collect(),
+            halted: halted.map(|(name, _)| name.clone()).take(NOTICES_PER_HEARTBEAT).collect(),
         };
         self.spread(PeerBody::Beat(beat), out);
     }
