--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -88,8 +88,8 @@
     fn spread_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
         self.leaving_notices.push_back((stamp.now, name.to_owned()));
         out.push(BoxEffect::ReplicaLeaving(name.to_owned()));
-        let mark = LeavingNotice { replica: name.to_owned() };
-        self.spread(PeerBody::Leaving(mark), out);
+        let notice = LeavingNotice { replica: name.to_owned() };
+        self.spread(PeerBody::Leaving(notice), out);
     }
 
     /// Sends to a few boxes, each of which passes it on if it is news to it.
@@ -191,8 +191,8 @@
             PeerBody::Witnessed(held) => self.on_witnessed(stamp, &from, &held.numbers, out),
             PeerBody::Release(done) => self.ledger.release(&from, incarnation, &done.numbers),
             PeerBody::Verdict(verdict) => self.take_verdict(&verdict, out),
-            PeerBody::Leaving(mark) => {
-                self.apply_leaving(stamp, &mark.replica, out);
+            PeerBody::Leaving(notice) => {
+                self.apply_leaving(stamp, &notice.replica, out);
             }
             PeerBody::Evidence(evidence) => self.on_evidence(stamp, &evidence, out),
             PeerBody::Quality(share) => self.on_quality(&share),
