--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -107,7 +107,7 @@
         {
             self.leaving_notices.pop_front();
         }
-        let marks = self.leaving_notices.iter().rev().take(NOTICES_PER_HEARTBEAT);
+        let notices = self.leaving_notices.iter().rev().take(NOTICES_PER_HEARTBEAT);
         let named = &self.index.spec.rollouts;
         let halted =
             self.rollouts.iter().filter(|(name, row)| row.halted && named.contains_key(*name));
@@ -115,7 +115,7 @@
             stamp: stamp.now.as_micros(),
             sequence: self.fold.sequence(),
             leaving: self.stopping_since.is_some(),
-            leaving_replicas: marks.map(|(_, name)| name.clone()).collect(),
+            leaving_replicas: notices.map(|(_, name)| name.clone()).collect(),
             halted: halted.map(|(name, _)| name.clone()).take(NOTICES_PER_HEARTBEAT).collect(),
         };
         self.spread(PeerBody::Beat(beat), out);
