--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn note_leaving(
+    pub(super) fn on_replica_leaving(
         &mut self,
         stamp: EventStamp,
         key: ReplicaKey,
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -109,7 +109,7 @@
             }
             AttemptEnd::Declined { leaving } => {
                 if leaving {
-                    self.note_leaving(stamp, replica, out);
+                    self.on_replica_leaving(stamp, replica, out);
                 } else {
                     self.replicas.failed(replica, stamp.now);
                 }
