--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -39,7 +39,7 @@
         self.replicas.take_list(replicas);
         for name in self.leaving_names() {
             if !before.contains(&name) {
-                self.spread_leaving(stamp, &name, out);
+                self.announce_leaving(stamp, &name, out);
             }
         }
     }
@@ -61,7 +61,7 @@
         let versions =
             report.versions.iter().map(|version| self.names.versions.intern(version)).collect();
         if self.replicas.take_report(key, report, versions, at) {
-            self.spread_leaving(stamp, name, out);
+            self.announce_leaving(stamp, name, out);
         }
         if self.queues.values().any(|queue| !queue.is_empty()) {
             self.drain_queues(stamp, out);
@@ -81,11 +81,11 @@
 
     fn apply_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
         if self.replicas.mark_leaving(name) {
-            self.spread_leaving(stamp, name, out);
+            self.announce_leaving(stamp, name, out);
         }
     }
 
-    fn spread_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
+    fn announce_leaving(&mut self, stamp: EventStamp, name: &str, out: &mut Vec<BoxEffect>) {
         self.leaving_notices.push_back((stamp.now, name.to_owned()));
         out.push(BoxEffect::ReplicaLeaving(name.to_owned()));
         let notice = LeavingNotice { replica: name.to_owned() };
