--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -169,6 +169,6 @@
             true => BoxEffect::RolloutHalted(verdict.version.clone()),
             false => BoxEffect::RolloutStep(verdict.version.clone(), verdict.step),
         });
-        self.spread(PeerBody::Verdict(verdict.clone()), out);
+        self.gossip(PeerBody::Verdict(verdict.clone()), out);
     }
 }
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -89,11 +89,11 @@
         self.leaving_notices.push_back((stamp.now, name.to_owned()));
         out.push(BoxEffect::ReplicaLeaving(name.to_owned()));
         let notice = LeavingNotice { replica: name.to_owned() };
-        self.spread(PeerBody::Leaving(notice), out);
+        self.gossip(PeerBody::Leaving(notice), out);
     }
 
     /// Sends to a few boxes, each of which passes it on if it is news to it.
-    pub(super) fn spread(&mut self, body: PeerBody, out: &mut Vec<BoxEffect>) {
+    pub(super) fn gossip(&mut self, body: PeerBody, out: &mut Vec<BoxEffect>) {
         for name in self.members.next_targets() {
             out.push(BoxEffect::SendPeer(name, body.clone()));
         }
@@ -118,7 +118,7 @@
             leaving_replicas: notices.map(|(_, name)| name.clone()).collect(),
             halted: halted.map(|(name, _)| name.clone()).take(NOTICES_PER_HEARTBEAT).collect(),
         };
-        self.spread(PeerBody::Beat(beat), out);
+        self.gossip(PeerBody::Beat(beat), out);
     }
 
     /// Shares this box's ratings of the last round with the boxes of this round. They are not passed
@@ -131,7 +131,7 @@
             .map(|((model, class), count)| quality_row(model, class, count))
             .collect();
         if !rows.is_empty() {
-            self.spread(PeerBody::Quality(QualityShare { rows }), out);
+            self.gossip(PeerBody::Quality(QualityShare { rows }), out);
         }
     }
 
