--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -270,7 +270,7 @@
         self.append_due(stamp, out);
         if stamp.now >= self.next_beat {
             self.next_beat = stamp.now.plus_millis(crate::membership::BEAT_INTERVAL_MS);
-            self.beat(stamp, out);
+            self.send_heartbeats(stamp, out);
             self.choose_witnesses(stamp);
             self.share_quality(out);
             self.order_pools(stamp, out);
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    pub(super) fn beat(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
+    pub(super) fn send_heartbeats(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         while self
             .leaving_notices
             .front()
