--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -173,7 +173,7 @@
             }
         }
         match body {
-            PeerBody::Beat(beat) => self.on_beat(stamp, &from, &beat, out),
+            PeerBody::Beat(beat) => self.on_heartbeat(stamp, &from, &beat, out),
             PeerBody::Reply(reply) => self.on_reply(&from, incarnation, &reply, out),
             PeerBody::Bundle(record) => {
                 let outcome = self.fold.adopt_record(&record);
@@ -200,7 +200,7 @@
         }
     }
 
-    fn on_beat(
+    fn on_heartbeat(
         &mut self,
         stamp: EventStamp,
         from: &str,
