--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -14,7 +14,7 @@
 use crate::time::BoxTime;
 
 /// Boxes beaten to in each round.
-pub const BEAT_FAN_OUT: usize = 4;
+pub const HEARTBEAT_FAN_OUT: usize = 4;
 
 /// Other boxes described in each answer.
 pub const SUMMARY_COUNT: usize = 12;
@@ -112,7 +112,7 @@
     /// How old word of a box may be before it counts as silent: the lease, and at larger sizes the
     /// rounds that word of a box takes to come round.
     pub fn silence_ms(&self) -> u64 {
-        let per_round = (BEAT_FAN_OUT * (1 + SUMMARY_COUNT)) as u64;
+        let per_round = (HEARTBEAT_FAN_OUT * (1 + SUMMARY_COUNT)) as u64;
         let rounds = (self.rows.len() as u64).div_ceil(per_round);
         FRESH_LEASE_MS.max(3 * rounds * BEAT_INTERVAL_MS)
     }
@@ -152,7 +152,7 @@
     /// Boxes to beat to in this round.
     pub fn next_targets(&mut self) -> Vec<String> {
         let mut targets = Vec::new();
-        while targets.len() < BEAT_FAN_OUT.min(self.peers().count()) {
+        while targets.len() < HEARTBEAT_FAN_OUT.min(self.peers().count()) {
             let Some(name) = self.round.pop() else {
                 self.refill_round();
                 continue;
