--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -20,7 +20,7 @@
 pub const SUMMARY_COUNT: usize = 12;
 
 /// Milliseconds between rounds.
-pub const BEAT_INTERVAL_MS: u64 = 1_000;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
 /// A box as the box list gives it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -114,7 +114,7 @@
     pub fn silence_ms(&self) -> u64 {
         let per_round = (HEARTBEAT_FAN_OUT * (1 + SUMMARY_COUNT)) as u64;
         let rounds = (self.rows.len() as u64).div_ceil(per_round);
-        FRESH_LEASE_MS.max(3 * rounds * BEAT_INTERVAL_MS)
+        FRESH_LEASE_MS.max(3 * rounds * HEARTBEAT_INTERVAL_MS)
     }
 
     /// Whether a box was lately heard.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -269,7 +269,7 @@
         self.press_witnesses(stamp, out);
         self.append_due(stamp, out);
         if stamp.now >= self.next_beat {
-            self.next_beat = stamp.now.plus_millis(crate::membership::BEAT_INTERVAL_MS);
+            self.next_beat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(stamp, out);
             self.choose_witnesses(stamp);
             self.share_quality(out);
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -5,7 +5,7 @@
 use crate::effect::BoxEffect;
 use crate::event::{EventStamp, RequestTarget};
 use crate::ids::{AccountKey, RequestKey, VersionKey};
-use crate::membership::BEAT_INTERVAL_MS;
+use crate::membership::HEARTBEAT_INTERVAL_MS;
 use crate::message::{PeerBody, RecordBody, RolloutEvidence, VerdictRecord};
 use crate::rollout::{GuardVerdict, JudgedCount, RolloutState, BASE_ANSWERS, CANARY_BOXES};
 
@@ -92,7 +92,7 @@
             return;
         }
         let rounds = (self.members.listed_count() as u64).div_ceil(BOXES_PER_SECOND).max(1);
-        self.next_evidence = stamp.now.plus_millis(rounds * BEAT_INTERVAL_MS);
+        self.next_evidence = stamp.now.plus_millis(rounds * HEARTBEAT_INTERVAL_MS);
         let unsent: Vec<String> = self
             .rollouts
             .iter()
