--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -163,7 +163,7 @@
     decisions: VecDeque<DecisionRecord>,
     /// Replicas lately heard to be leaving, with when; repeated in heartbeats for a while.
     leaving_notices: VecDeque<(BoxTime, String)>,
-    next_beat: BoxTime,
+    next_heartbeat: BoxTime,
     next_evidence: BoxTime,
     stopping_since: Option<BoxTime>,
     counts: BoxCounts,
@@ -220,7 +220,7 @@
             tickets: HashMap::new(),
             decisions: VecDeque::new(),
             leaving_notices: VecDeque::new(),
-            next_beat: BoxTime::default(),
+            next_heartbeat: BoxTime::default(),
             next_evidence: BoxTime::default(),
             stopping_since: None,
             counts: BoxCounts::default(),
@@ -268,8 +268,8 @@
         self.expire_claiming(stamp, out);
         self.press_witnesses(stamp, out);
         self.append_due(stamp, out);
-        if stamp.now >= self.next_beat {
-            self.next_beat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
+        if stamp.now >= self.next_heartbeat {
+            self.next_heartbeat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(stamp, out);
             self.choose_witnesses(stamp);
             self.share_quality(out);
