--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -111,14 +111,14 @@
         let named = &self.index.spec.rollouts;
         let halted =
             self.rollouts.iter().filter(|(name, row)| row.halted && named.contains_key(*name));
-        let beat = PeerHeartbeat {
+        let heartbeat = PeerHeartbeat {
             stamp: stamp.now.as_micros(),
             sequence: self.fold.sequence(),
             leaving: self.stopping_since.is_some(),
             leaving_replicas: notices.map(|(_, name)| name.clone()).collect(),
             halted: halted.map(|(name, _)| name.clone()).take(NOTICES_PER_HEARTBEAT).collect(),
         };
-        self.gossip(PeerBody::Beat(beat), out);
+        self.gossip(PeerBody::Beat(heartbeat), out);
     }
 
     /// Shares this box's ratings of the last round with the boxes of this round. They are not passed
@@ -173,7 +173,7 @@
             }
         }
         match body {
-            PeerBody::Beat(beat) => self.on_heartbeat(stamp, &from, &beat, out),
+            PeerBody::Beat(heartbeat) => self.on_heartbeat(stamp, &from, &heartbeat, out),
             PeerBody::Reply(reply) => self.on_reply(&from, incarnation, &reply, out),
             PeerBody::Bundle(record) => {
                 let outcome = self.fold.adopt_record(&record);
@@ -204,24 +204,24 @@
         &mut self,
         stamp: EventStamp,
         from: &str,
-        beat: &PeerHeartbeat,
+        heartbeat: &PeerHeartbeat,
         out: &mut Vec<BoxEffect>,
     ) {
-        if beat.leaving {
+        if heartbeat.leaving {
             self.members.mark_leaving(from);
         }
-        if beat.sequence > self.fold.sequence() {
+        if heartbeat.sequence > self.fold.sequence() {
             self.want_bundle(from, out);
         }
-        for replica in &beat.leaving_replicas {
+        for replica in &heartbeat.leaving_replicas {
             self.apply_leaving(stamp, replica, out);
         }
-        for version in &beat.halted {
+        for version in &heartbeat.halted {
             let verdict = VerdictRecord { version: version.clone(), halted: true, step: 0 };
             self.take_verdict(&verdict, out);
         }
         let reply = HeartbeatReply {
-            echo: beat.stamp,
+            echo: heartbeat.stamp,
             log_age_ms: self.fresh.age_ms(stamp.now),
             sequence: self.fold.sequence(),
             leaving: self.stopping_since.is_some(),
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -23,14 +23,17 @@
         let me = self.settings.name.clone();
         self.members.mark_leaving(&me);
         let sequence = self.fold.sequence();
-        let beat = PeerHeartbeat {
+        let heartbeat = PeerHeartbeat {
             stamp: stamp.now.as_micros(),
             sequence,
             leaving: true,
             ..PeerHeartbeat::default()
         };
         for row in self.members.peers().take(STOP_FAN_OUT) {
-            out.push(BoxEffect::SendPeer(row.listed.name.clone(), PeerBody::Beat(beat.clone())));
+            out.push(BoxEffect::SendPeer(
+                row.listed.name.clone(),
+                PeerBody::Beat(heartbeat.clone()),
+            ));
         }
     }
 
