--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -266,7 +266,7 @@
     fn on_tick(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         self.drain_queues(stamp, out);
         self.expire_claiming(stamp, out);
-        self.press_witnesses(stamp, out);
+        self.retry_witnesses(stamp, out);
         self.append_due(stamp, out);
         if stamp.now >= self.next_heartbeat {
             self.next_heartbeat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -201,7 +201,7 @@
     }
 
     /// Asks other witnesses where the first did not answer, and lets an answer end after a limit.
-    pub(super) fn press_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
+    pub(super) fn retry_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for number in self.ledger.unreleased() {
             let Some(bill) = self.ledger.owned_mut(number) else { continue };
             if stamp.now.millis_since(bill.made_at) >= WITNESS_LIMIT_MS {
