--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -144,7 +144,7 @@
     /// Offset behind the last trimmed part that this fold missed, while it is unanchored.
     gap: Option<u64>,
     /// Records read since the gap.
-    aside: Vec<(u64, BundleRecord)>,
+    deferred: Vec<(u64, BundleRecord)>,
 }
 
 impl BundleFold {
@@ -176,7 +176,7 @@
     /// Notes that the records from the next offset up to `first` were trimmed unread.
     pub fn note_gap(&mut self, first: u64) {
         self.gap = Some(first);
-        self.aside.clear();
+        self.deferred.clear();
         self.next = first;
     }
 
@@ -197,7 +197,7 @@
             None => self.fold_anchored(record),
             Some(gap) if record.carried && record.folded_to >= gap => self.anchor(record),
             Some(_) => {
-                self.aside.push((offset, record.clone()));
+                self.deferred.push((offset, record.clone()));
                 FoldOutcome::Rejected(FoldRejection::Unanchored(record.sequence))
             }
         }
@@ -229,7 +229,7 @@
             }
         }
         self.gap = None;
-        for (offset, record) in std::mem::take(&mut self.aside) {
+        for (offset, record) in std::mem::take(&mut self.deferred) {
             if offset >= carried.folded_to {
                 self.fold_anchored(&record);
             }
