--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -213,10 +213,10 @@
             return self.older_record(record);
         }
         if record.carried {
-            return self.take(record);
+            return self.accept(record);
         }
         match self.check_base(record) {
-            Ok(()) => self.take(record),
+            Ok(()) => self.accept(record),
             Err(rejection) => FoldOutcome::Rejected(rejection),
         }
     }
@@ -224,7 +224,7 @@
     fn anchor(&mut self, carried: &BundleRecord) -> FoldOutcome {
         let before = self.sequence();
         if carried.sequence > before {
-            if let FoldOutcome::Rejected(rejection) = self.take(carried) {
+            if let FoldOutcome::Rejected(rejection) = self.accept(carried) {
                 return FoldOutcome::Rejected(rejection);
             }
         }
@@ -246,10 +246,10 @@
             return self.older_record(record);
         }
         if record.whole {
-            return self.take(record);
+            return self.accept(record);
         }
         match self.check_base(record) {
-            Ok(()) => self.take(record),
+            Ok(()) => self.accept(record),
             Err(rejection) => FoldOutcome::Rejected(rejection),
         }
     }
@@ -280,7 +280,7 @@
         })
     }
 
-    fn take(&mut self, record: &BundleRecord) -> FoldOutcome {
+    fn accept(&mut self, record: &BundleRecord) -> FoldOutcome {
         match self.checked(record) {
             Ok(bundle) => {
                 self.in_force = Some(bundle);
