--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -281,7 +281,7 @@
     }
 
     fn accept(&mut self, record: &BundleRecord) -> FoldOutcome {
-        match self.checked(record) {
+        match self.verify(record) {
             Ok(bundle) => {
                 self.in_force = Some(bundle);
                 FoldOutcome::Accepted
@@ -290,7 +290,7 @@
         }
     }
 
-    fn checked(&self, record: &BundleRecord) -> Result<BundleInForce, FoldRejection> {
+    fn verify(&self, record: &BundleRecord) -> Result<BundleInForce, FoldRejection> {
         let sequence = record.sequence;
         let mut sections = match &self.in_force {
             Some(bundle) if !record.whole => bundle.sections.clone(),
