--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -210,7 +210,7 @@
 
     fn fold_anchored(&mut self, record: &BundleRecord) -> FoldOutcome {
         if record.sequence <= self.sequence() {
-            return self.older_record(record);
+            return self.repeated_or_lost(record);
         }
         if record.carried {
             return self.accept(record);
@@ -243,7 +243,7 @@
     /// Takes what a peer has in force. Never lowers the sequence.
     pub fn adopt_record(&mut self, record: &BundleRecord) -> FoldOutcome {
         if record.sequence <= self.sequence() {
-            return self.older_record(record);
+            return self.repeated_or_lost(record);
         }
         if record.whole {
             return self.accept(record);
@@ -254,7 +254,7 @@
         }
     }
 
-    fn older_record(&self, record: &BundleRecord) -> FoldOutcome {
+    fn repeated_or_lost(&self, record: &BundleRecord) -> FoldOutcome {
         match &self.in_force {
             Some(bundle)
                 if bundle.sequence == record.sequence && bundle.digest != record.digest =>
