--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -54,7 +54,7 @@
 
 impl BillLedger {
     /// Number for the next bill.
-    pub fn take_number(&mut self) -> u64 {
+    pub fn assign_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -137,7 +137,7 @@
 
     /// Writes the bill, hands it to witnesses, and holds the end of the answer until they have it.
     fn bill(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
-        let number = self.ledger.take_number();
+        let number = self.ledger.assign_number();
         let request = &mut self.requests[key];
         request.stage = RequestStage::Billing;
         let request = &self.requests[key];
