--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -60,7 +60,7 @@
     }
 
     /// Adds a bill of this box.
-    pub fn own(&mut self, record: BillRecord, request: RequestKey, now: BoxTime) {
+    pub fn add_owned(&mut self, record: BillRecord, request: RequestKey, now: BoxTime) {
         let number = record.number;
         let bill = OwnedBill {
             record,
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -159,7 +159,7 @@
             reasons: request.reasons.iter().map(|reason| *reason as u32).collect(),
             number,
         };
-        self.ledger.own(record.clone(), key, stamp.now);
+        self.ledger.add_owned(record.clone(), key, stamp.now);
         self.push_record(LogStream::Bills, RecordBody::Bill(record));
         self.ask_witnesses(stamp, number, out);
         self.append_due(stamp, out);
