--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -105,7 +105,7 @@
     }
 
     /// Holds a bill for another box.
-    pub fn hold(&mut self, owner: &str, incarnation: u64, record: BillRecord) {
+    pub fn add_held(&mut self, owner: &str, incarnation: u64, record: BillRecord) {
         let bills = self.held.entry((owner.to_owned(), incarnation)).or_default();
         bills.insert(record.number, record);
     }
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -183,7 +183,7 @@
             PeerBody::Witness(witness) => {
                 let numbers = witness.bills.iter().map(|bill| bill.number).collect();
                 for bill in witness.bills {
-                    self.ledger.hold(&from, incarnation, bill);
+                    self.ledger.add_held(&from, incarnation, bill);
                 }
                 let body = PeerBody::Witnessed(BillNumbers { numbers });
                 out.push(BoxEffect::SendPeer(from, body));
