--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -141,7 +141,7 @@
     }
 
     /// Takes the bills held for an owner that vanished, to append them.
-    pub fn take_held(&mut self, owner: &(String, u64)) -> Vec<BillRecord> {
+    pub fn drain_held(&mut self, owner: &(String, u64)) -> Vec<BillRecord> {
         self.held.remove(owner).unwrap_or_default().into_values().collect()
     }
 }
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -291,7 +291,7 @@
             if !vanished {
                 continue;
             }
-            let bills = self.ledger.take_held(&owner);
+            let bills = self.ledger.drain_held(&owner);
             out.push(BoxEffect::OwnerLost { owner: name.clone(), bills: bills.len() });
             for bill in bills {
                 self.push_record(LogStream::Bills, RecordBody::Bill(bill));
