--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes that `witness` holds the bill; gives the request whose end may now leave.
-    pub fn witnessed(&mut self, number: u64, witness: &str, needed: usize) -> Option<RequestKey> {
+    pub fn add_witness(&mut self, number: u64, witness: &str, needed: usize) -> Option<RequestKey> {
         let bill = self.owned.get_mut(&number)?;
         bill.held_by.insert(witness.to_owned());
         if bill.held_by.len() < needed {
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -224,7 +224,7 @@
     ) {
         let needed = self.witnesses_needed(stamp).max(1);
         for number in numbers {
-            let request = self.ledger.witnessed(*number, witness, needed);
+            let request = self.ledger.add_witness(*number, witness, needed);
             self.finish(request, out);
         }
     }
