--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -95,7 +95,7 @@
     }
 
     /// The bill is in the log. Gives the request whose end may leave, and the witnesses to release.
-    pub fn appended(&mut self, number: u64) -> Option<OwnedBill> {
+    pub fn remove_owned(&mut self, number: u64) -> Option<OwnedBill> {
         self.owned.remove(&number)
     }
 
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -234,7 +234,7 @@
         let mut releases = std::collections::BTreeMap::<String, Vec<u64>>::new();
         for bill in bills {
             let ours = self.ledger.owned_mut(bill.number).is_some_and(|own| own.record == *bill);
-            let Some(own) = ours.then(|| self.ledger.appended(bill.number)).flatten() else {
+            let Some(own) = ours.then(|| self.ledger.remove_owned(bill.number)).flatten() else {
                 continue;
             };
             for name in own.asked {
