--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -233,14 +233,15 @@
     pub(super) fn bills_appended(&mut self, bills: &[BillRecord], out: &mut Vec<BoxEffect>) {
         let mut releases = std::collections::BTreeMap::<String, Vec<u64>>::new();
         for bill in bills {
-            let ours = self.ledger.owned_mut(bill.number).is_some_and(|own| own.record == *bill);
-            let Some(own) = ours.then(|| self.ledger.remove_owned(bill.number)).flatten() else {
+            let ours =
+                self.ledger.owned_mut(bill.number).is_some_and(|owned| owned.record == *bill);
+            let Some(owned) = ours.then(|| self.ledger.remove_owned(bill.number)).flatten() else {
                 continue;
             };
-            for name in own.asked {
+            for name in owned.asked {
                 releases.entry(name).or_default().push(bill.number);
             }
-            self.finish(own.request, out);
+            self.finish(owned.request, out);
         }
         for (name, numbers) in releases {
             out.push(BoxEffect::SendPeer(name, PeerBody::Release(BillNumbers { numbers })));
