--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -80,8 +80,8 @@
 
     /// Numbers of bills whose answer waits for witnesses.
     pub fn unreleased(&self) -> Vec<u64> {
-        let waits = self.owned.iter().filter(|(_, bill)| bill.request.is_some());
-        waits.map(|(number, _)| *number).collect()
+        let waiting = self.owned.iter().filter(|(_, bill)| bill.request.is_some());
+        waiting.map(|(number, _)| *number).collect()
     }
 
     /// Notes that `witness` holds the bill; gives the request whose end may now leave.
