--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -78,7 +78,7 @@
     /// Another claim was first; its outcome if known.
     Lost(Option<OutcomeRecord>),
     /// It was voided before it landed, or was folded before.
-    Dead,
+    Ignored,
 }
 
 /// State of the fold.
@@ -94,11 +94,11 @@
     /// Folds a claim read at box time `now_ms`.
     pub fn fold_claim(&mut self, claim: &ClaimRecord, now_ms: u64) -> ClaimOutcome {
         if !self.seen.insert(claim.nonce) {
-            return ClaimOutcome::Dead;
+            return ClaimOutcome::Ignored;
         }
         self.order.push_back((now_ms, claim.nonce, claim.key.clone()));
         if self.voided.contains(&claim.nonce) {
-            return ClaimOutcome::Dead;
+            return ClaimOutcome::Ignored;
         }
         if let Some(entry) = self.live.get(&claim.key) {
             return ClaimOutcome::Lost(entry.outcome.clone());
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -178,7 +178,7 @@
         match outcome {
             ClaimOutcome::First => self.claim_won(stamp, key, attempt, out),
             ClaimOutcome::Lost(outcome) => self.lose_claim(key, outcome, out),
-            ClaimOutcome::Dead => {}
+            ClaimOutcome::Ignored => {}
         }
     }
 
