--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -87,7 +87,7 @@
     live: HashMap<String, ClaimEntry>,
     seen: HashSet<u64>,
     voided: HashSet<u64>,
-    order: std::collections::VecDeque<(u64, u64, String)>,
+    read_order: std::collections::VecDeque<(u64, u64, String)>,
 }
 
 impl ClaimFold {
@@ -96,7 +96,7 @@
         if !self.seen.insert(claim.nonce) {
             return ClaimOutcome::Ignored;
         }
-        self.order.push_back((now_ms, claim.nonce, claim.key.clone()));
+        self.read_order.push_back((now_ms, claim.nonce, claim.key.clone()));
         if self.voided.contains(&claim.nonce) {
             return ClaimOutcome::Ignored;
         }
@@ -142,7 +142,7 @@
 
     /// Forgets claims read more than `keep_ms` ago; keys that old are refused by their age.
     pub fn forget(&mut self, now_ms: u64, keep_ms: u64) {
-        while let Some((read, nonce, key)) = self.order.front() {
+        while let Some((read, nonce, key)) = self.read_order.front() {
             if read + keep_ms > now_ms {
                 return;
             }
@@ -151,7 +151,7 @@
             if self.live.get(key).is_some_and(|entry| entry.read_ms <= *read) {
                 self.live.remove(key);
             }
-            self.order.pop_front();
+            self.read_order.pop_front();
         }
     }
 }
