--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -141,7 +141,7 @@
     }
 
     /// Forgets claims read more than `keep_ms` ago; keys that old are refused by their age.
-    pub fn forget(&mut self, now_ms: u64, keep_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64, keep_ms: u64) {
         while let Some((read, nonce, key)) = self.read_order.front() {
             if read + keep_ms > now_ms {
                 return;
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -277,7 +277,7 @@
             self.take_over_bills(stamp, out);
             self.carry_bundle(stamp);
             let keep = self.settings.retention_ms + 2 * crate::claims::KEY_SKEW_MS;
-            self.claims.forget(stamp.now.as_millis(), keep);
+            self.claims.remove_expired(stamp.now.as_millis(), keep);
         }
         self.send_evidence(stamp, out);
         self.check_stopped(stamp, out);
