--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -48,12 +48,12 @@
         return Err(KeyError::NotUuidV7);
     }
     let (seconds, nanos) = uuid.get_timestamp().ok_or(KeyError::NotUuidV7)?.to_unix();
-    let made = seconds * 1_000 + u64::from(nanos) / 1_000_000;
-    if made > now.0 + KEY_SKEW_MS {
+    let created_ms = seconds * 1_000 + u64::from(nanos) / 1_000_000;
+    if created_ms > now.0 + KEY_SKEW_MS {
         return Err(KeyError::Future);
     }
     // The margin is twice the skew: the caller's clock and the box's may be off in either direction.
-    if made + retention_ms.saturating_sub(2 * KEY_SKEW_MS) < now.0 {
+    if created_ms + retention_ms.saturating_sub(2 * KEY_SKEW_MS) < now.0 {
         return Err(KeyError::Expired);
     }
     Ok(uuid)
