--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -61,12 +61,12 @@
         &self,
         pool: &str,
         me: u64,
-        checks: bool,
+        checks_token: bool,
         now: BoxTime,
     ) -> Option<&LeaseEntry> {
         let entry = self.entries.get(pool)?;
         let mine = entry.holder == me && now < entry.until;
-        (mine && (checks || now >= entry.settled_at)).then_some(entry)
+        (mine && (checks_token || now >= entry.settled_at)).then_some(entry)
     }
 
     /// Whether `me` should ask for the lease: it has none, or half of its term has passed.
