--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -70,7 +70,7 @@
     }
 
     /// Whether `me` should ask for the lease: it has none, or half of its term has passed.
-    pub fn wants_renewal(&self, pool: &str, me: u64, now: BoxTime) -> bool {
+    pub fn needs_renewal(&self, pool: &str, me: u64, now: BoxTime) -> bool {
         match self.entries.get(pool) {
             Some(entry) if entry.holder == me => now.plus_millis(LEASE_TERM_MS / 2) >= entry.until,
             Some(entry) => now >= entry.until,
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -76,7 +76,7 @@
         let me = self.settings.incarnation;
         let asked = self.lease_asked.get(pool);
         let pending = asked.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
-        if pending || !self.leases.wants_renewal(pool, me, stamp.now) {
+        if pending || !self.leases.needs_renewal(pool, me, stamp.now) {
             return;
         }
         self.lease_asked.insert(pool.to_owned(), stamp.now);
