--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -134,7 +134,7 @@
     }
 
     /// Notes a box's own answer to a beat sent at `asked_at`. Returns whether its incarnation is new.
-    pub fn heard(&mut self, name: &str, summary: &PeerSummary, asked_at: BoxTime) -> bool {
+    pub fn apply_summary(&mut self, name: &str, summary: &PeerSummary, asked_at: BoxTime) -> bool {
         let Some(row) = self.rows.get_mut(name) else { return false };
         let alive_at = asked_at.minus_millis(summary.age_ms);
         if asked_at.as_millis() < summary.age_ms || row.alive_at.is_some_and(|at| at > alive_at) {
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -246,13 +246,13 @@
             leaving: reply.leaving,
             proved: reply.log_age_ms != u64::MAX,
         };
-        self.members.heard(from, &direct, asked_at);
+        self.members.apply_summary(from, &direct, asked_at);
         if !self.quality_joined && self.quality.is_empty() {
             let wanted = PeerBody::WantQuality(QualityWanted {});
             out.push(BoxEffect::SendPeer(from.to_owned(), wanted));
         }
         for other in reply.others.iter().filter(|other| other.name != self.settings.name) {
-            self.members.heard(&other.name, other, asked_at);
+            self.members.apply_summary(&other.name, other, asked_at);
         }
         if reply.sequence > self.fold.sequence() {
             // What the peer knows is newer: nothing is fresh until this box has it too.
