--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -62,7 +62,7 @@
     me: String,
     rows: BTreeMap<String, PeerState>,
     round: Vec<String>,
-    cursor: u64,
+    round_number: u64,
 }
 
 impl BoxMembership {
@@ -166,8 +166,8 @@
 
     /// Orders a new round by a hash of box and round: no two boxes beat in step.
     fn refill_round(&mut self) {
-        self.cursor += 1;
-        let seed = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes()) ^ self.cursor;
+        self.round_number += 1;
+        let seed = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes()) ^ self.round_number;
         let mut names: Vec<String> = self.peers().map(|row| row.listed.name.clone()).collect();
         names
             .sort_by_cached_key(|name| xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), seed));
