--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes a new reading of the box list; rows of boxes that went are dropped.
-    pub fn take_list(&mut self, listed: Vec<ListedBox>) {
+    pub fn apply_list(&mut self, listed: Vec<ListedBox>) {
         let mut before = std::mem::take(&mut self.rows);
         for row in listed {
             let name = row.name.clone();
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -190,7 +190,7 @@
 
     /// Takes a new reading of the box list. A leaving mark is never taken back by the list, which
     /// lags; a replica that comes back has left the list in between.
-    pub fn take_list(&mut self, listed: &[ListedReplica]) {
+    pub fn apply_list(&mut self, listed: &[ListedReplica]) {
         let names: HashSet<&str> = listed.iter().map(|new| new.name.as_str()).collect();
         let gone: Vec<ReplicaKey> = self
             .rows
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -30,13 +30,13 @@
         replicas: &[ListedReplica],
         out: &mut Vec<BoxEffect>,
     ) {
-        self.members.take_list(boxes);
+        self.members.apply_list(boxes);
         self.replicas.set_boxes(self.members.listed_count());
         if self.stopping_since.is_some() {
             self.members.mark_leaving(&self.settings.name.clone());
         }
         let before: Vec<String> = self.leaving_names();
-        self.replicas.take_list(replicas);
+        self.replicas.apply_list(replicas);
         for name in self.leaving_names() {
             if !before.contains(&name) {
                 self.announce_leaving(stamp, &name, out);
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -99,7 +99,7 @@
             leaving: false,
         })
         .collect();
-    table.take_list(&listed);
+    table.apply_list(&listed);
     for index in 0..count {
         let key = table.find(&format!("r{index}")).expect("listed");
         let report = LoadReport { slots: 8, ..LoadReport::default() };
