--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -40,7 +40,7 @@
 pub struct FairQueue {
     accounts: BTreeMap<AccountKey, VecDeque<WaitingRequest>>,
     tags: BTreeMap<AccountKey, f64>,
-    virtual_tag: f64,
+    virtual_time: f64,
     length: usize,
     last_left: Option<BoxTime>,
     gap_ms: Option<f64>,
@@ -86,7 +86,7 @@
             return Err(QueueRefusal::Late);
         }
         let before = self.tags.get(&account).copied().unwrap_or(0.0);
-        let tag = before.max(self.virtual_tag) + 1.0 / f64::from(weight.max(1));
+        let tag = before.max(self.virtual_time) + 1.0 / f64::from(weight.max(1));
         self.tags.insert(account, tag);
         let request = WaitingRequest { key, tag, deadline };
         self.accounts.entry(account).or_default().push_back(request);
@@ -102,7 +102,7 @@
         deadline: BoxTime,
         now: BoxTime,
     ) {
-        let request = WaitingRequest { key, tag: self.virtual_tag, deadline };
+        let request = WaitingRequest { key, tag: self.virtual_time, deadline };
         self.accounts.entry(account).or_default().push_front(request);
         self.length += 1;
         self.last_left = Some(now);
@@ -122,7 +122,7 @@
             self.accounts.remove(&account);
         }
         self.length -= 1;
-        self.virtual_tag = self.virtual_tag.max(request.tag);
+        self.virtual_time = self.virtual_time.max(request.tag);
         self.note_left(now);
         Some(request.key)
     }
