--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -42,7 +42,7 @@
     tags: BTreeMap<AccountKey, f64>,
     virtual_time: f64,
     length: usize,
-    last_left: Option<BoxTime>,
+    last_departure: Option<BoxTime>,
     gap_ms: Option<f64>,
 }
 
@@ -105,7 +105,7 @@
         let request = WaitingRequest { key, tag: self.virtual_time, deadline };
         self.accounts.entry(account).or_default().push_front(request);
         self.length += 1;
-        self.last_left = Some(now);
+        self.last_departure = Some(now);
     }
 
     /// Takes the next request.
@@ -128,13 +128,13 @@
     }
 
     fn note_left(&mut self, now: BoxTime) {
-        if let Some(last) = self.last_left {
+        if let Some(last) = self.last_departure {
             let gap = now.micros_since(last) as f64 / 1_000.0;
             let before = self.gap_ms.unwrap_or(gap);
             self.gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
         }
         // A gap is only a drain rate while something still waits.
-        self.last_left = (self.length > 0).then_some(now);
+        self.last_departure = (self.length > 0).then_some(now);
     }
 
     /// Takes out what can no longer be served in time.
