--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -43,7 +43,7 @@
     virtual_time: f64,
     length: usize,
     last_departure: Option<BoxTime>,
-    gap_ms: Option<f64>,
+    departure_gap_ms: Option<f64>,
 }
 
 impl FairQueue {
@@ -63,7 +63,7 @@
         let own = self.accounts.get(&account).map_or(0, VecDeque::len);
         let active = self.accounts.len() + usize::from(own == 0);
         let ahead = (own * active).min(self.length);
-        self.gap_ms.unwrap_or(0.0) * (ahead + 1) as f64
+        self.departure_gap_ms.unwrap_or(0.0) * (ahead + 1) as f64
     }
 
     /// Adds a request.
@@ -130,8 +130,8 @@
     fn note_left(&mut self, now: BoxTime) {
         if let Some(last) = self.last_departure {
             let gap = now.micros_since(last) as f64 / 1_000.0;
-            let before = self.gap_ms.unwrap_or(gap);
-            self.gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
+            let before = self.departure_gap_ms.unwrap_or(gap);
+            self.departure_gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
         }
         // A gap is only a drain rate while something still waits.
         self.last_departure = (self.length > 0).then_some(now);
@@ -176,7 +176,8 @@
     /// When a refused caller should come back, in milliseconds: when the queue of now is drained,
     /// up to half as long again by `random`, so that callers do not return together.
     pub fn retry_after_ms(&self, random: u64) -> u64 {
-        let drained = (self.gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
+        let drained =
+            (self.departure_gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
         (drained * (1.0 + (random % 512) as f64 / 1_024.0)) as u64
     }
 }
