--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -123,11 +123,11 @@
         }
         self.length -= 1;
         self.virtual_time = self.virtual_time.max(request.tag);
-        self.note_left(now);
+        self.record_departure(now);
         Some(request.key)
     }
 
-    fn note_left(&mut self, now: BoxTime) {
+    fn record_departure(&mut self, now: BoxTime) {
         if let Some(last) = self.last_departure {
             let gap = now.micros_since(last) as f64 / 1_000.0;
             let before = self.departure_gap_ms.unwrap_or(gap);
