--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -313,7 +313,7 @@
         if open.is_empty() {
             return PickOutcome::Full;
         }
-        if let Some(key) = self.affine(pool, query.prefix, sharers) {
+        if let Some(key) = self.affinity_replica(pool, query.prefix, sharers) {
             return PickOutcome::Picked(key, PickMethod::Affinity);
         }
         let key = self.less_loaded(&open, query.random);
@@ -339,7 +339,12 @@
         (self.boxes as f64 * used).max(1.0)
     }
 
-    fn affine(&self, pool: &[ReplicaKey], prefix: u64, sharers: f64) -> Option<ReplicaKey> {
+    fn affinity_replica(
+        &self,
+        pool: &[ReplicaKey],
+        prefix: u64,
+        sharers: f64,
+    ) -> Option<ReplicaKey> {
         if prefix == 0 {
             return None;
         }
