--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -307,13 +307,13 @@
         // left would be overrun.
         let floor = healthy.len() * 2 < staying.len();
         let pool = if floor { &staying } else { &healthy };
-        let sharers = self.sharers(&self.rows[staying[0]]);
+        let senders = self.senders(&self.rows[staying[0]]);
         let open: Vec<ReplicaKey> =
-            pool.iter().copied().filter(|key| self.has_room(*key, sharers)).collect();
+            pool.iter().copied().filter(|key| self.has_room(*key, senders)).collect();
         if open.is_empty() {
             return PickOutcome::Full;
         }
-        if let Some(key) = self.affinity_replica(pool, query.prefix, sharers) {
+        if let Some(key) = self.affinity_replica(pool, query.prefix, senders) {
             return PickOutcome::Picked(key, PickMethod::Affinity);
         }
         let key = self.less_loaded(&open, query.random);
@@ -325,15 +325,15 @@
 
     /// Whether this box may send one more: while the replica is not busy, or within this box's own
     /// part of its slots. Without the part, each report of a free slot is taken by every box at once.
-    fn has_room(&self, key: ReplicaKey, sharers: f64) -> bool {
+    fn has_room(&self, key: ReplicaKey, senders: f64) -> bool {
         let row = &self.rows[key];
-        let part = f64::from(row.slots.max(1)) / sharers;
-        let crowd = f64::from(row.reported) + f64::from(row.since_report) * sharers;
+        let part = f64::from(row.slots.max(1)) / senders;
+        let crowd = f64::from(row.reported) + f64::from(row.since_report) * senders;
         f64::from(row.outstanding) < part.ceil() || crowd < f64::from(row.slots) * OPEN_LOAD
     }
 
     /// Boxes that send to a replica, at least one.
-    fn sharers(&self, row: &ReplicaState) -> f64 {
+    fn senders(&self, row: &ReplicaState) -> f64 {
         let pool = row.versions.iter().filter_map(|version| self.pool_sizes.get(version)).max();
         let used = pool.map_or(1.0, |pool| (SUBSET_SIZE as f64 / *pool as f64).min(1.0));
         (self.boxes as f64 * used).max(1.0)
@@ -343,7 +343,7 @@
         &self,
         pool: &[ReplicaKey],
         prefix: u64,
-        sharers: f64,
+        senders: f64,
     ) -> Option<ReplicaKey> {
         if prefix == 0 {
             return None;
@@ -354,7 +354,7 @@
         let mean = pool.iter().map(|key| self.rows[*key].load()).sum::<f64>() / pool.len() as f64;
         let row = &self.rows[preferred];
         let bound = mean * AFFINITY_BOUND + 1.0 / f64::from(row.slots.max(1));
-        (row.load() <= bound && self.has_room(preferred, sharers)).then_some(preferred)
+        (row.load() <= bound && self.has_room(preferred, senders)).then_some(preferred)
     }
 
     fn less_loaded(&self, open: &[ReplicaKey], random: u64) -> ReplicaKey {
