--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -328,8 +328,8 @@
     fn has_room(&self, key: ReplicaKey, senders: f64) -> bool {
         let row = &self.rows[key];
         let part = f64::from(row.slots.max(1)) / senders;
-        let crowd = f64::from(row.reported) + f64::from(row.since_report) * senders;
-        f64::from(row.outstanding) < part.ceil() || crowd < f64::from(row.slots) * OPEN_LOAD
+        let fleet_load = f64::from(row.reported) + f64::from(row.since_report) * senders;
+        f64::from(row.outstanding) < part.ceil() || fleet_load < f64::from(row.slots) * OPEN_LOAD
     }
 
     /// Boxes that send to a replica, at least one.
