--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -327,9 +327,10 @@
     /// part of its slots. Without the part, each report of a free slot is taken by every box at once.
     fn has_room(&self, key: ReplicaKey, senders: f64) -> bool {
         let row = &self.rows[key];
-        let part = f64::from(row.slots.max(1)) / senders;
+        let own_slots = f64::from(row.slots.max(1)) / senders;
         let fleet_load = f64::from(row.reported) + f64::from(row.since_report) * senders;
-        f64::from(row.outstanding) < part.ceil() || fleet_load < f64::from(row.slots) * OPEN_LOAD
+        f64::from(row.outstanding) < own_slots.ceil()
+            || fleet_load < f64::from(row.slots) * OPEN_LOAD
     }
 
     /// Boxes that send to a replica, at least one.
