--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -35,7 +35,7 @@
 
 /// Reported load, as a share of slots, below which a box may use more than its own part: reports
 /// lag, and above it all boxes would fill the same slots.
-pub const OPEN_LOAD: f64 = 0.7;
+pub const UNCAPPED_LOAD: f64 = 0.7;
 
 /// A replica as the box list gives it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -330,7 +330,7 @@
         let own_slots = f64::from(row.slots.max(1)) / senders;
         let fleet_load = f64::from(row.reported) + f64::from(row.since_report) * senders;
         f64::from(row.outstanding) < own_slots.ceil()
-            || fleet_load < f64::from(row.slots) * OPEN_LOAD
+            || fleet_load < f64::from(row.slots) * UNCAPPED_LOAD
     }
 
     /// Boxes that send to a replica, at least one.
