--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -211,7 +211,7 @@
                     row.listed = new.clone();
                 }
                 None => {
-                    let key = self.rows.insert(fresh_row(new));
+                    let key = self.rows.insert(new_row(new));
                     self.names.insert(new.name.clone(), key);
                 }
             }
@@ -426,7 +426,7 @@
     mixed ^ (mixed >> 31)
 }
 
-fn fresh_row(listed: &ListedReplica) -> ReplicaState {
+fn new_row(listed: &ListedReplica) -> ReplicaState {
     /// Slots assumed of a replica that has not reported.
     const ASSUMED_SLOTS: u32 = 16;
     ReplicaState {
