--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -305,8 +305,8 @@
             .collect();
         // The floor: with more than half ejected the cause is not the replicas, and those that are
         // left would be overrun.
-        let floor = healthy.len() * 2 < staying.len();
-        let pool = if floor { &staying } else { &healthy };
+        let ignores_ejection = healthy.len() * 2 < staying.len();
+        let pool = if ignores_ejection { &staying } else { &healthy };
         let senders = self.senders(&self.rows[staying[0]]);
         let open: Vec<ReplicaKey> =
             pool.iter().copied().filter(|key| self.has_room(*key, senders)).collect();
@@ -319,7 +319,7 @@
         let key = self.less_loaded(&open, query.random);
         PickOutcome::Picked(
             key,
-            if floor { PickMethod::AllEjected } else { PickMethod::TwoChoices },
+            if ignores_ejection { PickMethod::AllEjected } else { PickMethod::TwoChoices },
         )
     }
 
