--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -308,15 +308,15 @@
         let ignores_ejection = healthy.len() * 2 < staying.len();
         let pool = if ignores_ejection { &staying } else { &healthy };
         let senders = self.senders(&self.rows[staying[0]]);
-        let open: Vec<ReplicaKey> =
+        let with_room: Vec<ReplicaKey> =
             pool.iter().copied().filter(|key| self.has_room(*key, senders)).collect();
-        if open.is_empty() {
+        if with_room.is_empty() {
             return PickOutcome::Full;
         }
         if let Some(key) = self.affinity_replica(pool, query.prefix, senders) {
             return PickOutcome::Picked(key, PickMethod::Affinity);
         }
-        let key = self.less_loaded(&open, query.random);
+        let key = self.less_loaded(&with_room, query.random);
         PickOutcome::Picked(
             key,
             if ignores_ejection { PickMethod::AllEjected } else { PickMethod::TwoChoices },
@@ -358,11 +358,11 @@
         (row.load() <= bound && self.has_room(preferred, senders)).then_some(preferred)
     }
 
-    fn less_loaded(&self, open: &[ReplicaKey], random: u64) -> ReplicaKey {
-        let count = open.len() as u64;
+    fn less_loaded(&self, with_room: &[ReplicaKey], random: u64) -> ReplicaKey {
+        let count = with_room.len() as u64;
         let first = (random % count) as usize;
         let second = (first as u64 + 1 + (random >> 32) % count.saturating_sub(1).max(1)) % count;
-        let (a, b) = (open[first], open[second as usize]);
+        let (a, b) = (with_room[first], with_room[second as usize]);
         if self.rows[b].load() < self.rows[a].load() {
             b
         } else {
