--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -288,13 +288,13 @@
 
     /// Picks one of `keys`.
     pub fn pick(&self, keys: &[ReplicaKey], query: PickQuery) -> PickOutcome {
-        let staying: Vec<ReplicaKey> =
+        let not_leaving: Vec<ReplicaKey> =
             keys.iter().copied().filter(|key| !self.rows[*key].leaving).collect();
-        if staying.is_empty() {
+        if not_leaving.is_empty() {
             return PickOutcome::NoReplica;
         }
         let stall_ms = self.stall_ms();
-        let healthy: Vec<ReplicaKey> = staying
+        let healthy: Vec<ReplicaKey> = not_leaving
             .iter()
             .copied()
             .filter(|key| {
@@ -305,9 +305,9 @@
             .collect();
         // The floor: with more than half ejected the cause is not the replicas, and those that are
         // left would be overrun.
-        let ignores_ejection = healthy.len() * 2 < staying.len();
-        let pool = if ignores_ejection { &staying } else { &healthy };
-        let senders = self.senders(&self.rows[staying[0]]);
+        let ignores_ejection = healthy.len() * 2 < not_leaving.len();
+        let pool = if ignores_ejection { &not_leaving } else { &healthy };
+        let senders = self.senders(&self.rows[not_leaving[0]]);
         let with_room: Vec<ReplicaKey> =
             pool.iter().copied().filter(|key| self.has_room(*key, senders)).collect();
         if with_room.is_empty() {
