--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -192,13 +192,13 @@
     /// lags; a replica that comes back has left the list in between.
     pub fn apply_list(&mut self, listed: &[ListedReplica]) {
         let names: HashSet<&str> = listed.iter().map(|new| new.name.as_str()).collect();
-        let gone: Vec<ReplicaKey> = self
+        let removed: Vec<ReplicaKey> = self
             .rows
             .iter()
             .filter(|(_, row)| !names.contains(row.listed.name.as_str()))
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in removed {
             if let Some(row) = self.rows.remove(key) {
                 self.names.remove(&row.listed.name);
             }
