--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -231,7 +231,7 @@
     }
 
     /// Takes a load report made at `at`. Returns whether the replica's leaving mark is news.
-    pub fn take_report(
+    pub fn apply_report(
         &mut self,
         key: ReplicaKey,
         report: &LoadReport,
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -60,7 +60,7 @@
         let Some(key) = self.replicas.find(name) else { return };
         let versions =
             report.versions.iter().map(|version| self.names.versions.intern(version)).collect();
-        if self.replicas.take_report(key, report, versions, at) {
+        if self.replicas.apply_report(key, report, versions, at) {
             self.announce_leaving(stamp, name, out);
         }
         if self.queues.values().any(|queue| !queue.is_empty()) {
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -103,7 +103,7 @@
     for index in 0..count {
         let key = table.find(&format!("r{index}")).expect("listed");
         let report = LoadReport { slots: 8, ..LoadReport::default() };
-        table.take_report(key, &report, vec![version], BoxTime::from_micros(1));
+        table.apply_report(key, &report, vec![version], BoxTime::from_micros(1));
     }
     (table, version)
 }
