--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -246,13 +246,13 @@
         row.slots = report.slots.max(1);
         row.reported_at = at;
         row.since_report = row.unanswered.iter().filter(|sent| **sent > at).count() as u32;
-        let news = report.leaving && !std::mem::replace(&mut row.leaving, true);
+        let is_new = report.leaving && !std::mem::replace(&mut row.leaving, true);
         let changed = row.versions != versions;
         row.versions = versions;
         if changed {
             self.rebuild();
         }
-        news
+        is_new
     }
 
     fn rebuild(&mut self) {
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -147,13 +147,13 @@
     /// Takes a verdict, own or read: a halt is for good, a step never goes back.
     /// Returns whether it is news.
     pub fn take_verdict(&mut self, halted: bool, step: u32) -> bool {
-        let news = !self.halted && (halted || step > self.step);
+        let is_new = !self.halted && (halted || step > self.step);
         self.halted |= halted;
         if step > self.step {
             self.step = step;
             self.exposed = 0;
             self.judged = 0;
         }
-        news
+        is_new
     }
 }
