--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -376,7 +376,7 @@
     }
 
     /// Notes that a request is given to a replica.
-    pub fn assigned(&mut self, key: ReplicaKey, now: BoxTime) {
+    pub fn record_assigned(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding += 1;
             row.since_report += 1;
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -160,7 +160,7 @@
         method: PickMethod,
         out: &mut Vec<BoxEffect>,
     ) {
-        self.replicas.assigned(replica, stamp.now);
+        self.replicas.record_assigned(replica, stamp.now);
         let send_before = self.send_before(stamp.now);
         let session_token = self.session_token(stamp, key);
         let request = &mut self.requests[key];
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -121,7 +121,7 @@
         let PickOutcome::Picked(key, _) = table.pick(table.subset(version), ask(random, 0)) else {
             panic!("there is room")
         };
-        table.assigned(key, BoxTime::from_millis(10));
+        table.record_assigned(key, BoxTime::from_millis(10));
         *picks.entry(key).or_insert(0) += 1;
     }
 
@@ -164,7 +164,7 @@
     assert_eq!(method, PickMethod::Affinity);
     assert!((0..20).all(|random| pick(&table, random).0 == home));
     for _ in 0..4 {
-        table.assigned(home, BoxTime::from_millis(10));
+        table.record_assigned(home, BoxTime::from_millis(10));
     }
     let (_, method) = pick(&table, 3);
 
