--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -385,7 +385,7 @@
     }
 
     /// Notes the first token, or the whole answer, of a request given at `at`.
-    pub fn answered(&mut self, key: ReplicaKey, at: BoxTime, now: BoxTime) {
+    pub fn record_answered(&mut self, key: ReplicaKey, at: BoxTime, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             remove_one(&mut row.unanswered, at);
             row.failures = 0;
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -82,7 +82,7 @@
             if attempt.state.first_token.is_none() {
                 attempt.state.first_token = Some(stamp.now);
                 let Dispatched { replica, assigned_at, .. } = attempt.state;
-                self.replicas.answered(replica, assigned_at, stamp.now);
+                self.replicas.record_answered(replica, assigned_at, stamp.now);
             }
         }
     }
@@ -102,7 +102,7 @@
         match end {
             AttemptEnd::Answered { tokens, status, body } => {
                 if attempt.state.first_token.is_none() {
-                    self.replicas.answered(replica, assigned_at, stamp.now);
+                    self.replicas.record_answered(replica, assigned_at, stamp.now);
                 }
                 let answer = WholeAnswer { tokens, status, body };
                 self.on_answered(stamp, key, attempt, answer, out);
