--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -395,7 +395,7 @@
     }
 
     /// Notes that a request given at `at` has ended.
-    pub fn ended(&mut self, key: ReplicaKey, at: BoxTime) {
+    pub fn record_ended(&mut self, key: ReplicaKey, at: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding = row.outstanding.saturating_sub(1);
             row.since_report = row.since_report.min(row.outstanding);
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -32,7 +32,7 @@
                 out.push(BoxEffect::Send(request.ticket));
             }
             Err(refusal) => {
-                self.replicas.ended(ready.state.replica, ready.state.at);
+                self.replicas.record_ended(ready.state.replica, ready.state.at);
                 let attempt = ready.requeue();
                 match refusal {
                     SendRefusal::Again if stamp.now < self.requests[key].deadline => {
@@ -98,7 +98,7 @@
         let RequestStage::Running(attempt) = request.stage else { return };
         let Dispatched { replica, assigned_at, .. } = attempt.state;
         let queue = self.queue_of(key);
-        self.replicas.ended(replica, assigned_at);
+        self.replicas.record_ended(replica, assigned_at);
         match end {
             AttemptEnd::Answered { tokens, status, body } => {
                 if attempt.state.first_token.is_none() {
@@ -172,11 +172,11 @@
                 attempt.refuse(ReasonCode::Cancelled)
             }
             RequestStage::Ready(attempt) => {
-                self.replicas.ended(attempt.state.replica, attempt.state.at);
+                self.replicas.record_ended(attempt.state.replica, attempt.state.at);
                 attempt.requeue().refuse(ReasonCode::Cancelled)
             }
             RequestStage::Running(attempt) => {
-                self.replicas.ended(attempt.state.replica, attempt.state.assigned_at);
+                self.replicas.record_ended(attempt.state.replica, attempt.state.assigned_at);
                 attempt.lose(ReasonCode::Cancelled)
             }
             RequestStage::Rating(attempt) => attempt.fail(ReasonCode::Cancelled),
