--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -405,7 +405,7 @@
     }
 
     /// Notes a failure; ejects the replica when it has failed too often in a row.
-    pub fn failed(&mut self, key: ReplicaKey, now: BoxTime) {
+    pub fn record_failure(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.failures += 1;
             if row.failures >= EJECT_FAILURES {
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -111,22 +111,22 @@
                 if leaving {
                     self.on_replica_leaving(stamp, replica, out);
                 } else {
-                    self.replicas.failed(replica, stamp.now);
+                    self.replicas.record_failure(replica, stamp.now);
                 }
                 self.on_failed(stamp, key, attempt, ReasonCode::ReplicaFailed, out);
             }
             AttemptEnd::NeverConnected => {
-                self.replicas.failed(replica, stamp.now);
+                self.replicas.record_failure(replica, stamp.now);
                 self.on_failed(stamp, key, attempt, ReasonCode::ReplicaFailed, out);
             }
             AttemptEnd::Broken { delivered } => {
-                self.replicas.failed(replica, stamp.now);
+                self.replicas.record_failure(replica, stamp.now);
                 self.note_failure_evidence(key);
                 self.requests[key].delivered += delivered;
                 self.on_failed(stamp, key, attempt, ReasonCode::StreamBroken, out);
             }
             AttemptEnd::WrongEcho => {
-                self.replicas.failed(replica, stamp.now);
+                self.replicas.record_failure(replica, stamp.now);
                 self.note_failure_evidence(key);
                 self.on_failed(stamp, key, attempt, ReasonCode::WrongEcho, out);
             }
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -134,7 +134,7 @@
     let keys = table.subset(version).to_vec();
     let fail = |table: &mut ReplicaTable, key| {
         for _ in 0..EJECT_FAILURES {
-            table.failed(key, BoxTime::from_millis(5));
+            table.record_failure(key, BoxTime::from_millis(5));
         }
     };
 
