--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -200,7 +200,7 @@
         if !self.rating_down() && random % 256 < EXPLORE_SHARE {
             return CascadePlan { rung: 0, gated: false, reason: ReasonCode::CascadeExplore };
         }
-        let (rung, share) = self.spend(rungs, target, &mix, class);
+        let (rung, share) = self.allocate_excess(rungs, target, &mix, class);
         // The low bits decided on exploration.
         let drawn = (random >> 16) as f64 / (1u64 << 48) as f64;
         if rung < last && drawn < share {
@@ -223,7 +223,7 @@
     }
 
     /// The cheaper rung of `class`, and for which share of its requests the target lets it answer.
-    fn spend(
+    fn allocate_excess(
         &self,
         rungs: &[RungView<'_>],
         target: f64,
