--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -236,7 +236,7 @@
         for (class, count) in mix.iter().enumerate().filter(|(_, count)| **count > 0.0) {
             let quality = self.last_quality(rungs, class);
             excess += quality * count;
-            if let Some((rung, loss, worth)) = self.best_offer(rungs, class, quality) {
+            if let Some((rung, loss, worth)) = self.best_cheaper_rung(rungs, class, quality) {
                 offers.push((worth, class, rung, loss * count));
             }
         }
@@ -260,7 +260,7 @@
     }
 
     /// The cheaper rung that saves the most cost for the quality it loses: rung, loss, worth.
-    fn best_offer(
+    fn best_cheaper_rung(
         &self,
         rungs: &[RungView<'_>],
         class: usize,
