--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -232,16 +232,16 @@
     ) -> (usize, f64) {
         let total: f64 = mix.iter().sum();
         let mut excess = -(target + TARGET_MARGIN) * total;
-        let mut offers = Vec::with_capacity(CLASS_COUNT);
+        let mut candidates = Vec::with_capacity(CLASS_COUNT);
         for (class, count) in mix.iter().enumerate().filter(|(_, count)| **count > 0.0) {
             let quality = self.last_quality(rungs, class);
             excess += quality * count;
             if let Some((rung, loss, worth)) = self.best_cheaper_rung(rungs, class, quality) {
-                offers.push((worth, class, rung, loss * count));
+                candidates.push((worth, class, rung, loss * count));
             }
         }
-        offers.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, offered, rung, loss) in offers {
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
+        for (_, offered, rung, loss) in candidates {
             let share = if loss <= 0.0 { 1.0 } else { (excess / loss).clamp(0.0, 1.0) };
             if offered == class {
                 return (rung, share);
@@ -267,14 +267,15 @@
         last_quality: f64,
     ) -> Option<(usize, f64, f64)> {
         let last_cost = rungs.last()?.cost;
-        let offers = rungs.iter().enumerate().take(rungs.len() - 1).filter_map(|(index, rung)| {
-            let count = self.count(rung.model, class as u8);
-            if count.total() < MIN_RATINGS {
-                return None;
-            }
-            let loss = (last_quality - count.lower()).max(0.0);
-            Some((index, loss, (last_cost - rung.cost) / loss.max(1e-6)))
-        });
-        offers.max_by(|a, b| a.2.total_cmp(&b.2))
+        let candidates =
+            rungs.iter().enumerate().take(rungs.len() - 1).filter_map(|(index, rung)| {
+                let count = self.count(rung.model, class as u8);
+                if count.total() < MIN_RATINGS {
+                    return None;
+                }
+                let loss = (last_quality - count.lower()).max(0.0);
+                Some((index, loss, (last_cost - rung.cost) / loss.max(1e-6)))
+            });
+        candidates.max_by(|a, b| a.2.total_cmp(&b.2))
     }
 }
