--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -241,9 +241,9 @@
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (_, offered, rung, loss) in candidates {
+        for (_, candidate_class, rung, loss) in candidates {
             let share = if loss <= 0.0 { 1.0 } else { (excess / loss).clamp(0.0, 1.0) };
-            if offered == class {
+            if candidate_class == class {
                 return (rung, share);
             }
             excess -= loss * share;
