--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -236,8 +236,8 @@
         for (class, count) in mix.iter().enumerate().filter(|(_, count)| **count > 0.0) {
             let quality = self.last_quality(rungs, class);
             excess += quality * count;
-            if let Some((rung, loss, worth)) = self.best_cheaper_rung(rungs, class, quality) {
-                candidates.push((worth, class, rung, loss * count));
+            if let Some((rung, loss, saving)) = self.best_cheaper_rung(rungs, class, quality) {
+                candidates.push((saving, class, rung, loss * count));
             }
         }
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
