--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -202,8 +202,8 @@
         }
         let (rung, share) = self.allocate_excess(rungs, target, &mix, class);
         // The low bits decided on exploration.
-        let drawn = (random >> 16) as f64 / (1u64 << 48) as f64;
-        if rung < last && drawn < share {
+        let sample = (random >> 16) as f64 / (1u64 << 48) as f64;
+        if rung < last && sample < share {
             return CascadePlan { rung, gated: false, reason: ReasonCode::CascadeCheap };
         }
         strong
