--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -40,7 +40,7 @@
 pub const MIX_DECAY_AT: f64 = 2_000.0;
 
 /// Quality assumed of a last rung that was hardly rated.
-const LAST_QUALITY: f64 = 0.97;
+const DEFAULT_LAST_QUALITY: f64 = 0.97;
 
 /// Ratings that must fail in a row before the service counts as down.
 pub const RATING_DOWN_FAILURES: u32 = 3;
@@ -255,7 +255,7 @@
         let count = rungs.last().map(|rung| self.count(rung.model, class as u8));
         match count {
             Some(count) if count.total() >= MIN_RATINGS => count.mean(),
-            _ => LAST_QUALITY,
+            _ => DEFAULT_LAST_QUALITY,
         }
     }
 
