--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -28,7 +28,7 @@
 
 /// Standard errors between the mean and the lower bound: the target is over all answers, so errors
 /// of single classes even out, and a wide bound pays for quality that nobody asked for.
-pub const BOUND_ERRORS: f64 = 0.5;
+pub const BOUND_STANDARD_ERRORS: f64 = 0.5;
 
 /// Share of requests, in 1/256, that try the cheapest rung although it is not planned, to learn.
 pub const EXPLORE_SHARE: u64 = 2;
@@ -67,7 +67,7 @@
     /// Lower bound of the share.
     pub fn lower(self) -> f64 {
         let mean = self.mean();
-        mean - BOUND_ERRORS * (mean * (1.0 - mean) / (self.total() + 2.0)).sqrt()
+        mean - BOUND_STANDARD_ERRORS * (mean * (1.0 - mean) / (self.total() + 2.0)).sqrt()
     }
 
     fn add(&mut self, good: bool) {
