--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -186,7 +186,7 @@
     ) -> CascadePlan {
         let last = rungs.len().saturating_sub(1);
         let class = usize::from(class).min(CLASS_COUNT - 1);
-        let mix = self.note_class(name, class);
+        let mix = self.count_request(name, class);
         let strong = CascadePlan { rung: last, gated: false, reason: ReasonCode::CascadeStrong };
         if last == 0 {
             return strong;
@@ -210,7 +210,7 @@
     }
 
     /// Counts a request of the class; gives the decayed counts of all classes.
-    fn note_class(&mut self, name: &str, class: usize) -> [f64; CLASS_COUNT] {
+    fn count_request(&mut self, name: &str, class: usize) -> [f64; CLASS_COUNT] {
         if !self.mixes.contains_key(name) {
             self.mixes.insert(name.to_owned(), [0.0; CLASS_COUNT]);
         }
