--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -117,10 +117,10 @@
     pub fn add(&mut self, model: &str, class: u8, good: bool) {
         self.rating_failures = 0;
         self.unshared.entry((model.to_owned(), class)).or_default().add(good);
-        self.slot(model, class).add(good);
+        self.count_mut(model, class).add(good);
     }
 
-    fn slot(&mut self, model: &str, class: u8) -> &mut QualityCount {
+    fn count_mut(&mut self, model: &str, class: u8) -> &mut QualityCount {
         let row = self.counts.entry(model.to_owned()).or_default();
         &mut row[usize::from(class).min(CLASS_COUNT - 1)]
     }
@@ -161,7 +161,7 @@
 
     /// Adds what another box learnt.
     pub fn add_shared(&mut self, model: &str, class: u8, shared: QualityCount) {
-        let count = self.slot(model, class);
+        let count = self.count_mut(model, class);
         count.good += shared.good;
         count.bad += shared.bad;
         while count.total() > DECAY_AT {
