--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -107,7 +107,7 @@
 #[derive(Debug, Default)]
 pub struct QualityTable {
     counts: HashMap<String, [QualityCount; CLASS_COUNT]>,
-    mixes: HashMap<String, [f64; CLASS_COUNT]>,
+    class_mixes: HashMap<String, [f64; CLASS_COUNT]>,
     unshared: BTreeMap<(String, u8), QualityCount>,
     rating_failures: u32,
 }
@@ -211,10 +211,10 @@
 
     /// Counts a request of the class; gives the decayed counts of all classes.
     fn count_request(&mut self, name: &str, class: usize) -> [f64; CLASS_COUNT] {
-        if !self.mixes.contains_key(name) {
-            self.mixes.insert(name.to_owned(), [0.0; CLASS_COUNT]);
+        if !self.class_mixes.contains_key(name) {
+            self.class_mixes.insert(name.to_owned(), [0.0; CLASS_COUNT]);
         }
-        let Some(mix) = self.mixes.get_mut(name) else { return [0.0; CLASS_COUNT] };
+        let Some(mix) = self.class_mixes.get_mut(name) else { return [0.0; CLASS_COUNT] };
         mix[class] += 1.0;
         if mix.iter().sum::<f64>() > MIX_DECAY_AT {
             mix.iter_mut().for_each(|count| *count /= 2.0);
