--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -155,7 +155,7 @@
     }
 
     /// Takes the ratings of this box that it has not yet shared with others.
-    pub fn take_unshared(&mut self) -> BTreeMap<(String, u8), QualityCount> {
+    pub fn drain_unshared(&mut self) -> BTreeMap<(String, u8), QualityCount> {
         std::mem::take(&mut self.unshared)
     }
 
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -126,7 +126,7 @@
     pub(super) fn share_quality(&mut self, out: &mut Vec<BoxEffect>) {
         let rows: Vec<QualityRow> = self
             .quality
-            .take_unshared()
+            .drain_unshared()
             .into_iter()
             .map(|((model, class), count)| quality_row(model, class, count))
             .collect();
