--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -98,7 +98,7 @@
     }
 
     /// Notes a judged answer of the version on this box, to be sent to the first canary box.
-    pub fn note(&mut self, class: u8, good: bool) {
+    pub fn add_judged(&mut self, class: u8, good: bool) {
         let count = self.unsent.entry(class).or_default();
         if good {
             count.good += 1;
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -56,7 +56,7 @@
         let RequestTarget::Model { class, .. } = request.target else { return };
         let Some(version) = request.version else { return };
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
-            self.rollouts.entry(name).or_default().note(class, false);
+            self.rollouts.entry(name).or_default().add_judged(class, false);
         }
     }
 
@@ -74,7 +74,7 @@
         };
         let spec = &self.index.spec;
         if spec.rollouts.contains_key(version) {
-            self.rollouts.entry(version.to_owned()).or_default().note(class, good);
+            self.rollouts.entry(version.to_owned()).or_default().add_judged(class, good);
             if self.members.rank(version) < CANARY_BOXES {
                 self.flush_evidence(stamp, version, out);
             }
