--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -109,7 +109,7 @@
 
     /// Weighs evidence on the first canary box. `base_bad` is the replaced version's share of bad
     /// answers on the class.
-    pub fn weigh(
+    pub fn add_evidence(
         &mut self,
         spec: &RolloutSpec,
         class: u8,
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -135,7 +135,7 @@
         let base = self.base_bad(&evidence.version, class);
         let state = self.rollouts.entry(evidence.version.clone()).or_default();
         let count = JudgedCount { good: evidence.good, bad: evidence.bad };
-        let Some(verdict) = state.weigh(&spec, class, count, base) else { return };
+        let Some(verdict) = state.add_evidence(&spec, class, count, base) else { return };
         let (halted, step) = match verdict {
             GuardVerdict::Halt => (true, state.step),
             GuardVerdict::Step(step) => (false, step),
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -257,13 +257,13 @@
     let mut bad = RolloutState::default();
     let mut verdict = None;
     for _ in 0..12 {
-        bad.weigh(&rollout(), 0, count(1, 0), 0.03);
-        verdict = verdict.or(bad.weigh(&rollout(), 1, count(0, 1), 0.05));
+        bad.add_evidence(&rollout(), 0, count(1, 0), 0.03);
+        verdict = verdict.or(bad.add_evidence(&rollout(), 1, count(0, 1), 0.05));
     }
     assert_eq!(verdict, Some(GuardVerdict::Halt));
 
     let mut good = RolloutState::default();
-    let passed = (0..100).find_map(|_| good.weigh(&rollout(), 0, count(1, 0), 0.05));
+    let passed = (0..100).find_map(|_| good.add_evidence(&rollout(), 0, count(1, 0), 0.05));
     assert_eq!(passed, Some(GuardVerdict::Step(1)));
 }
 
