--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -34,7 +34,7 @@
 pub const PASS_EVIDENCE: f64 = 2.0;
 
 /// Least share of bad answers assumed of the replaced version.
-pub const BASE_BAD_FLOOR: f64 = 0.03;
+pub const BASELINE_BAD_FLOOR: f64 = 0.03;
 
 /// Answers of the replaced version that the base rate is worked out from, at least.
 pub const BASE_ANSWERS: f64 = 20.0;
@@ -119,7 +119,7 @@
         if self.halted {
             return None;
         }
-        let base = base_bad.clamp(BASE_BAD_FLOOR, 0.8);
+        let base = base_bad.clamp(BASELINE_BAD_FLOOR, 0.8);
         let class = usize::from(class).min(CLASS_COUNT - 1) + 1;
         for (margin, evidence) in BAD_MARGINS.iter().zip(&mut self.evidence) {
             let worse = (base + margin).min(0.95);
