--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -37,7 +37,7 @@
 pub const BASELINE_BAD_FLOOR: f64 = 0.03;
 
 /// Answers of the replaced version that the base rate is worked out from, at least.
-pub const BASE_ANSWERS: f64 = 20.0;
+pub const BASELINE_ANSWERS: f64 = 20.0;
 
 /// Counts of judged answers of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -7,7 +7,7 @@
 use crate::ids::{AccountKey, RequestKey, VersionKey};
 use crate::membership::HEARTBEAT_INTERVAL_MS;
 use crate::message::{PeerBody, RecordBody, RolloutEvidence, VerdictRecord};
-use crate::rollout::{GuardVerdict, JudgedCount, RolloutState, BASE_ANSWERS, CANARY_BOXES};
+use crate::rollout::{GuardVerdict, JudgedCount, RolloutState, BASELINE_ANSWERS, CANARY_BOXES};
 
 use super::BoxState;
 
@@ -153,7 +153,7 @@
             return UNKNOWN_BASE_BAD;
         };
         let count: QualityCount = self.quality.count(model, class);
-        if count.good + count.bad < BASE_ANSWERS {
+        if count.good + count.bad < BASELINE_ANSWERS {
             return UNKNOWN_BASE_BAD;
         }
         1.0 - count.mean()
