--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -12,7 +12,7 @@
 use super::BoxState;
 
 /// Share of bad answers assumed of a version that was hardly rated.
-const UNKNOWN_BASE_BAD: f64 = 0.1;
+const UNKNOWN_BASELINE_BAD: f64 = 0.1;
 
 impl BoxState {
     /// Name of the version, if the bundle rolls it out and it is not the default yet.
@@ -150,11 +150,11 @@
     fn base_bad(&self, version: &str, class: u8) -> f64 {
         let spec = &self.index.spec;
         let Some(model) = spec.versions.get(version).map(|row| &row.model) else {
-            return UNKNOWN_BASE_BAD;
+            return UNKNOWN_BASELINE_BAD;
         };
         let count: QualityCount = self.quality.count(model, class);
         if count.good + count.bad < BASELINE_ANSWERS {
-            return UNKNOWN_BASE_BAD;
+            return UNKNOWN_BASELINE_BAD;
         }
         1.0 - count.mean()
     }
