--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -107,19 +107,19 @@
         }
     }
 
-    /// Weighs evidence on the first canary box. `base_bad` is the replaced version's share of bad
+    /// Weighs evidence on the first canary box. `baseline_bad` is the replaced version's share of bad
     /// answers on the class.
     pub fn add_evidence(
         &mut self,
         spec: &RolloutSpec,
         class: u8,
         count: JudgedCount,
-        base_bad: f64,
+        baseline_bad: f64,
     ) -> Option<GuardVerdict> {
         if self.halted {
             return None;
         }
-        let base = base_bad.clamp(BASELINE_BAD_FLOOR, 0.8);
+        let base = baseline_bad.clamp(BASELINE_BAD_FLOOR, 0.8);
         let class = usize::from(class).min(CLASS_COUNT - 1) + 1;
         for (margin, evidence) in BAD_MARGINS.iter().zip(&mut self.evidence) {
             let worse = (base + margin).min(0.95);
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -132,7 +132,7 @@
     ) {
         let Some(spec) = self.index.spec.rollouts.get(&evidence.version).cloned() else { return };
         let class = u8::try_from(evidence.class).unwrap_or(u8::MAX);
-        let base = self.base_bad(&evidence.version, class);
+        let base = self.baseline_bad(&evidence.version, class);
         let state = self.rollouts.entry(evidence.version.clone()).or_default();
         let count = JudgedCount { good: evidence.good, bad: evidence.bad };
         let Some(verdict) = state.add_evidence(&spec, class, count, base) else { return };
@@ -147,7 +147,7 @@
     }
 
     /// Share of bad answers of the version that `version` replaces.
-    fn base_bad(&self, version: &str, class: u8) -> f64 {
+    fn baseline_bad(&self, version: &str, class: u8) -> f64 {
         let spec = &self.index.spec;
         let Some(model) = spec.versions.get(version).map(|row| &row.model) else {
             return UNKNOWN_BASELINE_BAD;
