--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -119,12 +119,12 @@
         if self.halted {
             return None;
         }
-        let base = baseline_bad.clamp(BASELINE_BAD_FLOOR, 0.8);
+        let baseline = baseline_bad.clamp(BASELINE_BAD_FLOOR, 0.8);
         let class = usize::from(class).min(CLASS_COUNT - 1) + 1;
         for (margin, evidence) in BAD_MARGINS.iter().zip(&mut self.evidence) {
-            let worse = (base + margin).min(0.95);
-            let for_bad = (worse / base).ln();
-            let for_good = ((1.0 - worse) / (1.0 - base)).ln();
+            let worse = (baseline + margin).min(0.95);
+            let for_bad = (worse / baseline).ln();
+            let for_good = ((1.0 - worse) / (1.0 - baseline)).ln();
             for slot in [0, class] {
                 let sum = evidence[slot]
                     + f64::from(count.good) * for_good
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -132,10 +132,10 @@
     ) {
         let Some(spec) = self.index.spec.rollouts.get(&evidence.version).cloned() else { return };
         let class = u8::try_from(evidence.class).unwrap_or(u8::MAX);
-        let base = self.baseline_bad(&evidence.version, class);
+        let baseline = self.baseline_bad(&evidence.version, class);
         let state = self.rollouts.entry(evidence.version.clone()).or_default();
         let count = JudgedCount { good: evidence.good, bad: evidence.bad };
-        let Some(verdict) = state.add_evidence(&spec, class, count, base) else { return };
+        let Some(verdict) = state.add_evidence(&spec, class, count, baseline) else { return };
         let (halted, step) = match verdict {
             GuardVerdict::Halt => (true, state.step),
             GuardVerdict::Step(step) => (false, step),
