--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -100,11 +100,11 @@
         if let Some(pinned) = request.pins.get(model) {
             let version = self.names.versions.find(pinned).ok_or(ReasonCode::Withdrawn)?;
             self.check_version(account, version, true)?;
-            self.note_exposed(version);
+            self.count_exposed(version);
             return Ok((version, ReasonCode::SessionVersion));
         }
         if let Some(version) = self.rollout_version(model, account, next_random(stamp.random ^ 1)) {
-            self.note_exposed(version);
+            self.count_exposed(version);
             return Ok((version, ReasonCode::RolloutShare));
         }
         let spec = self.index.spec.models.get(model).ok_or(ReasonCode::UnknownTarget)?;
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -44,7 +44,7 @@
     }
 
     /// Counts a request that goes to a version under roll-out.
-    pub(super) fn note_exposed(&mut self, version: VersionKey) {
+    pub(super) fn count_exposed(&mut self, version: VersionKey) {
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
             self.rollouts.entry(name).or_default().exposed += 1;
         }
