--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -51,7 +51,7 @@
     }
 
     /// A failed attempt counts as a bad answer of a version under roll-out.
-    pub(super) fn note_failure_evidence(&mut self, key: RequestKey) {
+    pub(super) fn record_failure_evidence(&mut self, key: RequestKey) {
         let request = &self.requests[key];
         let RequestTarget::Model { class, .. } = request.target else { return };
         let Some(version) = request.version else { return };
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -121,13 +121,13 @@
             }
             AttemptEnd::Broken { delivered } => {
                 self.replicas.record_failure(replica, stamp.now);
-                self.note_failure_evidence(key);
+                self.record_failure_evidence(key);
                 self.requests[key].delivered += delivered;
                 self.on_failed(stamp, key, attempt, ReasonCode::StreamBroken, out);
             }
             AttemptEnd::WrongEcho => {
                 self.replicas.record_failure(replica, stamp.now);
-                self.note_failure_evidence(key);
+                self.record_failure_evidence(key);
                 self.on_failed(stamp, key, attempt, ReasonCode::WrongEcho, out);
             }
         }
