--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -146,7 +146,7 @@
 
     /// Takes a verdict, own or read: a halt is for good, a step never goes back.
     /// Returns whether it is news.
-    pub fn take_verdict(&mut self, halted: bool, step: u32) -> bool {
+    pub fn apply_verdict(&mut self, halted: bool, step: u32) -> bool {
         let is_new = !self.halted && (halted || step > self.step);
         self.halted |= halted;
         if step > self.step {
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -142,7 +142,7 @@
         };
         let record = VerdictRecord { version: evidence.version.clone(), halted, step };
         self.push_record(LogStream::Verdicts, RecordBody::Verdict(record.clone()));
-        self.take_verdict(&record, out);
+        self.apply_verdict(&record, out);
         self.append_due(stamp, out);
     }
 
@@ -160,9 +160,9 @@
     }
 
     /// Takes a verdict, own, passed on or read, and passes it on if it is news.
-    pub(super) fn take_verdict(&mut self, verdict: &VerdictRecord, out: &mut Vec<BoxEffect>) {
+    pub(super) fn apply_verdict(&mut self, verdict: &VerdictRecord, out: &mut Vec<BoxEffect>) {
         let state = self.rollouts.entry(verdict.version.clone()).or_default();
-        if !state.take_verdict(verdict.halted, verdict.step) {
+        if !state.apply_verdict(verdict.halted, verdict.step) {
             return;
         }
         out.push(match verdict.halted {
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -195,7 +195,7 @@
             }
             self.verdict_next = offset + 1;
             if let Some(RecordBody::Verdict(verdict)) = record.body {
-                self.take_verdict(&verdict, out);
+                self.apply_verdict(&verdict, out);
             }
         }
     }
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -190,7 +190,7 @@
             }
             PeerBody::Witnessed(held) => self.on_witnessed(stamp, &from, &held.numbers, out),
             PeerBody::Release(done) => self.ledger.release(&from, incarnation, &done.numbers),
-            PeerBody::Verdict(verdict) => self.take_verdict(&verdict, out),
+            PeerBody::Verdict(verdict) => self.apply_verdict(&verdict, out),
             PeerBody::Leaving(notice) => {
                 self.apply_leaving(stamp, &notice.replica, out);
             }
@@ -218,7 +218,7 @@
         }
         for version in &heartbeat.halted {
             let verdict = VerdictRecord { version: version.clone(), halted: true, step: 0 };
-            self.take_verdict(&verdict, out);
+            self.apply_verdict(&verdict, out);
         }
         let reply = HeartbeatReply {
             echo: heartbeat.stamp,
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -242,12 +242,12 @@
 #[test]
 fn a_halt_is_for_good_and_a_step_never_goes_back() {
     let mut state = RolloutState::default();
-    assert!(state.take_verdict(false, 1));
-    assert!(!state.take_verdict(false, 0));
+    assert!(state.apply_verdict(false, 1));
+    assert!(!state.apply_verdict(false, 0));
     assert_eq!(state.share(&rollout(), 40), 5, "other boxes use the share that passed");
 
-    assert!(state.take_verdict(true, 0));
-    assert!(!state.take_verdict(false, 2));
+    assert!(state.apply_verdict(true, 0));
+    assert!(!state.apply_verdict(false, 2));
     assert_eq!(state.share(&rollout(), 0), 0);
 }
 
