--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -137,8 +137,8 @@
         if worst >= HALT_EVIDENCE {
             return Some(GuardVerdict::Halt);
         }
-        let open = (self.step as usize) < spec.steps.len();
-        if open && self.judged >= STEP_ANSWERS && worst <= PASS_EVIDENCE {
+        let has_step_left = (self.step as usize) < spec.steps.len();
+        if has_step_left && self.judged >= STEP_ANSWERS && worst <= PASS_EVIDENCE {
             return Some(GuardVerdict::Step(self.step + 1));
         }
         None
