--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -125,11 +125,11 @@
             let worse = (baseline + margin).min(0.95);
             let for_bad = (worse / baseline).ln();
             let for_good = ((1.0 - worse) / (1.0 - baseline)).ln();
-            for slot in [0, class] {
-                let sum = evidence[slot]
+            for index in [0, class] {
+                let sum = evidence[index]
                     + f64::from(count.good) * for_good
                     + f64::from(count.bad) * for_bad;
-                evidence[slot] = sum.max(0.0);
+                evidence[index] = sum.max(0.0);
             }
         }
         self.judged += count.good + count.bad;
