--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -133,12 +133,12 @@
             }
         }
         self.judged += count.good + count.bad;
-        let worst = self.evidence.iter().flatten().copied().fold(0.0, f64::max);
-        if worst >= HALT_EVIDENCE {
+        let strongest = self.evidence.iter().flatten().copied().fold(0.0, f64::max);
+        if strongest >= HALT_EVIDENCE {
             return Some(GuardVerdict::Halt);
         }
         let has_step_left = (self.step as usize) < spec.steps.len();
-        if has_step_left && self.judged >= STEP_ANSWERS && worst <= PASS_EVIDENCE {
+        if has_step_left && self.judged >= STEP_ANSWERS && strongest <= PASS_EVIDENCE {
             return Some(GuardVerdict::Step(self.step + 1));
         }
         None
