--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -105,7 +105,7 @@
     }
 
     fn flush_evidence(&mut self, stamp: EventStamp, version: &str, out: &mut Vec<BoxEffect>) {
-        let guard = self.members.first_alive(version, stamp.now);
+        let first_canary = self.members.first_alive(version, stamp.now);
         let Some(state) = self.rollouts.get_mut(version) else { return };
         for (class, count) in std::mem::take(&mut state.unsent) {
             let evidence = RolloutEvidence {
@@ -114,7 +114,7 @@
                 good: count.good,
                 bad: count.bad,
             };
-            match &guard {
+            match &first_canary {
                 Some(name) => {
                     out.push(BoxEffect::SendPeer(name.clone(), PeerBody::Evidence(evidence)));
                 }
