--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -34,8 +34,8 @@
             .iter()
             .find(|(name, _)| spec.versions.get(*name).is_some_and(|row| row.model == model))?;
         let version = self.names.versions.find(name)?;
-        let fresh = RolloutState::default();
-        let state = self.rollouts.get(name).unwrap_or(&fresh);
+        let initial = RolloutState::default();
+        let state = self.rollouts.get(name).unwrap_or(&initial);
         let share = state.share(rollout, self.members.rank(name));
         let chosen = random % 100 < u64::from(share);
         let has_replica = !self.replicas.subset(version).is_empty();
