--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -150,7 +150,7 @@
     replicas: ReplicaTable,
     quality: QualityTable,
     /// Whether another box has shared what it learnt.
-    quality_joined: bool,
+    quality_received: bool,
     rollouts: BTreeMap<String, RolloutState>,
     queues: BTreeMap<QueueName, FairQueue>,
     retry: RetryBudget,
@@ -209,7 +209,7 @@
             members: BoxMembership::new(&settings.name),
             replicas: ReplicaTable::new(&settings.name),
             quality: QualityTable::default(),
-            quality_joined: false,
+            quality_received: false,
             rollouts: BTreeMap::new(),
             queues: BTreeMap::new(),
             retry: RetryBudget::default(),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -136,7 +136,7 @@
     }
 
     fn on_quality(&mut self, share: &QualityShare) {
-        self.quality_joined = true;
+        self.quality_received = true;
         for row in &share.rows {
             let count = QualityCount { good: f64::from(row.good), bad: f64::from(row.bad) };
             let valid = |n: f64| n.is_finite() && n >= 0.0;
@@ -247,7 +247,7 @@
             proved: reply.log_age_ms != u64::MAX,
         };
         self.members.apply_summary(from, &direct, asked_at);
-        if !self.quality_joined && self.quality.is_empty() {
+        if !self.quality_received && self.quality.is_empty() {
             let wanted = PeerBody::WantQuality(QualityWanted {});
             out.push(BoxEffect::SendPeer(from.to_owned(), wanted));
         }
