--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -140,7 +140,7 @@
     leases: LeaseFold,
     lease_next: u64,
     /// Lease records that were sent and not read back, with when.
-    lease_asked: BTreeMap<String, BoxTime>,
+    lease_requested: BTreeMap<String, BoxTime>,
     /// Orders given, by replica, with when and what: a load takes a while to show in the report.
     ordered: BTreeMap<String, (BoxTime, Vec<String>)>,
     /// When the record of the bundle in force was read, and how old it was then, in milliseconds.
@@ -202,7 +202,7 @@
             verdict_next: 0,
             leases: LeaseFold::default(),
             lease_next: 0,
-            lease_asked: BTreeMap::new(),
+            lease_requested: BTreeMap::new(),
             ordered: BTreeMap::new(),
             bundle_seen: (BoxTime::default(), 0),
             fresh: FreshLease::default(),
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -38,7 +38,7 @@
             let mine = record.incarnation == self.settings.incarnation;
             let from = if mine { BoxTime::from_micros(lease.asked_us) } else { stamp.now };
             if mine {
-                self.lease_asked.remove(&lease.pool);
+                self.lease_requested.remove(&lease.pool);
             }
             let (pool, term) = (&lease.pool, lease.term_ms);
             self.leases.fold_lease(pool, record.incarnation, offset, from, term);
@@ -74,12 +74,12 @@
 
     fn renew_lease(&mut self, stamp: EventStamp, pool: &str, out: &mut Vec<BoxEffect>) {
         let me = self.settings.incarnation;
-        let asked = self.lease_asked.get(pool);
+        let asked = self.lease_requested.get(pool);
         let pending = asked.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
         if pending || !self.leases.needs_renewal(pool, me, stamp.now) {
             return;
         }
-        self.lease_asked.insert(pool.to_owned(), stamp.now);
+        self.lease_requested.insert(pool.to_owned(), stamp.now);
         let lease = LeaseRecord {
             pool: pool.to_owned(),
             term_ms: LEASE_TERM_MS,
