--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -74,8 +74,8 @@
 
     fn renew_lease(&mut self, stamp: EventStamp, pool: &str, out: &mut Vec<BoxEffect>) {
         let me = self.settings.incarnation;
-        let asked = self.lease_requested.get(pool);
-        let pending = asked.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
+        let requested_at = self.lease_requested.get(pool);
+        let pending = requested_at.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
         if pending || !self.leases.needs_renewal(pool, me, stamp.now) {
             return;
         }
