--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -54,7 +54,7 @@
         for (offset, record) in records {
             if let Some(RecordBody::Bundle(bundle)) = record.body {
                 let outcome = self.fold.fold_record(offset, &bundle);
-                self.bundle_folded(stamp, &bundle, outcome, None, out);
+                self.on_bundle_folded(stamp, &bundle, outcome, None, out);
                 if bundle.sequence == self.fold.sequence() {
                     self.bundle_seen = (read.asked_at, read.age_ms);
                 }
@@ -68,7 +68,7 @@
     }
 
     /// Carries out what folding a bundle record did. `from` is the peer that it came from, if any.
-    pub(super) fn bundle_folded(
+    pub(super) fn on_bundle_folded(
         &mut self,
         stamp: EventStamp,
         record: &BundleRecord,
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -177,7 +177,7 @@
             PeerBody::Reply(reply) => self.on_reply(&from, incarnation, &reply, out),
             PeerBody::Bundle(record) => {
                 let outcome = self.fold.adopt_record(&record);
-                self.bundle_folded(stamp, &record, outcome, Some(&from), out);
+                self.on_bundle_folded(stamp, &record, outcome, Some(&from), out);
             }
             PeerBody::WantBundle(wanted) => self.on_bundle_wanted(&from, wanted.have, out),
             PeerBody::Witness(witness) => {
