--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -77,7 +77,7 @@
         out: &mut Vec<BoxEffect>,
     ) {
         match outcome {
-            FoldOutcome::Accepted => self.take_bundle(stamp, record, out),
+            FoldOutcome::Accepted => self.apply_bundle(stamp, record, out),
             FoldOutcome::Repeated => {}
             FoldOutcome::Rejected(rejection) => match from {
                 Some(peer) if record.sequence > self.fold.sequence() => {
@@ -89,7 +89,7 @@
         }
     }
 
-    fn take_bundle(&mut self, stamp: EventStamp, record: &BundleRecord, out: &mut Vec<BoxEffect>) {
+    fn apply_bundle(&mut self, stamp: EventStamp, record: &BundleRecord, out: &mut Vec<BoxEffect>) {
         let Some(bundle) = self.fold.in_force() else { return };
         let (sequence, digest) = (bundle.sequence, bundle.digest.clone());
         // The fold accepted it, so it is of this format.
