--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -81,7 +81,7 @@
             FoldOutcome::Repeated => {}
             FoldOutcome::Rejected(rejection) => match from {
                 Some(peer) if record.sequence > self.fold.sequence() => {
-                    self.want_bundle(peer, out);
+                    self.request_bundle(peer, out);
                 }
                 Some(_) => {}
                 None => out.push(BoxEffect::BundleRejected(rejection)),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -211,7 +211,7 @@
             self.members.mark_leaving(from);
         }
         if heartbeat.sequence > self.fold.sequence() {
-            self.want_bundle(from, out);
+            self.request_bundle(from, out);
         }
         for replica in &heartbeat.leaving_replicas {
             self.apply_leaving(stamp, replica, out);
@@ -256,13 +256,13 @@
         }
         if reply.sequence > self.fold.sequence() {
             // What the peer knows is newer: nothing is fresh until this box has it too.
-            self.want_bundle(from, out);
+            self.request_bundle(from, out);
         } else {
             self.fresh.renew_from_peer(asked_at, reply.log_age_ms);
         }
     }
 
-    pub(super) fn want_bundle(&self, peer: &str, out: &mut Vec<BoxEffect>) {
+    pub(super) fn request_bundle(&self, peer: &str, out: &mut Vec<BoxEffect>) {
         out.push(BoxEffect::ReadBundles);
         let wanted = BundleWanted { have: self.fold.sequence() };
         out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::WantBundle(wanted)));
