--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -179,7 +179,7 @@
                 let outcome = self.fold.adopt_record(&record);
                 self.on_bundle_folded(stamp, &record, outcome, Some(&from), out);
             }
-            PeerBody::WantBundle(wanted) => self.on_bundle_wanted(&from, wanted.have, out),
+            PeerBody::WantBundle(wanted) => self.on_bundle_request(&from, wanted.have, out),
             PeerBody::Witness(witness) => {
                 let numbers = witness.bills.iter().map(|bill| bill.number).collect();
                 for bill in witness.bills {
@@ -268,7 +268,7 @@
         out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::WantBundle(wanted)));
     }
 
-    fn on_bundle_wanted(&self, from: &str, have: u64, out: &mut Vec<BoxEffect>) {
+    fn on_bundle_request(&self, from: &str, have: u64, out: &mut Vec<BoxEffect>) {
         if let Some(bundle) = self.fold.in_force().filter(|bundle| bundle.sequence > have) {
             let body = PeerBody::Bundle(bundle.whole_record());
             out.push(BoxEffect::SendPeer(from.to_owned(), body));
