--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    fn on_quality_wanted(&self, from: String, out: &mut Vec<BoxEffect>) {
+    fn on_quality_request(&self, from: String, out: &mut Vec<BoxEffect>) {
         let rows = self.quality.rows().into_iter();
         let rows: Vec<QualityRow> =
             rows.map(|(model, class, count)| quality_row(model, class, count)).collect();
@@ -196,7 +196,7 @@
             }
             PeerBody::Evidence(evidence) => self.on_evidence(stamp, &evidence, out),
             PeerBody::Quality(share) => self.on_quality(&share),
-            PeerBody::WantQuality(_) => self.on_quality_wanted(from, out),
+            PeerBody::WantQuality(_) => self.on_quality_request(from, out),
         }
     }
 
