--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -309,7 +309,7 @@
     Leaving(LeavingNotice),
     /// A call for the whole bundle in force.
     #[prost(message, tag = "11")]
-    WantBundle(BundleWanted),
+    WantBundle(BundleRequest),
     /// Evidence on a version under roll-out, for the first canary box.
     #[prost(message, tag = "12")]
     Evidence(RolloutEvidence),
@@ -369,7 +369,7 @@
 
 /// A call for the whole bundle in force.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct BundleWanted {
+pub struct BundleRequest {
     /// Sequence that the asker has in force.
     #[prost(uint64, tag = "1")]
     pub have: u64,
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -8,8 +8,8 @@
 use crate::ids::ReplicaKey;
 use crate::membership::ListedBox;
 use crate::message::{
-    BillNumbers, BundleWanted, HeartbeatReply, LeavingNotice, PeerBody, PeerHeartbeat, PeerMessage,
-    PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
+    BillNumbers, BundleRequest, HeartbeatReply, LeavingNotice, PeerBody, PeerHeartbeat,
+    PeerMessage, PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
 use crate::time::BoxTime;
@@ -264,7 +264,7 @@
 
     pub(super) fn request_bundle(&self, peer: &str, out: &mut Vec<BoxEffect>) {
         out.push(BoxEffect::ReadBundles);
-        let wanted = BundleWanted { have: self.fold.sequence() };
+        let wanted = BundleRequest { have: self.fold.sequence() };
         out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::WantBundle(wanted)));
     }
 
