--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -309,7 +309,7 @@
     Leaving(LeavingNotice),
     /// A call for the whole bundle in force.
     #[prost(message, tag = "11")]
-    WantBundle(BundleRequest),
+    RequestBundle(BundleRequest),
     /// Evidence on a version under roll-out, for the first canary box.
     #[prost(message, tag = "12")]
     Evidence(RolloutEvidence),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -168,7 +168,7 @@
         if self.members.find(&from).is_none() {
             // The box list lags behind a new box: it is answered, so that it can start, but nothing
             // that it says is counted.
-            if !matches!(body, PeerBody::Beat(_) | PeerBody::WantBundle(_)) {
+            if !matches!(body, PeerBody::Beat(_) | PeerBody::RequestBundle(_)) {
                 return;
             }
         }
@@ -179,7 +179,7 @@
                 let outcome = self.fold.adopt_record(&record);
                 self.on_bundle_folded(stamp, &record, outcome, Some(&from), out);
             }
-            PeerBody::WantBundle(wanted) => self.on_bundle_request(&from, wanted.have, out),
+            PeerBody::RequestBundle(wanted) => self.on_bundle_request(&from, wanted.have, out),
             PeerBody::Witness(witness) => {
                 let numbers = witness.bills.iter().map(|bill| bill.number).collect();
                 for bill in witness.bills {
@@ -265,7 +265,7 @@
     pub(super) fn request_bundle(&self, peer: &str, out: &mut Vec<BoxEffect>) {
         out.push(BoxEffect::ReadBundles);
         let wanted = BundleRequest { have: self.fold.sequence() };
-        out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::WantBundle(wanted)));
+        out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::RequestBundle(wanted)));
     }
 
     fn on_bundle_request(&self, from: &str, have: u64, out: &mut Vec<BoxEffect>) {
