--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -318,7 +318,7 @@
     Quality(QualityShare),
     /// A new box asks what the others learnt.
     #[prost(message, tag = "14")]
-    WantQuality(QualityWanted),
+    WantQuality(QualityRequest),
 }
 
 /// Ratings by model and class.
@@ -348,7 +348,7 @@
 
 /// A call for what the others learnt.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct QualityWanted {}
+pub struct QualityRequest {}
 
 /// Judged answers of a version under roll-out, of one request class.
 #[derive(Clone, PartialEq, Eq, Message)]
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -9,7 +9,7 @@
 use crate::membership::ListedBox;
 use crate::message::{
     BillNumbers, BundleRequest, HeartbeatReply, LeavingNotice, PeerBody, PeerHeartbeat,
-    PeerMessage, PeerSummary, QualityRow, QualityShare, QualityWanted, RecordBody, VerdictRecord,
+    PeerMessage, PeerSummary, QualityRequest, QualityRow, QualityShare, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
 use crate::time::BoxTime;
@@ -248,7 +248,7 @@
         };
         self.members.apply_summary(from, &direct, asked_at);
         if !self.quality_received && self.quality.is_empty() {
-            let wanted = PeerBody::WantQuality(QualityWanted {});
+            let wanted = PeerBody::WantQuality(QualityRequest {});
             out.push(BoxEffect::SendPeer(from.to_owned(), wanted));
         }
         for other in reply.others.iter().filter(|other| other.name != self.settings.name) {
