--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -318,7 +318,7 @@
     Quality(QualityShare),
     /// A new box asks what the others learnt.
     #[prost(message, tag = "14")]
-    WantQuality(QualityRequest),
+    RequestQuality(QualityRequest),
 }
 
 /// Ratings by model and class.
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -196,7 +196,7 @@
             }
             PeerBody::Evidence(evidence) => self.on_evidence(stamp, &evidence, out),
             PeerBody::Quality(share) => self.on_quality(&share),
-            PeerBody::WantQuality(_) => self.on_quality_request(from, out),
+            PeerBody::RequestQuality(_) => self.on_quality_request(from, out),
         }
     }
 
@@ -248,7 +248,7 @@
         };
         self.members.apply_summary(from, &direct, asked_at);
         if !self.quality_received && self.quality.is_empty() {
-            let wanted = PeerBody::WantQuality(QualityRequest {});
+            let wanted = PeerBody::RequestQuality(QualityRequest {});
             out.push(BoxEffect::SendPeer(from.to_owned(), wanted));
         }
         for other in reply.others.iter().filter(|other| other.name != self.settings.name) {
