--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -179,7 +179,7 @@
                 let outcome = self.fold.adopt_record(&record);
                 self.on_bundle_folded(stamp, &record, outcome, Some(&from), out);
             }
-            PeerBody::RequestBundle(wanted) => self.on_bundle_request(&from, wanted.have, out),
+            PeerBody::RequestBundle(request) => self.on_bundle_request(&from, request.have, out),
             PeerBody::Witness(witness) => {
                 let numbers = witness.bills.iter().map(|bill| bill.number).collect();
                 for bill in witness.bills {
@@ -248,8 +248,8 @@
         };
         self.members.apply_summary(from, &direct, asked_at);
         if !self.quality_received && self.quality.is_empty() {
-            let wanted = PeerBody::RequestQuality(QualityRequest {});
-            out.push(BoxEffect::SendPeer(from.to_owned(), wanted));
+            let request = PeerBody::RequestQuality(QualityRequest {});
+            out.push(BoxEffect::SendPeer(from.to_owned(), request));
         }
         for other in reply.others.iter().filter(|other| other.name != self.settings.name) {
             self.members.apply_summary(&other.name, other, asked_at);
@@ -264,8 +264,8 @@
 
     pub(super) fn request_bundle(&self, peer: &str, out: &mut Vec<BoxEffect>) {
         out.push(BoxEffect::ReadBundles);
-        let wanted = BundleRequest { have: self.fold.sequence() };
-        out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::RequestBundle(wanted)));
+        let request = BundleRequest { have: self.fold.sequence() };
+        out.push(BoxEffect::SendPeer(peer.to_owned(), PeerBody::RequestBundle(request)));
     }
 
     fn on_bundle_request(&self, from: &str, have: u64, out: &mut Vec<BoxEffect>) {
