--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -315,7 +315,7 @@
     Evidence(RolloutEvidence),
     /// Ratings since the last round, or all that a new box asked for.
     #[prost(message, tag = "13")]
-    Quality(QualityShare),
+    Quality(QualityUpdate),
     /// A new box asks what the others learnt.
     #[prost(message, tag = "14")]
     RequestQuality(QualityRequest),
@@ -323,7 +323,7 @@
 
 /// Ratings by model and class.
 #[derive(Clone, PartialEq, Message)]
-pub struct QualityShare {
+pub struct QualityUpdate {
     /// Rows.
     #[prost(message, repeated, tag = "1")]
     pub rows: Vec<QualityRow>,
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -9,7 +9,7 @@
 use crate::membership::ListedBox;
 use crate::message::{
     BillNumbers, BundleRequest, HeartbeatReply, LeavingNotice, PeerBody, PeerHeartbeat,
-    PeerMessage, PeerSummary, QualityRequest, QualityRow, QualityShare, RecordBody, VerdictRecord,
+    PeerMessage, PeerSummary, QualityRequest, QualityRow, QualityUpdate, RecordBody, VerdictRecord,
 };
 use crate::replica::{ListedReplica, LoadReport};
 use crate::time::BoxTime;
@@ -131,11 +131,11 @@
             .map(|((model, class), count)| quality_row(model, class, count))
             .collect();
         if !rows.is_empty() {
-            self.gossip(PeerBody::Quality(QualityShare { rows }), out);
+            self.gossip(PeerBody::Quality(QualityUpdate { rows }), out);
         }
     }
 
-    fn on_quality(&mut self, share: &QualityShare) {
+    fn on_quality(&mut self, share: &QualityUpdate) {
         self.quality_received = true;
         for row in &share.rows {
             let count = QualityCount { good: f64::from(row.good), bad: f64::from(row.bad) };
@@ -153,7 +153,7 @@
         let rows: Vec<QualityRow> =
             rows.map(|(model, class, count)| quality_row(model, class, count)).collect();
         if !rows.is_empty() {
-            out.push(BoxEffect::SendPeer(from, PeerBody::Quality(QualityShare { rows })));
+            out.push(BoxEffect::SendPeer(from, PeerBody::Quality(QualityUpdate { rows })));
         }
     }
 
