--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -135,9 +135,9 @@
         }
     }
 
-    fn on_quality(&mut self, share: &QualityUpdate) {
+    fn on_quality(&mut self, update: &QualityUpdate) {
         self.quality_received = true;
-        for row in &share.rows {
+        for row in &update.rows {
             let count = QualityCount { good: f64::from(row.good), bad: f64::from(row.bad) };
             let valid = |n: f64| n.is_finite() && n >= 0.0;
             if let (Ok(class), true) =
@@ -195,7 +195,7 @@
                 self.apply_leaving(stamp, &notice.replica, out);
             }
             PeerBody::Evidence(evidence) => self.on_evidence(stamp, &evidence, out),
-            PeerBody::Quality(share) => self.on_quality(&share),
+            PeerBody::Quality(update) => self.on_quality(&update),
             PeerBody::RequestQuality(_) => self.on_quality_request(from, out),
         }
     }
