--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -272,7 +272,7 @@
             self.next_heartbeat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
             self.send_heartbeats(stamp, out);
             self.choose_witnesses(stamp);
-            self.share_quality(out);
+            self.send_quality(out);
             self.order_pools(stamp, out);
             self.take_over_bills(stamp, out);
             self.carry_bundle(stamp);
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -123,7 +123,7 @@
 
     /// Shares this box's ratings of the last round with the boxes of this round. They are not passed
     /// on, so nothing is counted twice.
-    pub(super) fn share_quality(&mut self, out: &mut Vec<BoxEffect>) {
+    pub(super) fn send_quality(&mut self, out: &mut Vec<BoxEffect>) {
         let rows: Vec<QualityRow> = self
             .quality
             .drain_unshared()
