--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -99,17 +99,17 @@
         let me = self.settings.incarnation;
         let lease = self.leases.may_order(name, me, pool.checks_token, stamp.now).copied();
         let Some(lease) = lease else { return };
-        let wanted = self.index.spec.pool_versions(pool);
+        let target_versions = self.index.spec.pool_versions(pool);
         let behind: Vec<(String, String)> = self
             .replicas
             .rows()
             .filter(|(_, row)| row.listed.engine && row.listed.service == name && !row.leaving)
             .filter(|(_, row)| row.reported_at > BoxTime::default())
-            .filter(|(_, row)| self.loaded_names(row) != wanted)
+            .filter(|(_, row)| self.loaded_names(row) != target_versions)
             .map(|(_, row)| (row.listed.name.clone(), row.listed.address.clone()))
             .collect();
         self.ordered.retain(|replica, (at, versions)| {
-            let fresh = stamp.now.millis_since(*at) < LOAD_LIMIT_MS && *versions == wanted;
+            let fresh = stamp.now.millis_since(*at) < LOAD_LIMIT_MS && *versions == target_versions;
             fresh && behind.iter().any(|(name, _)| name == replica)
         });
         for (replica, address) in behind {
@@ -119,8 +119,8 @@
             if self.ordered.contains_key(&replica) {
                 continue;
             }
-            self.ordered.insert(replica.clone(), (stamp.now, wanted.clone()));
-            let versions = wanted.clone();
+            self.ordered.insert(replica.clone(), (stamp.now, target_versions.clone()));
+            let versions = target_versions.clone();
             let send_before = lease.until.min(stamp.now.plus_millis(ORDER_FLIGHT_MS));
             let token = lease.token;
             out.push(BoxEffect::Order(PoolOrder {
