--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -100,7 +100,7 @@
         let lease = self.leases.may_order(name, me, pool.checks_token, stamp.now).copied();
         let Some(lease) = lease else { return };
         let target_versions = self.index.spec.pool_versions(pool);
-        let behind: Vec<(String, String)> = self
+        let outdated: Vec<(String, String)> = self
             .replicas
             .rows()
             .filter(|(_, row)| row.listed.engine && row.listed.service == name && !row.leaving)
@@ -110,9 +110,9 @@
             .collect();
         self.ordered.retain(|replica, (at, versions)| {
             let fresh = stamp.now.millis_since(*at) < LOAD_LIMIT_MS && *versions == target_versions;
-            fresh && behind.iter().any(|(name, _)| name == replica)
+            fresh && outdated.iter().any(|(name, _)| name == replica)
         });
-        for (replica, address) in behind {
+        for (replica, address) in outdated {
             if self.ordered.len() >= pool.loads_at_once.max(1) as usize {
                 return;
             }
