--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -66,10 +66,10 @@
         let entry = self.leases.find(pool);
         let holds = entry.is_some_and(|entry| entry.holder == self.settings.incarnation);
         let turns = 1 + self.members.rank(&job) as u64;
-        let lapsed = entry.map_or(BoxTime::default(), |entry| entry.until);
+        let expired_at = entry.map_or(BoxTime::default(), |entry| entry.until);
         holds
             || self.members.first_alive(&job, stamp.now).is_none()
-            || stamp.now >= lapsed.plus_millis(turns * LEASE_TERM_MS)
+            || stamp.now >= expired_at.plus_millis(turns * LEASE_TERM_MS)
     }
 
     fn renew_lease(&mut self, stamp: EventStamp, pool: &str, out: &mut Vec<BoxEffect>) {
