--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -52,7 +52,7 @@
         }
         let pools = self.index.spec.pools.clone();
         for (name, pool) in &pools {
-            if self.should_hold(stamp, name) {
+            if self.should_hold_lease(stamp, name) {
                 self.renew_lease(stamp, name, out);
             }
             self.order_pool(stamp, name, pool, out);
@@ -61,7 +61,7 @@
 
     /// Whether this box should hold the pool's lease: it does, it is the first live box for it, or
     /// the boxes before it had a term each to renew it and did not: alive, but cut off from the log.
-    fn should_hold(&self, stamp: EventStamp, pool: &str) -> bool {
+    fn should_hold_lease(&self, stamp: EventStamp, pool: &str) -> bool {
         let job = format!("order/{pool}");
         let entry = self.leases.find(pool);
         let holds = entry.is_some_and(|entry| entry.holder == self.settings.incarnation);
