--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -19,7 +19,7 @@
 use super::BoxState;
 
 /// A load that does not show in the report after this is ordered again, in milliseconds.
-const LOAD_LIMIT_MS: u64 = 120_000;
+const LOAD_TIMEOUT_MS: u64 = 120_000;
 
 impl BoxState {
     pub(super) fn read_leases(
@@ -109,7 +109,8 @@
             .map(|(_, row)| (row.listed.name.clone(), row.listed.address.clone()))
             .collect();
         self.ordered.retain(|replica, (at, versions)| {
-            let fresh = stamp.now.millis_since(*at) < LOAD_LIMIT_MS && *versions == target_versions;
+            let fresh =
+                stamp.now.millis_since(*at) < LOAD_TIMEOUT_MS && *versions == target_versions;
             fresh && outdated.iter().any(|(name, _)| name == replica)
         });
         for (replica, address) in outdated {
