--- a/crates/core/src/bundle.rs
+++ b/crates/core/src/bundle.rs
@@ -171,10 +171,10 @@
 impl BundleSpec {
     /// Versions that a replica of `pool` should have loaded, in order of name.
     pub fn pool_versions(&self, pool: &PoolSpec) -> Vec<String> {
-        let wanted = |(_, version): &(&String, &VersionSpec)| {
+        let serves_pool = |(_, version): &(&String, &VersionSpec)| {
             version.state != VersionState::Withdrawn && pool.models.contains(&version.model)
         };
-        self.versions.iter().filter(wanted).map(|(name, _)| name.clone()).collect()
+        self.versions.iter().filter(serves_pool).map(|(name, _)| name.clone()).collect()
     }
 
     /// Splits the bundle into its sections.
