--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -35,11 +35,11 @@
                 self.replicas.record_ended(ready.state.replica, ready.state.at);
                 let attempt = ready.requeue();
                 match refusal {
-                    SendRefusal::Again if stamp.now < self.requests[key].deadline => {
+                    SendRefusal::PlaceAgain if stamp.now < self.requests[key].deadline => {
                         self.requests[key].stage = RequestStage::Waiting(attempt);
                         self.place(stamp, key, false, out);
                     }
-                    SendRefusal::Again => {
+                    SendRefusal::PlaceAgain => {
                         self.end_refused(key, attempt.refuse(ReasonCode::Deadline), out);
                     }
                     SendRefusal::For(reason) => {
@@ -68,10 +68,12 @@
                 return Err(SendRefusal::For(ReasonCode::Deadline));
             }
         }
-        let RequestStage::Ready(ready) = &request.stage else { return Err(SendRefusal::Again) };
+        let RequestStage::Ready(ready) = &request.stage else {
+            return Err(SendRefusal::PlaceAgain);
+        };
         let leaving = self.replicas.get(ready.state.replica).is_none_or(|replica| replica.leaving);
         if leaving || stamp.now > ready.state.send_before {
-            return Err(SendRefusal::Again);
+            return Err(SendRefusal::PlaceAgain);
         }
         Ok(())
     }
@@ -243,7 +245,7 @@
 /// Why a write may not begin.
 enum SendRefusal {
     /// Place the request again.
-    Again,
+    PlaceAgain,
     /// Refuse it for this reason.
     For(ReasonCode),
     /// Refuse it with this refusal.
