--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -42,7 +42,7 @@
                     SendRefusal::PlaceAgain => {
                         self.end_refused(key, attempt.refuse(ReasonCode::Deadline), out);
                     }
-                    SendRefusal::For(reason) => {
+                    SendRefusal::Reason(reason) => {
                         self.end_refused(key, attempt.refuse(reason).retry_after(1_000), out);
                     }
                     SendRefusal::Said(refusal) => self.end_refused(key, refusal, out),
@@ -54,10 +54,10 @@
     fn check_send(&self, stamp: EventStamp, key: RequestKey) -> Result<(), SendRefusal> {
         let request = &self.requests[key];
         if self.fresh_state(stamp.now) == FreshState::CutOff {
-            return Err(SendRefusal::For(ReasonCode::CutOff));
+            return Err(SendRefusal::Reason(ReasonCode::CutOff));
         }
         if let Some(version) = request.version {
-            self.check_version(request.account, version, true).map_err(SendRefusal::For)?;
+            self.check_version(request.account, version, true).map_err(SendRefusal::Reason)?;
         }
         if let (Some((claim, _)), false) = (&request.claim, request.repeatable) {
             let caller_key = claim.rsplit('/').next();
@@ -65,7 +65,7 @@
                 .map_err(|error| SendRefusal::Said(super::admit::key_refusal(error)))?;
             // The claim bounds how long a caller waits; a box that was paused past it has refused.
             if stamp.now > request.deadline {
-                return Err(SendRefusal::For(ReasonCode::Deadline));
+                return Err(SendRefusal::Reason(ReasonCode::Deadline));
             }
         }
         let RequestStage::Ready(ready) = &request.stage else {
@@ -247,7 +247,7 @@
     /// Place the request again.
     PlaceAgain,
     /// Refuse it for this reason.
-    For(ReasonCode),
+    Reason(ReasonCode),
     /// Refuse it with this refusal.
     Said(RequestRefusal),
 }
