--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -45,7 +45,7 @@
                     SendRefusal::Reason(reason) => {
                         self.end_refused(key, attempt.refuse(reason).retry_after(1_000), out);
                     }
-                    SendRefusal::Said(refusal) => self.end_refused(key, refusal, out),
+                    SendRefusal::Refusal(refusal) => self.end_refused(key, refusal, out),
                 }
             }
         }
@@ -62,7 +62,7 @@
         if let (Some((claim, _)), false) = (&request.claim, request.repeatable) {
             let caller_key = claim.rsplit('/').next();
             check_key(caller_key, stamp.wall, self.settings.retention_ms)
-                .map_err(|error| SendRefusal::Said(super::admit::key_refusal(error)))?;
+                .map_err(|error| SendRefusal::Refusal(super::admit::key_refusal(error)))?;
             // The claim bounds how long a caller waits; a box that was paused past it has refused.
             if stamp.now > request.deadline {
                 return Err(SendRefusal::Reason(ReasonCode::Deadline));
@@ -249,5 +249,5 @@
     /// Refuse it for this reason.
     Reason(ReasonCode),
     /// Refuse it with this refusal.
-    Said(RequestRefusal),
+    Refusal(RequestRefusal),
 }
