--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -170,7 +170,7 @@
         let queue = self.queue_of(key);
         let refusal = match self.requests[key].stage {
             RequestStage::Waiting(attempt) | RequestStage::Claiming(attempt) => {
-                self.leave_queue(key, queue.as_ref());
+                self.remove_from_queue(key, queue.as_ref());
                 attempt.refuse(ReasonCode::Cancelled)
             }
             RequestStage::Ready(attempt) => {
@@ -191,7 +191,7 @@
         }
     }
 
-    fn leave_queue(&mut self, key: RequestKey, name: Option<&QueueName>) {
+    fn remove_from_queue(&mut self, key: RequestKey, name: Option<&QueueName>) {
         if let Some(queue) = name.and_then(|name| self.queues.get_mut(name)) {
             queue.remove(key);
         }
