--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -176,7 +176,7 @@
         let Some((key, request)) = self.requests.iter().find(mine) else { return };
         let RequestStage::Claiming(attempt) = request.stage else { return };
         match outcome {
-            ClaimOutcome::First => self.claim_won(stamp, key, attempt, out),
+            ClaimOutcome::First => self.on_claim_won(stamp, key, attempt, out),
             ClaimOutcome::Lost(outcome) => self.lose_claim(key, outcome, out),
             ClaimOutcome::Ignored => {}
         }
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -224,7 +224,7 @@
     }
 
     /// The first live claim came back: the call may run.
-    pub(super) fn claim_won(
+    pub(super) fn on_claim_won(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
