--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -239,7 +239,7 @@
     }
 
     /// A claim of this box lost to an earlier one.
-    pub(super) fn lose_claim(
+    pub(super) fn on_claim_lost(
         &mut self,
         key: RequestKey,
         outcome: Option<crate::message::OutcomeRecord>,
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -177,7 +177,7 @@
         let RequestStage::Claiming(attempt) = request.stage else { return };
         match outcome {
             ClaimOutcome::First => self.on_claim_won(stamp, key, attempt, out),
-            ClaimOutcome::Lost(outcome) => self.lose_claim(key, outcome, out),
+            ClaimOutcome::Lost(outcome) => self.on_claim_lost(key, outcome, out),
             ClaimOutcome::Ignored => {}
         }
     }
