--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -142,7 +142,7 @@
     }
 
     /// Ends the request; whether it ran is not known.
-    pub fn lose(self, reason: ReasonCode) -> RequestRefusal {
+    pub fn end_unknown(self, reason: ReasonCode) -> RequestRefusal {
         RequestRefusal::new(reason, RunState::Unknown)
     }
 
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -150,7 +150,7 @@
         let in_time = stamp.now < request.deadline || request.delivered > 0;
         let may_retry = request.repeatable && attempt.number < ATTEMPT_LIMIT && in_time;
         if !may_retry || !self.retry.spend() {
-            self.end_refused(key, attempt.lose(reason), out);
+            self.end_refused(key, attempt.end_unknown(reason), out);
             return;
         }
         self.counts.retried += 1;
@@ -179,7 +179,7 @@
             }
             RequestStage::Running(attempt) => {
                 self.replicas.record_ended(attempt.state.replica, attempt.state.assigned_at);
-                attempt.lose(ReasonCode::Cancelled)
+                attempt.end_unknown(ReasonCode::Cancelled)
             }
             RequestStage::Rating(attempt) => attempt.fail(ReasonCode::Cancelled),
             // The answer was whole; its bill stands, and the end of it goes nowhere.
