--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -147,7 +147,7 @@
     }
 
     /// Ends the request after it ran.
-    pub fn fail(self, reason: ReasonCode) -> RequestRefusal {
+    pub fn end_ran(self, reason: ReasonCode) -> RequestRefusal {
         RequestRefusal::new(reason, RunState::Ran)
     }
 }
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -181,7 +181,7 @@
                 self.replicas.record_ended(attempt.state.replica, attempt.state.assigned_at);
                 attempt.end_unknown(ReasonCode::Cancelled)
             }
-            RequestStage::Rating(attempt) => attempt.fail(ReasonCode::Cancelled),
+            RequestStage::Rating(attempt) => attempt.end_ran(ReasonCode::Cancelled),
             // The answer was whole; its bill stands, and the end of it goes nowhere.
             RequestStage::Billing => return,
         };
