--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -84,7 +84,7 @@
     ) {
         let Some(request) = self.requests.get(key) else { return };
         let RequestStage::Rating(attempt) = request.stage else { return };
-        self.learn(stamp, key, good, out);
+        self.record_rating(stamp, key, good, out);
         if good == Some(true) {
             self.bill(stamp, key, out);
         } else {
@@ -92,7 +92,7 @@
         }
     }
 
-    fn learn(
+    fn record_rating(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
