--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -45,7 +45,7 @@
             let outcome = OutcomeRecord { key: claim, nonce, status: u32::from(status), body };
             self.push_record(LogStream::Claims, RecordBody::Outcome(outcome));
         }
-        if self.wants_rating(stamp, key) {
+        if self.needs_rating(stamp, key) {
             out.push(BoxEffect::RateReleasedAnswer(self.requests[key].ticket));
         }
         self.bill(stamp, key, out);
@@ -66,7 +66,7 @@
         }
     }
 
-    fn wants_rating(&self, stamp: EventStamp, key: RequestKey) -> bool {
+    fn needs_rating(&self, stamp: EventStamp, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let Some(version) = request.version else { return false };
         self.under_rollout(version).is_some()
