--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -48,7 +48,7 @@
         if self.needs_rating(stamp, key) {
             out.push(BoxEffect::RateReleasedAnswer(self.requests[key].ticket));
         }
-        self.bill(stamp, key, out);
+        self.bill_request(stamp, key, out);
     }
 
     fn attempt_cost(&self, key: RequestKey, tokens: u32) -> f64 {
@@ -86,7 +86,7 @@
         let RequestStage::Rating(attempt) = request.stage else { return };
         self.record_rating(stamp, key, good, out);
         if good == Some(true) {
-            self.bill(stamp, key, out);
+            self.bill_request(stamp, key, out);
         } else {
             self.escalate(stamp, key, attempt, out);
         }
@@ -136,7 +136,7 @@
     }
 
     /// Writes the bill, hands it to witnesses, and holds the end of the answer until they have it.
-    fn bill(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
+    fn bill_request(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
         let number = self.ledger.assign_number();
         let request = &mut self.requests[key];
         request.stage = RequestStage::Billing;
