--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -195,7 +195,7 @@
     fn send_before(&self, now: BoxTime) -> BoxTime {
         let soon = now.plus_millis(SEND_WITHIN_MS);
         match (self.fresh_state(now), self.fresh.expires_at()) {
-            (FreshState::Fresh, Some(lapses)) => soon.min(lapses),
+            (FreshState::Fresh, Some(expires_at)) => soon.min(expires_at),
             _ => soon,
         }
     }
