--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -267,7 +267,7 @@
             let Some(key) = queue.pop(stamp.now) else { break };
             random = next_random(random);
             if !self.place(EventStamp { random, ..stamp }, key, true, out) {
-                self.put_back(stamp, &mut queue, key);
+                self.requeue(stamp, &mut queue, key);
                 break;
             }
         }
@@ -284,7 +284,7 @@
         !matches!(self.replicas.pick(keys, query), PickOutcome::Full)
     }
 
-    fn put_back(
+    fn requeue(
         &mut self,
         stamp: EventStamp,
         queue: &mut crate::fair_queue::FairQueue,
