--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -16,7 +16,7 @@
 use super::{next_random, BoxState, QueueName, RequestStage};
 
 /// How long a box may take from a decision to its write, in milliseconds.
-const SEND_WITHIN_MS: u64 = 1_000;
+const SEND_TIMEOUT_MS: u64 = 1_000;
 
 /// Version and why it was chosen.
 type VersionChoice = Result<(VersionKey, ReasonCode), ReasonCode>;
@@ -193,7 +193,7 @@
 
     /// A write must begin before the freshness lease lapses, unless the log is down for all.
     fn send_before(&self, now: BoxTime) -> BoxTime {
-        let soon = now.plus_millis(SEND_WITHIN_MS);
+        let soon = now.plus_millis(SEND_TIMEOUT_MS);
         match (self.fresh_state(now), self.fresh.expires_at()) {
             (FreshState::Fresh, Some(expires_at)) => soon.min(expires_at),
             _ => soon,
