--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -193,10 +193,10 @@
 
     /// A write must begin before the freshness lease lapses, unless the log is down for all.
     fn send_before(&self, now: BoxTime) -> BoxTime {
-        let soon = now.plus_millis(SEND_TIMEOUT_MS);
+        let latest = now.plus_millis(SEND_TIMEOUT_MS);
         match (self.fresh_state(now), self.fresh.expires_at()) {
-            (FreshState::Fresh, Some(expires_at)) => soon.min(expires_at),
-            _ => soon,
+            (FreshState::Fresh, Some(expires_at)) => latest.min(expires_at),
+            _ => latest,
         }
     }
 
