--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -48,10 +48,10 @@
         if !self.has_stopped_accepting(stamp.now) || !self.requests.is_empty() {
             return;
         }
-        let owed = self.appends.values().any(|queue| !queue.is_empty());
+        let has_unwritten = self.appends.values().any(|queue| !queue.is_empty());
         let grace = self.settings.entry_keep_ms + BILL_GRACE_MS;
         let witnessed = self.ledger.all_witnessed();
-        if !owed || (witnessed && stamp.now.millis_since(since) >= grace) {
+        if !has_unwritten || (witnessed && stamp.now.millis_since(since) >= grace) {
             out.push(BoxEffect::ExitAllowed);
         }
     }
