--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -36,7 +36,7 @@
             Ok(()) => {}
             Err(refusal) => {
                 self.counts.refused += 1;
-                self.keep_decision(DecisionRecord::refused_early(id, &target, &refusal));
+                self.keep_decision(DecisionRecord::refused(id, &target, &refusal));
                 out.push(BoxEffect::Refuse(ticket, refusal));
             }
         }
--- a/crates/core/src/state/dump.rs
+++ b/crates/core/src/state/dump.rs
@@ -38,11 +38,7 @@
 }
 
 impl DecisionRecord {
-    pub(super) fn refused_early(
-        id: u128,
-        target: &RequestTarget,
-        refusal: &RequestRefusal,
-    ) -> Self {
+    pub(super) fn refused(id: u128, target: &RequestTarget, refusal: &RequestRefusal) -> Self {
         Self {
             request: format!("{id:032x}"),
             account: String::new(),
