--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -36,7 +36,7 @@
             Ok(()) => {}
             Err(refusal) => {
                 self.counts.refused += 1;
-                self.keep_decision(DecisionRecord::refused(id, &target, &refusal));
+                self.record_decision(DecisionRecord::refused(id, &target, &refusal));
                 out.push(BoxEffect::Refuse(ticket, refusal));
             }
         }
@@ -249,7 +249,7 @@
         self.tickets.remove(&request.ticket);
         if let Err(refusal) = self.answer_claimed(&request, outcome, out) {
             self.counts.refused += 1;
-            self.keep_decision(self.describe(&request, Some(&refusal), None));
+            self.record_decision(self.describe(&request, Some(&refusal), None));
             out.push(BoxEffect::Refuse(request.ticket, refusal));
         }
     }
--- a/crates/core/src/state/dump.rs
+++ b/crates/core/src/state/dump.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(super) fn keep_decision(&mut self, decision: DecisionRecord) {
+    pub(super) fn record_decision(&mut self, decision: DecisionRecord) {
         if self.decisions.len() >= DECISIONS_KEPT {
             self.decisions.pop_front();
         }
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -219,7 +219,7 @@
         if let (Some((claim, nonce)), 0) = (&request.claim, request.attempts) {
             self.void_claim(claim.clone(), *nonce);
         }
-        self.keep_decision(self.describe(&request, Some(&refusal), None));
+        self.record_decision(self.describe(&request, Some(&refusal), None));
         out.push(BoxEffect::Refuse(request.ticket, refusal));
     }
 
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -253,7 +253,7 @@
         let Some(request) = key.and_then(|key| self.requests.remove(key)) else { return };
         self.tickets.remove(&request.ticket);
         self.counts.answered += 1;
-        self.keep_decision(self.describe(&request, None, request.version));
+        self.record_decision(self.describe(&request, None, request.version));
         out.push(BoxEffect::Finish(request.ticket, request.reasons));
     }
 
