--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -46,7 +46,7 @@
 pub use dump::{DecisionRecord, StateDump};
 
 /// Decisions kept for `explain`.
-pub const DECISIONS_KEPT: usize = 4_096;
+pub const DECISION_LIMIT: usize = 4_096;
 
 /// Settings of a box that the reducer needs.
 #[derive(Clone, Debug)]
--- a/crates/core/src/state/dump.rs
+++ b/crates/core/src/state/dump.rs
@@ -12,7 +12,7 @@
 use crate::rollout::RolloutState;
 use crate::time::BoxTime;
 
-use super::{BoxCounts, BoxState, RequestState, DECISIONS_KEPT};
+use super::{BoxCounts, BoxState, RequestState, DECISION_LIMIT};
 
 /// A decision, kept for `explain`.
 #[derive(Clone, Debug, Serialize)]
@@ -129,7 +129,7 @@
     }
 
     pub(super) fn record_decision(&mut self, decision: DecisionRecord) {
-        if self.decisions.len() >= DECISIONS_KEPT {
+        if self.decisions.len() >= DECISION_LIMIT {
             self.decisions.pop_front();
         }
         self.decisions.push_back(decision);
