--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -61,7 +61,7 @@
 
 impl TokenKeys {
     /// Seals `claims` with the newest key; `None` without any key.
-    pub fn seal(&self, claims: &SessionClaims) -> Option<String> {
+    pub fn sign(&self, claims: &SessionClaims) -> Option<String> {
         let key = self.0.first()?;
         let body = serde_json::to_vec(claims).expect("claims are plain data");
         let text = format!("{TOKEN_PREFIX}.{}.{}", key.id, URL_SAFE_NO_PAD.encode(body));
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -210,7 +210,7 @@
             account: self.names.accounts.name(request.account).to_owned(),
             pins: request.pins.clone(),
         };
-        self.settings.token_keys.seal(&claims)
+        self.settings.token_keys.sign(&claims)
     }
 
     fn enqueue(
--- a/crates/core/tests/any_input.rs
+++ b/crates/core/tests/any_input.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_token_outlives_a_rotation_and_not_its_key() {
-    let token = keys(&["k1"]).seal(&claims()).expect("a key");
+    let token = keys(&["k1"]).sign(&claims()).expect("a key");
 
     assert_eq!(keys(&["k2", "k1"]).open(&token), Ok(claims()));
     assert_eq!(keys(&["k2"]).open(&token), Err(TokenError::Forged));
@@ -41,7 +41,7 @@
 
     #[test]
     fn a_changed_token_is_refused(place in 0usize..100, byte in 32u8..127) {
-        let token = keys(&["k1"]).seal(&claims()).expect("a key");
+        let token = keys(&["k1"]).sign(&claims()).expect("a key");
         let place = place * token.len() / 100;
         let mut bytes = token.clone().into_bytes();
         prop_assume!(bytes[place] != byte);
