--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     /// [`TokenError`] if it is malformed, forged, or its key is no longer listed.
-    pub fn open(&self, token: &str) -> Result<SessionClaims, TokenError> {
+    pub fn verify(&self, token: &str) -> Result<SessionClaims, TokenError> {
         if token.len() > TOKEN_LIMIT {
             return Err(TokenError::Malformed);
         }
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -133,7 +133,7 @@
             return refuse(ReasonCode::NotAllowed);
         }
         if let Some(token) = session {
-            let claims = self.settings.token_keys.open(token).map_err(|error| {
+            let claims = self.settings.token_keys.verify(token).map_err(|error| {
                 Attempt::first().refuse(ReasonCode::BadToken).detail(error.to_string())
             })?;
             if claims.account != account {
--- a/crates/core/tests/any_input.rs
+++ b/crates/core/tests/any_input.rs
@@ -21,8 +21,8 @@
 fn a_token_outlives_a_rotation_and_not_its_key() {
     let token = keys(&["k1"]).sign(&claims()).expect("a key");
 
-    assert_eq!(keys(&["k2", "k1"]).open(&token), Ok(claims()));
-    assert_eq!(keys(&["k2"]).open(&token), Err(TokenError::Forged));
+    assert_eq!(keys(&["k2", "k1"]).verify(&token), Ok(claims()));
+    assert_eq!(keys(&["k2"]).verify(&token), Err(TokenError::Forged));
 }
 
 #[test]
@@ -36,7 +36,7 @@
 proptest! {
     #[test]
     fn any_token_is_refused(token in "\\PC{0,200}") {
-        prop_assert!(keys(&["k1"]).open(&token).is_err());
+        prop_assert!(keys(&["k1"]).verify(&token).is_err());
     }
 
     #[test]
@@ -47,7 +47,7 @@
         prop_assume!(bytes[place] != byte);
         bytes[place] = byte;
         let changed = String::from_utf8(bytes).expect("plain text");
-        prop_assert!(keys(&["k1"]).open(&changed).is_err());
+        prop_assert!(keys(&["k1"]).verify(&changed).is_err());
     }
 
     #[test]
