--- a/crates/core/src/appender.rs
+++ b/crates/core/src/appender.rs
@@ -98,7 +98,7 @@
     }
 
     /// Whether the last append failed.
-    pub fn failing(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.retry_ms > RETRY_FIRST_MS
     }
 
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -204,7 +204,7 @@
             return self.answer_claimed(&request, outcome, out);
         }
         let claims = self.appends.get(&LogStream::Claims);
-        if claims.is_some_and(|queue| queue.failing() || queue.is_full()) {
+        if claims.is_some_and(|queue| queue.is_failing() || queue.is_full()) {
             let refusal = Attempt::first().refuse(ReasonCode::LogDown).retry_after(LOG_WAIT_MS);
             return Err(refusal);
         }
