--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -108,7 +108,7 @@
     (table, version)
 }
 
-fn ask(random: u64, prefix: u64) -> PickQuery {
+fn pick_query(random: u64, prefix: u64) -> PickQuery {
     PickQuery { prefix, random, now: BoxTime::from_millis(10), avoid: None }
 }
 
@@ -118,7 +118,8 @@
     let mut picks = std::collections::BTreeMap::new();
 
     for random in 0..8 {
-        let PickOutcome::Picked(key, _) = table.pick(table.subset(version), ask(random, 0)) else {
+        let PickOutcome::Picked(key, _) = table.pick(table.subset(version), pick_query(random, 0))
+        else {
             panic!("there is room")
         };
         table.record_assigned(key, BoxTime::from_millis(10));
@@ -139,7 +140,8 @@
     };
 
     fail(&mut table, keys[0]);
-    let picked = |table: &ReplicaTable, random| table.pick(table.subset(version), ask(random, 0));
+    let picked =
+        |table: &ReplicaTable, random| table.pick(table.subset(version), pick_query(random, 0));
     let avoided = (0..64).all(|random| {
         !matches!(picked(&table, random * 0x1_0000_0001), PickOutcome::Picked(key, _) if key == keys[0])
     });
@@ -154,11 +156,12 @@
 #[test]
 fn a_prefix_stays_with_its_replica_until_that_one_is_loaded() {
     let (mut table, version) = table(4);
-    let pick =
-        |table: &ReplicaTable, random| match table.pick(table.subset(version), ask(random, 77)) {
-            PickOutcome::Picked(key, method) => (key, method),
-            other => panic!("{other:?}"),
-        };
+    let pick = |table: &ReplicaTable, random| match table
+        .pick(table.subset(version), pick_query(random, 77))
+    {
+        PickOutcome::Picked(key, method) => (key, method),
+        other => panic!("{other:?}"),
+    };
 
     let (home, method) = pick(&table, 1);
     assert_eq!(method, PickMethod::Affinity);
