--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -285,7 +285,7 @@
 pub enum PeerBody {
     /// A heartbeat.
     #[prost(message, tag = "3")]
-    Beat(PeerHeartbeat),
+    Heartbeat(PeerHeartbeat),
     /// The answer to a heartbeat.
     #[prost(message, tag = "4")]
     Reply(HeartbeatReply),
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -118,7 +118,7 @@
             leaving_replicas: notices.map(|(_, name)| name.clone()).collect(),
             halted: halted.map(|(name, _)| name.clone()).take(NOTICES_PER_HEARTBEAT).collect(),
         };
-        self.gossip(PeerBody::Beat(heartbeat), out);
+        self.gossip(PeerBody::Heartbeat(heartbeat), out);
     }
 
     /// Shares this box's ratings of the last round with the boxes of this round. They are not passed
@@ -168,12 +168,12 @@
         if self.members.find(&from).is_none() {
             // The box list lags behind a new box: it is answered, so that it can start, but nothing
             // that it says is counted.
-            if !matches!(body, PeerBody::Beat(_) | PeerBody::RequestBundle(_)) {
+            if !matches!(body, PeerBody::Heartbeat(_) | PeerBody::RequestBundle(_)) {
                 return;
             }
         }
         match body {
-            PeerBody::Beat(heartbeat) => self.on_heartbeat(stamp, &from, &heartbeat, out),
+            PeerBody::Heartbeat(heartbeat) => self.on_heartbeat(stamp, &from, &heartbeat, out),
             PeerBody::Reply(reply) => self.on_reply(&from, incarnation, &reply, out),
             PeerBody::Bundle(record) => {
                 let outcome = self.fold.adopt_record(&record);
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -32,7 +32,7 @@
         for row in self.members.peers().take(STOP_FAN_OUT) {
             out.push(BoxEffect::SendPeer(
                 row.listed.name.clone(),
-                PeerBody::Beat(heartbeat.clone()),
+                PeerBody::Heartbeat(heartbeat.clone()),
             ));
         }
     }
--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -8,7 +8,7 @@
 
 fn beat(stamp: u64, name: &str) -> PeerMessage {
     let beat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
-    PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Beat(beat)) }
+    PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Heartbeat(beat)) }
 }
 
 proptest! {
