--- a/crates/cli/src/publish.rs
+++ b/crates/cli/src/publish.rs
@@ -69,7 +69,7 @@
     loop {
         let read = config.log.read("bundles", fold.next_offset(), Duration::ZERO).await?;
         if read.first > fold.next_offset() {
-            fold.note_gap(read.first);
+            fold.record_gap(read.first);
         }
         for (offset, record) in read.records {
             match record.body {
--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -174,7 +174,7 @@
     }
 
     /// Notes that the records from the next offset up to `first` were trimmed unread.
-    pub fn note_gap(&mut self, first: u64) {
+    pub fn record_gap(&mut self, first: u64) {
         self.gap = Some(first);
         self.deferred.clear();
         self.next = first;
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -49,7 +49,7 @@
         out: &mut Vec<BoxEffect>,
     ) {
         if read.first > self.fold.next_offset() {
-            self.fold.note_gap(read.first);
+            self.fold.record_gap(read.first);
         }
         for (offset, record) in records {
             if let Some(RecordBody::Bundle(bundle)) = record.body {
