--- a/crates/box/src/follow.rs
+++ b/crates/box/src/follow.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::appender::LogStream;
 use ravenspoke_core::effect::PoolOrder;
 use ravenspoke_core::event::BoxEvent;
-use ravenspoke_core::lease::ORDER_FLIGHT_MS;
+use ravenspoke_core::lease::ORDER_TIMEOUT_MS;
 use ravenspoke_core::message::LogRecord;
 use ravenspoke_services::{read_load, ListClient, LogClient};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -142,7 +142,7 @@
             let body = serde_json::json!({ "token": order.token, "versions": order.versions });
             let request = http
                 .post(format!("http://{}/orders", order.address))
-                .timeout(Duration::from_millis(ORDER_FLIGHT_MS))
+                .timeout(Duration::from_millis(ORDER_TIMEOUT_MS))
                 .json(&body);
             if driver.now() >= order.send_before {
                 return;
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -16,7 +16,7 @@
 pub const LEASE_TERM_MS: u64 = 10_000;
 
 /// The longest an order may be under way, in milliseconds; it is given up before.
-pub const ORDER_FLIGHT_MS: u64 = 2_000;
+pub const ORDER_TIMEOUT_MS: u64 = 2_000;
 
 /// A lease record as this box read it.
 #[derive(Clone, Copy, Debug, Serialize)]
@@ -43,9 +43,9 @@
         let before = self.entries.get(pool);
         let settled_at = match before {
             Some(entry) if entry.holder == holder => entry.settled_at,
-            Some(entry) => entry.until.plus_millis(ORDER_FLIGHT_MS).max(entry.settled_at),
+            Some(entry) => entry.until.plus_millis(ORDER_TIMEOUT_MS).max(entry.settled_at),
             // Nothing is known of holders before the first record that this box read.
-            None => from.plus_millis(LEASE_TERM_MS + ORDER_FLIGHT_MS),
+            None => from.plus_millis(LEASE_TERM_MS + ORDER_TIMEOUT_MS),
         };
         let until = from.plus_millis(term_ms.min(LEASE_TERM_MS));
         self.entries.insert(pool.to_owned(), LeaseEntry { holder, token, until, settled_at });
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -10,7 +10,7 @@
 use crate::bundle::PoolSpec;
 use crate::effect::{BoxEffect, PoolOrder};
 use crate::event::EventStamp;
-use crate::lease::{LEASE_TERM_MS, ORDER_FLIGHT_MS};
+use crate::lease::{LEASE_TERM_MS, ORDER_TIMEOUT_MS};
 use crate::message::{LeaseRecord, LogRecord, RecordBody};
 use crate::replica::ReplicaState;
 use crate::time::BoxTime;
@@ -122,7 +122,7 @@
             }
             self.ordered.insert(replica.clone(), (stamp.now, target_versions.clone()));
             let versions = target_versions.clone();
-            let send_before = lease.until.min(stamp.now.plus_millis(ORDER_FLIGHT_MS));
+            let send_before = lease.until.min(stamp.now.plus_millis(ORDER_TIMEOUT_MS));
             let token = lease.token;
             out.push(BoxEffect::Order(PoolOrder {
                 replica,
