--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -353,7 +353,7 @@
 fn a_stream_breaks_and_is_resumed() {
     let mut story = COTEAU.story();
     story.chat(1, 0, "assist-small", 0);
-    story.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
+    story.answer(1, "breaks off behind 12 tokens", AttemptEnd::Aborted { delivered: 12 });
     story.whole(1);
     story.wait(100);
     story.chat(2, 0, "assist-small", 0);
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -252,9 +252,9 @@
         let silence = self.tools.silence;
         let sent = self.unless_left(tokio::time::timeout(silence, sent)).await?;
         let response = match sent {
-            Err(_elapsed) => return Some(AttemptEnd::Broken { delivered: 0 }),
+            Err(_elapsed) => return Some(AttemptEnd::Aborted { delivered: 0 }),
             Ok(Err(error)) if error.is_connect() => return Some(AttemptEnd::NeverConnected),
-            Ok(Err(_)) => return Some(AttemptEnd::Broken { delivered: 0 }),
+            Ok(Err(_)) => return Some(AttemptEnd::Aborted { delivered: 0 }),
             Ok(Ok(response)) => response,
         };
         let said = |name| header(response.headers(), name);
@@ -310,21 +310,21 @@
                     }
                     body.extend_from_slice(&piece);
                     if body.len() > self.tools.answer_bytes {
-                        return Some(AttemptEnd::Broken { delivered: 0 });
+                        return Some(AttemptEnd::Aborted { delivered: 0 });
                     }
                 }
                 Ok(Ok(None)) => break,
-                Ok(Err(_)) | Err(_) => return Some(AttemptEnd::Broken { delivered: 0 }),
+                Ok(Err(_)) | Err(_) => return Some(AttemptEnd::Aborted { delivered: 0 }),
             }
         }
         let body = body.freeze();
         let mut tokens = 0;
         if matches!(self.call, UpstreamCall::Chat { .. }) {
             if status >= 500 {
-                return Some(AttemptEnd::Broken { delivered: 0 });
+                return Some(AttemptEnd::Aborted { delivered: 0 });
             }
             let Ok(value) = serde_json::from_slice::<Value>(&body) else {
-                return Some(AttemptEnd::Broken { delivered: 0 });
+                return Some(AttemptEnd::Aborted { delivered: 0 });
             };
             let used = value["usage"]["completion_tokens"].as_u64().unwrap_or(0);
             tokens = u32::try_from(used).unwrap_or(u32::MAX);
@@ -352,7 +352,7 @@
         loop {
             let piece = tokio::time::timeout(self.tools.silence, response.chunk());
             let broken =
-                AttemptEnd::Broken { delivered: if order.buffered { 0 } else { reader.tokens } };
+                AttemptEnd::Aborted { delivered: if order.buffered { 0 } else { reader.tokens } };
             let piece = match self.unless_left(piece).await? {
                 Ok(Ok(Some(piece))) => piece,
                 Ok(Ok(None)) if reader.ended => break,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -84,7 +84,7 @@
         leaving: bool,
     },
     /// The answer broke off.
-    Broken {
+    Aborted {
         /// Tokens that the caller has already been given.
         delivered: u32,
     },
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -121,7 +121,7 @@
                 self.replicas.record_failure(replica, stamp.now);
                 self.on_failed(stamp, key, attempt, ReasonCode::ReplicaFailed, out);
             }
-            AttemptEnd::Broken { delivered } => {
+            AttemptEnd::Aborted { delivered } => {
                 self.replicas.record_failure(replica, stamp.now);
                 self.record_failure_evidence(key);
                 self.requests[key].delivered += delivered;
