--- a/crates/box/src/answer.rs
+++ b/crates/box/src/answer.rs
@@ -73,8 +73,8 @@
 /// The protocol's error object for a refusal.
 pub fn refusal_json(refusal: &RequestRefusal, request: u128) -> serde_json::Value {
     let message = match &refusal.detail {
-        Some(detail) => format!("{}: {detail}", refusal.reason.words()),
-        None => refusal.reason.words().to_owned(),
+        Some(detail) => format!("{}: {detail}", refusal.reason.description()),
+        None => refusal.reason.description().to_owned(),
     };
     let kind = match status_of(refusal) {
         401 => "authentication_error",
--- a/crates/box/src/operator.rs
+++ b/crates/box/src/operator.rs
@@ -56,7 +56,8 @@
 ) -> Option<Json<Value>> {
     let state = driver.state();
     let decision = state.decision(request)?;
-    let words = |reason: &ReasonCode| json!({ "code": reason.slug(), "words": reason.words() });
+    let words =
+        |reason: &ReasonCode| json!({ "code": reason.slug(), "words": reason.description() });
     let reasons: Vec<Value> = decision.reasons.iter().map(words).collect();
     Some(Json(json!({
         "request": decision.request,
@@ -69,7 +70,7 @@
         "reasons": reasons,
         "refusal": decision.refusal.as_ref().map(|refusal| json!({
             "code": refusal.reason.slug(),
-            "words": refusal.reason.words(),
+            "words": refusal.reason.description(),
             "run": refusal.run(),
             "detail": refusal.detail,
         })),
--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -95,7 +95,7 @@
 fn bill_json(bill: &BillRecord) -> Value {
     let word = |number: &u32| {
         let reason = ReasonCode::ALL.iter().find(|reason| **reason as u32 == *number);
-        reason.map_or(json!(number), |r| json!({ "code": r.slug(), "words": r.words() }))
+        reason.map_or(json!(number), |r| json!({ "code": r.slug(), "words": r.description() }))
     };
     json!({
         "key": bill.key, "account": bill.account, "version": bill.version,
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -24,7 +24,7 @@
             }
 
             /// The reason in words, for `explain`.
-            pub const fn words(self) -> &'static str {
+            pub const fn description(self) -> &'static str {
                 match self { $(ReasonCode::$name => $words,)* }
             }
         }
