--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 macro_rules! reasons {
-    ($($(#[$doc:meta])* $name:ident = $code:literal, $slug:literal, $words:literal;)*) => {
+    ($($(#[$doc:meta])* $name:ident = $code:literal, $slug:literal, $description:literal;)*) => {
         /// Why a decision or a refusal was made.
         ///
         /// The number stands in bills and must not change its meaning; the slug is the stable code
@@ -11,7 +11,7 @@
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ReasonCode {
-            $($(#[$doc])* #[doc = $words] $name = $code,)*
+            $($(#[$doc])* #[doc = $description] $name = $code,)*
         }
 
         impl ReasonCode {
@@ -25,7 +25,7 @@
 
             /// The reason in words, for `explain`.
             pub const fn description(self) -> &'static str {
-                match self { $(ReasonCode::$name => $words,)* }
+                match self { $(ReasonCode::$name => $description,)* }
             }
         }
     };
