--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,13 +1,13 @@
-//! Small `Copy` keys, and the table that interns names into them.
+//! Small `Copy` keys, and the table that interns names as keys.
 //!
-//! Bundles name accounts, models and versions by string. Each box interns a name once and works
-//! with the key from then on; a key is stable while the process lives, also across bundles.
+//! Bundles name accounts, models and versions by string. Each box interns a name once and uses the
+//! key from then on. A key stays valid for the life of the process, also across bundles.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
 
 slotmap::new_key_type! {
-    /// A request that the box has taken in and not yet finished.
+    /// A request that the box has admitted and not yet finished.
     pub struct RequestKey;
     /// A replica of a backend server that the box knows.
     pub struct ReplicaKey;
@@ -15,9 +15,9 @@
 
 /// A key that stands for an interned name.
 pub trait NameKey: Copy {
-    /// Builds the key of row `index`.
+    /// Returns the key of row `index`.
     fn from_index(index: usize) -> Self;
-    /// The row of this key.
+    /// Returns the row of this key.
     fn index(self) -> usize;
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl<K: NameKey> NameTable<K> {
-    /// The key of `name`, made now if the name is new.
+    /// Returns the key of `name`, and interns the name if it is new.
     pub fn intern(&mut self, name: &str) -> K {
         if let Some(key) = self.keys.get(name) {
             return *key;
@@ -73,17 +73,17 @@
         key
     }
 
-    /// The key of `name`, if it was interned.
+    /// Returns the key of `name`, if it is interned.
     pub fn find(&self, name: &str) -> Option<K> {
         self.keys.get(name).copied()
     }
 
-    /// The name behind `key`.
+    /// Returns the name of `key`.
     pub fn name(&self, key: K) -> &str {
         &self.names[key.index()]
     }
 
-    /// How many names are interned.
+    /// Number of interned names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
--- a/crates/core/src/position.rs
+++ b/crates/core/src/position.rs
@@ -4,28 +4,30 @@
 
 use serde::Serialize;
 
-/// A position in a topic of the store, later ones greater. Where the store comes back from an older copy of its data, a
-/// new era begins, and offsets are given out again.
+/// A position in a topic of the store; later positions are greater.
+///
+/// A new era begins when the store is restored from an older copy of its data, since it then
+/// assigns the same offsets again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct TopicPosition {
     /// The store's era.
     pub era: u64,
-    /// Records before it in the topic, in that era.
+    /// Number of records before it in the topic, in that era.
     pub offset: u64,
 }
 
 impl TopicPosition {
-    /// A position.
+    /// Creates a position.
     pub const fn new(era: u64, offset: u64) -> Self {
         Self { era, offset }
     }
 
-    /// The position behind `count` more records.
+    /// Returns the position after `count` more records.
     pub const fn plus(self, count: u64) -> Self {
         Self { offset: self.offset + count, ..self }
     }
 
-    /// The position of the record before it, or itself where there is none.
+    /// Returns the position of the previous record, or itself at the start of an era.
     pub const fn previous(self) -> Self {
         Self { offset: self.offset.saturating_sub(1), ..self }
     }
