--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything a box can be told to do, as data.
+//! Effects: what the reducer instructs the box to do.
 
 use crate::appender::LogStream;
 use crate::attempt::RequestRefusal;
@@ -9,7 +9,7 @@
 use crate::reason::ReasonCode;
 use crate::time::BoxTime;
 
-/// A replica for an attempt.
+/// An attempt to prepare: the replica and how to call it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptOrder {
     /// Number of the attempt within its request, from 1.
@@ -18,19 +18,19 @@
     pub replica: String,
     /// Its address.
     pub address: String,
-    /// Version asked for; empty for a plain service.
+    /// Requested version; empty for a plain service.
     pub version: String,
-    /// Whether the answer is held until it was rated.
+    /// Whether the answer is held until it is rated.
     pub buffered: bool,
-    /// Tokens that the caller already has, to resume a broken stream.
+    /// Number of tokens that the caller already has, to resume an aborted stream.
     pub resume_from: u32,
     /// The write must begin before this.
     pub send_before: BoxTime,
-    /// Session token for the caller, if it changed.
+    /// New session token for the caller, if its content changed.
     pub session_token: Option<String>,
 }
 
-/// An order to a replica of a pool: the versions it should have loaded.
+/// An order to a replica of a pool: the versions that it should have loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolOrder {
     /// Replica name.
@@ -39,13 +39,13 @@
     pub address: String,
     /// Fencing token.
     pub token: u64,
-    /// Versions.
+    /// Versions that the replica should have loaded.
     pub versions: Vec<String>,
     /// The write must begin before this.
     pub send_before: BoxTime,
 }
 
-/// An effect.
+/// An effect, the output of [`crate::state::BoxState::apply`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum BoxEffect {
     /// Prepare this attempt, then report [`crate::event::BoxEvent::SendStarting`].
@@ -54,47 +54,48 @@
     Send(RequestTicket),
     /// Rate the held answer before it is released.
     RateHeldAnswer(RequestTicket, RequestKey),
-    /// Rate the answer, which has left or will leave unrated.
+    /// Rate the answer, which is released without waiting for the rating.
     RateReleasedAnswer(RequestTicket),
-    /// The end of the answer may leave: the request is billed.
+    /// Release the end of the answer: the request is billed.
     Finish(RequestTicket, Vec<ReasonCode>),
-    /// The request ends without a whole answer.
+    /// End the request without a complete answer.
     Refuse(RequestTicket, RequestRefusal),
-    /// The call ran earlier; this was its answer.
+    /// Answer with the recorded outcome of an earlier request with the same key.
     Replay(RequestTicket, OutcomeRecord),
-    /// Give a replica an order, unless its time has passed; orders name a target state, so a repeat is
-    /// harmless.
+    /// Send an order to a replica, unless its time has passed. Orders name a target state, so a
+    /// repeat is harmless.
     Order(PoolOrder),
-    /// Append a batch; then report `AppendDone` or `AppendFailed`.
+    /// Append a batch to the log, then report `AppendDone` or `AppendFailed`.
     Append(LogStream, Vec<LogRecord>),
     /// Send a message to another box.
     SendPeer(String, PeerBody),
-    /// A bundle came into force.
+    /// Report that a bundle came into force.
     BundleInForce {
         /// Its sequence.
         sequence: u64,
         /// Its digest.
         digest: String,
     },
-    /// A bundle record was rejected.
+    /// Report that a bundle record was rejected.
     BundleRejected(FoldRejection),
-    /// Read the bundles stream at once: a peer knows a higher sequence.
+    /// Read the bundles stream now: a peer has a higher sequence.
     ReadBundles,
-    /// A roll-out was halted.
+    /// Report that a roll-out was halted.
     RolloutHalted(String),
-    /// A roll-out reached a step.
+    /// Report that a roll-out reached a step.
     RolloutStep(String, u32),
-    /// A replica leaves.
+    /// Report that a replica is leaving.
     ReplicaLeaving(String),
-    /// A witness appends bills for an owner that vanished.
+    /// Report that this box, as a witness, appends the bills of an owner that was lost.
     OwnerLost {
         /// Name of the owner.
         owner: String,
-        /// Bills appended for it.
+        /// Number of bills appended for it.
         bills: usize,
     },
-    /// An answer left with fewer witnesses than it should have.
+    /// Report that an answer was released although its bill has too few witnesses.
     Unwitnessed(BillRecord),
-    /// The box may exit: nothing is owed any more.
+    /// The box may exit: no request runs, and its records are in the log or, after a grace period,
+    /// its bills are held by witnesses.
     ExitAllowed,
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a box, as data.
+//! Events: the inputs of the reducer.
 
 use crate::appender::LogStream;
 use crate::ids::RequestKey;
@@ -7,33 +7,33 @@
 use crate::replica::{ListedReplica, LoadReport};
 use crate::time::{BoxTime, WallTime};
 
-/// What the box hands in with every event.
+/// Time and randomness that accompany every event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EventStamp {
     /// Monotonic time.
     pub now: BoxTime,
     /// Wall-clock time.
     pub wall: WallTime,
-    /// A random number; the only source of chance.
+    /// A random number; the only source of randomness.
     pub random: u64,
 }
 
-/// Number that the box gives a request before the reducer has a key for it.
+/// Number that the box assigns to a request before the reducer has a key for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize)]
 pub struct RequestTicket(pub u64);
 
-/// What a caller asks for.
+/// What a caller requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestTarget {
     /// A model, version or cascade of the bundle.
     Model {
         /// Its name.
         name: String,
-        /// Tokens in the prompt, estimated.
+        /// Estimated number of tokens in the prompt.
         prompt_tokens: u32,
         /// Request class, below [`crate::rollout::CLASS_COUNT`].
         class: u8,
-        /// Hash of the prompt's prefix; 0 for none.
+        /// Hash of the prompt's prefix; 0 if it has none.
         prefix: u64,
         /// Session token, if the caller sent one.
         session: Option<String>,
@@ -52,13 +52,13 @@
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestDetails {
-    /// Number given by the box.
+    /// Number assigned by the box.
     pub ticket: RequestTicket,
-    /// Request id, unique over all boxes.
+    /// Request id, unique across all boxes.
     pub id: u128,
     /// SHA-256 of the caller key.
     pub key_hash: [u8; 32],
-    /// What is asked for.
+    /// What the caller requests.
     pub target: RequestTarget,
     /// The caller's `Idempotency-Key`, if any.
     pub caller_key: Option<String>,
@@ -67,58 +67,58 @@
 /// How an attempt ended, as the box saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer with its end marker and the right echo.
+    /// A complete answer with its end marker and the id of this request.
     Answered {
         /// Tokens generated.
         tokens: u32,
         /// HTTP status, for plain services.
         status: u16,
-        /// Body, for operations that may not be repeated.
+        /// Body, for operations that must not be repeated.
         body: Vec<u8>,
     },
-    /// No connection came about: nothing was written.
+    /// The connection could not be established, so nothing was written.
     NeverConnected,
-    /// The backend server says that it did not run the request, because it is full or leaving.
+    /// The backend server reports that it did not run the request, because it is full or leaving.
     Declined {
-        /// Whether it says that it is leaving.
+        /// Whether it reports that it is leaving.
         leaving: bool,
     },
-    /// The answer broke off.
+    /// The answer was cut short.
     Aborted {
-        /// Tokens that the caller has already been given.
+        /// Tokens of this attempt that the caller already has.
         delivered: u32,
     },
-    /// The answer was for another request.
+    /// The answer carries the id of another request.
     WrongEcho,
 }
 
-/// An event.
+/// An event, the input of [`crate::state::BoxState::apply`].
 #[derive(Clone, Debug)]
 pub enum BoxEvent {
     /// Time passed.
     Tick,
-    /// A stream was read.
+    /// A stream of the log was read.
     LogRead {
         /// Stream.
         stream: LogStream,
-        /// When the read was asked, on this box's clock.
+        /// When the read was requested, on this box's clock.
         asked_at: BoxTime,
         /// First offset that the log still keeps.
         first: u64,
-        /// Offset behind the last record of the stream.
+        /// Offset after the last record of the stream.
         tail: u64,
-        /// Age of the first record below, in milliseconds.
+        /// Age of the first of `records`, in milliseconds.
         age_ms: u64,
         /// Records with their offsets.
         records: Vec<(u64, LogRecord)>,
     },
-    /// The batch in flight on this stream is in the log.
+    /// The batch in flight on this stream was appended to the log.
     AppendDone(LogStream),
-    /// The batch failed, or its answer was lost.
+    /// The append of the batch failed, or its acknowledgement was lost.
     AppendFailed(LogStream),
-    /// The box list was read.
+    /// The platform's box list was read.
     ListRead {
-        /// Entry boxes.
+        /// Boxes of the fleet.
         boxes: Vec<ListedBox>,
         /// Replicas of backend servers.
         replicas: Vec<ListedReplica>,
@@ -136,25 +136,25 @@
     },
     /// A caller's request arrived.
     RequestArrived(RequestDetails),
-    /// The box is about to write the request to the replica that it was given.
+    /// The box is about to write the request to the replica that was picked for it.
     SendStarting(RequestKey),
-    /// The first token came.
+    /// The first token of the answer arrived.
     FirstToken(RequestKey),
     /// An attempt ended.
     AttemptEnded(RequestKey, AttemptEnd),
-    /// An answer that waited for its rating was rated; `None` if no rating could be had.
+    /// An answer that was held for its rating was rated; `None` if the rating failed.
     HeldAnswerRated(RequestKey, Option<bool>),
-    /// An answer that had already left was rated.
+    /// An answer that was already released was rated.
     ReleasedAnswerRated {
         /// Version that gave it.
         version: String,
         /// Request class.
         class: u8,
-        /// Rating; `None` if none could be had.
+        /// Rating; `None` if the rating failed.
         good: Option<bool>,
     },
-    /// The caller went away.
+    /// The caller closed its connection.
     CallerDisconnected(RequestTicket),
-    /// The operator asks for a planned stop.
+    /// The operator requested a planned stop.
     StopRequested,
 }
