--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -1,10 +1,10 @@
 //! Messages between boxes and records in the platform's log.
 //!
-//! Both are `prost` messages by derive, so the build needs no generator and no generated code is
+//! Both derive `prost` messages, so the build needs no code generator and no generated code is
 //! committed. Every log record carries the incarnation of the box that wrote it and a natural key
-//! of its own (bundle sequence, claim nonce, bill key, verdict), by which readers drop repeats: an
-//! append whose acknowledgement was lost may have taken effect, may take effect late, and is sent
-//! again.
+//! (bundle sequence, claim nonce, bill key, verdict) by which readers drop repeats. Repeats occur
+//! because an append is sent again when its acknowledgement is lost, and the first one may have
+//! taken effect or may still take effect later.
 
 use prost::{Message, Oneof};
 
@@ -30,7 +30,7 @@
     pub signature: Vec<u8>,
 }
 
-/// A bundle, whole or as the sections that changed against its base.
+/// A bundle, complete or as the sections that differ from its base.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BundleRecord {
     /// One more than the sequence of the base; the first bundle is 1.
@@ -39,7 +39,7 @@
     /// Digest of the base, or `none` for the first bundle.
     #[prost(string, tag = "2")]
     pub base: String,
-    /// Digest of the whole bundle, after the change.
+    /// Digest of the complete bundle, after the change.
     #[prost(string, tag = "3")]
     pub digest: String,
     /// Whether `changed` holds every section.
@@ -48,27 +48,28 @@
     /// New and changed sections.
     #[prost(message, repeated, tag = "5")]
     pub changed: Vec<BundleSection>,
-    /// Names of sections that the bundle drops.
+    /// Names of removed sections.
     #[prost(string, repeated, tag = "6")]
     pub removed: Vec<String>,
     /// Sign-offs.
     #[prost(message, repeated, tag = "7")]
     pub sign_offs: Vec<SignOff>,
-    /// Set where a box carries the bundle in force forward before its record expires.
+    /// Whether a box wrote this record to carry the bundle in force forward: it appends the
+    /// complete bundle again before the log's retention removes the earlier record.
     #[prost(bool, tag = "8")]
     pub carried: bool,
-    /// Of a carried record: the offset up to which its writer had folded the stream.
+    /// For a carried record, the offset up to which its writer had folded the stream.
     #[prost(uint64, tag = "9")]
     pub folded_to: u64,
 }
 
-/// A claim to run a call that may not be repeated.
+/// A claim to run a call that must not be repeated.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ClaimRecord {
     /// Client account and caller's key, `account/uuid`.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Unique for each claim.
+    /// Random number, unique to the claim.
     #[prost(uint64, tag = "2")]
     pub nonce: u64,
 }
@@ -93,7 +94,7 @@
 /// One billed request.
 #[derive(Clone, PartialEq, Message)]
 pub struct BillRecord {
-    /// By this readers drop repeats: `account/caller-key`, or `incarnation/number`.
+    /// Key by which readers drop repeats: `account/caller-key`, or `incarnation/number`.
     #[prost(string, tag = "1")]
     pub key: String,
     /// Client account.
@@ -117,7 +118,7 @@
     /// Sequence of the bundle that allowed the last attempt.
     #[prost(uint64, tag = "8")]
     pub bundle: u64,
-    /// Codes of the decision's reasons, see [`crate::reason::ReasonCode`].
+    /// Codes of the reasons of the decision, see [`crate::reason::ReasonCode`].
     #[prost(uint32, repeated, tag = "9")]
     pub reasons: Vec<u32>,
     /// Number of the bill on its box, from 1.
@@ -131,7 +132,7 @@
     /// Version under roll-out.
     #[prost(string, tag = "1")]
     pub version: String,
-    /// Whether the roll-out is halted; else the step below is reached.
+    /// Whether the roll-out is halted; otherwise it has reached `step`.
     #[prost(bool, tag = "2")]
     pub halted: bool,
     /// Step that the roll-out has reached, from 0.
@@ -139,22 +140,23 @@
     pub step: u32,
 }
 
-/// A lease on ordering the replicas of a pool; its log offset is the fencing token.
+/// A lease on sending orders to the replicas of a pool; its log offset is the fencing token.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseRecord {
     /// Pool that the holder may order.
     #[prost(string, tag = "1")]
     pub pool: String,
-    /// How long the lease holds, counted by the holder from before the append was sent and by
-    /// others from when they read it, in milliseconds.
+    /// Duration of the lease in milliseconds. The holder counts it from before it sent the append,
+    /// other boxes from when they read the record.
     #[prost(uint64, tag = "2")]
     pub term_ms: u64,
-    /// The holder's clock before it sent the append, in microseconds; only the holder reads it.
+    /// Time on the holder's clock before it sent the append, in microseconds. Only the holder uses
+    /// it.
     #[prost(uint64, tag = "3")]
     pub asked_us: u64,
 }
 
-/// What a log record says.
+/// Content of a log record.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum RecordBody {
     /// A bundle.
@@ -163,10 +165,10 @@
     /// A claim.
     #[prost(message, tag = "4")]
     Claim(ClaimRecord),
-    /// A claimant's word that its claim will never run.
+    /// A claimant's statement that it will never run the claim.
     #[prost(message, tag = "5")]
     Void(ClaimRecord),
-    /// How a claimed call ended.
+    /// The outcome of a claimed call.
     #[prost(message, tag = "6")]
     Outcome(OutcomeRecord),
     /// A bill.
@@ -186,12 +188,12 @@
     /// Incarnation of the box that wrote it; 0 for an operator.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// What it says.
+    /// Content.
     #[prost(oneof = "RecordBody", tags = "3, 4, 5, 6, 7, 8, 9")]
     pub body: Option<RecordBody>,
 }
 
-/// What a box passes on about another box.
+/// What a box reports about another box.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PeerSummary {
     /// Box name.
@@ -200,7 +202,7 @@
     /// Incarnation.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Age of the last beat known of it, in milliseconds.
+    /// Age of the last heartbeat reply known from it, in milliseconds.
     #[prost(uint64, tag = "3")]
     pub age_ms: u64,
     /// Sequence that it has in force.
@@ -209,7 +211,7 @@
     /// Whether it is leaving.
     #[prost(bool, tag = "5")]
     pub leaving: bool,
-    /// Whether it has learnt something of the log since it started.
+    /// Whether it has obtained information on the log since it started.
     #[prost(bool, tag = "6")]
     pub proved: bool,
 }
@@ -217,7 +219,7 @@
 /// A heartbeat; the receiver answers it with a [`HeartbeatReply`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PeerHeartbeat {
-    /// The sender's clock when it sent this, in microseconds; only the sender reads it.
+    /// Time on the sender's clock when it sent this, in microseconds. Only the sender uses it.
     #[prost(uint64, tag = "1")]
     pub stamp: u64,
     /// Sequence that the sender has in force.
@@ -226,8 +228,8 @@
     /// Whether the sender is leaving.
     #[prost(bool, tag = "3")]
     pub leaving: bool,
-    /// Replicas that the sender lately heard are leaving: a mark that was passed on once may have
-    /// missed a box.
+    /// Replicas that the sender recently learned are leaving. They are repeated because a
+    /// [`LeavingNotice`] is sent once and may not reach every box.
     #[prost(string, repeated, tag = "4")]
     pub leaving_replicas: Vec<String>,
     /// Versions whose roll-out is halted.
@@ -238,10 +240,11 @@
 /// The answer to a [`PeerHeartbeat`].
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct HeartbeatReply {
-    /// The stamp of the beat that this answers.
+    /// The stamp of the heartbeat that this answers.
     #[prost(uint64, tag = "1")]
     pub echo: u64,
-    /// Age of what the answering box knows from the log, in milliseconds; `u64::MAX` for never.
+    /// Age of the answering box's information on the log, in milliseconds; `u64::MAX` if it has
+    /// none.
     #[prost(uint64, tag = "2")]
     pub log_age_ms: u64,
     /// Sequence that the answering box has in force.
@@ -250,13 +253,13 @@
     /// Whether the answering box is leaving.
     #[prost(bool, tag = "4")]
     pub leaving: bool,
-    /// A few other boxes. They stand in the reply and not in the beat, so that their ages count from
-    /// a time on the asker's own clock.
+    /// Summaries of a few other boxes. They are in the reply and not in the heartbeat, so that
+    /// their ages count from a time on the receiver's own clock.
     #[prost(message, repeated, tag = "5")]
     pub others: Vec<PeerSummary>,
 }
 
-/// Bills handed to a witness.
+/// Bills sent to a witness, which keeps a copy until they are in the log.
 #[derive(Clone, PartialEq, Message)]
 pub struct WitnessBills {
     /// The bills.
@@ -264,7 +267,7 @@
     pub bills: Vec<BillRecord>,
 }
 
-/// Numbers of bills, acknowledged by a witness or released by their owner.
+/// Numbers of bills that a witness acknowledges or that their owner releases.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BillNumbers {
     /// Bill numbers of the owner.
@@ -272,7 +275,7 @@
     pub numbers: Vec<u64>,
 }
 
-/// A replica's leaving mark, passed between boxes because the box list lags.
+/// A notice that a replica is leaving. Boxes send it to each other because the box list lags.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeavingNotice {
     /// Replica name.
@@ -280,7 +283,7 @@
     pub replica: String,
 }
 
-/// What a message between boxes says.
+/// Content of a message between boxes.
 #[derive(Clone, PartialEq, Oneof)]
 pub enum PeerBody {
     /// A heartbeat.
@@ -289,39 +292,39 @@
     /// The answer to a heartbeat.
     #[prost(message, tag = "4")]
     Reply(HeartbeatReply),
-    /// The bundle in force, from a box that knows of a lower one.
+    /// The bundle in force, sent to a box that has a lower sequence.
     #[prost(message, tag = "5")]
     Bundle(BundleRecord),
-    /// Bills to witness.
+    /// Bills for a witness to hold.
     #[prost(message, tag = "6")]
     Witness(WitnessBills),
-    /// The witness holds these.
+    /// Numbers of bills that the witness now holds.
     #[prost(message, tag = "7")]
     Witnessed(BillNumbers),
-    /// These are in the log; the witness may drop them.
+    /// Numbers of bills that are in the log, so that the witness can drop them.
     #[prost(message, tag = "8")]
     Release(BillNumbers),
     /// A roll-out verdict.
     #[prost(message, tag = "9")]
     Verdict(VerdictRecord),
-    /// A leaving replica.
+    /// A notice that a replica is leaving.
     #[prost(message, tag = "10")]
     Leaving(LeavingNotice),
-    /// A call for the whole bundle in force.
+    /// A request for the complete bundle in force.
     #[prost(message, tag = "11")]
     RequestBundle(BundleRequest),
     /// Evidence on a version under roll-out, for the first canary box.
     #[prost(message, tag = "12")]
     Evidence(RolloutEvidence),
-    /// Ratings since the last round, or all that a new box asked for.
+    /// Ratings since the last round, or all ratings in answer to a [`QualityRequest`].
     #[prost(message, tag = "13")]
     Quality(QualityUpdate),
-    /// A new box asks what the others learnt.
+    /// A request of a new box for the ratings of the others.
     #[prost(message, tag = "14")]
     RequestQuality(QualityRequest),
 }
 
-/// Ratings by model and class.
+/// Ratings by model and request class.
 #[derive(Clone, PartialEq, Message)]
 pub struct QualityUpdate {
     /// Rows.
@@ -329,7 +332,7 @@
     pub rows: Vec<QualityRow>,
 }
 
-/// Ratings of one model on one class.
+/// Ratings of one model on one request class.
 #[derive(Clone, PartialEq, Message)]
 pub struct QualityRow {
     /// Model.
@@ -338,19 +341,19 @@
     /// Request class.
     #[prost(uint32, tag = "2")]
     pub class: u32,
-    /// Answers that met the target, decayed.
+    /// Decayed number of answers that met the quality target.
     #[prost(float, tag = "3")]
     pub good: f32,
-    /// Answers that did not.
+    /// Decayed number of answers that did not.
     #[prost(float, tag = "4")]
     pub bad: f32,
 }
 
-/// A call for what the others learnt.
+/// A request for the ratings that the receiver has.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QualityRequest {}
 
-/// Judged answers of a version under roll-out, of one request class.
+/// Numbers of judged answers of a version under roll-out, for one request class.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RolloutEvidence {
     /// Version.
@@ -367,10 +370,10 @@
     pub bad: u32,
 }
 
-/// A call for the whole bundle in force.
+/// A request for the complete bundle in force.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct BundleRequest {
-    /// Sequence that the asker has in force.
+    /// Sequence that the requesting box has in force.
     #[prost(uint64, tag = "1")]
     pub have: u64,
 }
@@ -384,7 +387,7 @@
     /// Incarnation of the box that sent it.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// What it says.
+    /// Content.
     #[prost(oneof = "PeerBody", tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14")]
     pub body: Option<PeerBody>,
 }
