--- a/crates/core/src/attempt.rs
+++ b/crates/core/src/attempt.rs
@@ -1,8 +1,9 @@
-//! Life of an attempt, as types: what may be said of it follows from its state.
+//! States of an attempt, as types.
 //!
-//! `Queued` holds no replica. `Ready` was given one, but nothing has been written to it. From
-//! `Dispatched` on, the first byte may have left. Only the first two can become a refusal that says
-//! "not run"; a dispatched attempt has no such method, so the compiler keeps that promise.
+//! A `Queued` attempt has no replica. A `Ready` attempt has one, but nothing was written to it.
+//! From `Dispatched` on, the first byte may have been sent. Only a `Queued` attempt, or a `Ready`
+//! one that is requeued, can be refused as "not run". A dispatched attempt has no such method, so
+//! the compiler enforces that guarantee.
 
 use serde::Serialize;
 
@@ -22,16 +23,17 @@
     Ran,
 }
 
-/// The end of a request without a whole answer.
+/// End of a request without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RequestRefusal {
-    /// Why.
+    /// Reason.
     pub reason: ReasonCode,
-    /// Whether it ran. Private to this module's constructors, so that `NotRun` needs a proof.
+    /// Whether the request ran. Private, so that only an attempt in the right state yields
+    /// `NotRun`.
     run: RunState,
-    /// When to come back, in milliseconds.
+    /// Delay after which the caller should retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
-    /// More words for the caller, such as which key was refused and why.
+    /// Details for the caller, such as why a key was refused.
     pub detail: Option<String>,
 }
 
@@ -45,34 +47,34 @@
         Self { reason, run, retry_after_ms: None, detail: None }
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the delay after which the caller should retry, in milliseconds.
     pub fn retry_after(mut self, millis: u64) -> Self {
         self.retry_after_ms = Some(millis);
         self
     }
 
-    /// The same refusal with more words.
+    /// Adds details for the caller.
     pub fn detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = Some(detail.into());
         self
     }
 
-    /// An earlier request with the same key may have run, so nothing is promised about the key.
+    /// Creates a refusal for a key with which an earlier request may have run.
     pub fn earlier_may_have_run(reason: ReasonCode) -> Self {
         Self::new(reason, RunState::Unknown)
     }
 }
 
-/// No replica was chosen.
+/// State of an attempt that has no replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Queued;
 
-/// A replica was chosen; nothing was written to it.
+/// State of an attempt that has a replica to which nothing was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ready {
     /// The replica.
     pub replica: ReplicaKey,
-    /// The version it is asked for; `None` for a plain service.
+    /// The requested version; `None` for a plain service.
     pub version: Option<VersionKey>,
     /// The write must begin before this.
     pub send_before: BoxTime,
@@ -80,18 +82,18 @@
     pub at: BoxTime,
 }
 
-/// The first byte may have left.
+/// State of an attempt of which the first byte may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Dispatched {
     /// The replica.
     pub replica: ReplicaKey,
-    /// The version it was asked for.
+    /// The requested version; `None` for a plain service.
     pub version: Option<VersionKey>,
     /// When the replica was chosen.
     pub assigned_at: BoxTime,
     /// When the write began.
     pub at: BoxTime,
-    /// When the first token came.
+    /// When the first token arrived.
     pub first_token: Option<BoxTime>,
 }
 
@@ -100,34 +102,34 @@
 pub struct Attempt<S> {
     /// Number of the attempt within its request, from 1.
     pub number: u32,
-    /// What is known in this state.
+    /// Data of the state.
     pub state: S,
 }
 
 impl Attempt<Queued> {
-    /// The first attempt of a request.
+    /// Creates the first attempt of a request.
     pub fn first() -> Self {
         Self { number: 1, state: Queued }
     }
 
-    /// Gives the attempt a replica.
+    /// Assigns a replica to the attempt.
     pub fn assign(self, ready: Ready) -> Attempt<Ready> {
         Attempt { number: self.number, state: ready }
     }
 
-    /// Ends the attempt before it ran.
+    /// Ends the request, which did not run.
     pub fn refuse(self, reason: ReasonCode) -> RequestRefusal {
         RequestRefusal::new(reason, RunState::NotRun)
     }
 }
 
 impl Attempt<Ready> {
-    /// Takes the replica back; nothing was written.
+    /// Removes the replica, to which nothing was written.
     pub fn requeue(self) -> Attempt<Queued> {
         Attempt { number: self.number, state: Queued }
     }
 
-    /// The write begins.
+    /// Begins the write.
     pub fn dispatch(self, at: BoxTime) -> Attempt<Dispatched> {
         let Ready { replica, version, at: assigned_at, .. } = self.state;
         let state = Dispatched { replica, version, assigned_at, at, first_token: None };
@@ -136,12 +138,12 @@
 }
 
 impl Attempt<Dispatched> {
-    /// The next attempt, for a request that may be repeated.
+    /// Returns the next attempt, for a request that may be repeated.
     pub fn next(self) -> Attempt<Queued> {
         Attempt { number: self.number + 1, state: Queued }
     }
 
-    /// Ends the request; whether it ran is not known.
+    /// Ends the request, of which it is unknown whether it ran.
     pub fn end_unknown(self, reason: ReasonCode) -> RequestRefusal {
         RequestRefusal::new(reason, RunState::Unknown)
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,15 +1,17 @@
-//! The retry budget: retries are a tenth of traffic at most, so a failing pool is not stormed.
+//! The retry budget: retries are at most a tenth of the traffic, to avoid a retry storm on a
+//! failing pool.
 
-/// Share of first attempts that may be retried.
+/// Retries that the budget gains for each first attempt.
 pub const RETRY_SHARE: f64 = 0.1;
 
-/// Retries that a quiet box may make at once.
+/// Maximum number of retries that the budget saves up.
 pub const RETRY_BURST: f64 = 10.0;
 
-/// Attempts that one request may take, escalation not counted.
+/// Number of attempts of a request after which a failure is not retried. It does not limit
+/// escalation.
 pub const ATTEMPT_LIMIT: u32 = 3;
 
-/// The budget.
+/// Retry budget of a box, a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -22,12 +24,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first attempt.
+    /// Adds the share of one first attempt to the budget.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + RETRY_SHARE).min(RETRY_BURST);
     }
 
-    /// Takes one retry, if the budget has one.
+    /// Takes one retry from the budget. Returns false if there is none.
     pub fn spend(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
