--- a/crates/core/src/appender.rs
+++ b/crates/core/src/appender.rs
@@ -1,31 +1,31 @@
-//! Group commit: records wait for the log in one bounded queue a stream, one batch in flight.
+//! Group commit: each stream of the log has one bounded queue, with at most one batch in flight.
 //!
-//! The log takes some hundred appends a second from all boxes together, so a box spaces its batches
-//! by the number of listed boxes. A batch whose acknowledgement is lost is sent again whole; readers
-//! drop the repeats by the natural key of each record.
+//! The log accepts a few hundred appends per second from all boxes together, so a box spaces its
+//! batches by the number of listed boxes. A batch whose acknowledgement is lost is sent again as a
+//! whole; readers drop the repeats by the natural key of each record.
 
 use std::collections::VecDeque;
 
 use crate::message::LogRecord;
 use crate::time::BoxTime;
 
-/// Appends a second that all boxes together may use, of what the log takes.
+/// Appends per second that all boxes together may use of the log's capacity.
 pub const FLEET_APPENDS_PER_SECOND: u64 = 200;
 
-/// Records in one batch, at most.
+/// Maximum number of records in one batch.
 pub const BATCH_RECORDS: usize = 512;
 
-/// First wait after a failed append, in milliseconds; doubled up to [`RETRY_LIMIT_MS`].
+/// First pause after a failed append, in milliseconds; doubled up to [`RETRY_LIMIT_MS`].
 pub const RETRY_FIRST_MS: u64 = 50;
 
-/// Longest wait after failed appends, in milliseconds.
+/// Longest pause after failed appends, in milliseconds.
 pub const RETRY_LIMIT_MS: u64 = 2_000;
 
 /// A stream of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogStream {
-    /// Bundles of operators, and carried ones.
+    /// Bundles that operators publish, and bundles that boxes carry forward.
     Bundles,
     /// Claims, voids and outcomes.
     Claims,
@@ -33,7 +33,7 @@
     Bills,
     /// Roll-out verdicts.
     Verdicts,
-    /// Leases on pools.
+    /// Leases on ordering the replicas of pools.
     Leases,
 }
 
@@ -42,7 +42,7 @@
     pub const ALL: [LogStream; 5] =
         [Self::Bundles, Self::Claims, Self::Bills, Self::Verdicts, Self::Leases];
 
-    /// The stream's name in the log.
+    /// Name of the stream in the log.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Bundles => "bundles",
@@ -54,7 +54,7 @@
     }
 }
 
-/// Queue of records for one stream.
+/// Queue of records that wait for one stream.
 #[derive(Debug)]
 pub struct AppendQueue {
     waiting: VecDeque<LogRecord>,
@@ -65,7 +65,7 @@
 }
 
 impl AppendQueue {
-    /// A queue that holds at most `limit` records.
+    /// Creates a queue that is full at `limit` records.
     pub fn new(limit: usize) -> Self {
         Self {
             waiting: VecDeque::new(),
@@ -76,23 +76,23 @@
         }
     }
 
-    /// Adds a record. The caller checks [`Self::is_full`] before it starts what needs a record;
-    /// a record that is already owed is taken even so.
+    /// Adds a record, also to a full queue. The caller checks [`Self::is_full`] before it begins
+    /// work that will need a record; records of work that has begun are always accepted.
     pub fn push(&mut self, record: LogRecord) {
         self.waiting.push_back(record);
     }
 
-    /// Records held, in flight ones included.
+    /// Number of records held, including those in flight.
     pub fn len(&self) -> usize {
         self.waiting.len() + self.in_flight.len()
     }
 
-    /// Whether nothing is held.
+    /// Whether no record is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Whether no further work should be begun that will owe a record.
+    /// Whether the queue has reached its limit, so that no work should begin that needs a record.
     pub fn is_full(&self) -> bool {
         self.len() >= self.limit
     }
@@ -102,7 +102,7 @@
         self.retry_ms > RETRY_FIRST_MS
     }
 
-    /// The batch to append now, if one is due.
+    /// Returns the batch to append now, if one is due.
     pub fn take_batch(&mut self, now: BoxTime, boxes: usize) -> Option<Vec<LogRecord>> {
         if !self.in_flight.is_empty() || self.waiting.is_empty() || now < self.next_at {
             return None;
@@ -113,13 +113,14 @@
         Some(self.in_flight.clone())
     }
 
-    /// The batch in flight is in the log; gives it back.
+    /// Handles that the batch in flight was appended, and returns it.
     pub fn batch_done(&mut self) -> Vec<LogRecord> {
         self.retry_ms = RETRY_FIRST_MS;
         std::mem::take(&mut self.in_flight)
     }
 
-    /// The batch in flight failed or its answer was lost: it goes first again.
+    /// Handles that the append failed or its acknowledgement was lost: the batch goes back to the
+    /// front of the queue.
     pub fn batch_failed(&mut self, now: BoxTime) {
         for record in std::mem::take(&mut self.in_flight).into_iter().rev() {
             self.waiting.push_front(record);
@@ -129,8 +130,8 @@
     }
 }
 
-/// Milliseconds between batches of one stream of one box, so that all boxes stay within
-/// [`FLEET_APPENDS_PER_SECOND`] on the three streams that requests write to.
+/// Interval between batches of one stream of one box, in milliseconds. With it all boxes together
+/// stay within [`FLEET_APPENDS_PER_SECOND`] on the three streams that are written to most.
 pub fn batch_interval_ms(boxes: usize) -> u64 {
     const BUSY_STREAMS: u64 = 3;
     (boxes.max(1) as u64 * BUSY_STREAMS * 1_000).div_ceil(FLEET_APPENDS_PER_SECOND)
--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -1,10 +1,14 @@
-//! Each request is billed once: the bill is with two witnesses before the last piece of the answer.
+//! Billing records, replicated to two witnesses before the end of an answer is released.
 //!
-//! The owner hands the bill to two boxes in other availability zones, releases the end of the answer
-//! when they hold it, and appends bills in batches later. A witness appends for an owner that
-//! vanished. Readers drop repeats by the bill's key, so it does not matter who appended how often.
-//! Weighed against appending before dispatch (an append's latency on each request, no service in an
-//! outage) and batches alone (a killed box loses its last seconds); see `docs/DESIGN.md`.
+//! The box that served a request owns its bill. It sends the bill to two other boxes, the
+//! *witnesses*, in other availability zones if possible, releases the end of the answer when they
+//! hold it, and appends bills to the log in batches later. A witness appends the bills of an owner
+//! that was lost. Readers drop repeats by the key of the bill, so a bill may be appended several
+//! times and still counts once.
+//!
+//! The alternatives are worse: an append before dispatch adds its latency to each request and stops
+//! service during an outage of the log, and batches alone lose the last seconds of a box that is
+//! killed. See `docs/DESIGN.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,17 +16,17 @@
 use crate::message::BillRecord;
 use crate::time::BoxTime;
 
-/// Witnesses for a bill.
+/// Number of witnesses for a bill.
 pub const WITNESS_COUNT: usize = 2;
 
-/// How long an owner waits for a witness before it asks others, in milliseconds.
+/// How long an owner waits for a witness before it asks other boxes, in milliseconds.
 pub const WITNESS_WAIT_MS: u64 = 150;
 
-/// After this the answer is released although the bill has fewer witnesses than it should, in
-/// milliseconds. The bill stays queued for the log; the case is counted.
+/// Time after which an answer is released although its bill has too few witnesses, in milliseconds.
+/// The bill stays queued for the log, and the case is counted.
 pub const WITNESS_LIMIT_MS: u64 = 1_000;
 
-/// How long an owner may be silent before its witnesses append for it, in milliseconds.
+/// How long an owner may be silent before its witnesses append its bills, in milliseconds.
 pub const OWNER_SILENCE_MS: u64 = 10_000;
 
 /// A bill of this box that is not yet in the log.
@@ -30,15 +34,15 @@
 pub struct OwnedBill {
     /// The bill.
     pub record: BillRecord,
-    /// Request whose end waits for witnesses.
+    /// Request whose answer is held until enough witnesses have the bill; `None` once released.
     pub request: Option<RequestKey>,
-    /// Boxes asked.
+    /// Boxes that were sent the bill.
     pub asked: BTreeSet<String>,
-    /// Boxes that hold it.
+    /// Boxes that acknowledged it.
     pub held_by: BTreeSet<String>,
-    /// When it was made.
+    /// When the bill was created.
     pub made_at: BoxTime,
-    /// When witnesses were last asked.
+    /// When the bill was last sent to witnesses.
     pub asked_at: BoxTime,
 }
 
@@ -48,12 +52,12 @@
     next_number: u64,
     owned: BTreeMap<u64, OwnedBill>,
     held: HashMap<(String, u64), BTreeMap<u64, BillRecord>>,
-    /// Answers released with too few witnesses.
+    /// Number of answers released with too few witnesses.
     pub unwitnessed: u64,
 }
 
 impl BillLedger {
-    /// Number for the next bill.
+    /// Returns the number for a new bill.
     pub fn assign_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
@@ -73,18 +77,18 @@
         self.owned.insert(number, bill);
     }
 
-    /// A bill of this box.
+    /// Returns a bill of this box.
     pub fn owned_mut(&mut self, number: u64) -> Option<&mut OwnedBill> {
         self.owned.get_mut(&number)
     }
 
-    /// Numbers of bills whose answer waits for witnesses.
+    /// Numbers of bills whose answers wait for witnesses.
     pub fn unreleased(&self) -> Vec<u64> {
         let waiting = self.owned.iter().filter(|(_, bill)| bill.request.is_some());
         waiting.map(|(number, _)| *number).collect()
     }
 
-    /// Notes that `witness` holds the bill; gives the request whose end may now leave.
+    /// Records that `witness` holds the bill. Returns the request whose answer may now be released.
     pub fn add_witness(&mut self, number: u64, witness: &str, needed: usize) -> Option<RequestKey> {
         let bill = self.owned.get_mut(&number)?;
         bill.held_by.insert(witness.to_owned());
@@ -94,23 +98,24 @@
         bill.request.take()
     }
 
-    /// The bill is in the log. Gives the request whose end may leave, and the witnesses to release.
+    /// Removes a bill that is in the log. The returned bill names the request whose answer may be
+    /// released and the witnesses that can drop their copy.
     pub fn remove_owned(&mut self, number: u64) -> Option<OwnedBill> {
         self.owned.remove(&number)
     }
 
-    /// Bills of this box that are not in the log.
+    /// Number of bills of this box that are not in the log.
     pub fn owned_len(&self) -> usize {
         self.owned.len()
     }
 
-    /// Holds a bill for another box.
+    /// Adds a bill that this box holds as a witness.
     pub fn add_held(&mut self, owner: &str, incarnation: u64, record: BillRecord) {
         let bills = self.held.entry((owner.to_owned(), incarnation)).or_default();
         bills.insert(record.number, record);
     }
 
-    /// The owner has these in the log.
+    /// Drops bills that their owner has in the log.
     pub fn release(&mut self, owner: &str, incarnation: u64, numbers: &[u64]) {
         let key = (owner.to_owned(), incarnation);
         if let Some(bills) = self.held.get_mut(&key) {
@@ -128,31 +133,31 @@
         self.owned.values().all(|bill| !bill.held_by.is_empty())
     }
 
-    /// Bills held for others.
+    /// Number of bills held for other boxes.
     pub fn held_len(&self) -> usize {
         self.held.values().map(BTreeMap::len).sum()
     }
 
-    /// Owners whose bills are held.
+    /// Owners of the held bills, as name and incarnation, sorted.
     pub fn held_owners(&self) -> Vec<(String, u64)> {
         let mut owners: Vec<_> = self.held.keys().cloned().collect();
         owners.sort();
         owners
     }
 
-    /// Takes the bills held for an owner that vanished, to append them.
+    /// Removes and returns the bills held for an owner that was lost.
     pub fn drain_held(&mut self, owner: &(String, u64)) -> Vec<BillRecord> {
         self.held.remove(owner).unwrap_or_default().into_values().collect()
     }
 }
 
-/// Reads a bills stream: each bill once, in log order.
+/// The fold of the `bills` stream: each bill once, in log order.
 #[derive(Debug, Default)]
 pub struct BillFold {
     keys: BTreeSet<String>,
-    /// Bills, each once.
+    /// Bills without repeats.
     pub bills: Vec<BillRecord>,
-    /// Repeats that were dropped.
+    /// Number of repeats that were dropped.
     pub repeats: usize,
 }
 
