--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -1,10 +1,11 @@
-//! The fold of the `claims` stream: calls that may not be repeated run at most once.
+//! The fold of the `claims` stream: calls that must not be repeated run at most once.
 //!
 //! A box appends a claim and reads the stream up to it. Only the first live claim for a key, in log
-//! order, may run; a claim that was not first when it was read has lost for good. The claimant may
-//! void its own claim while it has not dispatched. A void may land before its claim, so nonces that
-//! were voided are kept. The caller's key is a UUIDv7: its time bounds its age, and a key older than
-//! the log's retention is refused, since the log could have forgotten it.
+//! order, may run; a claim that is not first when it is read has lost permanently. The claimant may
+//! void its own claim until it dispatches the call. A void can reach the log before its claim, so
+//! the nonces of voided claims are kept. The caller's key is a UUIDv7, whose time gives its age. A
+//! key older than the log's retention is refused, since its earlier claim may no longer be in the
+//! log.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,10 +15,10 @@
 use crate::message::{ClaimRecord, OutcomeRecord};
 use crate::time::WallTime;
 
-/// Largest answer body kept in an outcome record, in bytes.
+/// Largest answer body that an outcome record keeps, in bytes.
 pub const OUTCOME_BODY_LIMIT: usize = 2_048;
 
-/// How far a caller's clock may run ahead, in milliseconds.
+/// How far a caller's clock may be ahead, in milliseconds.
 pub const KEY_SKEW_MS: u64 = 60_000;
 
 /// Why a caller's key is refused.
@@ -29,18 +30,18 @@
     /// Not a UUIDv7.
     #[error("the Idempotency-Key is not a UUIDv7")]
     NotUuidV7,
-    /// Older than the log remembers.
-    #[error("the Idempotency-Key is older than the log's retention: whether an earlier request with it ran is not known")]
+    /// Older than the log's retention.
+    #[error("the Idempotency-Key is older than the log's retention: it is unknown whether an earlier request with it ran")]
     Expired,
     /// From the future.
     #[error("the Idempotency-Key's time is in the future")]
     Future,
 }
 
-/// Checks the time of a caller's key against the log's retention.
+/// Checks that a caller's key is a UUIDv7 whose time is within the log's retention.
 ///
 /// # Errors
-/// [`KeyError`], by which the request does not run.
+/// [`KeyError`] if the key is refused. The request does not run then.
 pub fn check_key(text: Option<&str>, now: WallTime, retention_ms: u64) -> Result<Uuid, KeyError> {
     let text = text.ok_or(KeyError::Missing)?;
     let uuid = Uuid::parse_str(text).map_err(|_| KeyError::NotUuidV7)?;
@@ -52,32 +53,33 @@
     if created_ms > now.0 + KEY_SKEW_MS {
         return Err(KeyError::Future);
     }
-    // The margin is twice the skew: the caller's clock and the box's may be off in either direction.
+    // The margin is twice the skew: the clocks of the caller and the box may be off in either
+    // direction.
     if created_ms + retention_ms.saturating_sub(2 * KEY_SKEW_MS) < now.0 {
         return Err(KeyError::Expired);
     }
     Ok(uuid)
 }
 
-/// What is known of a key.
+/// The live claim for a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ClaimEntry {
     /// Nonce of the first live claim.
     pub nonce: u64,
-    /// How it ended, once its claimant said so.
+    /// Outcome of the call, once its claimant has recorded it.
     #[serde(skip)]
     pub outcome: Option<OutcomeRecord>,
     read_ms: u64,
 }
 
-/// What folding a claim did.
+/// Result of folding a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
     /// It is the first live claim: its claimant may run the call.
     First,
-    /// Another claim was first; its outcome if known.
+    /// Another claim was first; its outcome, if recorded.
     Lost(Option<OutcomeRecord>),
-    /// It was voided before it landed, or was folded before.
+    /// It was voided before it reached the log, or is a repeat.
     Ignored,
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl ClaimFold {
-    /// Folds a claim read at box time `now_ms`.
+    /// Folds a claim that was read at `now_ms` on the box's clock.
     pub fn fold_claim(&mut self, claim: &ClaimRecord, now_ms: u64) -> ClaimOutcome {
         if !self.seen.insert(claim.nonce) {
             return ClaimOutcome::Ignored;
@@ -108,7 +110,7 @@
         ClaimOutcome::First
     }
 
-    /// Folds a claimant's void.
+    /// Folds a void of a claim by its claimant.
     pub fn fold_void(&mut self, claim: &ClaimRecord) {
         self.voided.insert(claim.nonce);
         if self.live.get(&claim.key).is_some_and(|entry| entry.nonce == claim.nonce) {
@@ -125,22 +127,22 @@
         }
     }
 
-    /// What is known of `key`.
+    /// Returns the live claim for `key`.
     pub fn find(&self, key: &str) -> Option<&ClaimEntry> {
         self.live.get(key)
     }
 
-    /// How many live claims are held.
+    /// Number of live claims.
     pub fn len(&self) -> usize {
         self.live.len()
     }
 
-    /// Whether no live claim is held.
+    /// Whether there is no live claim.
     pub fn is_empty(&self) -> bool {
         self.live.is_empty()
     }
 
-    /// Forgets claims read more than `keep_ms` ago; keys that old are refused by their age.
+    /// Removes claims read more than `keep_ms` ago. Keys of that age are refused by [`check_key`].
     pub fn remove_expired(&mut self, now_ms: u64, keep_ms: u64) {
         while let Some((read, nonce, key)) = self.read_order.front() {
             if read + keep_ms > now_ms {
--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -1,10 +1,11 @@
-//! Leases on pools: who may order the replicas of a pool, by the log's order.
+//! Leases on pools: which box may send orders to the replicas of a pool.
 //!
-//! The latest record in the log holds the lease, and its offset is the fencing token. The holder
-//! counts the term from before it sent the append; everybody else counts from when they read the
-//! record. A server that checks tokens refuses a lower one. For servers that do not, a successor waits
-//! until the one before it can have nothing under way, and a holder checks what is left of its term last
-//! thing before it sends (`spec/lease.pml`).
+//! The writer of the latest record in the log holds the lease, and the offset of the record is the
+//! fencing token. The holder counts the term from before it sent the append; other boxes count from
+//! when they read the record. A backend server that checks tokens refuses one that is lower than
+//! any it has seen. For servers that do not, a new holder waits until no order of the previous
+//! holder can be in flight, and a holder checks the rest of its term immediately before it sends
+//! (`spec/lease.pml`).
 
 use std::collections::BTreeMap;
 
@@ -15,19 +16,19 @@
 /// Term of a lease, in milliseconds.
 pub const LEASE_TERM_MS: u64 = 10_000;
 
-/// The longest an order may be under way, in milliseconds; it is given up before.
+/// Timeout of an order, in milliseconds.
 pub const ORDER_TIMEOUT_MS: u64 = 2_000;
 
-/// A lease record as this box read it.
+/// A lease as this box read it from the log.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct LeaseEntry {
     /// Incarnation of the holder.
     pub holder: u64,
-    /// Offset of the record.
+    /// Offset of the record, which is the fencing token.
     pub token: u64,
-    /// End of the term: for the holder from when it asked, for others from when they read.
+    /// End of the term, counted from the request by the holder and from the read by other boxes.
     pub until: BoxTime,
-    /// Before this the holder may not order servers that do not check tokens.
+    /// Before this the holder must not send orders to servers that do not check tokens.
     pub settled_at: BoxTime,
 }
 
@@ -38,25 +39,26 @@
 }
 
 impl LeaseFold {
-    /// Folds the record at offset `token`. `from` is when its term began on this box's clock.
+    /// Folds the record at offset `token`, whose term began at `from` on this box's clock.
     pub fn fold_lease(&mut self, pool: &str, holder: u64, token: u64, from: BoxTime, term_ms: u64) {
         let before = self.entries.get(pool);
         let settled_at = match before {
             Some(entry) if entry.holder == holder => entry.settled_at,
             Some(entry) => entry.until.plus_millis(ORDER_TIMEOUT_MS).max(entry.settled_at),
-            // Nothing is known of holders before the first record that this box read.
+            // The box does not know who held the lease before the first record that it read.
             None => from.plus_millis(LEASE_TERM_MS + ORDER_TIMEOUT_MS),
         };
         let until = from.plus_millis(term_ms.min(LEASE_TERM_MS));
         self.entries.insert(pool.to_owned(), LeaseEntry { holder, token, until, settled_at });
     }
 
-    /// The latest lease on a pool.
+    /// Returns the latest lease on a pool.
     pub fn find(&self, pool: &str) -> Option<&LeaseEntry> {
         self.entries.get(pool)
     }
 
-    /// The token by which `me` may order the pool's servers now.
+    /// Returns the lease of `me` if it may send orders to the pool now. `checks_token` says whether
+    /// the pool's servers check fencing tokens.
     pub fn may_order(
         &self,
         pool: &str,
@@ -69,7 +71,7 @@
         (mine && (checks_token || now >= entry.settled_at)).then_some(entry)
     }
 
-    /// Whether `me` should ask for the lease: it has none, or half of its term has passed.
+    /// Whether `me` should request the lease: nobody holds it, or half of its own term has passed.
     pub fn needs_renewal(&self, pool: &str, me: u64, now: BoxTime) -> bool {
         match self.entries.get(pool) {
             Some(entry) if entry.holder == me => now.plus_millis(LEASE_TERM_MS / 2) >= entry.until,
