--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -1,9 +1,10 @@
-//! Which boxes there are: the platform's box list, which lags, and heartbeats between boxes.
+//! Membership of the fleet: the platform's box list, which lags, and heartbeats between boxes.
 //!
-//! Each second a box beats to a few others, chosen in turn from a shuffled round, and each answers
-//! with what it knows of a few more. State is one row a listed box; bytes a second are bounded by
-//! the fan-out, not by the number of boxes. A restarted box has a new incarnation and is a new box.
-//! Leaving marks travel with the answers, ahead of the box list.
+//! Each second a box sends a heartbeat to a few others, taken in turn from a shuffled round. Each
+//! of them replies with summaries of a few more boxes. The state is one row for each listed box,
+//! and the bytes per second are bounded by the fan-out, not by the number of boxes. A restarted box
+//! has a new incarnation and counts as a new box. That a box is leaving is part of the replies and
+//! summaries, and so arrives before the box list shows it.
 
 use std::collections::BTreeMap;
 
@@ -13,16 +14,16 @@
 use crate::message::PeerSummary;
 use crate::time::BoxTime;
 
-/// Boxes beaten to in each round.
+/// Number of boxes that get a heartbeat at a time.
 pub const HEARTBEAT_FAN_OUT: usize = 4;
 
-/// Other boxes described in each answer.
+/// Number of other boxes that each heartbeat reply describes.
 pub const SUMMARY_COUNT: usize = 12;
 
-/// Milliseconds between rounds.
+/// Interval between heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
-/// A box as the box list gives it.
+/// A box as the box list describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedBox {
     /// Box name.
@@ -37,26 +38,26 @@
     pub leaving: bool,
 }
 
-/// What is known of a listed box.
+/// State of a listed box.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerState {
-    /// As listed.
+    /// Entry of the box list.
     pub listed: ListedBox,
-    /// Incarnation lately heard; 0 for none.
+    /// Last known incarnation; 0 if none is known.
     pub incarnation: u64,
-    /// When it was certainly alive, on this box's clock.
+    /// Last time at which the box is known to have been alive, on this box's clock.
     pub alive_at: Option<BoxTime>,
-    /// Sequence that it had in force.
+    /// Sequence that it had in force at that time.
     pub sequence: u64,
-    /// Whether it says that it leaves.
+    /// Whether it reported that it is leaving.
     pub leaving: bool,
-    /// Whether it has learnt something of the log since it started: only then does it count toward
-    /// a majority that serves on through an outage. A box that restarted has forgotten what it
-    /// confirmed (`spec/freshness.pml`, mutant `PROVED`).
+    /// Whether it has obtained information on the log since it started. Only then does it count
+    /// toward a majority that continues during an outage, because a restarted box no longer knows
+    /// which bundles it confirmed (`spec/freshness.pml`, mutant `PROVED`).
     pub proved: bool,
 }
 
-/// The boxes that this box knows of, itself included.
+/// The listed boxes, including this one.
 #[derive(Debug, Default)]
 pub struct BoxMembership {
     me: String,
@@ -66,12 +67,12 @@
 }
 
 impl BoxMembership {
-    /// Membership of the box called `me`.
+    /// Creates the membership of the box named `me`.
     pub fn new(me: &str) -> Self {
         Self { me: me.to_owned(), ..Self::default() }
     }
 
-    /// Takes a new reading of the box list; rows of boxes that went are dropped.
+    /// Applies a new reading of the box list and drops the rows of boxes that it no longer names.
     pub fn apply_list(&mut self, listed: Vec<ListedBox>) {
         let mut before = std::mem::take(&mut self.rows);
         for row in listed {
@@ -89,17 +90,17 @@
         }
     }
 
-    /// Listed boxes, this one included if it is listed.
+    /// Number of listed boxes, including this one if it is listed.
     pub fn listed_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// All rows by name.
+    /// All listed boxes, in order of name.
     pub fn rows(&self) -> impl Iterator<Item = &PeerState> {
         self.rows.values()
     }
 
-    /// A row.
+    /// Returns the state of a listed box.
     pub fn find(&self, name: &str) -> Option<&PeerState> {
         self.rows.get(name)
     }
@@ -109,31 +110,33 @@
         self.rows.values().filter(|row| row.listed.name != self.me)
     }
 
-    /// How old word of a box may be before it counts as silent: the lease, and at larger sizes the
-    /// rounds that word of a box takes to come round.
+    /// Age of the last information on a box after which it counts as silent, in milliseconds: the
+    /// freshness lease, or in large fleets the time that the heartbeats need to cover all boxes.
     pub fn silence_ms(&self) -> u64 {
         let per_round = (HEARTBEAT_FAN_OUT * (1 + SUMMARY_COUNT)) as u64;
         let rounds = (self.rows.len() as u64).div_ceil(per_round);
         FRESH_LEASE_MS.max(3 * rounds * HEARTBEAT_INTERVAL_MS)
     }
 
-    /// Whether a box was lately heard.
+    /// Whether a box is known to have been alive recently.
     pub fn is_alive(&self, row: &PeerState, now: BoxTime) -> bool {
         row.alive_at.is_some_and(|at| now.millis_since(at) <= self.silence_ms())
     }
 
-    /// Boxes that count toward a majority: lately heard and proved, this one counted if listed.
+    /// Number of boxes that count toward a majority: those that are alive and `proved`, and this
+    /// one if it is listed.
     pub fn seen_count(&self, now: BoxTime) -> usize {
         let alive = self.peers().filter(|row| row.proved && self.is_alive(row, now)).count();
         alive + usize::from(self.rows.contains_key(&self.me))
     }
 
-    /// Highest sequence that any listed box was heard to have in force.
+    /// Highest sequence that any listed box is known to have had in force.
     pub fn newest_sequence(&self) -> u64 {
         self.rows.values().map(|row| row.sequence).max().unwrap_or(0)
     }
 
-    /// Notes a box's own answer to a beat sent at `asked_at`. Returns whether its incarnation is new.
+    /// Applies a summary of a box from the reply to a heartbeat sent at `asked_at`, unless it is
+    /// older than what is known. Returns whether the box was replaced by a new incarnation.
     pub fn apply_summary(&mut self, name: &str, summary: &PeerSummary, asked_at: BoxTime) -> bool {
         let Some(row) = self.rows.get_mut(name) else { return false };
         let alive_at = asked_at.minus_millis(summary.age_ms);
@@ -149,7 +152,7 @@
         replaced
     }
 
-    /// Boxes to beat to in this round.
+    /// Returns the next boxes of the shuffled round, [`HEARTBEAT_FAN_OUT`] at most.
     pub fn next_targets(&mut self) -> Vec<String> {
         let mut targets = Vec::new();
         while targets.len() < HEARTBEAT_FAN_OUT.min(self.peers().count()) {
@@ -164,7 +167,8 @@
         targets
     }
 
-    /// Orders a new round by a hash of box and round: no two boxes beat in step.
+    /// Shuffles the peers for a new round by a hash of this box and the round number, so that boxes
+    /// do not use the same order.
     fn refill_round(&mut self) {
         self.round_number += 1;
         let seed = xxhash_rust::xxh3::xxh3_64(self.me.as_bytes()) ^ self.round_number;
@@ -174,7 +178,8 @@
         self.round = names;
     }
 
-    /// What to tell an asker: the boxes most lately heard, others than the asker.
+    /// Summaries for a reply to `asker`: the boxes with the most recent information, without
+    /// `asker`.
     pub fn summaries(&self, asker: &str, now: BoxTime) -> Vec<PeerSummary> {
         let mut rows: Vec<&PeerState> =
             self.peers().filter(|row| row.listed.name != asker && row.alive_at.is_some()).collect();
@@ -190,7 +195,8 @@
         rows.iter().take(SUMMARY_COUNT).map(describe).collect()
     }
 
-    /// Peers to witness a bill: alive, in other zones first, chosen by `salt`, none of `except`.
+    /// Peers that can witness a bill: alive, not leaving and not in `except`. Those in other zones
+    /// than `zone` come first, and `salt` determines the order among equals.
     pub fn witnesses(&self, salt: u64, zone: &str, now: BoxTime, except: &[String]) -> Vec<String> {
         let mut rows: Vec<&PeerState> = self
             .peers()
@@ -204,7 +210,8 @@
         rows.iter().map(|row| row.listed.name.clone()).collect()
     }
 
-    /// Entry boxes for a caller in `zone`: neither leaving nor silent, the caller's zone first.
+    /// Boxes that a caller in `zone` may use: neither leaving nor silent, those in its zone first.
+    /// `salt` determines the order among equals.
     pub fn entries(&self, zone: Option<&str>, salt: u64, now: BoxTime) -> Vec<ListedBox> {
         let usable = |row: &&PeerState| {
             let mine = row.listed.name == self.me;
@@ -219,20 +226,21 @@
         rows.iter().map(|row| row.listed.clone()).collect()
     }
 
-    /// Marks a box as leaving; used for this box on a planned stop.
+    /// Marks a box as leaving.
     pub fn mark_leaving(&mut self, name: &str) {
         if let Some(row) = self.rows.get_mut(name) {
             row.leaving = true;
         }
     }
 
-    /// Rank of this box among the listed for a job called `salt`, 0 for the first.
+    /// Rank of this box among the listed boxes for the job `salt`; 0 for the first.
     pub fn rank(&self, salt: &str) -> usize {
         let mine = job_weight(&self.me, salt);
         self.peers().filter(|row| job_weight(&row.listed.name, salt) < mine).count()
     }
 
-    /// The first box for a job called `salt` of those that are alive; `None` if it is this one.
+    /// Returns the first box for the job `salt` that is alive and not leaving; `None` if this box
+    /// is the first.
     pub fn first_alive(&self, salt: &str, now: BoxTime) -> Option<String> {
         let mine = job_weight(&self.me, salt);
         self.peers()
@@ -244,7 +252,7 @@
     }
 }
 
-/// Rendezvous weight of a box for a job.
+/// Rendezvous-hash weight of a box for a job; the lowest weight is first.
 fn job_weight(name: &str, salt: &str) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(salt.as_bytes());
     xxhash_rust::xxh3::xxh3_64_with_seed(name.as_bytes(), seed)
