--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -1,8 +1,9 @@
-//! Session tokens: a session keeps its version without a session store.
+//! Session tokens: they pin a session to its versions without a session store.
 //!
-//! The first answer of a session gives its caller a token; any box honours it. The token names the
-//! account and, for each model that answered in the session, the version that the session keeps, and is authenticated with a key from the settings. Keys have ids, so
-//! they rotate: new tokens use the first key, old ones are honoured while their key is listed.
+//! The first answer of a session gives the caller a token that any box accepts. The token names the
+//! account and, for each model that answered in the session, the pinned version. It is
+//! authenticated with a key from the settings. Keys have ids, so that they can be rotated: new
+//! tokens use the first key, and a token is valid while its key is listed.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -12,40 +13,40 @@
 
 const TOKEN_PREFIX: &str = "rs1";
 
-/// Longest token that is looked at, in bytes.
+/// Length above which a token is refused without parsing, in bytes.
 pub const TOKEN_LIMIT: usize = 1_024;
 
-/// What a session token says.
+/// Content of a session token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionClaims {
     /// Session id.
     pub session: u64,
     /// Client account.
     pub account: String,
-    /// Versions that the session keeps.
+    /// Versions that the session is pinned to.
     pub pins: SessionPins,
 }
 
-/// Versions that a session keeps, by model: a cascade's rungs are pinned one by one.
+/// Pinned versions by model. The rungs of a cascade are pinned separately.
 pub type SessionPins = std::collections::BTreeMap<String, String>;
 
-/// Why a token is not honoured.
+/// Why a token is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// Not a token of this format.
-    #[error("the session token is not of this format")]
+    #[error("the session token is malformed")]
     Malformed,
-    /// Its key is not listed, or it was changed.
-    #[error("the session token is not from these boxes, or its key was retired")]
+    /// Its key is not listed, or its tag does not match.
+    #[error("the session token is not authentic, or its key was removed")]
     Forged,
 }
 
-/// A key that authenticates tokens.
+/// A key to authenticate tokens with.
 #[derive(Clone)]
 pub struct TokenKey {
     /// Key id, part of the token.
     pub id: String,
-    /// Secret bytes.
+    /// Secret of the HMAC.
     pub secret: Vec<u8>,
 }
 
@@ -60,7 +61,7 @@
 pub struct TokenKeys(pub Vec<TokenKey>);
 
 impl TokenKeys {
-    /// Seals `claims` with the newest key; `None` without any key.
+    /// Returns a token with `claims`, signed with the newest key; `None` if there is no key.
     pub fn sign(&self, claims: &SessionClaims) -> Option<String> {
         let key = self.0.first()?;
         let body = serde_json::to_vec(claims).expect("claims are plain data");
@@ -69,7 +70,7 @@
         Some(format!("{text}.{tag}"))
     }
 
-    /// Opens `token`.
+    /// Verifies `token` and returns its claims.
     ///
     /// # Errors
     /// [`TokenError`] if it is malformed, forged, or its key is no longer listed.
