--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -1,24 +1,26 @@
-//! Weighted fair queues: requests wait by client account, within deadlines and bounds.
+//! Weighted fair queues: requests wait for a replica by client account, within deadlines and
+//! limits.
 //!
-//! One queue for each version and for each plain service. Start-time fair queueing: each request
-//! gets a tag from its account's weight, the lowest tag leaves first, so a large account's backlog
-//! delays itself. A request that cannot be served in time is refused when that becomes known.
+//! Each version and each plain service has one queue. The order is that of start-time fair
+//! queueing: each request gets a tag by the weight of its account, and the request with the lowest
+//! tag leaves first, so a large account's backlog delays only itself. A request that cannot be
+//! served in time is refused as soon as that is known.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::ids::{AccountKey, RequestKey};
 use crate::time::BoxTime;
 
-/// Requests of one account that may wait in one queue.
+/// Maximum number of requests of one account in one queue.
 pub const ACCOUNT_QUEUE_LIMIT: usize = 512;
 
-/// Weight of one departure in the estimate of the drain rate.
+/// Weight of one departure in the moving average of the drain rate.
 const DRAIN_WEIGHT: f64 = 0.05;
 
-/// Shortest time a refused caller is told to stay away, in milliseconds.
+/// Shortest retry delay for a refused caller, in milliseconds.
 const RETRY_FLOOR_MS: f64 = 500.0;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 struct WaitingRequest {
     key: RequestKey,
@@ -26,12 +28,12 @@
     deadline: BoxTime,
 }
 
-/// Why a request may not wait.
+/// Why a request is not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueRefusal {
-    /// The account has too many waiting.
+    /// The account has too many waiting requests.
     Full,
-    /// It would be served too late.
+    /// It would be served after its deadline.
     Late,
 }
 
@@ -47,18 +49,18 @@
 }
 
 impl FairQueue {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// How long a new request of `account` would wait, in milliseconds, by the drain rate; 0 while
-    /// no rate is known.
+    /// Expected wait of a new request of `account` by the drain rate, in milliseconds; 0 while no
+    /// rate is known.
     pub fn wait_ms(&self, account: AccountKey) -> f64 {
         let own = self.accounts.get(&account).map_or(0, VecDeque::len);
         let active = self.accounts.len() + usize::from(own == 0);
@@ -69,7 +71,7 @@
     /// Adds a request.
     ///
     /// # Errors
-    /// [`QueueRefusal`] if it may not wait.
+    /// [`QueueRefusal`] if the account's queue is full or the request would be served too late.
     pub fn push(
         &mut self,
         account: AccountKey,
@@ -94,7 +96,7 @@
         Ok(())
     }
 
-    /// Adds a request back that was taken out but could not be placed.
+    /// Puts a request back that was popped but could not be placed.
     pub fn requeue(
         &mut self,
         account: AccountKey,
@@ -108,7 +110,7 @@
         self.last_departure = Some(now);
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self, now: BoxTime) -> Option<RequestKey> {
         let first = |(_, queue): &(&AccountKey, &VecDeque<WaitingRequest>)| queue[0].tag;
         let account = *self
@@ -133,11 +135,11 @@
             let before = self.departure_gap_ms.unwrap_or(gap);
             self.departure_gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
         }
-        // A gap is only a drain rate while something still waits.
+        // The time between departures shows the drain rate only while requests still wait.
         self.last_departure = (self.length > 0).then_some(now);
     }
 
-    /// Takes out what can no longer be served in time.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: BoxTime) -> Vec<RequestKey> {
         let mut late = Vec::new();
         self.accounts.retain(|_, queue| {
@@ -154,7 +156,7 @@
         late
     }
 
-    /// Takes out one request, because its caller went away.
+    /// Removes a request, because its caller disconnected.
     pub fn remove(&mut self, key: RequestKey) {
         let mut removed = 0;
         self.accounts.retain(|_, queue| {
@@ -166,15 +168,15 @@
         self.length -= removed;
     }
 
-    /// Everything that waits, in order of account; the queue is empty afterwards.
+    /// Removes and returns all requests, in order of account.
     pub fn drain(&mut self) -> Vec<RequestKey> {
         self.length = 0;
         let queues = std::mem::take(&mut self.accounts);
         queues.into_values().flatten().map(|request| request.key).collect()
     }
 
-    /// When a refused caller should come back, in milliseconds: when the queue of now is drained,
-    /// up to half as long again by `random`, so that callers do not return together.
+    /// Retry delay for a refused caller, in milliseconds: the time to drain the present queue, plus
+    /// jitter of up to half of it by `random`, so that callers do not return together.
     pub fn retry_after_ms(&self, random: u64) -> u64 {
         let drained =
             (self.departure_gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -1,9 +1,9 @@
-//! Replicas: what is known of each, and which of them answers a request.
+//! State of the replicas of backend servers, and the pick of one for a request.
 //!
-//! Load reports lag, so a box adds what it dispatched itself since the report. The choice is the
-//! less loaded of two from a bounded subset, unless the replica that holds the prompt's prefix is
-//! within the load bound. A replica that fails or stops moving is ejected for a while, at most half
-//! of a subset at a time.
+//! Load reports lag, so a box adds the requests that it dispatched itself since the report. The
+//! pick is the less loaded of two replicas of a bounded subset, or the replica whose prefix cache
+//! should hold the prompt's prefix, if its load is within a bound. A replica that fails or stalls
+//! is ejected for a time. Ejection is ignored if it would exclude more than half of the subset.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,30 +14,33 @@
 use crate::ids::{ReplicaKey, VersionKey};
 use crate::time::BoxTime;
 
-/// Replicas of one version, or of one service, that a box uses at most.
+/// Maximum number of replicas of one version, or of one service, that a box uses.
 pub const SUBSET_SIZE: usize = 24;
 
-/// A replica with this many failures in a row is ejected.
+/// Consecutive failures after which a replica is ejected.
 pub const EJECT_FAILURES: u32 = 3;
 
-/// First ejection, in milliseconds; doubled by each further one up to [`EJECT_LIMIT_MS`].
+/// Duration of the first ejection, in milliseconds; doubled for each consecutive one up to
+/// [`EJECT_LIMIT_MS`].
 pub const EJECT_FIRST_MS: u64 = 2_000;
 
-/// Longest ejection, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 pub const EJECT_LIMIT_MS: u64 = 30_000;
 
-/// A replica whose oldest unanswered request waits this long for its first token counts as stalled,
-/// in milliseconds, unless its pool is that slow as a whole.
+/// Minimum wait of the oldest unanswered request for its first token at which its replica counts as
+/// stalled, in milliseconds. It is longer where first tokens are slow in general, see
+/// [`ReplicaTable::stall_ms`].
 pub const STALL_MS: u64 = 1_000;
 
-/// Load bound of affinity: the preferred replica may carry this times the mean, and one more.
+/// Load bound of prefix affinity: the preferred replica may have this multiple of the mean load,
+/// plus one request.
 pub const AFFINITY_BOUND: f64 = 1.5;
 
-/// Reported load, as a share of slots, below which a box may use more than its own part: reports
-/// lag, and above it all boxes would fill the same slots.
+/// Estimated load, as a share of slots, below which a box may use more than its own slots. Above it
+/// all boxes would fill the same free slots, because reports lag.
 pub const UNCAPPED_LOAD: f64 = 0.7;
 
-/// A replica as the box list gives it.
+/// A replica as the box list describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedReplica {
     /// Replica name.
@@ -46,7 +49,7 @@
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Pool of model engines, or plain service.
+    /// Name of its pool of model engines, or of its plain service.
     pub service: String,
     /// Whether it is a model engine.
     pub engine: bool,
@@ -69,43 +72,44 @@
     pub leaving: bool,
 }
 
-/// What is known of a replica.
+/// State of a replica.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaState {
-    /// As listed.
+    /// Entry of the box list.
     pub listed: ListedReplica,
-    /// Hash of its name, for affinity.
+    /// Hash of its name, for prefix affinity.
     #[serde(skip)]
     name_hash: u64,
     /// Versions loaded.
     #[serde(skip)]
     pub versions: Vec<VersionKey>,
-    /// Whether the list, a peer or the replica itself says that it leaves.
+    /// Whether the list, a peer or the replica itself reported that it is leaving.
     pub leaving: bool,
-    /// Last reported batch and queue.
+    /// Requests in its batch and its queue by the last report, less those of this box that have
+    /// ended since.
     pub reported: u32,
     /// Requests that its batch takes.
     pub slots: u32,
     /// When the report was made, on this box's clock.
     pub reported_at: BoxTime,
-    /// Requests of this box that it has not finished.
+    /// Requests of this box that were assigned to it and have not ended.
     pub outstanding: u32,
     /// Requests that this box dispatched to it since the report.
     pub since_report: u32,
     /// When each of this box's unanswered requests was dispatched, oldest first.
     #[serde(skip)]
     pub unanswered: Vec<BoxTime>,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// Not chosen before this.
+    /// End of the current ejection.
     pub ejected_until: BoxTime,
 }
 
 impl ReplicaState {
-    /// Estimated load: what the replica reported and what this box sent since, or what this box has
-    /// outstanding, whichever is more; as a share of its slots.
+    /// Estimated load, as a share of its slots: the reported requests plus those that this box sent
+    /// since, or the outstanding requests of this box if they are more.
     pub fn load(&self) -> f64 {
         let estimate = (self.reported + self.since_report).max(self.outstanding);
         f64::from(estimate) / f64::from(self.slots.max(1))
@@ -117,49 +121,49 @@
     }
 }
 
-/// What a pick needs to know.
+/// Input of a pick.
 #[derive(Clone, Copy, Debug)]
 pub struct PickQuery {
-    /// Hash of the prompt's prefix; 0 for none.
+    /// Hash of the prompt's prefix; 0 if it has none.
     pub prefix: u64,
     /// A random number.
     pub random: u64,
-    /// The time.
+    /// Current time.
     pub now: BoxTime,
-    /// Replica to avoid, because it failed this request.
+    /// Replica to avoid because it failed this request.
     pub avoid: Option<ReplicaKey>,
 }
 
 /// How a replica was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickMethod {
-    /// It holds the prompt's prefix.
+    /// Prefix affinity.
     Affinity,
     /// The less loaded of two.
     TwoChoices,
-    /// All are ejected; the less loaded of two of them.
+    /// The less loaded of two, with ejection ignored.
     AllEjected,
 }
 
 /// Result of a pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickOutcome {
-    /// This replica.
+    /// A replica was picked.
     Picked(ReplicaKey, PickMethod),
-    /// Every replica is full: wait.
+    /// Every replica is full, so the request has to wait.
     Full,
-    /// There is none.
+    /// There is no replica, or all of them are leaving.
     NoReplica,
 }
 
-/// Replicas by key, and the subsets that this box uses.
+/// Replicas, and the subsets of them that this box uses.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     rows: SlotMap<ReplicaKey, ReplicaState>,
     names: HashMap<String, ReplicaKey>,
     by_version: HashMap<VersionKey, Vec<ReplicaKey>>,
     by_service: HashMap<String, Vec<ReplicaKey>>,
-    /// Boxes that use a replica of the subset, by its length before it was cut.
+    /// Number of replicas of each version, before the subset is taken.
     pool_sizes: HashMap<VersionKey, usize>,
     boxes: usize,
     seed: u64,
@@ -167,7 +171,7 @@
 }
 
 impl ReplicaTable {
-    /// A table for the box called `me`; the name seeds its subsets.
+    /// Creates a table for the box named `me`. The name seeds its subsets.
     pub fn new(me: &str) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_bytes());
         Self { seed, ttft_ms: 200.0, ..Self::default() }
@@ -178,18 +182,18 @@
         self.rows.iter()
     }
 
-    /// A replica.
+    /// Returns the state of a replica.
     pub fn get(&self, key: ReplicaKey) -> Option<&ReplicaState> {
         self.rows.get(key)
     }
 
-    /// Key of a replica by name.
+    /// Returns the key of a replica by name.
     pub fn find(&self, name: &str) -> Option<ReplicaKey> {
         self.names.get(name).copied()
     }
 
-    /// Takes a new reading of the box list. A leaving mark is never taken back by the list, which
-    /// lags; a replica that comes back has left the list in between.
+    /// Applies a new reading of the box list. The list lags, so it never clears that a replica is
+    /// leaving. A replica that returns was absent from the list in between.
     pub fn apply_list(&mut self, listed: &[ListedReplica]) {
         let names: HashSet<&str> = listed.iter().map(|new| new.name.as_str()).collect();
         let removed: Vec<ReplicaKey> = self
@@ -219,18 +223,19 @@
         self.rebuild();
     }
 
-    /// Notes how many boxes are listed; they share the replicas.
+    /// Sets the number of listed boxes, which share the replicas.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
-    /// Marks a replica as leaving. Returns whether that is news.
+    /// Marks a replica as leaving. Returns whether it was not marked before.
     pub fn mark_leaving(&mut self, name: &str) -> bool {
         let Some(key) = self.find(name) else { return false };
         !std::mem::replace(&mut self.rows[key].leaving, true)
     }
 
-    /// Takes a load report made at `at`. Returns whether the replica's leaving mark is news.
+    /// Applies a load report made at `at`. Returns whether it is the first to say that the replica
+    /// is leaving.
     pub fn apply_report(
         &mut self,
         key: ReplicaKey,
@@ -276,17 +281,17 @@
         }
     }
 
-    /// Replicas of this box's subset for `version`.
+    /// This box's subset of the replicas that have `version` loaded.
     pub fn subset(&self, version: VersionKey) -> &[ReplicaKey] {
         self.by_version.get(&version).map_or(&[], Vec::as_slice)
     }
 
-    /// Replicas of a plain service.
+    /// This box's subset of the replicas of a plain service.
     pub fn service_subset(&self, service: &str) -> &[ReplicaKey] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Picks one of `keys`.
+    /// Picks one of the replicas `keys`.
     pub fn pick(&self, keys: &[ReplicaKey], query: PickQuery) -> PickOutcome {
         let not_leaving: Vec<ReplicaKey> =
             keys.iter().copied().filter(|key| !self.rows[*key].leaving).collect();
@@ -303,8 +308,8 @@
             })
             .filter(|key| Some(*key) != query.avoid)
             .collect();
-        // The floor: with more than half ejected the cause is not the replicas, and those that are
-        // left would be overrun.
+        // If more than half are ejected, the replicas are not the cause, and the rest would be
+        // overloaded.
         let ignores_ejection = healthy.len() * 2 < not_leaving.len();
         let pool = if ignores_ejection { &not_leaving } else { &healthy };
         let senders = self.senders(&self.rows[not_leaving[0]]);
@@ -323,8 +328,9 @@
         )
     }
 
-    /// Whether this box may send one more: while the replica is not busy, or within this box's own
-    /// part of its slots. Without the part, each report of a free slot is taken by every box at once.
+    /// Whether this box may send one more request: the replica has a low load, or this box has
+    /// fewer outstanding requests than its own share of the slots. Without that share all boxes
+    /// would use a free slot at once as soon as it is reported.
     fn has_room(&self, key: ReplicaKey, senders: f64) -> bool {
         let row = &self.rows[key];
         let own_slots = f64::from(row.slots.max(1)) / senders;
@@ -333,7 +339,7 @@
             || fleet_load < f64::from(row.slots) * UNCAPPED_LOAD
     }
 
-    /// Boxes that send to a replica, at least one.
+    /// Estimated number of boxes that send to a replica, at least one.
     fn senders(&self, row: &ReplicaState) -> f64 {
         let pool = row.versions.iter().filter_map(|version| self.pool_sizes.get(version)).max();
         let used = pool.map_or(1.0, |pool| (SUBSET_SIZE as f64 / *pool as f64).min(1.0));
@@ -349,7 +355,7 @@
         if prefix == 0 {
             return None;
         }
-        // The same replica from every box: by name and prefix only.
+        // Every box prefers the same replica, since the weight depends on name and prefix only.
         let weight = |key: &ReplicaKey| mix(self.rows[*key].name_hash ^ prefix);
         let preferred = pool.iter().copied().min_by_key(weight)?;
         let mean = pool.iter().map(|key| self.rows[*key].load()).sum::<f64>() / pool.len() as f64;
@@ -370,12 +376,13 @@
         }
     }
 
-    /// How long a first token may take before a replica counts as stalled, in milliseconds.
+    /// Wait for a first token after which a replica counts as stalled, in milliseconds:
+    /// [`STALL_MS`], or four times the mean time to the first token if that is more.
     pub fn stall_ms(&self) -> u64 {
         STALL_MS.max((self.ttft_ms * 4.0) as u64)
     }
 
-    /// Notes that a request is given to a replica.
+    /// Records that a request was assigned to a replica.
     pub fn record_assigned(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding += 1;
@@ -384,7 +391,7 @@
         }
     }
 
-    /// Notes the first token, or the whole answer, of a request given at `at`.
+    /// Records the first token, or the complete answer, of a request that was assigned at `at`.
     pub fn record_answered(&mut self, key: ReplicaKey, at: BoxTime, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             remove_one(&mut row.unanswered, at);
@@ -394,7 +401,7 @@
         }
     }
 
-    /// Notes that a request given at `at` has ended.
+    /// Records that a request that was assigned at `at` has ended.
     pub fn record_ended(&mut self, key: ReplicaKey, at: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding = row.outstanding.saturating_sub(1);
@@ -404,7 +411,7 @@
         }
     }
 
-    /// Notes a failure; ejects the replica when it has failed too often in a row.
+    /// Records a failure, and ejects the replica after [`EJECT_FAILURES`] consecutive ones.
     pub fn record_failure(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.failures += 1;
@@ -418,7 +425,7 @@
     }
 }
 
-/// Spreads a hash: SplitMix64's finalizer.
+/// Mixes the bits of a hash with the finalizer of SplitMix64.
 pub(crate) fn mix(hash: u64) -> u64 {
     let mut mixed = hash.wrapping_add(0x9E37_79B9_7F4A_7C15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -427,7 +434,7 @@
 }
 
 fn new_row(listed: &ListedReplica) -> ReplicaState {
-    /// Slots assumed of a replica that has not reported.
+    /// Number of slots assumed for a replica that has not reported.
     const ASSUMED_SLOTS: u32 = 16;
     ReplicaState {
         listed: listed.clone(),
