--- a/crates/core/src/bundle.rs
+++ b/crates/core/src/bundle.rs
@@ -1,9 +1,9 @@
-//! What a bundle says, once read and checked: plain data, and the index the decision uses.
+//! Content of a bundle as plain data, and the index that decisions use.
 //!
-//! The bundle file is TOML; its reader with findings lives in `ravenspoke-config`. What travels and
-//! what is signed are *sections*: each top-level entry (`accounts.alpha`) as canonical JSON. The
-//! digest is taken over the sorted sections, so layout and comments of the file do not matter, and
-//! a change record needs to carry only the sections that changed.
+//! The bundle file is TOML; `ravenspoke-config` reads it and reports its errors. Bundles are sent
+//! and signed as *sections*: each top-level entry (`accounts.alpha`) as canonical JSON. The digest
+//! covers the sorted sections, so the layout and comments of the file do not matter, and a change
+//! record holds only the changed sections.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,7 +15,7 @@
 /// Sections by name, each as canonical JSON.
 pub type SectionMap = BTreeMap<String, String>;
 
-/// Digest of a whole bundle over its sorted sections: `sha256:` and 64 hexadecimal digits.
+/// Returns the digest of a bundle over its sorted sections: `sha256:` and 64 hexadecimal digits.
 pub fn bundle_digest(sections: &SectionMap) -> String {
     let mut hasher = Sha256::new();
     for (name, json) in sections {
@@ -27,30 +27,30 @@
     format!("sha256:{}", hex::encode(hasher.finalize()))
 }
 
-/// The bytes that an operator signs.
+/// Returns the bytes that an operator signs.
 pub fn signed_bytes(sequence: u64, base: &str, digest: &str) -> Vec<u8> {
     format!("ravenspoke bundle v1\n{sequence}\n{base}\n{digest}\n").into_bytes()
 }
 
-/// Life of a version, as the bundle states it.
+/// Life-cycle state of a version in the bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VersionState {
-    /// Takes new sessions and requests.
+    /// Serves existing and new sessions.
     Serving,
-    /// Serves its sessions, takes no new ones.
+    /// Serves existing sessions only.
     Draining,
-    /// Serves nobody.
+    /// Serves no requests.
     Withdrawn,
 }
 
-/// A model: one price, several versions, one of them the default.
+/// A model with one price and a default version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Cost units for each 1,000 generated tokens.
+    /// Cost units per 1,000 generated tokens.
     pub cost_per_1k: f64,
-    /// Version that answers new sessions when no roll-out says otherwise.
+    /// Default version, which answers new sessions unless a roll-out selects another.
     pub version: String,
 }
 
@@ -58,31 +58,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpec {
-    /// Model that it is a version of.
+    /// Its model.
     pub model: String,
-    /// Whether it takes work.
+    /// Whether it serves new or existing sessions.
     pub state: VersionState,
 }
 
-/// A roll-out of a version by steps.
+/// A roll-out of a version in steps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
     /// Version that it replaces.
     pub from: String,
-    /// Share of new work at each step, in percent, rising.
+    /// Share of new sessions and requests at each step, in percent, increasing.
     pub steps: Vec<u8>,
-    /// Requests of the whole fleet that may run on the version in a step before its verdict.
+    /// Requests of the whole fleet that may run on the version in a step before the verdict on it.
     pub exposure_budget: u32,
 }
 
-/// A cascade: cheaper models first.
+/// A model cascade: cheaper models are tried first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CascadeSpec {
-    /// Models, cheapest first; the last is the safe one.
+    /// Models, the cheapest first and the safe one last.
     pub rungs: Vec<String>,
-    /// Share of answers that must meet the quality target, 0 to 1.
+    /// Share of answers that must meet the quality target, from 0 to 1.
     pub target: f64,
 }
 
@@ -92,13 +92,13 @@
 pub struct AccountSpec {
     /// SHA-256 of each caller key, as 64 hexadecimal digits.
     pub key_hashes: Vec<String>,
-    /// Models, versions and cascades that it may use.
+    /// Models, versions and cascades that the account may use.
     #[serde(default)]
     pub allow: Vec<String>,
-    /// Plain services that it may call.
+    /// Plain services that the account may call.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Weight of its fair share.
+    /// Weight in fair queueing.
     #[serde(default = "one")]
     pub weight: u32,
 }
@@ -107,20 +107,20 @@
     1
 }
 
-/// A plain service.
+/// A plain service, which has no models or versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Operations that may not be repeated, `METHOD /path-prefix`.
+    /// Operations that must not be repeated, as `METHOD /path-prefix`.
     #[serde(default)]
     pub not_repeatable: Vec<String>,
-    /// Cost units a call.
+    /// Cost units per call.
     #[serde(default)]
     pub cost_per_call: f64,
 }
 
 impl ServiceSpec {
-    /// Whether `method` on `path` may run at most once for a key.
+    /// Whether `method` on `path` may run at most once for an idempotency key.
     pub fn runs_once(&self, method: &str, path: &str) -> bool {
         self.not_repeatable.iter().any(|rule| {
             let (verb, prefix) = rule.split_once(' ').unwrap_or((rule, "/"));
@@ -129,19 +129,21 @@
     }
 }
 
-/// A pool of model engines whose loaded versions the boxes keep as the bundle says.
+/// A pool of model engines whose loaded versions the boxes control.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
-    /// Models whose versions every replica of the pool has loaded, unless they are withdrawn.
+    /// Models of which every replica of the pool should have all versions loaded that are not
+    /// withdrawn.
     pub models: Vec<String>,
-    /// Whether the replicas refuse an order whose fencing token is lower than one they have seen.
+    /// Whether the replicas refuse an order whose fencing token is lower than the highest they have
+    /// seen.
     pub checks_token: bool,
-    /// Replicas that may load at once: the weight store's rate.
+    /// Number of replicas that may load at the same time, by the throughput of the weight store.
     pub loads_at_once: u32,
 }
 
-/// A whole bundle.
+/// A complete bundle.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BundleSpec {
@@ -151,7 +153,7 @@
     /// Versions by name.
     #[serde(default)]
     pub versions: BTreeMap<String, VersionSpec>,
-    /// Roll-outs by the version that they bring in.
+    /// Roll-outs by the name of the new version.
     #[serde(default)]
     pub rollouts: BTreeMap<String, RolloutSpec>,
     /// Cascades by name.
@@ -163,13 +165,13 @@
     /// Plain services by name.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceSpec>,
-    /// Pools of model engines by the service name of the box list.
+    /// Pools of model engines by their service name in the box list.
     #[serde(default)]
     pub pools: BTreeMap<String, PoolSpec>,
 }
 
 impl BundleSpec {
-    /// Versions that a replica of `pool` should have loaded, in order of name.
+    /// Returns the versions that a replica of `pool` should have loaded, in order of name.
     pub fn pool_versions(&self, pool: &PoolSpec) -> Vec<String> {
         let serves_pool = |(_, version): &(&String, &VersionSpec)| {
             version.state != VersionState::Withdrawn && pool.models.contains(&version.model)
@@ -189,10 +191,10 @@
         sections
     }
 
-    /// Puts a bundle together from its sections.
+    /// Builds a bundle from its sections.
     ///
     /// # Errors
-    /// The section that is not of this format, with the reader's words.
+    /// A message with the invalid section and the parser's error.
     pub fn from_sections(sections: &SectionMap) -> Result<Self, String> {
         let mut tree = serde_json::Map::new();
         for (name, json) in sections {
@@ -211,7 +213,7 @@
     }
 }
 
-/// Names interned by this box; they outlive a bundle.
+/// Names interned by this box. They stay when the bundle changes.
 #[derive(Debug, Default)]
 pub struct NameIndex {
     /// Client accounts.
@@ -220,10 +222,10 @@
     pub versions: NameTable<VersionKey>,
 }
 
-/// A bundle made ready for lookups on the path of a request.
+/// A bundle with indexes for the lookups of a request.
 #[derive(Debug, Default)]
 pub struct BundleIndex {
-    /// The bundle itself.
+    /// The bundle.
     pub spec: BundleSpec,
     accounts: HashMap<[u8; 32], AccountKey>,
     allowed: HashMap<AccountKey, Vec<VersionKey>>,
@@ -231,7 +233,7 @@
 }
 
 impl BundleIndex {
-    /// Indexes `spec`, interning its names.
+    /// Builds the index of `spec` and interns its names.
     pub fn build(spec: BundleSpec, names: &mut NameIndex) -> Self {
         let mut index = BundleIndex::default();
         for (name, version) in &spec.versions {
@@ -258,17 +260,17 @@
         index
     }
 
-    /// The account that a caller key's hash belongs to.
+    /// Returns the account of a caller key by the key's hash.
     pub fn account(&self, hash: &[u8; 32]) -> Option<AccountKey> {
         self.accounts.get(hash).copied()
     }
 
-    /// Whether `account` may use `version`, whatever its state.
+    /// Whether `account` may use `version`, regardless of the version's state.
     pub fn allows(&self, account: AccountKey, version: VersionKey) -> bool {
         self.allowed.get(&account).is_some_and(|versions| versions.contains(&version))
     }
 
-    /// State of `version`; a version that the bundle does not name is withdrawn.
+    /// Returns the state of `version`; a version that the bundle does not name is withdrawn.
     pub fn version_state(&self, version: VersionKey) -> VersionState {
         self.states.get(&version).copied().unwrap_or(VersionState::Withdrawn)
     }
--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -1,37 +1,38 @@
-//! The fold of the `bundles` stream: which bundle is in force, the same on every box.
+//! The fold of the `bundles` stream, which gives the bundle in force, the same on every box.
 //!
-//! Each record is checked against the bundle in force *at its offset*: it must be one sequence
-//! later, name the digest of the bundle in force as its base, give the digest of what results, and
-//! carry enough sign-offs. Of two racing operators the first in log order wins; the other's record
-//! is rejected by every box, in the same way.
+//! Each record is checked against the bundle in force *at its offset*: it must have the next
+//! sequence, name the digest of the bundle in force as its base, give the digest of the resulting
+//! bundle, and have enough sign-offs. If two operators publish at the same time, the first record
+//! in log order wins and every box rejects the other.
 //!
-//! The log is trimmed. A fold that starts behind the trimmed part, or that fell behind it, has lost
-//! records and cannot tell a loser from a winner. It is *unanchored*: it puts records aside until it
-//! reads one that a box carried forward. A carried record says "up to offset `folded_to`, this is
-//! in force"; where nothing after `folded_to` was trimmed, the fold takes it and goes on with the
-//! records put aside from that offset. Taking a carried record without that check would be wrong: a
-//! carry can land late, behind a bundle that its writer had not read (`spec/bundle.pml`, mutant
-//! `NO_ANCHOR`).
+//! The log is trimmed. A fold that starts after the trimmed part, or lags so far that unread
+//! records are trimmed, has missed records and cannot tell which of two competing records won. It
+//! is *unanchored* and defers records until it reads one that a box carried forward, which means
+//! that the box appended the complete bundle in force again. Such a record states that the bundle
+//! is in force up to offset `folded_to`. If nothing after `folded_to` was trimmed, the fold accepts
+//! the record and continues with the deferred records from that offset. Without this check the
+//! result would be wrong, because a carried record can reach the log late, after a bundle that its
+//! writer had not read (`spec/bundle.pml`, mutant `NO_ANCHOR`).
 
 use ed25519_dalek::{Signature, Verifier, VerifyingKey};
 
 use crate::bundle::{bundle_digest, signed_bytes, BundleSpec, SectionMap};
 use crate::message::{BundleRecord, BundleSection, SignOff};
 
-/// Base of the first bundle.
+/// Base that the first bundle names.
 pub const NO_BASE: &str = "none";
 
-/// Operator keys, and how many of them must sign.
+/// Operator keys, and the number of them that must sign.
 #[derive(Clone, Debug, Default)]
 pub struct SignOffRule {
-    /// Sign-offs needed.
+    /// Number of sign-offs needed.
     pub needed: usize,
     /// Public keys by id.
     pub keys: Vec<(String, VerifyingKey)>,
 }
 
 impl SignOffRule {
-    /// How many different operators validly signed.
+    /// Number of different operators with a valid signature.
     pub fn count(&self, sequence: u64, base: &str, digest: &str, sign_offs: &[SignOff]) -> usize {
         let bytes = signed_bytes(sequence, base, digest);
         let valid = |id: &str, key: &VerifyingKey| {
@@ -61,7 +62,7 @@
 }
 
 impl BundleInForce {
-    /// The whole bundle as a record for a peer.
+    /// Returns the complete bundle as a record, for a peer.
     pub fn whole_record(&self) -> BundleRecord {
         let section = |(name, json): (&String, &String)| BundleSection {
             name: name.clone(),
@@ -81,7 +82,7 @@
     }
 }
 
-/// Why a record was not accepted.
+/// Why a record is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FoldRejection {
     /// Another bundle of the same sequence came first.
@@ -102,8 +103,8 @@
         /// Digest in force.
         in_force: String,
     },
-    /// The sections do not give the digest.
-    #[error("bundle {0}: its sections do not give its digest")]
+    /// The digest of the resulting bundle differs from the one in the record.
+    #[error("bundle {0}: the digest of its sections differs from the stated digest")]
     WrongDigest(u64),
     /// Too few operators signed.
     #[error("bundle {sequence} has {valid} valid sign-offs of {needed} needed")]
@@ -115,40 +116,40 @@
         /// Sign-offs needed.
         needed: usize,
     },
-    /// Earlier records were trimmed and this one was not carried by a box.
+    /// Earlier records were trimmed, and this one was not carried forward by a box.
     #[error("bundle {0} follows a trimmed part of the log and was not carried forward")]
     Unanchored(u64),
-    /// The sections are not a bundle.
-    #[error("bundle {0} is not of this format: {1}")]
+    /// The sections are not a valid bundle.
+    #[error("bundle {0} is invalid: {1}")]
     Unreadable(u64, String),
 }
 
-/// What folding a record did.
+/// Result of folding a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FoldOutcome {
     /// The record is now in force.
     Accepted,
-    /// The record was in force already, or is older than what is.
+    /// The bundle was in force already, or is older than the one in force.
     Repeated,
-    /// The record is not accepted.
+    /// The record was rejected or deferred.
     Rejected(FoldRejection),
 }
 
-/// State of the fold.
+/// State of the fold of the `bundles` stream.
 #[derive(Debug, Default)]
 pub struct BundleFold {
     rule: SignOffRule,
     in_force: Option<BundleInForce>,
-    /// Next offset of the stream.
+    /// Next offset to read.
     next: u64,
-    /// Offset behind the last trimmed part that this fold missed, while it is unanchored.
+    /// Offset after the last trimmed part that this fold missed; set while it is unanchored.
     gap: Option<u64>,
-    /// Records read since the gap.
+    /// Records read since the gap, with their offsets.
     deferred: Vec<(u64, BundleRecord)>,
 }
 
 impl BundleFold {
-    /// A fold with nothing in force, at offset 0 of an untrimmed stream.
+    /// Creates a fold at offset 0 of an untrimmed stream, with no bundle in force.
     pub fn new(rule: SignOffRule) -> Self {
         Self { rule, ..Self::default() }
     }
@@ -168,26 +169,26 @@
         self.next
     }
 
-    /// Whether the fold can tell winners from losers.
+    /// Whether the fold can tell which of two competing records won, because it missed no record.
     pub fn anchored(&self) -> bool {
         self.gap.is_none()
     }
 
-    /// Notes that the records from the next offset up to `first` were trimmed unread.
+    /// Records that the log was trimmed up to `first`, so that unread records are lost.
     pub fn record_gap(&mut self, first: u64) {
         self.gap = Some(first);
         self.deferred.clear();
         self.next = first;
     }
 
-    /// The record that carries the bundle in force forward; only an anchored box may write it.
+    /// Returns the record that carries the bundle in force forward; `None` while unanchored.
     pub fn carry_record(&self) -> Option<BundleRecord> {
         let bundle = self.in_force.as_ref().filter(|_| self.anchored())?;
         let record = bundle.whole_record();
         Some(BundleRecord { carried: true, folded_to: self.next, ..record })
     }
 
-    /// Folds the record at `offset`; a record below the next offset was folded before.
+    /// Folds the record at `offset`. A record below the next offset was folded before.
     pub fn fold_record(&mut self, offset: u64, record: &BundleRecord) -> FoldOutcome {
         if offset < self.next {
             return FoldOutcome::Repeated;
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Passes over a record of another kind at `offset`.
+    /// Skips a record of another kind at `offset`.
     pub fn skip_record(&mut self, offset: u64) {
         self.next = self.next.max(offset + 1);
     }
@@ -240,7 +241,7 @@
         FoldOutcome::Repeated
     }
 
-    /// Takes what a peer has in force. Never lowers the sequence.
+    /// Applies a bundle that a peer has in force. The sequence never decreases.
     pub fn adopt_record(&mut self, record: &BundleRecord) -> FoldOutcome {
         if record.sequence <= self.sequence() {
             return self.repeated_or_lost(record);
@@ -322,7 +323,8 @@
     }
 }
 
-/// The record that turns `base` into `sections`: only what changed, or the whole without a base.
+/// Returns the record that turns `base` into `sections`. It holds only the changes, or the complete
+/// bundle if there is no base.
 pub fn change_record(
     base: Option<&BundleInForce>,
     sections: &SectionMap,
