--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -1,17 +1,20 @@
-//! Where a cascade starts: learned for each request class from ratings.
+//! Model cascade: the choice of the first rung for each request class, from ratings of answers.
 //!
-//! A cascade's target is a share of all its answers. For each class and model the box keeps decayed
-//! counts of answers that met the quality target, and uses their lower bound; for each cascade it
-//! keeps how often each class comes. Where all classes on the last rung would exceed the target, the
-//! excess is spent on cheaper rungs, first on the class and rung that save the most cost for the
-//! quality they lose; the class at the margin gets its cheaper rung for a share of its requests.
-//! (A price that followed the shortfall request by request was tried first: it took hundreds of
-//! requests a box to settle, docs/POLICY.md.)
+//! The rungs of a cascade are its models, the cheapest first. The target of a cascade is a share of
+//! all its answers. For each class and model the box keeps decayed counts of answers that met the
+//! quality target, and uses the lower bound of their share. For each cascade it counts the requests
+//! of each class. If the last rung alone would exceed the target, the excess is allocated to
+//! cheaper rungs, first to the class and rung that save the most cost for the quality lost. The
+//! last class to get a part of the excess uses its cheaper rung for a share of its requests only. A
+//! price that follows the shortfall request by request is no alternative: it takes hundreds of
+//! requests per box to converge (`docs/POLICY.md`).
 //!
-//! While too little is known of a class its cheap answers are rated before release, with escalation,
-//! which is safe and teaches. That waits for the whole answer, so known classes are not gated: a small
-//! share tries the cheap rung and is rated after it left. Boxes share what they learn. While ratings
-//! are down the last estimates serve, and without them the last rung.
+//! While a class has too few ratings, its cheap answers are rated before release and escalated if
+//! they are bad, which is safe and yields ratings. That delays the caller until the answer is
+//! complete, so it ends once the class has enough ratings. A small share of the requests then
+//! explores the cheap rung, and these answers are rated after release. Boxes send their ratings to
+//! each other. While the rating service is down, the last estimates are used, or the last rung if
+//! there are none.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,35 +23,35 @@
 use crate::reason::ReasonCode;
 use crate::rollout::CLASS_COUNT;
 
-/// Counts are halved when they reach this, so that old ratings fade.
+/// Number of ratings at which the counts are halved, so that old ratings decay.
 pub const DECAY_AT: f64 = 400.0;
 
-/// Ratings of a class below which its estimate is not used.
+/// Number of ratings of a class below which its estimate is not used.
 pub const MIN_RATINGS: f64 = 20.0;
 
-/// Standard errors between the mean and the lower bound: the target is over all answers, so errors
-/// of single classes even out, and a wide bound pays for quality that nobody asked for.
+/// Standard errors between the mean and the lower bound. The target applies to all answers, so the
+/// errors of single classes average out, and a wide bound would buy quality above the target.
 pub const BOUND_STANDARD_ERRORS: f64 = 0.5;
 
-/// Share of requests, in 1/256, that try the cheapest rung although it is not planned, to learn.
+/// Share of requests that explore the cheapest rung to collect ratings, in 1/256.
 pub const EXPLORE_SHARE: u64 = 2;
 
-/// Quality above the target that is aimed at.
+/// Margin above the target that the plan aims for.
 pub const TARGET_MARGIN: f64 = 0.005;
 
-/// Requests of a cascade after which its class counts are halved.
+/// Number of requests of a cascade at which its class counts are halved.
 pub const MIX_DECAY_AT: f64 = 2_000.0;
 
-/// Quality assumed of a last rung that was hardly rated.
+/// Quality assumed for a last rung with too few ratings.
 const DEFAULT_LAST_QUALITY: f64 = 0.97;
 
-/// Ratings that must fail in a row before the service counts as down.
+/// Consecutive failed ratings after which the rating service counts as down.
 pub const RATING_DOWN_FAILURES: u32 = 3;
 
 /// Decayed counts of one model on one request class.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct QualityCount {
-    /// Answers that met the target.
+    /// Answers that met the quality target.
     pub good: f64,
     /// Answers that did not.
     pub bad: f64,
@@ -59,12 +62,12 @@
         self.good + self.bad
     }
 
-    /// Share of good answers, one of each added.
+    /// Share of good answers, with one good and one bad answer added.
     pub fn mean(self) -> f64 {
         (self.good + 1.0) / (self.total() + 2.0)
     }
 
-    /// Lower bound of the share.
+    /// Lower bound of the share of good answers.
     pub fn lower(self) -> f64 {
         let mean = self.mean();
         mean - BOUND_STANDARD_ERRORS * (mean * (1.0 - mean) / (self.total() + 2.0)).sqrt()
@@ -83,27 +86,28 @@
     }
 }
 
-/// A rung as the plan sees it.
+/// A rung with its cost.
 #[derive(Clone, Copy, Debug)]
 pub struct RungView<'a> {
     /// Model.
     pub model: &'a str,
-    /// Cost of an answer of usual length, in cost units.
+    /// Cost of a typical answer, in a unit common to all rungs. A box uses the cost units per 1,000
+    /// tokens.
     pub cost: f64,
 }
 
-/// Which rung answers first, and whether its answer is rated before release.
+/// The rung that answers first, and whether its answer is rated before release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CascadePlan {
     /// Index of the rung.
     pub rung: usize,
     /// Whether the answer is rated before release.
     pub gated: bool,
-    /// Why.
+    /// Reason of the choice.
     pub reason: ReasonCode,
 }
 
-/// What was learned.
+/// Ratings by model and class, and requests by cascade and class.
 #[derive(Debug, Default)]
 pub struct QualityTable {
     counts: HashMap<String, [QualityCount; CLASS_COUNT]>,
@@ -125,7 +129,7 @@
         &mut row[usize::from(class).min(CLASS_COUNT - 1)]
     }
 
-    /// Notes that a rating could not be had.
+    /// Records that a rating failed.
     pub fn rating_failed(&mut self) {
         self.rating_failures = self.rating_failures.saturating_add(1);
     }
@@ -135,13 +139,13 @@
         self.rating_failures >= RATING_DOWN_FAILURES
     }
 
-    /// Count of a model on a class.
+    /// Returns the ratings of a model on a class.
     pub fn count(&self, model: &str, class: u8) -> QualityCount {
         let row = self.counts.get(model);
         row.map_or(QualityCount::default(), |row| row[usize::from(class).min(CLASS_COUNT - 1)])
     }
 
-    /// All counts, for the dump.
+    /// Returns all counts as model, class and count, sorted.
     pub fn rows(&self) -> Vec<(String, u8, QualityCount)> {
         let classes = |(model, row): (&String, &[QualityCount; CLASS_COUNT])| {
             let model = model.clone();
@@ -154,12 +158,12 @@
         rows
     }
 
-    /// Takes the ratings of this box that it has not yet shared with others.
+    /// Removes and returns the ratings of this box that were not yet sent to others.
     pub fn drain_unshared(&mut self) -> BTreeMap<(String, u8), QualityCount> {
         std::mem::take(&mut self.unshared)
     }
 
-    /// Adds what another box learnt.
+    /// Adds ratings that another box sent.
     pub fn add_shared(&mut self, model: &str, class: u8, shared: QualityCount) {
         let count = self.count_mut(model, class);
         count.good += shared.good;
@@ -170,12 +174,12 @@
         }
     }
 
-    /// Whether nothing was learnt yet.
+    /// Whether there are no ratings yet.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
 
-    /// Plans a request of `class` for the cascade called `name`; `random` decides shares.
+    /// Plans a request of `class` for the cascade `name`. `random` selects the requests of a share.
     pub fn plan(
         &mut self,
         name: &str,
@@ -201,7 +205,7 @@
             return CascadePlan { rung: 0, gated: false, reason: ReasonCode::CascadeExplore };
         }
         let (rung, share) = self.allocate_excess(rungs, target, &mix, class);
-        // The low bits decided on exploration.
+        // Uses other bits than the choice to explore.
         let sample = (random >> 16) as f64 / (1u64 << 48) as f64;
         if rung < last && sample < share {
             return CascadePlan { rung, gated: false, reason: ReasonCode::CascadeCheap };
@@ -209,7 +213,7 @@
         strong
     }
 
-    /// Counts a request of the class; gives the decayed counts of all classes.
+    /// Counts a request of the class, and returns the decayed counts of all classes.
     fn count_request(&mut self, name: &str, class: usize) -> [f64; CLASS_COUNT] {
         if !self.class_mixes.contains_key(name) {
             self.class_mixes.insert(name.to_owned(), [0.0; CLASS_COUNT]);
@@ -222,7 +226,8 @@
         *mix
     }
 
-    /// The cheaper rung of `class`, and for which share of its requests the target lets it answer.
+    /// Returns the cheaper rung for `class`, and the share of its requests that may use it within
+    /// the target.
     fn allocate_excess(
         &self,
         rungs: &[RungView<'_>],
@@ -259,7 +264,8 @@
         }
     }
 
-    /// The cheaper rung that saves the most cost for the quality it loses: rung, loss, worth.
+    /// Returns the cheaper rung that saves the most cost for the quality it loses, as rung, loss
+    /// and saving per loss.
     fn best_cheaper_rung(
         &self,
         rungs: &[RungView<'_>],
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,12 +1,14 @@
-//! The roll-out guard: a new version is tried in steps, on few boxes, within a budget of the fleet.
+//! Canary analysis of roll-outs: a new version is tried in steps, on few boxes, within an exposure
+//! budget of the fleet.
 //!
-//! In a step only the *canary boxes* send it new work at the step's share; they are the first
-//! [`CANARY_BOXES`] of the box list by a hash of box and version, so the exposure before a verdict
-//! does not grow with the number of boxes. Other boxes use the share of the step that passed last.
-//! Evidence (rated answers and failures, by request class) goes to the first canary box, which runs
-//! the tests: a step passes after enough answers no worse than the replaced version's; a cumulative
-//! sum of log-likelihood ratios, over all and for each class, halts. A halt passes between peers at
-//! once and is appended as a verdict, so that no new box reopens the roll-out.
+//! In each step only the *canary boxes* send new work to the version at the step's share. They are
+//! the first [`CANARY_BOXES`] of the box list by a hash of box and version, so the exposure before
+//! a verdict does not grow with the number of boxes. Other boxes use the share of the last step
+//! that passed. Evidence, which is rated answers and failures by request class, is sent to the
+//! first canary box, which runs the tests. A step passes after enough answers that are no worse
+//! than those of the replaced version. A cumulative sum of log-likelihood ratios, over all classes
+//! and for each class, halts the roll-out. A halt is sent to peers at once and appended to the log
+//! as a verdict, so that a new box does not continue the roll-out.
 
 use std::collections::BTreeMap;
 
@@ -14,32 +16,33 @@
 
 use crate::bundle::RolloutSpec;
 
-/// Boxes that try a step before its verdict.
+/// Number of boxes that try a step before its verdict.
 pub const CANARY_BOXES: usize = 2;
 
-/// Request classes.
+/// Number of request classes.
 pub const CLASS_COUNT: usize = 8;
 
-/// The version is called bad when its share of bad answers is this much above the replaced one's. One
-/// test for each margin: the small one finds a slight fault, the large one a gross fault sooner.
+/// Margins by which the share of bad answers of a bad version exceeds that of the replaced version.
+/// Each margin has its own test: the small one detects slight faults, the large one detects gross
+/// faults sooner.
 pub const BAD_MARGINS: [f64; 2] = [0.15, 0.4];
 
-/// Evidence for "bad", as a log-likelihood ratio, at which a roll-out is halted.
+/// Log-likelihood ratio in favour of a bad version at which the roll-out is halted.
 pub const HALT_EVIDENCE: f64 = 7.5;
 
-/// Answers that must be judged before a step passes.
+/// Number of judged answers needed for a step to pass.
 pub const STEP_ANSWERS: u32 = 60;
 
-/// Evidence for "bad" above which a step is not passed yet.
+/// Log-likelihood ratio in favour of a bad version above which a step does not pass yet.
 pub const PASS_EVIDENCE: f64 = 2.0;
 
-/// Least share of bad answers assumed of the replaced version.
+/// Minimum share of bad answers assumed for the replaced version.
 pub const BASELINE_BAD_FLOOR: f64 = 0.03;
 
-/// Answers of the replaced version that the base rate is worked out from, at least.
+/// Minimum number of ratings of the replaced version for an estimate of its share of bad answers.
 pub const BASELINE_ANSWERS: f64 = 20.0;
 
-/// Counts of judged answers of one class.
+/// Numbers of judged answers of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct JudgedCount {
     /// Good answers.
@@ -48,33 +51,35 @@
     pub bad: u32,
 }
 
-/// A decision of the guard.
+/// Result of the tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardVerdict {
     /// Halt the roll-out.
     Halt,
-    /// Go on to this step.
+    /// Continue with this step.
     Step(u32),
 }
 
 /// State of one roll-out on one box.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RolloutState {
-    /// Step under trial, from 0; the number of steps when all passed.
+    /// Step on trial, from 0; the number of steps once all have passed.
     pub step: u32,
     /// Whether it is halted.
     pub halted: bool,
-    /// Requests that this box gave to the version in this step.
+    /// Requests that this box sent to the version in this step.
     pub exposed: u32,
-    /// Evidence for "bad" over all classes and for each; the first canary box keeps it.
+    /// Log-likelihood ratios by margin, over all classes at index 0 and for each class after it.
+    /// Only the first canary box uses them.
     evidence: [[f64; CLASS_COUNT + 1]; BAD_MARGINS.len()],
     judged: u32,
-    /// Evidence that this box has not yet sent to the first canary box.
+    /// Judged answers that this box has not yet sent to the first canary box, by class.
     pub unsent: BTreeMap<u8, JudgedCount>,
 }
 
 impl RolloutState {
-    /// Share of new work that goes to the version on this box, in percent.
+    /// Share of new work that this box, at `rank` among the boxes, sends to the version, in
+    /// percent.
     pub fn share(&self, spec: &RolloutSpec, rank: usize) -> u8 {
         if self.halted {
             return 0;
@@ -91,13 +96,13 @@
         }
     }
 
-    /// Requests that the box of this rank may expose in a step.
+    /// Number of requests that the box of this rank may expose in a step.
     fn allowance(&self, spec: &RolloutSpec, rank: usize) -> u32 {
         let boxes = CANARY_BOXES as u32;
         spec.exposure_budget / boxes + u32::from((rank as u32) < spec.exposure_budget % boxes)
     }
 
-    /// Notes a judged answer of the version on this box, to be sent to the first canary box.
+    /// Adds a judged answer of the version on this box, to be sent to the first canary box.
     pub fn add_judged(&mut self, class: u8, good: bool) {
         let count = self.unsent.entry(class).or_default();
         if good {
@@ -107,8 +112,8 @@
         }
     }
 
-    /// Weighs evidence on the first canary box. `baseline_bad` is the replaced version's share of bad
-    /// answers on the class.
+    /// Adds evidence on the first canary box and returns the verdict, if there is one.
+    /// `baseline_bad` is the share of bad answers of the replaced version on the class.
     pub fn add_evidence(
         &mut self,
         spec: &RolloutSpec,
@@ -144,8 +149,8 @@
         None
     }
 
-    /// Takes a verdict, own or read: a halt is for good, a step never goes back.
-    /// Returns whether it is news.
+    /// Applies a verdict of this box or of another. A halt is final, and the step never decreases.
+    /// Returns whether the state changed.
     pub fn apply_verdict(&mut self, halted: bool, step: u32) -> bool {
         let is_new = !self.halted && (halted || step > self.step);
         self.halted |= halted;
