--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,9 +1,10 @@
 //! The reducer: all state of a box, and the one function that changes it.
 //!
-//! [`BoxState::apply`] hands each event to the module that has its job: `admit` (a request arrives),
-//! `choose` (model, version, replica), `run` (attempts), `settle` (ratings, bills, the end of an
-//! answer), `log` (folds and appends), `peers` (heartbeats, witnesses, marks), `guard` (roll-outs),
-//! `orders` (what engines should load) and `stop`. `dump` describes the state for operators.
+//! [`BoxState::apply`] passes each event to the module that handles it: `admit` (arriving
+//! requests), `choose` (model, version and replica), `run` (attempts), `settle` (ratings, bills and
+//! the end of an answer), `log` (folds and appends), `peers` (heartbeats, witnesses and leaving
+//! notices), `guard` (roll-outs), `orders` (versions that engines should load) and `stop`. `dump`
+//! describes the state for operators.
 
 mod admit;
 mod choose;
@@ -45,7 +46,7 @@
 
 pub use dump::{DecisionRecord, StateDump};
 
-/// Decisions kept for `explain`.
+/// Number of decisions kept for `explain`.
 pub const DECISION_LIMIT: usize = 4_096;
 
 /// Settings of a box that the reducer needs.
@@ -55,7 +56,7 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Random number drawn when the process started.
+    /// Random number that identifies this run of the process.
     pub incarnation: u64,
     /// Operator keys.
     pub sign_off: SignOffRule,
@@ -67,59 +68,63 @@
     pub queue_ms: u64,
     /// How long a claim may wait for the log, in milliseconds.
     pub claim_ms: u64,
-    /// How long callers keep the answer about which address to use, in milliseconds.
+    /// How long callers may cache the addresses of boxes, in milliseconds.
     pub entry_keep_ms: u64,
-    /// Bills that may wait for the log before new requests are refused.
+    /// Number of bills waiting for the log at which new requests are refused.
     pub bill_limit: usize,
-    /// Share of answers rated after they left, in 1/256.
+    /// Share of answers that are rated after release, in 1/256.
     pub rate_share: u64,
 }
 
-/// Stage of a request, with its attempt's state as a type.
+/// Stage of a request, with the state of its attempt as a type.
 #[derive(Clone, Copy, Debug)]
 enum RequestStage {
     /// Waits for its claim.
     Claiming(Attempt<Queued>),
     /// Waits for a replica.
     Waiting(Attempt<Queued>),
-    /// Has a replica.
+    /// Has a replica, but nothing was written to it.
     Ready(Attempt<Ready>),
-    /// Runs.
+    /// The attempt is dispatched.
     Running(Attempt<Dispatched>),
     /// Its held answer is being rated.
     Rating(Attempt<Dispatched>),
-    /// Its end waits for witnesses.
+    /// The end of its answer is held until witnesses have the bill.
     Billing,
 }
 
-/// Where a request waits.
+/// Name of a queue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum QueueName {
     Version(VersionKey),
     Service(String),
 }
 
-/// A request that the box has taken in.
+/// State of an admitted request.
 #[derive(Debug)]
 struct RequestState {
     ticket: RequestTicket,
     id: u128,
     account: AccountKey,
     target: RequestTarget,
-    /// Key that the bill is known by, where the caller gave one.
+    /// Key of the bill, if the caller sent an idempotency key.
     bill_key: Option<String>,
+    /// Key and nonce of its claim, if it needs one.
     claim: Option<(String, u64)>,
     /// Whether it may run more than once.
     repeatable: bool,
     deadline: BoxTime,
     stage: RequestStage,
-    /// Rung of a cascade that answers now, and whether its answer is rated before release.
+    /// Rung of the cascade that answers now.
     rung: usize,
+    /// Whether the answer is rated before release.
     gated: bool,
     version: Option<VersionKey>,
     pins: SessionPins,
     pins_changed: bool,
+    /// Number of tokens that the caller already has.
     delivered: u32,
+    /// Replica that failed this request.
     avoid: Option<ReplicaKey>,
     reasons: Vec<ReasonCode>,
     cost: f64,
@@ -139,29 +144,31 @@
     verdict_next: u64,
     leases: LeaseFold,
     lease_next: u64,
-    /// Lease records that were sent and not read back, with when.
+    /// When this box requested the leases that it has not read back from the log, by pool.
     lease_requested: BTreeMap<String, BoxTime>,
-    /// Orders given, by replica, with when and what: a load takes a while to show in the report.
+    /// Orders by replica, with time and versions. They are kept because a load takes time to show
+    /// in the replica's report.
     ordered: BTreeMap<String, (BoxTime, Vec<String>)>,
-    /// When the record of the bundle in force was read, and how old it was then, in milliseconds.
+    /// When the record of the bundle in force was read, and its age in milliseconds at that time.
     bundle_seen: (BoxTime, u64),
     fresh: FreshLease,
     members: BoxMembership,
     replicas: ReplicaTable,
     quality: QualityTable,
-    /// Whether another box has shared what it learnt.
+    /// Whether another box has sent ratings.
     quality_received: bool,
     rollouts: BTreeMap<String, RolloutState>,
     queues: BTreeMap<QueueName, FairQueue>,
     retry: RetryBudget,
     appends: BTreeMap<LogStream, AppendQueue>,
     ledger: BillLedger,
-    /// Boxes that bills of this round go to; chosen anew with each heartbeat.
+    /// Boxes to which bills are sent; chosen again with each heartbeat.
     witnesses: Vec<String>,
     requests: SlotMap<RequestKey, RequestState>,
     tickets: HashMap<RequestTicket, RequestKey>,
     decisions: VecDeque<DecisionRecord>,
-    /// Replicas lately heard to be leaving, with when; repeated in heartbeats for a while.
+    /// Replicas that recently became known to be leaving, with the time. Heartbeats repeat them for
+    /// a while.
     leaving_notices: VecDeque<(BoxTime, String)>,
     next_heartbeat: BoxTime,
     next_evidence: BoxTime,
@@ -172,11 +179,11 @@
 /// Counters since the box started.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct BoxCounts {
-    /// Requests taken in.
+    /// Requests that arrived.
     pub arrived: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Refusals, run or not.
+    /// Refusals, whether the request ran or not.
     pub refused: u64,
     /// Attempts dispatched.
     pub dispatched: u64,
@@ -187,7 +194,7 @@
 }
 
 impl BoxState {
-    /// State of a box that has just started and knows nothing.
+    /// Creates the state of a box that has just started.
     pub fn new(settings: BoxSettings) -> Self {
         let queue = |stream| {
             let limit = if stream == LogStream::Bills { settings.bill_limit } else { 4_096 };
@@ -228,7 +235,7 @@
         }
     }
 
-    /// Applies one event and gives what the box must do.
+    /// Applies one event and returns what the box must do.
     pub fn apply(&mut self, stamp: EventStamp, event: BoxEvent) -> Vec<BoxEffect> {
         let mut effects = Vec::new();
         let out = &mut effects;
@@ -283,11 +290,11 @@
         self.check_stopped(stamp, out);
     }
 
-    /// What the box may rely on now.
+    /// Freshness of the box's bundle now.
     pub fn fresh_state(&self, now: BoxTime) -> FreshState {
         let own = self.fold.sequence();
         self.fresh.state(now, self.members.listed_count(), || {
-            // A majority that includes a box with a newer bundle says that this one is stale.
+            // If a listed box has a newer bundle, this one is stale and no majority counts.
             if self.members.newest_sequence() > own {
                 0
             } else {
@@ -296,7 +303,7 @@
         })
     }
 
-    /// Sequence in force; 0 for none.
+    /// Sequence of the bundle in force; 0 for none.
     pub fn sequence(&self) -> u64 {
         self.fold.sequence()
     }
@@ -306,7 +313,7 @@
         self.fold.in_force()
     }
 
-    /// Next offset to read of a stream that the box follows.
+    /// Next offset to read from a stream that the box follows.
     pub fn next_offset(&self, stream: LogStream) -> u64 {
         match stream {
             LogStream::Claims => self.claim_next,
@@ -321,7 +328,7 @@
         self.counts
     }
 
-    /// The bundle's lookups.
+    /// Index of the bundle in force.
     pub fn index(&self) -> &BundleIndex {
         &self.index
     }
@@ -336,7 +343,7 @@
         &self.replicas
     }
 
-    /// Boxes.
+    /// Listed boxes.
     pub fn members(&self) -> &BoxMembership {
         &self.members
     }
@@ -353,7 +360,7 @@
     }
 }
 
-/// Spreads one random number into another, for a second use within one event.
+/// Derives another random number from `random`, for a further use within one event.
 fn next_random(random: u64) -> u64 {
     crate::replica::mix(random)
 }
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -1,4 +1,4 @@
-//! A request arrives: every check that needs no replica, in one place.
+//! Admission of an arriving request: all checks that need no replica.
 
 use crate::attempt::{Attempt, RequestRefusal};
 use crate::bundle::CascadeSpec;
@@ -15,10 +15,11 @@
 
 use super::{next_random, BoxState, DecisionRecord, RequestStage, RequestState};
 
-/// When a caller should come back to a box that waits for its bundle, in milliseconds.
+/// Retry delay for a caller of a box that has no current bundle or is stopping, in milliseconds.
 const BUNDLE_WAIT_MS: u64 = 1_000;
 
-/// When a caller should come back after the log could not be reached, in milliseconds.
+/// Retry delay for a caller whose request needs the log while the log is unreachable or behind, in
+/// milliseconds.
 const LOG_WAIT_MS: u64 = 5_000;
 
 impl BoxState {
@@ -94,7 +95,7 @@
         self.claim(stamp, request, out)
     }
 
-    /// Checks that concern the box and not the request.
+    /// Checks whether the box can serve requests at all.
     fn check_box(&self, stamp: EventStamp) -> Result<(), RequestRefusal> {
         let refuse = |reason| Err(Attempt::first().refuse(reason).retry_after(BUNDLE_WAIT_MS));
         if self.has_stopped_accepting(stamp.now) {
@@ -191,7 +192,8 @@
         Ok(())
     }
 
-    /// Queues the claim of a call that may not be repeated, unless the key is known.
+    /// Queues the claim of a call that must not be repeated. If the key has a live claim, answers
+    /// by that claim instead.
     fn claim(
         &mut self,
         stamp: EventStamp,
@@ -218,7 +220,8 @@
         Ok(())
     }
 
-    /// Answers a request whose key was claimed by an earlier one.
+    /// Answers a request whose key was claimed by an earlier request: with the recorded outcome, or
+    /// with a refusal if none is known.
     fn answer_claimed(
         &mut self,
         request: &RequestState,
@@ -238,7 +241,7 @@
         }
     }
 
-    /// A claim of this box lost to an earlier one.
+    /// Answers a request of this box whose claim lost to an earlier one.
     pub(super) fn on_claim_lost(
         &mut self,
         key: RequestKey,
@@ -254,7 +257,7 @@
         }
     }
 
-    /// Refuses requests whose claim did not come back in time, and voids their claims.
+    /// Refuses requests whose claim was not read back in time, and voids their claims.
     pub(super) fn expire_claiming(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let late: Vec<(RequestKey, Attempt<_>)> = self
             .requests
@@ -278,19 +281,20 @@
         key
     }
 
-    /// Weight of an account's fair share.
+    /// Weight of an account in fair queueing.
     pub(super) fn weight(&self, account: AccountKey) -> u32 {
         let name = self.names.accounts.name(account);
         self.index.spec.accounts.get(name).map_or(1, |row| row.weight)
     }
 
-    /// When a caller refused by this queue should come back.
+    /// Retry delay for a caller that this queue refused, in milliseconds.
     pub(super) fn queue_retry_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
         queue.map_or(BUNDLE_WAIT_MS, |queue| queue.retry_after_ms(random))
     }
 }
 
-/// The refusal for a key. An expired key says nothing about an earlier request with it.
+/// Returns the refusal for a caller's key. With a key that is expired or in the future, an earlier
+/// request may have run.
 pub(super) fn key_refusal(error: KeyError) -> RequestRefusal {
     let refusal = match error {
         KeyError::Missing | KeyError::NotUuidV7 => Attempt::first().refuse(ReasonCode::BadClaimKey),
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -1,5 +1,5 @@
-//! Which model, version and replica: checked against the bundle in force each time an attempt is
-//! placed, so a retry, an escalation and a resume are checked again.
+//! Choice of model, version and replica. Each attempt is checked against the bundle in force when
+//! it is placed, so a retry, an escalation and a resumed stream are checked again.
 
 use crate::attempt::{Attempt, Queued, Ready};
 use crate::bundle::VersionState;
@@ -15,15 +15,15 @@
 
 use super::{next_random, BoxState, QueueName, RequestStage};
 
-/// How long a box may take from a decision to its write, in milliseconds.
+/// Maximum time from the pick of a replica to the begin of the write, in milliseconds.
 const SEND_TIMEOUT_MS: u64 = 1_000;
 
-/// Version and why it was chosen.
+/// A version with the reason of its choice, or the reason why there is none.
 type VersionChoice = Result<(VersionKey, ReasonCode), ReasonCode>;
 
 impl BoxState {
-    /// Places a waiting request: gives it a replica, lets it wait, or refuses it. Returns false if
-    /// it came from its queue and must go on waiting there.
+    /// Places a waiting request: assigns a replica, queues the request or refuses it. Returns false
+    /// if the request came from its queue and must continue to wait there.
     pub(super) fn place(
         &mut self,
         stamp: EventStamp,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes sure that the request has a version that it may run on now.
+    /// Chooses a version for the request, or checks that it may still use the one it has.
     fn choose_version(&mut self, stamp: EventStamp, key: RequestKey) -> Result<(), ReasonCode> {
         let request = &self.requests[key];
         let RequestTarget::Model { name, .. } = &request.target else { return Ok(()) };
@@ -113,7 +113,8 @@
         Ok((version, ReasonCode::DefaultVersion))
     }
 
-    /// Whether `account` may send new work to `version` now; a session may go on while it drains.
+    /// Checks whether `account` may use `version` now. A session may continue on a draining
+    /// version.
     pub(super) fn check_version(
         &self,
         account: AccountKey,
@@ -121,7 +122,7 @@
         in_session: bool,
     ) -> Result<(), ReasonCode> {
         if !self.index.allows(account, version) {
-            // A version that the bundle dropped is withdrawn; one that it names is not allowed.
+            // A version that the bundle does not name counts as withdrawn.
             let named = self.index.spec.versions.contains_key(self.names.versions.name(version));
             return Err(if named { ReasonCode::NotAllowed } else { ReasonCode::Withdrawn });
         }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Model of a version, as the bundle in force names it.
+    /// Model of a version in the bundle in force; empty if the bundle does not name the version.
     pub(super) fn model_of(&self, version: VersionKey) -> &str {
         let name = self.names.versions.name(version);
         self.index.spec.versions.get(name).map_or("", |row| &row.model)
@@ -191,7 +192,8 @@
         out.push(BoxEffect::PrepareAttempt(request.ticket, key, order));
     }
 
-    /// A write must begin before the freshness lease lapses, unless the log is down for all.
+    /// Time before which the write must begin: within [`SEND_TIMEOUT_MS`], and before the freshness
+    /// lease expires while the box is fresh.
     fn send_before(&self, now: BoxTime) -> BoxTime {
         let latest = now.plus_millis(SEND_TIMEOUT_MS);
         match (self.fresh_state(now), self.fresh.expires_at()) {
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Places what waits, as far as replicas have room, and refuses what is now too late.
+    /// Places waiting requests while replicas have room, and refuses those past their deadline.
     pub(super) fn drain_queues(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let names: Vec<QueueName> =
             self.queues.iter().filter(|(_, q)| !q.is_empty()).map(|(n, _)| n.clone()).collect();
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Places what waits in one queue.
+    /// Places the waiting requests of one queue, and refuses those past their deadline.
     pub(super) fn drain_queue(
         &mut self,
         stamp: EventStamp,
@@ -280,7 +282,7 @@
             QueueName::Service(service) => self.replicas.service_subset(service),
         };
         let query = PickQuery { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
-        // With no replica at all, what waits is placed too, so that it is refused at once.
+        // If there is no replica, waiting requests are placed too, which refuses them at once.
         !matches!(self.replicas.pick(keys, query), PickOutcome::Full)
     }
 
@@ -292,8 +294,8 @@
     ) {
         let Some(request) = self.requests.get(key) else { return };
         let (account, deadline) = (request.account, request.deadline);
-        // The only replica with room is one that this request must avoid; it waits behind its own
-        // account's others, and its deadline still bounds the wait.
+        // The only replica with room is one that this request must avoid. The request keeps waiting
+        // at the head of its account's queue, until its deadline at the latest.
         queue.requeue(account, key, deadline, stamp.now);
     }
 
--- a/crates/core/src/state/dump.rs
+++ b/crates/core/src/state/dump.rs
@@ -1,4 +1,4 @@
-//! What operators see: the dump of a box's state, and the decisions that `explain` shows.
+//! Operator views: the dump of a box's state, and the decisions that `explain` shows.
 
 use serde::Serialize;
 
@@ -21,13 +21,13 @@
     pub request: String,
     /// Client account; empty if none was found.
     pub account: String,
-    /// What was asked for.
+    /// Name of the requested model, version, cascade or service.
     pub target: String,
     /// Version that answered.
     pub version: Option<String>,
     /// Reasons of the choices, in order.
     pub reasons: Vec<ReasonCode>,
-    /// How it ended, if not with a whole answer.
+    /// Refusal, if the request ended without a complete answer.
     pub refusal: Option<RequestRefusal>,
     /// Attempts dispatched.
     pub attempts: u32,
@@ -59,7 +59,7 @@
     }
 }
 
-/// The state of a box, without keys and prompts.
+/// State of a box, without keys and prompts.
 #[derive(Clone, Debug, Serialize)]
 pub struct StateDump {
     /// Box name.
@@ -68,19 +68,19 @@
     pub zone: String,
     /// Incarnation in hexadecimal.
     pub incarnation: String,
-    /// Sequence in force; 0 for none.
+    /// Sequence of the bundle in force; 0 for none.
     pub sequence: u64,
-    /// Digest in force.
+    /// Digest of the bundle in force.
     pub digest: Option<String>,
-    /// Whether the fold can tell winners from losers.
+    /// Whether the fold of the bundles stream is anchored, see [`crate::fold`].
     pub anchored: bool,
-    /// What the box may rely on.
+    /// Freshness of the bundle.
     pub fresh: FreshState,
-    /// Age of what it knows of the log, in milliseconds.
+    /// Age of the box's information on the log, in milliseconds; `None` if it has none.
     pub log_age_ms: Option<u64>,
-    /// Whether a planned stop was asked.
+    /// Whether a planned stop was requested.
     pub stopping: bool,
-    /// Other boxes and itself.
+    /// Listed boxes, including this one.
     pub boxes: Vec<PeerState>,
     /// Replicas.
     pub replicas: Vec<ReplicaState>,
@@ -88,23 +88,23 @@
     pub loaded: Vec<(String, Vec<String>)>,
     /// Roll-outs by version.
     pub rollouts: Vec<(String, RolloutState)>,
-    /// Learned quality: model, class, good, bad.
+    /// Ratings as model, class, number of good answers and number of bad answers.
     pub quality: Vec<(String, u8, f64, f64)>,
-    /// Requests in hand.
+    /// Number of unfinished requests.
     pub requests: usize,
-    /// Requests waiting for a replica.
+    /// Number of requests that wait for a replica.
     pub queued: usize,
-    /// Claims known.
+    /// Number of live claims.
     pub claims: usize,
-    /// Bills not yet in the log.
+    /// Number of bills of this box that are not yet in the log.
     pub bills_owned: usize,
-    /// Bills held for other boxes.
+    /// Number of bills held for other boxes.
     pub bills_held: usize,
-    /// Answers released with too few witnesses.
+    /// Number of answers released with too few witnesses.
     pub bills_unwitnessed: u64,
-    /// Records waiting for the log, by stream.
+    /// Number of records that wait for the log, by stream.
     pub appends: Vec<(&'static str, usize)>,
-    /// Counters.
+    /// Counters since the box started.
     pub counts: BoxCounts,
 }
 
@@ -135,12 +135,12 @@
         self.decisions.push_back(decision);
     }
 
-    /// The decision on a request, while it is kept.
+    /// Returns the decision on a request by its hexadecimal id, while it is kept.
     pub fn decision(&self, request: &str) -> Option<&DecisionRecord> {
         self.decisions.iter().rev().find(|decision| decision.request == request)
     }
 
-    /// Describes the state.
+    /// Returns a description of the state.
     pub fn dump(&self, now: BoxTime) -> StateDump {
         let age = self.fresh.age_ms(now);
         let version_names = |row: &ReplicaState| {
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -1,4 +1,4 @@
-//! The roll-out guard's part of the reducer: shares, evidence and verdicts.
+//! Canary analysis of roll-outs: shares, evidence and verdicts, see [`crate::rollout`].
 
 use crate::appender::LogStream;
 use crate::cascade::QualityCount;
@@ -11,17 +11,18 @@
 
 use super::BoxState;
 
-/// Share of bad answers assumed of a version that was hardly rated.
+/// Share of bad answers assumed for a replaced version with too few ratings.
 const UNKNOWN_BASELINE_BAD: f64 = 0.1;
 
 impl BoxState {
-    /// Name of the version, if the bundle rolls it out and it is not the default yet.
+    /// Returns the name of the version if the bundle has a roll-out of it.
     pub(super) fn under_rollout(&self, version: VersionKey) -> Option<&str> {
         let name = self.names.versions.name(version);
         self.index.spec.rollouts.get_key_value(name).map(|(name, _)| name.as_str())
     }
 
-    /// The version under roll-out that a new session of `model` should use, by share and random.
+    /// Returns the version under roll-out for a new session of `model`, if `random` selects it
+    /// within the roll-out's share.
     pub(super) fn rollout_version(
         &self,
         model: &str,
@@ -43,14 +44,14 @@
             .then_some(version)
     }
 
-    /// Counts a request that goes to a version under roll-out.
+    /// Counts a request as exposed if its version is under roll-out.
     pub(super) fn count_exposed(&mut self, version: VersionKey) {
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
             self.rollouts.entry(name).or_default().exposed += 1;
         }
     }
 
-    /// A failed attempt counts as a bad answer of a version under roll-out.
+    /// Counts a failed attempt as a bad answer if its version is under roll-out.
     pub(super) fn record_failure_evidence(&mut self, key: RequestKey) {
         let request = &self.requests[key];
         let RequestTarget::Model { class, .. } = request.target else { return };
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Applies a rating of an answer of `version`; `None` if the rating failed.
     pub(super) fn apply_rating(
         &mut self,
         stamp: EventStamp,
@@ -84,9 +86,10 @@
         }
     }
 
-    /// Sends what other boxes gathered, now and then: the fewer, the more boxes there are.
+    /// Sends collected evidence to the first canary box, at intervals that grow with the number of
+    /// boxes.
     pub(super) fn send_evidence(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
-        /// Boxes whose evidence the first canary box takes in a second.
+        /// Number of boxes from which the first canary box receives evidence in a second.
         const BOXES_PER_SECOND: u64 = 50;
         if stamp.now < self.next_evidence {
             return;
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Weighs evidence; this box is the first canary box, or was taken for it.
+    /// Adds evidence to the tests. This box is the first canary box, or the sender assumes so.
     pub(super) fn on_evidence(
         &mut self,
         stamp: EventStamp,
@@ -146,7 +149,7 @@
         self.append_due(stamp, out);
     }
 
-    /// Share of bad answers of the version that `version` replaces.
+    /// Share of bad answers of the version that `version` replaces, for a request class.
     fn baseline_bad(&self, version: &str, class: u8) -> f64 {
         let spec = &self.index.spec;
         let Some(model) = spec.versions.get(version).map(|row| &row.model) else {
@@ -159,7 +162,7 @@
         1.0 - count.mean()
     }
 
-    /// Takes a verdict, own, passed on or read, and passes it on if it is news.
+    /// Applies a verdict of this box, of a peer or from the log, and gossips it if it is new.
     pub(super) fn apply_verdict(&mut self, verdict: &VerdictRecord, out: &mut Vec<BoxEffect>) {
         let state = self.rollouts.entry(verdict.version.clone()).or_default();
         if !state.apply_verdict(verdict.halted, verdict.step) {
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the platform's log: the folds, and the batches.
+//! Reads and appends of the platform's log: the folds of its streams and the batches to append.
 
 use crate::appender::LogStream;
 use crate::bundle::{BundleIndex, BundleSpec};
@@ -14,7 +14,7 @@
 
 use super::{BoxState, RequestStage};
 
-/// What a read of a stream says besides its records.
+/// Properties of a read of a stream, see [`crate::event::BoxEvent::LogRead`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamRead {
     pub stream: LogStream,
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Carries out what folding a bundle record did. `from` is the peer that it came from, if any.
+    /// Handles the outcome of folding a bundle record. `from` is the peer that sent it; `None` if
+    /// it was read from the log.
     pub(super) fn on_bundle_folded(
         &mut self,
         stamp: EventStamp,
@@ -92,7 +93,7 @@
     fn apply_bundle(&mut self, stamp: EventStamp, record: &BundleRecord, out: &mut Vec<BoxEffect>) {
         let Some(bundle) = self.fold.in_force() else { return };
         let (sequence, digest) = (bundle.sequence, bundle.digest.clone());
-        // The fold accepted it, so it is of this format.
+        // The fold accepted the bundle, so its sections are valid.
         let Ok(spec) = BundleSpec::from_sections(&bundle.sections) else { return };
         self.index = BundleIndex::build(spec, &mut self.names);
         self.bundle_seen = (stamp.now, 0);
@@ -106,8 +107,9 @@
         self.drain_queues(stamp, out);
     }
 
-    /// Carries the bundle in force, and verdicts that still matter, forward before they expire.
-    /// Boxes take turns by rank, so that one of them does it and the others see it.
+    /// Appends the bundle in force and the verdicts on roll-outs again, before the log's retention
+    /// removes them. Boxes wait by rank, so that usually one box appends and the others read it in
+    /// time.
     pub(super) fn carry_bundle(&mut self, stamp: EventStamp) {
         let Some(record) = self.fold.carry_record() else { return };
         let rank = self.members.rank("carry") as u64;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A claim of this box came back in the log's order.
+    /// Handles a claim of this box that was read back from the log.
     fn own_claim_read(
         &mut self,
         stamp: EventStamp,
@@ -172,7 +174,7 @@
         let mine = |(_, request): &(RequestKey, &super::RequestState)| {
             request.claim.as_ref().is_some_and(|(_, nonce)| *nonce == claim.nonce)
         };
-        // A claim whose request was refused meanwhile is found here no more, and never dispatches.
+        // If the request was refused in the meantime, it is not found and is never dispatched.
         let Some((key, request)) = self.requests.iter().find(mine) else { return };
         let RequestStage::Claiming(attempt) = request.stage else { return };
         match outcome {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Appends the batches that are due.
+    /// Emits the batches that are due.
     pub(super) fn append_due(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let boxes = self.members.listed_count();
         for (stream, queue) in &mut self.appends {
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -1,10 +1,10 @@
-//! Orders to pools: every replica should have loaded what the bundle in force says.
+//! Orders to pools, so that every replica loads the versions that the bundle in force names.
 //!
-//! The first live box of a pool by hash takes the pool's lease, or a later one where that does not
-//! renew it, and compares what replicas report with
-//! what they should have. An order names the whole target state, so a roll-out that was interrupted
-//! halfway goes on with whoever holds the lease next, and a repeat is harmless. No more replicas load at
-//! once than the weight store feeds.
+//! The first live box by a hash of box and pool takes the lease on the pool, or a later box if that
+//! one does not renew it. The holder compares the versions that replicas report with those that
+//! they should have. An order names the complete target state, so the next holder can continue an
+//! interrupted roll-out, and a repeat is harmless. The number of replicas that load at the same
+//! time is limited by the throughput of the weight store.
 
 use crate::appender::LogStream;
 use crate::bundle::PoolSpec;
@@ -18,7 +18,8 @@
 use super::log::StreamRead;
 use super::BoxState;
 
-/// A load that does not show in the report after this is ordered again, in milliseconds.
+/// Time after which a load that the replica's report does not show is ordered again, in
+/// milliseconds.
 const LOAD_TIMEOUT_MS: u64 = 120_000;
 
 impl BoxState {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Renews leases and gives the orders that are due.
+    /// Renews leases and emits the orders that are due.
     pub(super) fn order_pools(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         if self.stopping_since.is_some() || self.fold.in_force().is_none() {
             return;
@@ -59,8 +60,9 @@
         }
     }
 
-    /// Whether this box should hold the pool's lease: it does, it is the first live box for it, or
-    /// the boxes before it had a term each to renew it and did not: alive, but cut off from the log.
+    /// Whether this box should hold the lease on the pool: it already does, it is the first live
+    /// box for the pool, or each box before it had one term to renew the lease and did not, because
+    /// it is alive but cut off from the log.
     fn should_hold_lease(&self, stamp: EventStamp, pool: &str) -> bool {
         let job = format!("order/{pool}");
         let entry = self.leases.find(pool);
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Versions that a replica reported, in order of name.
+    /// Names of the versions that a replica reported, sorted.
     fn loaded_names(&self, row: &ReplicaState) -> Vec<String> {
         let name = |key: &crate::ids::VersionKey| self.names.versions.name(*key).to_owned();
         let mut names: Vec<String> = row.versions.iter().map(name).collect();
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! Boxes among themselves: heartbeats, bundles, witnesses and marks.
+//! Messages between boxes: heartbeats, bundles, bills for witnesses, ratings and leaving notices.
 
 use crate::appender::LogStream;
 use crate::bills::OWNER_SILENCE_MS;
@@ -16,10 +16,10 @@
 
 use super::BoxState;
 
-/// How long a leaving mark is repeated in heartbeats, in milliseconds.
+/// How long heartbeats repeat that a replica is leaving, in milliseconds.
 const NOTICE_REPEAT_MS: u64 = 10_000;
 
-/// Marks of one kind in one heartbeat, at most.
+/// Maximum number of leaving replicas, and of halted versions, in one heartbeat.
 const NOTICES_PER_HEARTBEAT: usize = 16;
 
 impl BoxState {
@@ -92,7 +92,8 @@
         self.gossip(PeerBody::Leaving(notice), out);
     }
 
-    /// Sends to a few boxes, each of which passes it on if it is news to it.
+    /// Sends a message to the next few boxes of the heartbeat round. Receivers of a verdict or a
+    /// leaving notice send it on if it is new to them.
     pub(super) fn gossip(&mut self, body: PeerBody, out: &mut Vec<BoxEffect>) {
         for name in self.members.next_targets() {
             out.push(BoxEffect::SendPeer(name, body.clone()));
@@ -121,8 +122,8 @@
         self.gossip(PeerBody::Heartbeat(heartbeat), out);
     }
 
-    /// Shares this box's ratings of the last round with the boxes of this round. They are not passed
-    /// on, so nothing is counted twice.
+    /// Sends this box's new ratings to the next few boxes. Receivers do not send them on, so that
+    /// no rating is counted twice.
     pub(super) fn send_quality(&mut self, out: &mut Vec<BoxEffect>) {
         let rows: Vec<QualityRow> = self
             .quality
@@ -166,8 +167,8 @@
         let (from, incarnation) = (message.from, message.incarnation);
         let Some(body) = message.body else { return };
         if self.members.find(&from).is_none() {
-            // The box list lags behind a new box: it is answered, so that it can start, but nothing
-            // that it says is counted.
+            // The box list may not name a new box yet. Such a box is answered so that it can start,
+            // but other messages from it are ignored.
             if !matches!(body, PeerBody::Heartbeat(_) | PeerBody::RequestBundle(_)) {
                 return;
             }
@@ -255,7 +256,7 @@
             self.members.apply_summary(&other.name, other, asked_at);
         }
         if reply.sequence > self.fold.sequence() {
-            // What the peer knows is newer: nothing is fresh until this box has it too.
+            // The peer has a newer bundle, so its reply must not renew the lease of this one.
             self.request_bundle(from, out);
         } else {
             self.fresh.renew_from_peer(asked_at, reply.log_age_ms);
@@ -275,7 +276,7 @@
         }
     }
 
-    /// Appends the bills held for boxes that vanished: replaced, silent, or no longer listed.
+    /// Appends the bills held for boxes that were lost: replaced, silent or no longer listed.
     pub(super) fn take_over_bills(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for owner in self.ledger.held_owners() {
             let (name, incarnation) = &owner;
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -1,4 +1,4 @@
-//! Attempts: the last check before the write, what comes back, and retries.
+//! Attempts: the last check before the write, the end of an attempt, and retries.
 
 use crate::attempt::{Attempt, Dispatched, Queued, RequestRefusal};
 use crate::claims::check_key;
@@ -13,8 +13,8 @@
 use super::{BoxState, QueueName, RequestStage};
 
 impl BoxState {
-    /// The box is about to write. It may have been paused since the decision, and the bundle may
-    /// have changed, so everything that allows the write is checked here, last thing.
+    /// Handles that the box is about to write. Since the decision the process may have been paused
+    /// or the bundle may have changed, so all conditions of the write are checked again here.
     pub(super) fn on_send_starting(
         &mut self,
         stamp: EventStamp,
@@ -63,7 +63,7 @@
             let caller_key = claim.rsplit('/').next();
             check_key(caller_key, stamp.wall, self.settings.retention_ms)
                 .map_err(|error| SendRefusal::Refusal(super::admit::key_refusal(error)))?;
-            // The claim bounds how long a caller waits; a box that was paused past it has refused.
+            // The claim's deadline bounds the wait of the caller, also if the process was paused.
             if stamp.now > request.deadline {
                 return Err(SendRefusal::Reason(ReasonCode::Deadline));
             }
@@ -182,7 +182,7 @@
                 attempt.end_unknown(ReasonCode::Cancelled)
             }
             RequestStage::Rating(attempt) => attempt.end_ran(ReasonCode::Cancelled),
-            // The answer was whole; its bill stands, and the end of it goes nowhere.
+            // The answer is complete, so it is still billed, but its end is not delivered.
             RequestStage::Billing => return,
         };
         self.end_refused(key, refusal, out);
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Queue that the request waits in, or that its replica serves.
+    /// Queue in which the request waits, or which its replica serves.
     fn queue_of(&self, key: RequestKey) -> Option<QueueName> {
         let request = self.requests.get(key)?;
         match &request.target {
@@ -206,7 +206,8 @@
         }
     }
 
-    /// Ends a request without a whole answer. A claim that was never dispatched is voided.
+    /// Ends a request without a complete answer. The claim of a call that was never dispatched is
+    /// voided.
     pub(super) fn end_refused(
         &mut self,
         key: RequestKey,
@@ -223,7 +224,7 @@
         out.push(BoxEffect::Refuse(request.ticket, refusal));
     }
 
-    /// The first live claim came back: the call may run.
+    /// Handles that the claim was read back as the first live one, so that the call may run.
     pub(super) fn on_claim_won(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -1,4 +1,4 @@
-//! What follows an answer: its rating, escalation, the bill, and the end of the answer.
+//! Steps after an answer: its rating, escalation, the bill, and the release of its end.
 
 use crate::appender::LogStream;
 use crate::attempt::{Attempt, Dispatched};
@@ -14,7 +14,7 @@
 
 use super::{next_random, BoxState, RequestStage};
 
-/// A whole answer of a replica.
+/// A complete answer of a replica.
 pub(super) struct WholeAnswer {
     pub tokens: u32,
     pub status: u16,
@@ -74,7 +74,7 @@
             || next_random(stamp.random ^ 6) % 256 < self.settings.rate_share
     }
 
-    /// A held answer was rated: release it, or let the next rung answer.
+    /// Handles the rating of a held answer: bills the answer, or lets the next rung answer.
     pub(super) fn on_held_answer_rated(
         &mut self,
         stamp: EventStamp,
@@ -124,7 +124,7 @@
         request.rung = if rating_down { rungs - 1 } else { (request.rung + 1).min(rungs - 1) };
         request.gated = request.rung + 1 < rungs;
         request.version = None;
-        // The caller has waited for the cheap answer; the next rung gets the full wait again.
+        // The cheap answer used up waiting time, so the next rung gets the full time again.
         request.deadline = stamp.now.plus_millis(self.settings.queue_ms);
         request.stage = RequestStage::Waiting(attempt.next());
         self.place(stamp, key, false, out);
@@ -135,7 +135,8 @@
         self.index.spec.cascades.get(name).map_or(1, |cascade| cascade.rungs.len().max(1))
     }
 
-    /// Writes the bill, hands it to witnesses, and holds the end of the answer until they have it.
+    /// Creates the bill, queues it for the log and sends it to witnesses. The end of the answer is
+    /// held until they have it.
     fn bill_request(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
         let number = self.ledger.assign_number();
         let request = &mut self.requests[key];
@@ -165,14 +166,14 @@
         self.append_due(stamp, out);
     }
 
-    /// Chooses the boxes that bills go to until the next heartbeat.
+    /// Chooses the boxes to which bills are sent until the next heartbeat.
     pub(super) fn choose_witnesses(&mut self, stamp: EventStamp) {
         let zone = &self.settings.zone;
         self.witnesses = self.members.witnesses(stamp.random, zone, stamp.now, &[]);
         self.witnesses.truncate(WITNESS_COUNT);
     }
 
-    /// Witnesses needed: two, or as many other boxes as are alive.
+    /// Number of witnesses needed: [`WITNESS_COUNT`], or the number of other live boxes if lower.
     fn witnesses_needed(&self, stamp: EventStamp) -> usize {
         let members = &self.members;
         let alive = members.peers().filter(|row| members.is_alive(row, stamp.now));
@@ -189,7 +190,7 @@
             false => self.members.witnesses(number, &self.settings.zone, stamp.now, &asked),
         };
         if names.len() < missing {
-            // Everybody was asked already: ask again those that did not answer.
+            // All boxes were asked already, so ask those again that did not answer.
             names = asked.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
         }
         bill.asked_at = stamp.now;
@@ -200,7 +201,8 @@
         }
     }
 
-    /// Asks other witnesses where the first did not answer, and lets an answer end after a limit.
+    /// Asks other boxes where witnesses did not answer, and releases answers that waited
+    /// [`WITNESS_LIMIT_MS`].
     pub(super) fn retry_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for number in self.ledger.unreleased() {
             let Some(bill) = self.ledger.owned_mut(number) else { continue };
@@ -229,7 +231,8 @@
         }
     }
 
-    /// Bills of this box are in the log: the answers may end, and the witnesses may forget.
+    /// Handles that bills of this box are in the log: releases the answers, and tells the witnesses
+    /// to drop their copies.
     pub(super) fn bills_appended(&mut self, bills: &[BillRecord], out: &mut Vec<BoxEffect>) {
         let mut releases = std::collections::BTreeMap::<String, Vec<u64>>::new();
         for bill in bills {
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Lets the end of the answer leave.
+    /// Releases the end of the answer.
     fn finish(&mut self, key: Option<RequestKey>, out: &mut Vec<BoxEffect>) {
         let Some(request) = key.and_then(|key| self.requests.remove(key)) else { return };
         self.tickets.remove(&request.ticket);
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -1,5 +1,6 @@
-//! The planned stop: out of the entry list at once, serving on while callers may keep the answer,
-//! then out once nothing runs and every bill is in the log.
+//! Planned stop. The box is removed from the addresses for callers at once and continues to serve
+//! while callers may cache its address. It exits once no request runs and its records are in the
+//! log.
 
 use crate::effect::BoxEffect;
 use crate::event::EventStamp;
@@ -8,10 +9,10 @@
 
 use super::BoxState;
 
-/// How long a stopping box waits for the log with bills that its witnesses hold, in milliseconds.
+/// How long a stopping box waits for the log while witnesses hold all its bills, in milliseconds.
 const BILL_GRACE_MS: u64 = 5_000;
 
-/// Boxes told directly of a stop; beyond that the word goes round with the heartbeats.
+/// Number of boxes that are notified of a stop directly. The others learn of it through heartbeats.
 const STOP_FAN_OUT: usize = 32;
 
 impl BoxState {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Whether the box takes no new requests any more.
+    /// Whether the box no longer accepts requests: callers' cached addresses have expired.
     pub(super) fn has_stopped_accepting(&self, now: BoxTime) -> bool {
         self.stopping_since
             .is_some_and(|since| now.millis_since(since) >= self.settings.entry_keep_ms)
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether a planned stop was asked.
+    /// Whether a planned stop was requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.is_some()
     }
