--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -116,7 +116,7 @@
     }
 
     /// Whether its oldest unanswered request has waited longer than `stall_ms`.
-    pub fn stalled(&self, now: BoxTime, stall_ms: u64) -> bool {
+    pub fn is_stalled(&self, now: BoxTime, stall_ms: u64) -> bool {
         self.unanswered.first().is_some_and(|at| now.millis_since(*at) > stall_ms)
     }
 }
@@ -304,7 +304,7 @@
             .copied()
             .filter(|key| {
                 let row = &self.rows[*key];
-                row.ejected_until <= query.now && !row.stalled(query.now, stall_ms)
+                row.ejected_until <= query.now && !row.is_stalled(query.now, stall_ms)
             })
             .filter(|key| Some(*key) != query.avoid)
             .collect();
