--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -112,11 +112,11 @@
 
     /// Removes and returns the next request.
     pub fn pop(&mut self, now: BoxTime) -> Option<RequestKey> {
-        let first = |(_, queue): &(&AccountKey, &VecDeque<WaitingRequest>)| queue[0].tag;
+        let first_tag = |(_, queue): &(&AccountKey, &VecDeque<WaitingRequest>)| queue[0].tag;
         let account = *self
             .accounts
             .iter()
-            .min_by(|a, b| first(a).total_cmp(&first(b)))
+            .min_by(|a, b| first_tag(a).total_cmp(&first_tag(b)))
             .map(|(account, _)| account)?;
         let queue = self.accounts.get_mut(&account)?;
         let request = queue.pop_front()?;
