--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -160,9 +160,9 @@
         random: u64,
     ) -> CascadePlan {
         let models = &self.index.spec.models;
-        let view = |model: &'_ String| models.get(model).map_or(0.0, |row| row.cost_per_1k);
+        let cost_of = |model: &'_ String| models.get(model).map_or(0.0, |row| row.cost_per_1k);
         let rungs: Vec<RungView<'_>> =
-            cascade.rungs.iter().map(|model| RungView { model, cost: view(model) }).collect();
+            cascade.rungs.iter().map(|model| RungView { model, cost: cost_of(model) }).collect();
         self.quality.plan(name, &rungs, cascade.target, class, random)
     }
 
