--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -171,11 +171,11 @@
         outcome: ClaimOutcome,
         out: &mut Vec<BoxEffect>,
     ) {
-        let mine = |(_, request): &(RequestKey, &super::RequestState)| {
+        let is_own = |(_, request): &(RequestKey, &super::RequestState)| {
             request.claim.as_ref().is_some_and(|(_, nonce)| *nonce == claim.nonce)
         };
         // If the request was refused in the meantime, it is not found and is never dispatched.
-        let Some((key, request)) = self.requests.iter().find(mine) else { return };
+        let Some((key, request)) = self.requests.iter().find(is_own) else { return };
         let RequestStage::Claiming(attempt) = request.stage else { return };
         match outcome {
             ClaimOutcome::First => self.on_claim_won(stamp, key, attempt, out),
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -36,9 +36,9 @@
             }
             self.lease_next = offset + 1;
             let Some(RecordBody::Lease(lease)) = record.body else { continue };
-            let mine = record.incarnation == self.settings.incarnation;
-            let from = if mine { BoxTime::from_micros(lease.asked_us) } else { stamp.now };
-            if mine {
+            let is_own = record.incarnation == self.settings.incarnation;
+            let from = if is_own { BoxTime::from_micros(lease.asked_us) } else { stamp.now };
+            if is_own {
                 self.lease_requested.remove(&lease.pool);
             }
             let (pool, term) = (&lease.pool, lease.term_ms);
