--- a/crates/core/src/lease.rs
+++ b/crates/core/src/lease.rs
@@ -67,8 +67,8 @@
         now: BoxTime,
     ) -> Option<&LeaseEntry> {
         let entry = self.entries.get(pool)?;
-        let mine = entry.holder == me && now < entry.until;
-        (mine && (checks_token || now >= entry.settled_at)).then_some(entry)
+        let is_holder = entry.holder == me && now < entry.until;
+        (is_holder && (checks_token || now >= entry.settled_at)).then_some(entry)
     }
 
     /// Whether `me` should request the lease: nobody holds it, or half of its own term has passed.
