--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -37,7 +37,7 @@
     /// Request whose answer is held until enough witnesses have the bill; `None` once released.
     pub request: Option<RequestKey>,
     /// Boxes that were sent the bill.
-    pub asked: BTreeSet<String>,
+    pub sent_to: BTreeSet<String>,
     /// Boxes that acknowledged it.
     pub held_by: BTreeSet<String>,
     /// When the bill was created.
@@ -69,7 +69,7 @@
         let bill = OwnedBill {
             record,
             request: Some(request),
-            asked: BTreeSet::new(),
+            sent_to: BTreeSet::new(),
             held_by: BTreeSet::new(),
             made_at: now,
             asked_at: now,
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -184,18 +184,18 @@
         let needed = self.witnesses_needed(stamp);
         let Some(bill) = self.ledger.owned_mut(number) else { return };
         let missing = needed.saturating_sub(bill.held_by.len());
-        let asked: Vec<String> = bill.asked.iter().cloned().collect();
-        let mut names = match asked.is_empty() && self.witnesses.len() >= missing {
+        let sent_to: Vec<String> = bill.sent_to.iter().cloned().collect();
+        let mut names = match sent_to.is_empty() && self.witnesses.len() >= missing {
             true => self.witnesses.clone(),
-            false => self.members.witnesses(number, &self.settings.zone, stamp.now, &asked),
+            false => self.members.witnesses(number, &self.settings.zone, stamp.now, &sent_to),
         };
         if names.len() < missing {
             // All boxes were asked already, so ask those again that did not answer.
-            names = asked.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
+            names = sent_to.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
         }
         bill.asked_at = stamp.now;
         for name in names.into_iter().take(missing) {
-            bill.asked.insert(name.clone());
+            bill.sent_to.insert(name.clone());
             let bills = WitnessBills { bills: vec![bill.record.clone()] };
             out.push(BoxEffect::SendPeer(name, PeerBody::Witness(bills)));
         }
@@ -241,7 +241,7 @@
             let Some(owned) = ours.then(|| self.ledger.remove_owned(bill.number)).flatten() else {
                 continue;
             };
-            for name in owned.asked {
+            for name in owned.sent_to {
                 releases.entry(name).or_default().push(bill.number);
             }
             self.finish(owned.request, out);
