--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -43,7 +43,7 @@
     /// When the bill was created.
     pub made_at: BoxTime,
     /// When the bill was last sent to witnesses.
-    pub asked_at: BoxTime,
+    pub sent_at: BoxTime,
 }
 
 /// Bills that this box owns, and bills that it holds for others.
@@ -72,7 +72,7 @@
             sent_to: BTreeSet::new(),
             held_by: BTreeSet::new(),
             made_at: now,
-            asked_at: now,
+            sent_at: now,
         };
         self.owned.insert(number, bill);
     }
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -135,12 +135,12 @@
         self.rows.values().map(|row| row.sequence).max().unwrap_or(0)
     }
 
-    /// Applies a summary of a box from the reply to a heartbeat sent at `asked_at`, unless it is
+    /// Applies a summary of a box from the reply to a heartbeat sent at `sent_at`, unless it is
     /// older than what is known. Returns whether the box was replaced by a new incarnation.
-    pub fn apply_summary(&mut self, name: &str, summary: &PeerSummary, asked_at: BoxTime) -> bool {
+    pub fn apply_summary(&mut self, name: &str, summary: &PeerSummary, sent_at: BoxTime) -> bool {
         let Some(row) = self.rows.get_mut(name) else { return false };
-        let alive_at = asked_at.minus_millis(summary.age_ms);
-        if asked_at.as_millis() < summary.age_ms || row.alive_at.is_some_and(|at| at > alive_at) {
+        let alive_at = sent_at.minus_millis(summary.age_ms);
+        if sent_at.as_millis() < summary.age_ms || row.alive_at.is_some_and(|at| at > alive_at) {
             return false;
         }
         let replaced = row.incarnation != 0 && row.incarnation != summary.incarnation;
--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -238,7 +238,7 @@
         reply: &HeartbeatReply,
         out: &mut Vec<BoxEffect>,
     ) {
-        let asked_at = BoxTime::from_micros(reply.echo);
+        let sent_at = BoxTime::from_micros(reply.echo);
         let direct = PeerSummary {
             name: from.to_owned(),
             incarnation,
@@ -247,19 +247,19 @@
             leaving: reply.leaving,
             proved: reply.log_age_ms != u64::MAX,
         };
-        self.members.apply_summary(from, &direct, asked_at);
+        self.members.apply_summary(from, &direct, sent_at);
         if !self.quality_received && self.quality.is_empty() {
             let request = PeerBody::RequestQuality(QualityRequest {});
             out.push(BoxEffect::SendPeer(from.to_owned(), request));
         }
         for other in reply.others.iter().filter(|other| other.name != self.settings.name) {
-            self.members.apply_summary(&other.name, other, asked_at);
+            self.members.apply_summary(&other.name, other, sent_at);
         }
         if reply.sequence > self.fold.sequence() {
             // The peer has a newer bundle, so its reply must not renew the lease of this one.
             self.request_bundle(from, out);
         } else {
-            self.fresh.renew_from_peer(asked_at, reply.log_age_ms);
+            self.fresh.renew_from_peer(sent_at, reply.log_age_ms);
         }
     }
 
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -193,7 +193,7 @@
             // All boxes were asked already, so ask those again that did not answer.
             names = sent_to.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
         }
-        bill.asked_at = stamp.now;
+        bill.sent_at = stamp.now;
         for name in names.into_iter().take(missing) {
             bill.sent_to.insert(name.clone());
             let bills = WitnessBills { bills: vec![bill.record.clone()] };
@@ -211,7 +211,7 @@
                 self.ledger.unwitnessed += 1;
                 out.push(BoxEffect::Unwitnessed(record));
                 self.finish(request, out);
-            } else if stamp.now.millis_since(bill.asked_at) >= WITNESS_WAIT_MS {
+            } else if stamp.now.millis_since(bill.sent_at) >= WITNESS_WAIT_MS {
                 self.ask_witnesses(stamp, number, out);
             }
         }
