--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -41,7 +41,7 @@
     /// Boxes that acknowledged it.
     pub held_by: BTreeSet<String>,
     /// When the bill was created.
-    pub made_at: BoxTime,
+    pub created_at: BoxTime,
     /// When the bill was last sent to witnesses.
     pub sent_at: BoxTime,
 }
@@ -71,7 +71,7 @@
             request: Some(request),
             sent_to: BTreeSet::new(),
             held_by: BTreeSet::new(),
-            made_at: now,
+            created_at: now,
             sent_at: now,
         };
         self.owned.insert(number, bill);
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -206,7 +206,7 @@
     pub(super) fn retry_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for number in self.ledger.unreleased() {
             let Some(bill) = self.ledger.owned_mut(number) else { continue };
-            if stamp.now.millis_since(bill.made_at) >= WITNESS_LIMIT_MS {
+            if stamp.now.millis_since(bill.created_at) >= WITNESS_LIMIT_MS {
                 let (request, record) = (bill.request.take(), bill.record.clone());
                 self.ledger.unwitnessed += 1;
                 out.push(BoxEffect::Unwitnessed(record));
