--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -162,7 +162,7 @@
         };
         self.ledger.add_owned(record.clone(), key, stamp.now);
         self.push_record(LogStream::Bills, RecordBody::Bill(record));
-        self.ask_witnesses(stamp, number, out);
+        self.send_to_witnesses(stamp, number, out);
         self.append_due(stamp, out);
     }
 
@@ -180,7 +180,7 @@
         alive.take(WITNESS_COUNT).count()
     }
 
-    fn ask_witnesses(&mut self, stamp: EventStamp, number: u64, out: &mut Vec<BoxEffect>) {
+    fn send_to_witnesses(&mut self, stamp: EventStamp, number: u64, out: &mut Vec<BoxEffect>) {
         let needed = self.witnesses_needed(stamp);
         let Some(bill) = self.ledger.owned_mut(number) else { return };
         let missing = needed.saturating_sub(bill.held_by.len());
@@ -212,7 +212,7 @@
                 out.push(BoxEffect::Unwitnessed(record));
                 self.finish(request, out);
             } else if stamp.now.millis_since(bill.sent_at) >= WITNESS_WAIT_MS {
-                self.ask_witnesses(stamp, number, out);
+                self.send_to_witnesses(stamp, number, out);
             }
         }
     }
