--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -43,19 +43,19 @@
 }
 
 impl FreshLease {
-    /// Renews the lease after a read to the log's tail that was requested at `asked_at`.
-    pub fn renew(&mut self, asked_at: BoxTime) {
-        if self.fresh_at.is_none_or(|fresh_at| fresh_at < asked_at) {
-            self.fresh_at = Some(asked_at);
+    /// Renews the lease after a read to the log's tail that was requested at `requested_at`.
+    pub fn renew(&mut self, requested_at: BoxTime) {
+        if self.fresh_at.is_none_or(|fresh_at| fresh_at < requested_at) {
+            self.fresh_at = Some(requested_at);
         }
     }
 
-    /// Renews the lease after a reply to a heartbeat sent at `asked_at`. The peer's information on
+    /// Renews the lease after a reply to a heartbeat sent at `requested_at`. The peer's information on
     /// the log was `age_ms` old then.
-    pub fn renew_from_peer(&mut self, asked_at: BoxTime, age_ms: u64) {
+    pub fn renew_from_peer(&mut self, requested_at: BoxTime, age_ms: u64) {
         // Information from before the start of this box does not count.
-        if asked_at.as_millis() >= age_ms {
-            self.renew(asked_at.minus_millis(age_ms));
+        if requested_at.as_millis() >= age_ms {
+            self.renew(requested_at.minus_millis(age_ms));
         }
     }
 
