--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -220,8 +220,8 @@
         let mut rows: Vec<&PeerState> = self.rows.values().filter(usable).collect();
         rows.sort_by_cached_key(|row| {
             let name = row.listed.name.as_bytes();
-            let far = zone.is_some_and(|zone| row.listed.zone != zone);
-            (far, xxhash_rust::xxh3::xxh3_64_with_seed(name, salt))
+            let is_other_zone = zone.is_some_and(|zone| row.listed.zone != zone);
+            (is_other_zone, xxhash_rust::xxh3::xxh3_64_with_seed(name, salt))
         });
         rows.iter().map(|row| row.listed.clone()).collect()
     }
