--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -184,7 +184,7 @@
         let mut rows: Vec<&PeerState> =
             self.peers().filter(|row| row.listed.name != asker && row.alive_at.is_some()).collect();
         rows.sort_by_key(|row| std::cmp::Reverse(row.alive_at));
-        let describe = |row: &&PeerState| PeerSummary {
+        let summary = |row: &&PeerState| PeerSummary {
             name: row.listed.name.clone(),
             incarnation: row.incarnation,
             age_ms: row.alive_at.map_or(u64::MAX, |at| now.millis_since(at)),
@@ -192,7 +192,7 @@
             leaving: row.leaving,
             proved: row.proved,
         };
-        rows.iter().take(SUMMARY_COUNT).map(describe).collect()
+        rows.iter().take(SUMMARY_COUNT).map(summary).collect()
     }
 
     /// Peers that can witness a bill: alive, not leaving and not in `except`. Those in other zones
