--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -125,7 +125,7 @@
 
     /// Number of boxes that count toward a majority: those that are alive and `proved`, and this
     /// one if it is listed.
-    pub fn seen_count(&self, now: BoxTime) -> usize {
+    pub fn countable_boxes(&self, now: BoxTime) -> usize {
         let alive = self.peers().filter(|row| row.proved && self.is_alive(row, now)).count();
         alive + usize::from(self.rows.contains_key(&self.me))
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -298,7 +298,7 @@
             if self.members.newest_sequence() > own {
                 0
             } else {
-                self.members.seen_count(now)
+                self.members.countable_boxes(now)
             }
         })
     }
