--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -64,12 +64,17 @@
         self.fresh_at.map_or(u64::MAX, |fresh_at| now.millis_since(fresh_at))
     }
 
-    /// Freshness of the box if it sees `seen` of `listed` boxes, itself included. `seen` is called
+    /// Freshness of the box if it sees `countable_boxes` of `listed` boxes, itself included. `countable_boxes` is called
     /// only after the lease has expired, because this method runs for each request.
-    pub fn state(&self, now: BoxTime, listed: usize, seen: impl FnOnce() -> usize) -> FreshState {
+    pub fn state(
+        &self,
+        now: BoxTime,
+        listed: usize,
+        countable_boxes: impl FnOnce() -> usize,
+    ) -> FreshState {
         if self.age_ms(now) <= FRESH_LEASE_MS {
             FreshState::Fresh
-        } else if self.fresh_at.is_some() && listed > 1 && seen() * 2 > listed {
+        } else if self.fresh_at.is_some() && listed > 1 && countable_boxes() * 2 > listed {
             FreshState::OutageMajority
         } else {
             FreshState::CutOff
