--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -178,11 +178,13 @@
         self.round = names;
     }
 
-    /// Summaries for a reply to `asker`: the boxes with the most recent information, without
-    /// `asker`.
-    pub fn summaries(&self, asker: &str, now: BoxTime) -> Vec<PeerSummary> {
-        let mut rows: Vec<&PeerState> =
-            self.peers().filter(|row| row.listed.name != asker && row.alive_at.is_some()).collect();
+    /// Summaries for a reply to `receiver`: the boxes with the most recent information, without
+    /// `receiver`.
+    pub fn summaries(&self, receiver: &str, now: BoxTime) -> Vec<PeerSummary> {
+        let mut rows: Vec<&PeerState> = self
+            .peers()
+            .filter(|row| row.listed.name != receiver && row.alive_at.is_some())
+            .collect();
         rows.sort_by_key(|row| std::cmp::Reverse(row.alive_at));
         let summary = |row: &&PeerState| PeerSummary {
             name: row.listed.name.clone(),
