--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -285,8 +285,8 @@
                 None => true,
                 Some(row) if row.incarnation != 0 && row.incarnation != *incarnation => true,
                 Some(row) => {
-                    let heard = row.alive_at.unwrap_or_default();
-                    stamp.now.millis_since(heard) > silence
+                    let alive_at = row.alive_at.unwrap_or_default();
+                    stamp.now.millis_since(alive_at) > silence
                 }
             };
             if !vanished {
