--- a/crates/core/src/state/peers.rs
+++ b/crates/core/src/state/peers.rs
@@ -140,9 +140,9 @@
         self.quality_received = true;
         for row in &update.rows {
             let count = QualityCount { good: f64::from(row.good), bad: f64::from(row.bad) };
-            let valid = |n: f64| n.is_finite() && n >= 0.0;
+            let is_count = |n: f64| n.is_finite() && n >= 0.0;
             if let (Ok(class), true) =
-                (u8::try_from(row.class), valid(count.good) && valid(count.bad))
+                (u8::try_from(row.class), is_count(count.good) && is_count(count.bad))
             {
                 self.quality.add_shared(&row.model, class, count);
             }
