--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -64,13 +64,13 @@
     /// box for the pool, or each box before it had one term to renew the lease and did not, because
     /// it is alive but cut off from the log.
     fn should_hold_lease(&self, stamp: EventStamp, pool: &str) -> bool {
-        let job = format!("order/{pool}");
+        let job_name = format!("order/{pool}");
         let entry = self.leases.find(pool);
         let holds = entry.is_some_and(|entry| entry.holder == self.settings.incarnation);
-        let turns = 1 + self.members.rank(&job) as u64;
+        let turns = 1 + self.members.rank(&job_name) as u64;
         let expired_at = entry.map_or(BoxTime::default(), |entry| entry.until);
         holds
-            || self.members.first_alive(&job, stamp.now).is_none()
+            || self.members.first_alive(&job_name, stamp.now).is_none()
             || stamp.now >= expired_at.plus_millis(turns * LEASE_TERM_MS)
     }
 
