--- a/crates/core/tests/any_input.rs
+++ b/crates/core/tests/any_input.rs
@@ -1,4 +1,5 @@
-//! Tokens, keys and records of any content: a clear error, no panic, no state change.
+//! Tokens, idempotency keys and bundle records with arbitrary content cause an error, without a panic
+//! or a change of state.
 
 use proptest::prelude::*;
 use ravenspoke_core::claims::check_key;
@@ -18,7 +19,7 @@
 }
 
 #[test]
-fn a_token_outlives_a_rotation_and_not_its_key() {
+fn a_token_stays_valid_after_key_rotation_until_its_key_is_removed() {
     let token = keys(&["k1"]).sign(&claims()).expect("a key");
 
     assert_eq!(keys(&["k2", "k1"]).verify(&token), Ok(claims()));
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn the_dump_of_keys_shows_no_secret() {
+fn debug_output_of_token_keys_hides_the_secret() {
     let shown = format!("{:?}", keys(&["k1"]));
 
     assert!(!shown.contains("107"), "{shown}");
@@ -35,12 +36,12 @@
 
 proptest! {
     #[test]
-    fn any_token_is_refused(token in "\\PC{0,200}") {
+    fn an_arbitrary_token_is_refused(token in "\\PC{0,200}") {
         prop_assert!(keys(&["k1"]).verify(&token).is_err());
     }
 
     #[test]
-    fn a_changed_token_is_refused(place in 0usize..100, byte in 32u8..127) {
+    fn a_token_with_a_changed_byte_is_refused(place in 0usize..100, byte in 32u8..127) {
         let token = keys(&["k1"]).sign(&claims()).expect("a key");
         let place = place * token.len() / 100;
         let mut bytes = token.clone().into_bytes();
@@ -51,12 +52,12 @@
     }
 
     #[test]
-    fn any_caller_key_is_checked(text in "\\PC{0,60}", now in any::<u64>()) {
+    fn an_arbitrary_caller_key_causes_no_panic(text in "\\PC{0,60}", now in any::<u64>()) {
         let _ = check_key(Some(&text), WallTime(now / 4), 3_600_000);
     }
 
     #[test]
-    fn any_unsigned_record_changes_nothing(
+    fn a_bundle_record_without_a_valid_signature_changes_nothing(
         sequence in any::<u64>(),
         base in "\\PC{0,20}",
         name in "\\PC{0,20}",
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -1,4 +1,4 @@
-//! The parts of the decision, each alone: queues, replicas, cascade, roll-out, retries.
+//! Unit tests of the parts of a decision: queues, replicas, cascade, roll-out and retries.
 
 use ravenspoke_core::cascade::{QualityTable, RungView};
 use ravenspoke_core::fair_queue::{FairQueue, QueueRefusal, ACCOUNT_QUEUE_LIMIT};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_large_backlog_delays_its_own_account_only() {
+fn a_large_backlog_delays_only_its_own_account() {
     let (keys, mut queue) = (requests(24), FairQueue::default());
     let late = BoxTime::from_millis(60_000);
     for key in &keys[..20] {
@@ -34,11 +34,11 @@
     let left: Vec<_> = (0..8).filter_map(|_| queue.pop(BoxTime::from_micros(0))).collect();
 
     let of_small = left.iter().filter(|key| keys[20..].contains(key)).count();
-    assert_eq!(of_small, 4, "the small account's requests leave in turn with the large one's");
+    assert_eq!(of_small, 4, "requests of both accounts leave in turn");
 }
 
 #[test]
-fn a_weight_of_three_leaves_three_times_as_often() {
+fn an_account_of_weight_three_gets_three_times_the_departures() {
     let (keys, mut queue) = (requests(40), FairQueue::default());
     let late = BoxTime::from_millis(60_000);
     for (index, key) in keys.iter().enumerate() {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_cannot_be_served_in_time_is_refused_when_it_arrives() {
+fn a_request_that_would_miss_its_deadline_is_refused_on_arrival() {
     let (keys, mut queue) = (requests(ACCOUNT_QUEUE_LIMIT + 1), FairQueue::default());
     let far = BoxTime::from_millis(3_600_000);
     for key in &keys[..20] {
@@ -67,13 +67,13 @@
     let soon = queue.push(account(0), 1, keys[30], BoxTime::from_millis(7_000), now);
     let other = queue.push(account(1), 1, keys[31], BoxTime::from_millis(9_000), now);
 
-    assert_eq!(soon, Err(QueueRefusal::Late), "fifteen wait, one leaves a second");
-    assert_eq!(other, Ok(()), "another account's turn comes sooner");
-    assert!(queue.retry_after_ms(0) >= 10_000, "the queue of now must drain first");
+    assert_eq!(soon, Err(QueueRefusal::Late), "fifteen requests wait and one leaves per second");
+    assert_eq!(other, Ok(()), "a request of another account is served sooner");
+    assert!(queue.retry_after_ms(0) >= 10_000, "the present queue must drain first");
 }
 
 #[test]
-fn an_accounts_queue_is_bounded() {
+fn the_queue_of_an_account_is_bounded() {
     let (keys, mut queue) = (requests(ACCOUNT_QUEUE_LIMIT + 1), FairQueue::default());
     let far = BoxTime::from_millis(60_000);
     for key in &keys[..ACCOUNT_QUEUE_LIMIT] {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn own_dispatches_count_while_the_report_lags() {
+fn dispatched_requests_count_as_load_before_the_next_report() {
     let (mut table, version) = table(2);
     let mut picks = std::collections::BTreeMap::new();
 
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_failing_replica_is_ejected_and_half_of_them_never() {
+fn a_failing_replica_is_ejected_but_never_more_than_half_of_them() {
     let (mut table, version) = table(4);
     let keys = table.subset(version).to_vec();
     let fail = |table: &mut ReplicaTable, key| {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_prefix_stays_with_its_replica_until_that_one_is_loaded() {
+fn a_prefix_stays_on_its_replica_up_to_the_load_bound() {
     let (mut table, version) = table(4);
     let pick = |table: &ReplicaTable, random| match table
         .pick(table.subset(version), pick_query(random, 77))
@@ -171,7 +171,7 @@
     }
     let (_, method) = pick(&table, 3);
 
-    assert_eq!(method, PickMethod::TwoChoices, "past the load bound the prefix gives way");
+    assert_eq!(method, PickMethod::TwoChoices, "above the load bound the pick ignores the prefix");
 }
 
 fn rungs() -> [RungView<'static>; 2] {
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn the_excess_over_the_target_is_spent_where_it_saves_most() {
+fn excess_quality_is_allocated_to_the_class_that_saves_most() {
     let mut table = learned([10, 2]);
     let mut cheap = [0, 0];
     for number in 0..2_000u64 {
@@ -200,15 +200,15 @@
         cheap[usize::from(class)] += usize::from(plan.rung == 0);
     }
 
-    assert!(cheap[0] > 950, "the class that loses nothing: {cheap:?}");
+    assert!(cheap[0] > 950, "the class that loses no quality uses the cheap rung: {cheap:?}");
     assert!(
         (100..350).contains(&cheap[1]),
-        "a share of the other, as the target allows: {cheap:?}"
+        "the other class uses it for the share that the target allows: {cheap:?}"
     );
 }
 
 #[test]
-fn an_unknown_class_is_rated_before_release_and_without_ratings_goes_to_the_safe_rung() {
+fn a_class_without_ratings_is_rated_before_release_or_uses_the_safe_rung_if_rating_is_down() {
     let mut table = QualityTable::default();
     assert!(table.plan("assist", &rungs(), 0.9, 0, 255).gated);
 
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn only_canary_boxes_expose_a_step_and_within_the_fleets_budget() {
+fn only_canary_boxes_expose_a_step_within_the_exposure_budget() {
     let mut exposed = 0;
     for rank in 0..50 {
         let mut state = RolloutState::default();
@@ -243,11 +243,11 @@
 }
 
 #[test]
-fn a_halt_is_for_good_and_a_step_never_goes_back() {
+fn a_halt_is_final_and_a_step_never_decreases() {
     let mut state = RolloutState::default();
     assert!(state.apply_verdict(false, 1));
     assert!(!state.apply_verdict(false, 0));
-    assert_eq!(state.share(&rollout(), 40), 5, "other boxes use the share that passed");
+    assert_eq!(state.share(&rollout(), 40), 5, "other boxes use the share of the last passed step");
 
     assert!(state.apply_verdict(true, 0));
     assert!(!state.apply_verdict(false, 2));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_fault_of_one_class_halts_and_good_answers_pass_a_step() {
+fn bad_answers_of_one_class_halt_and_good_answers_pass_a_step() {
     let count = |good, bad| JudgedCount { good, bad };
     let mut bad = RolloutState::default();
     let mut verdict = None;
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn retries_are_a_tenth_of_traffic() {
+fn the_retry_budget_saves_up_no_more_than_the_burst() {
     let mut budget = RetryBudget::default();
     while budget.spend() {}
     for _ in 0..1_000 {
@@ -281,5 +281,5 @@
     while budget.spend() {
         retries += 1;
     }
-    assert_eq!(retries, RETRY_BURST as u32, "a quiet time saves up no more than the burst");
+    assert_eq!(retries, RETRY_BURST as u32, "the budget saves up no more than the burst");
 }
