--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -282,7 +282,7 @@
     }
 
     fn accept(&mut self, record: &BundleRecord) -> FoldOutcome {
-        match self.verify(record) {
+        match self.check_record(record) {
             Ok(bundle) => {
                 self.in_force = Some(bundle);
                 FoldOutcome::Accepted
@@ -291,7 +291,7 @@
         }
     }
 
-    fn verify(&self, record: &BundleRecord) -> Result<BundleInForce, FoldRejection> {
+    fn check_record(&self, record: &BundleRecord) -> Result<BundleInForce, FoldRejection> {
         let sequence = record.sequence;
         let mut sections = match &self.in_force {
             Some(bundle) if !record.whole => bundle.sections.clone(),
