--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -111,9 +111,9 @@
             .map(|(_, row)| (row.listed.name.clone(), row.listed.address.clone()))
             .collect();
         self.ordered.retain(|replica, (at, versions)| {
-            let fresh =
+            let is_current =
                 stamp.now.millis_since(*at) < LOAD_TIMEOUT_MS && *versions == target_versions;
-            fresh && outdated.iter().any(|(name, _)| name == replica)
+            is_current && outdated.iter().any(|(name, _)| name == replica)
         });
         for (replica, address) in outdated {
             if self.ordered.len() >= pool.loads_at_once.max(1) as usize {
