--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -149,8 +149,8 @@
     pub fn rows(&self) -> Vec<(String, u8, QualityCount)> {
         let classes = |(model, row): (&String, &[QualityCount; CLASS_COUNT])| {
             let model = model.clone();
-            let rated = row.iter().enumerate().filter(|(_, count)| count.total() > 0.0);
-            let rows = rated.map(|(class, count)| (model.clone(), class as u8, *count));
+            let rated_classes = row.iter().enumerate().filter(|(_, count)| count.total() > 0.0);
+            let rows = rated_classes.map(|(class, count)| (model.clone(), class as u8, *count));
             rows.collect::<Vec<_>>()
         };
         let mut rows: Vec<_> = self.counts.iter().flat_map(classes).collect();
