--- a/crates/core/src/fold.rs
+++ b/crates/core/src/fold.rs
@@ -174,7 +174,7 @@
         self.gap.is_none()
     }
 
-    /// Records that the log was trimmed up to `first`, so that unread records are lost.
+    /// Handles that the log was trimmed up to `first` before this fold read it.
     pub fn record_gap(&mut self, first: u64) {
         self.gap = Some(first);
         self.deferred.clear();
@@ -222,6 +222,8 @@
         }
     }
 
+    /// Accepts a carried record after which nothing was trimmed, and folds the deferred records
+    /// that it does not cover.
     fn anchor(&mut self, carried: &BundleRecord) -> FoldOutcome {
         let before = self.sequence();
         if carried.sequence > before {
@@ -255,6 +257,7 @@
         }
     }
 
+    /// Outcome of a record whose sequence is not higher than the one in force.
     fn repeated_or_lost(&self, record: &BundleRecord) -> FoldOutcome {
         match &self.in_force {
             Some(bundle)
@@ -291,6 +294,7 @@
         }
     }
 
+    /// Builds the bundle that `record` results in, and checks its digest, sign-offs and content.
     fn check_record(&self, record: &BundleRecord) -> Result<BundleInForce, FoldRejection> {
         let sequence = record.sequence;
         let mut sections = match &self.in_force {
--- a/crates/core/src/freshness.rs
+++ b/crates/core/src/freshness.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Renews the lease after a reply to a heartbeat sent at `requested_at`. The peer's information on
-    /// the log was `age_ms` old then.
+    /// Renews the lease after a reply to a heartbeat sent at `requested_at`. The peer's information
+    /// on the log was `age_ms` old then.
     pub fn renew_from_peer(&mut self, requested_at: BoxTime, age_ms: u64) {
         // Information from before the start of this box does not count.
         if requested_at.as_millis() >= age_ms {
@@ -64,8 +64,9 @@
         self.fresh_at.map_or(u64::MAX, |fresh_at| now.millis_since(fresh_at))
     }
 
-    /// Freshness of the box if it sees `countable_boxes` of `listed` boxes, itself included. `countable_boxes` is called
-    /// only after the lease has expired, because this method runs for each request.
+    /// Freshness of the box if `countable_boxes` of `listed` boxes count toward a majority, itself
+    /// included. `countable_boxes` is called only after the lease has expired, because this method
+    /// runs for each request.
     pub fn state(
         &self,
         now: BoxTime,
