--- a/crates/core/src/cascade.rs
+++ b/crates/core/src/cascade.rs
@@ -111,8 +111,11 @@
 #[derive(Debug, Default)]
 pub struct QualityTable {
     counts: HashMap<String, [QualityCount; CLASS_COUNT]>,
+    /// Decayed numbers of requests by class, for each cascade.
     class_mixes: HashMap<String, [f64; CLASS_COUNT]>,
+    /// Ratings of this box that were not yet sent to others.
     unshared: BTreeMap<(String, u8), QualityCount>,
+    /// Consecutive failed ratings.
     rating_failures: u32,
 }
 
@@ -256,6 +259,7 @@
         (rungs.len() - 1, 0.0)
     }
 
+    /// Share of good answers of the last rung on a class.
     fn last_quality(&self, rungs: &[RungView<'_>], class: usize) -> f64 {
         let count = rungs.last().map(|rung| self.count(rung.model, class as u8));
         match count {
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -72,6 +72,7 @@
     /// Log-likelihood ratios by margin, over all classes at index 0 and for each class after it.
     /// Only the first canary box uses them.
     evidence: [[f64; CLASS_COUNT + 1]; BAD_MARGINS.len()],
+    /// Number of answers judged in this step.
     judged: u32,
     /// Judged answers that this box has not yet sent to the first canary box, by class.
     pub unsent: BTreeMap<u8, JudgedCount>,
@@ -150,7 +151,7 @@
     }
 
     /// Applies a verdict of this box or of another. A halt is final, and the step never decreases.
-    /// Returns whether the state changed.
+    /// Returns false if it was known or the roll-out was already halted.
     pub fn apply_verdict(&mut self, halted: bool, step: u32) -> bool {
         let is_new = !self.halted && (halted || step > self.step);
         self.halted |= halted;
