--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -19,7 +19,7 @@
 /// Number of witnesses for a bill.
 pub const WITNESS_COUNT: usize = 2;
 
-/// How long an owner waits for a witness before it asks other boxes, in milliseconds.
+/// How long an owner waits for a witness before it sends the bill to other boxes, in milliseconds.
 pub const WITNESS_WAIT_MS: u64 = 150;
 
 /// Time after which an answer is released although its bill has too few witnesses, in milliseconds.
@@ -51,6 +51,7 @@
 pub struct BillLedger {
     next_number: u64,
     owned: BTreeMap<u64, OwnedBill>,
+    /// Bills held for other boxes, by owner name and incarnation, then by number.
     held: HashMap<(String, u64), BTreeMap<u64, BillRecord>>,
     /// Number of answers released with too few witnesses.
     pub unwitnessed: u64,
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// No key was given.
-    #[error("this operation may not be repeated: send an Idempotency-Key header with a UUIDv7")]
+    #[error("this operation must not be repeated: send an Idempotency-Key header with a UUIDv7")]
     Missing,
     /// Not a UUIDv7.
     #[error("the Idempotency-Key is not a UUIDv7")]
@@ -69,6 +69,7 @@
     /// Outcome of the call, once its claimant has recorded it.
     #[serde(skip)]
     pub outcome: Option<OutcomeRecord>,
+    /// When the claim was read, in milliseconds on the box's clock.
     read_ms: u64,
 }
 
@@ -87,8 +88,10 @@
 #[derive(Debug, Default)]
 pub struct ClaimFold {
     live: HashMap<String, ClaimEntry>,
+    /// Nonces of claims that were read.
     seen: HashSet<u64>,
     voided: HashSet<u64>,
+    /// Time of the read, nonce and key of each claim, in the order of the reads.
     read_order: std::collections::VecDeque<(u64, u64, String)>,
 }
 
