--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -41,10 +41,14 @@
 #[derive(Debug, Default)]
 pub struct FairQueue {
     accounts: BTreeMap<AccountKey, VecDeque<WaitingRequest>>,
+    /// Tag of each account's last request.
     tags: BTreeMap<AccountKey, f64>,
+    /// Highest tag that has left the queue.
     virtual_time: f64,
     length: usize,
+    /// Time of the last departure after which requests still waited.
     last_departure: Option<BoxTime>,
+    /// Moving average of the time between departures.
     departure_gap_ms: Option<f64>,
 }
 
--- a/crates/core/src/membership.rs
+++ b/crates/core/src/membership.rs
@@ -62,6 +62,7 @@
 pub struct BoxMembership {
     me: String,
     rows: BTreeMap<String, PeerState>,
+    /// Boxes that still get a heartbeat in this round.
     round: Vec<String>,
     round_number: u64,
 }
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -167,6 +167,7 @@
     pool_sizes: HashMap<VersionKey, usize>,
     boxes: usize,
     seed: u64,
+    /// Moving average of the time to the first token.
     ttft_ms: f64,
 }
 
@@ -260,6 +261,7 @@
         is_new
     }
 
+    /// Builds the subsets again.
     fn rebuild(&mut self) {
         self.by_version.clear();
         self.by_service.clear();
@@ -346,6 +348,7 @@
         (self.boxes as f64 * used).max(1.0)
     }
 
+    /// Returns the replica preferred for the prefix, if its load is within the bound.
     fn affinity_replica(
         &self,
         pool: &[ReplicaKey],
@@ -364,6 +367,7 @@
         (row.load() <= bound && self.has_room(preferred, senders)).then_some(preferred)
     }
 
+    /// Returns the less loaded of two replicas chosen by `random`.
     fn less_loaded(&self, with_room: &[ReplicaKey], random: u64) -> ReplicaKey {
         let count = with_room.len() as u64;
         let first = (random % count) as usize;
