--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -15,7 +15,7 @@
 
 use super::{next_random, BoxState, QueueName, RequestStage};
 
-/// Maximum time from the pick of a replica to the begin of the write, in milliseconds.
+/// Maximum time from the pick of a replica to the start of the write, in milliseconds.
 const SEND_TIMEOUT_MS: u64 = 1_000;
 
 /// A version with the reason of its choice, or the reason why there is none.
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -190,7 +190,8 @@
             false => self.members.witnesses(number, &self.settings.zone, stamp.now, &sent_to),
         };
         if names.len() < missing {
-            // All boxes were asked already, so ask those again that did not answer.
+            // The bill was sent to all boxes already, so it is sent again to those that did not
+            // acknowledge it.
             names = sent_to.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
         }
         bill.sent_at = stamp.now;
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Asks other boxes where witnesses did not answer, and releases answers that waited
-    /// [`WITNESS_LIMIT_MS`].
+    /// Sends bills to other boxes if witnesses did not acknowledge them in time, and releases
+    /// answers after [`WITNESS_LIMIT_MS`].
     pub(super) fn retry_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for number in self.ledger.unreleased() {
             let Some(bill) = self.ledger.owned_mut(number) else { continue };
