--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -163,11 +163,11 @@
         other => panic!("{other:?}"),
     };
 
-    let (home, method) = pick(&table, 1);
+    let (preferred, method) = pick(&table, 1);
     assert_eq!(method, PickMethod::Affinity);
-    assert!((0..20).all(|random| pick(&table, random).0 == home));
+    assert!((0..20).all(|random| pick(&table, random).0 == preferred));
     for _ in 0..4 {
-        table.record_assigned(home, BoxTime::from_millis(10));
+        table.record_assigned(preferred, BoxTime::from_millis(10));
     }
     let (_, method) = pick(&table, 3);
 
