--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -31,9 +31,9 @@
         queue.push(account(1), 1, *key, late, BoxTime::from_micros(0)).expect("room");
     }
 
-    let left: Vec<_> = (0..8).filter_map(|_| queue.pop(BoxTime::from_micros(0))).collect();
+    let departed: Vec<_> = (0..8).filter_map(|_| queue.pop(BoxTime::from_micros(0))).collect();
 
-    let of_small = left.iter().filter(|key| keys[20..].contains(key)).count();
+    let of_small = departed.iter().filter(|key| keys[20..].contains(key)).count();
     assert_eq!(of_small, 4, "requests of both accounts leave in turn");
 }
 
@@ -46,9 +46,9 @@
         queue.push(account(who), weight, *key, late, BoxTime::from_micros(0)).expect("room");
     }
 
-    let left: Vec<_> = (0..16).filter_map(|_| queue.pop(BoxTime::from_micros(0))).collect();
+    let departed: Vec<_> = (0..16).filter_map(|_| queue.pop(BoxTime::from_micros(0))).collect();
 
-    let heavy = left.iter().filter(|key| keys.iter().position(|k| k == *key).unwrap() % 2 == 0);
+    let heavy = departed.iter().filter(|key| keys.iter().position(|k| k == *key).unwrap() % 2 == 0);
     assert_eq!(heavy.count(), 12);
 }
 
