--- a/crates/core/src/bills.rs
+++ b/crates/core/src/bills.rs
@@ -1,10 +1,14 @@
-//! Each request is billed once: the bill is with two witnesses before the last piece of the answer.
+//! Billing records, replicated to two witnesses before the end of an answer is released.
 //!
-//! The owner hands the bill to two boxes in other availability zones, releases the end of the answer
-//! when they hold it, and appends bills in batches later. A witness appends for an owner that
-//! vanished. Readers drop repeats by the bill's key, so it does not matter who appended how often.
-//! Weighed against appending before dispatch (an append's latency on each request, no service in an
-//! outage) and batches alone (a killed box loses its last seconds); see `docs/DESIGN.md`.
+//! The box that served a request owns its bill. It sends the bill to two other boxes, the
+//! *witnesses*, in other availability zones if possible, releases the end of the answer when they
+//! hold it, and appends bills to the log in batches later. A witness appends the bills of an owner
+//! that was lost. Readers drop repeats by the key of the bill, so a bill may be appended several
+//! times and still counts once.
+//!
+//! The alternatives are worse: an append before dispatch adds its latency to each request and stops
+//! service during an outage of the log, and batches alone lose the last seconds of a box that is
+//! killed. See `docs/DESIGN.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,17 +16,17 @@
 use crate::message::BillRecord;
 use crate::time::BoxTime;
 
-/// Witnesses for a bill.
+/// Number of witnesses for a bill.
 pub const WITNESS_COUNT: usize = 2;
 
-/// How long an owner waits for a witness before it asks others, in milliseconds.
+/// How long an owner waits for a witness before it sends the bill to other boxes, in milliseconds.
 pub const WITNESS_WAIT_MS: u64 = 150;
 
-/// After this the answer is released although the bill has fewer witnesses than it should, in
-/// milliseconds. The bill stays queued for the log; the case is counted.
+/// Time after which an answer is released although its bill has too few witnesses, in milliseconds.
+/// The bill stays queued for the log, and the case is counted.
 pub const WITNESS_LIMIT_MS: u64 = 1_000;
 
-/// How long an owner may be silent before its witnesses append for it, in milliseconds.
+/// How long an owner may be silent before its witnesses append its bills, in milliseconds.
 pub const OWNER_SILENCE_MS: u64 = 10_000;
 
 /// A bill of this box that is not yet in the log.
@@ -30,16 +34,16 @@
 pub struct OwnedBill {
     /// The bill.
     pub record: BillRecord,
-    /// Request whose end waits for witnesses.
+    /// Request whose answer is held until enough witnesses have the bill; `None` once released.
     pub request: Option<RequestKey>,
-    /// Boxes asked.
-    pub asked: BTreeSet<String>,
-    /// Boxes that hold it.
+    /// Boxes that were sent the bill.
+    pub sent_to: BTreeSet<String>,
+    /// Boxes that acknowledged it.
     pub held_by: BTreeSet<String>,
-    /// When it was made.
-    pub made_at: BoxTime,
-    /// When witnesses were last asked.
-    pub asked_at: BoxTime,
+    /// When the bill was created.
+    pub created_at: BoxTime,
+    /// When the bill was last sent to witnesses.
+    pub sent_at: BoxTime,
 }
 
 /// Bills that this box owns, and bills that it holds for others.
@@ -47,45 +51,46 @@
 pub struct BillLedger {
     next_number: u64,
     owned: BTreeMap<u64, OwnedBill>,
+    /// Bills held for other boxes, by owner name and incarnation, then by number.
     held: HashMap<(String, u64), BTreeMap<u64, BillRecord>>,
-    /// Answers released with too few witnesses.
+    /// Number of answers released with too few witnesses.
     pub unwitnessed: u64,
 }
 
 impl BillLedger {
-    /// Number for the next bill.
-    pub fn take_number(&mut self) -> u64 {
+    /// Returns the number for a new bill.
+    pub fn assign_number(&mut self) -> u64 {
         self.next_number += 1;
         self.next_number
     }
 
     /// Adds a bill of this box.
-    pub fn own(&mut self, record: BillRecord, request: RequestKey, now: BoxTime) {
+    pub fn add_owned(&mut self, record: BillRecord, request: RequestKey, now: BoxTime) {
         let number = record.number;
         let bill = OwnedBill {
             record,
             request: Some(request),
-            asked: BTreeSet::new(),
+            sent_to: BTreeSet::new(),
             held_by: BTreeSet::new(),
-            made_at: now,
-            asked_at: now,
+            created_at: now,
+            sent_at: now,
         };
         self.owned.insert(number, bill);
     }
 
-    /// A bill of this box.
+    /// Returns a bill of this box.
     pub fn owned_mut(&mut self, number: u64) -> Option<&mut OwnedBill> {
         self.owned.get_mut(&number)
     }
 
-    /// Numbers of bills whose answer waits for witnesses.
+    /// Numbers of bills whose answers wait for witnesses.
     pub fn unreleased(&self) -> Vec<u64> {
-        let waits = self.owned.iter().filter(|(_, bill)| bill.request.is_some());
-        waits.map(|(number, _)| *number).collect()
+        let waiting = self.owned.iter().filter(|(_, bill)| bill.request.is_some());
+        waiting.map(|(number, _)| *number).collect()
     }
 
-    /// Notes that `witness` holds the bill; gives the request whose end may now leave.
-    pub fn witnessed(&mut self, number: u64, witness: &str, needed: usize) -> Option<RequestKey> {
+    /// Records that `witness` holds the bill. Returns the request whose answer may now be released.
+    pub fn add_witness(&mut self, number: u64, witness: &str, needed: usize) -> Option<RequestKey> {
         let bill = self.owned.get_mut(&number)?;
         bill.held_by.insert(witness.to_owned());
         if bill.held_by.len() < needed {
@@ -94,23 +99,24 @@
         bill.request.take()
     }
 
-    /// The bill is in the log. Gives the request whose end may leave, and the witnesses to release.
-    pub fn appended(&mut self, number: u64) -> Option<OwnedBill> {
+    /// Removes a bill that is in the log. The returned bill names the request whose answer may be
+    /// released and the witnesses that can drop their copy.
+    pub fn remove_owned(&mut self, number: u64) -> Option<OwnedBill> {
         self.owned.remove(&number)
     }
 
-    /// Bills of this box that are not in the log.
+    /// Number of bills of this box that are not in the log.
     pub fn owned_len(&self) -> usize {
         self.owned.len()
     }
 
-    /// Holds a bill for another box.
-    pub fn hold(&mut self, owner: &str, incarnation: u64, record: BillRecord) {
+    /// Adds a bill that this box holds as a witness.
+    pub fn add_held(&mut self, owner: &str, incarnation: u64, record: BillRecord) {
         let bills = self.held.entry((owner.to_owned(), incarnation)).or_default();
         bills.insert(record.number, record);
     }
 
-    /// The owner has these in the log.
+    /// Drops bills that their owner has in the log.
     pub fn release(&mut self, owner: &str, incarnation: u64, numbers: &[u64]) {
         let key = (owner.to_owned(), incarnation);
         if let Some(bills) = self.held.get_mut(&key) {
@@ -128,31 +134,31 @@
         self.owned.values().all(|bill| !bill.held_by.is_empty())
     }
 
-    /// Bills held for others.
+    /// Number of bills held for other boxes.
     pub fn held_len(&self) -> usize {
         self.held.values().map(BTreeMap::len).sum()
     }
 
-    /// Owners whose bills are held.
+    /// Owners of the held bills, as name and incarnation, sorted.
     pub fn held_owners(&self) -> Vec<(String, u64)> {
         let mut owners: Vec<_> = self.held.keys().cloned().collect();
         owners.sort();
         owners
     }
 
-    /// Takes the bills held for an owner that vanished, to append them.
-    pub fn take_held(&mut self, owner: &(String, u64)) -> Vec<BillRecord> {
+    /// Removes and returns the bills held for an owner that was lost.
+    pub fn drain_held(&mut self, owner: &(String, u64)) -> Vec<BillRecord> {
         self.held.remove(owner).unwrap_or_default().into_values().collect()
     }
 }
 
-/// Reads a bills stream: each bill once, in log order.
+/// The fold of the `bills` stream: each bill once, in log order.
 #[derive(Debug, Default)]
 pub struct BillFold {
     keys: BTreeSet<String>,
-    /// Bills, each once.
+    /// Bills without repeats.
     pub bills: Vec<BillRecord>,
-    /// Repeats that were dropped.
+    /// Number of repeats that were dropped.
     pub repeats: usize,
 }
 
--- a/crates/core/src/fair_queue.rs
+++ b/crates/core/src/fair_queue.rs
@@ -1,24 +1,26 @@
-//! Weighted fair queues: requests wait by client account, within deadlines and bounds.
+//! Weighted fair queues: requests wait for a replica by client account, within deadlines and
+//! limits.
 //!
-//! One queue for each version and for each plain service. Start-time fair queueing: each request
-//! gets a tag from its account's weight, the lowest tag leaves first, so a large account's backlog
-//! delays itself. A request that cannot be served in time is refused when that becomes known.
+//! Each version and each plain service has one queue. The order is that of start-time fair
+//! queueing: each request gets a tag by the weight of its account, and the request with the lowest
+//! tag leaves first, so a large account's backlog delays only itself. A request that cannot be
+//! served in time is refused as soon as that is known.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::ids::{AccountKey, RequestKey};
 use crate::time::BoxTime;
 
-/// Requests of one account that may wait in one queue.
+/// Maximum number of requests of one account in one queue.
 pub const ACCOUNT_QUEUE_LIMIT: usize = 512;
 
-/// Weight of one departure in the estimate of the drain rate.
+/// Weight of one departure in the moving average of the drain rate.
 const DRAIN_WEIGHT: f64 = 0.05;
 
-/// Shortest time a refused caller is told to stay away, in milliseconds.
+/// Shortest retry delay for a refused caller, in milliseconds.
 const RETRY_FLOOR_MS: f64 = 500.0;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 struct WaitingRequest {
     key: RequestKey,
@@ -26,12 +28,12 @@
     deadline: BoxTime,
 }
 
-/// Why a request may not wait.
+/// Why a request is not queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueRefusal {
-    /// The account has too many waiting.
+    /// The account has too many waiting requests.
     Full,
-    /// It would be served too late.
+    /// It would be served after its deadline.
     Late,
 }
 
@@ -39,37 +41,41 @@
 #[derive(Debug, Default)]
 pub struct FairQueue {
     accounts: BTreeMap<AccountKey, VecDeque<WaitingRequest>>,
+    /// Tag of each account's last request.
     tags: BTreeMap<AccountKey, f64>,
-    virtual_tag: f64,
+    /// Highest tag that has left the queue.
+    virtual_time: f64,
     length: usize,
-    last_left: Option<BoxTime>,
-    gap_ms: Option<f64>,
+    /// Time of the last departure after which requests still waited.
+    last_departure: Option<BoxTime>,
+    /// Moving average of the time between departures.
+    departure_gap_ms: Option<f64>,
 }
 
 impl FairQueue {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// How long a new request of `account` would wait, in milliseconds, by the drain rate; 0 while
-    /// no rate is known.
+    /// Expected wait of a new request of `account` by the drain rate, in milliseconds; 0 while no
+    /// rate is known.
     pub fn wait_ms(&self, account: AccountKey) -> f64 {
         let own = self.accounts.get(&account).map_or(0, VecDeque::len);
         let active = self.accounts.len() + usize::from(own == 0);
         let ahead = (own * active).min(self.length);
-        self.gap_ms.unwrap_or(0.0) * (ahead + 1) as f64
+        self.departure_gap_ms.unwrap_or(0.0) * (ahead + 1) as f64
     }
 
     /// Adds a request.
     ///
     /// # Errors
-    /// [`QueueRefusal`] if it may not wait.
+    /// [`QueueRefusal`] if the account's queue is full or the request would be served too late.
     pub fn push(
         &mut self,
         account: AccountKey,
@@ -86,7 +92,7 @@
             return Err(QueueRefusal::Late);
         }
         let before = self.tags.get(&account).copied().unwrap_or(0.0);
-        let tag = before.max(self.virtual_tag) + 1.0 / f64::from(weight.max(1));
+        let tag = before.max(self.virtual_time) + 1.0 / f64::from(weight.max(1));
         self.tags.insert(account, tag);
         let request = WaitingRequest { key, tag, deadline };
         self.accounts.entry(account).or_default().push_back(request);
@@ -94,7 +100,7 @@
         Ok(())
     }
 
-    /// Adds a request back that was taken out but could not be placed.
+    /// Puts a request back that was popped but could not be placed.
     pub fn requeue(
         &mut self,
         account: AccountKey,
@@ -102,19 +108,19 @@
         deadline: BoxTime,
         now: BoxTime,
     ) {
-        let request = WaitingRequest { key, tag: self.virtual_tag, deadline };
+        let request = WaitingRequest { key, tag: self.virtual_time, deadline };
         self.accounts.entry(account).or_default().push_front(request);
         self.length += 1;
-        self.last_left = Some(now);
+        self.last_departure = Some(now);
     }
 
-    /// Takes the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self, now: BoxTime) -> Option<RequestKey> {
-        let first = |(_, queue): &(&AccountKey, &VecDeque<WaitingRequest>)| queue[0].tag;
+        let first_tag = |(_, queue): &(&AccountKey, &VecDeque<WaitingRequest>)| queue[0].tag;
         let account = *self
             .accounts
             .iter()
-            .min_by(|a, b| first(a).total_cmp(&first(b)))
+            .min_by(|a, b| first_tag(a).total_cmp(&first_tag(b)))
             .map(|(account, _)| account)?;
         let queue = self.accounts.get_mut(&account)?;
         let request = queue.pop_front()?;
@@ -122,22 +128,22 @@
             self.accounts.remove(&account);
         }
         self.length -= 1;
-        self.virtual_tag = self.virtual_tag.max(request.tag);
-        self.note_left(now);
+        self.virtual_time = self.virtual_time.max(request.tag);
+        self.record_departure(now);
         Some(request.key)
     }
 
-    fn note_left(&mut self, now: BoxTime) {
-        if let Some(last) = self.last_left {
+    fn record_departure(&mut self, now: BoxTime) {
+        if let Some(last) = self.last_departure {
             let gap = now.micros_since(last) as f64 / 1_000.0;
-            let before = self.gap_ms.unwrap_or(gap);
-            self.gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
+            let before = self.departure_gap_ms.unwrap_or(gap);
+            self.departure_gap_ms = Some(before + (gap - before) * DRAIN_WEIGHT);
         }
-        // A gap is only a drain rate while something still waits.
-        self.last_left = (self.length > 0).then_some(now);
+        // The time between departures shows the drain rate only while requests still wait.
+        self.last_departure = (self.length > 0).then_some(now);
     }
 
-    /// Takes out what can no longer be served in time.
+    /// Removes and returns the requests whose deadline has passed.
     pub fn expire(&mut self, now: BoxTime) -> Vec<RequestKey> {
         let mut late = Vec::new();
         self.accounts.retain(|_, queue| {
@@ -154,7 +160,7 @@
         late
     }
 
-    /// Takes out one request, because its caller went away.
+    /// Removes a request, because its caller disconnected.
     pub fn remove(&mut self, key: RequestKey) {
         let mut removed = 0;
         self.accounts.retain(|_, queue| {
@@ -166,17 +172,18 @@
         self.length -= removed;
     }
 
-    /// Everything that waits, in order of account; the queue is empty afterwards.
+    /// Removes and returns all requests, in order of account.
     pub fn drain(&mut self) -> Vec<RequestKey> {
         self.length = 0;
         let queues = std::mem::take(&mut self.accounts);
         queues.into_values().flatten().map(|request| request.key).collect()
     }
 
-    /// When a refused caller should come back, in milliseconds: when the queue of now is drained,
-    /// up to half as long again by `random`, so that callers do not return together.
+    /// Retry delay for a refused caller, in milliseconds: the time to drain the present queue, plus
+    /// jitter of up to half of it by `random`, so that callers do not return together.
     pub fn retry_after_ms(&self, random: u64) -> u64 {
-        let drained = (self.gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
+        let drained =
+            (self.departure_gap_ms.unwrap_or(0.0) * self.length as f64).max(RETRY_FLOOR_MS);
         (drained * (1.0 + (random % 512) as f64 / 1_024.0)) as u64
     }
 }
--- a/crates/core/src/replica.rs
+++ b/crates/core/src/replica.rs
@@ -1,9 +1,9 @@
-//! Replicas: what is known of each, and which of them answers a request.
+//! State of the replicas of backend servers, and the pick of one for a request.
 //!
-//! Load reports lag, so a box adds what it dispatched itself since the report. The choice is the
-//! less loaded of two from a bounded subset, unless the replica that holds the prompt's prefix is
-//! within the load bound. A replica that fails or stops moving is ejected for a while, at most half
-//! of a subset at a time.
+//! Load reports lag, so a box adds the requests that it dispatched itself since the report. The
+//! pick is the less loaded of two replicas of a bounded subset, or the replica whose prefix cache
+//! should hold the prompt's prefix, if its load is within a bound. A replica that fails or stalls
+//! is ejected for a time. Ejection is ignored if it would exclude more than half of the subset.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,30 +14,33 @@
 use crate::ids::{ReplicaKey, VersionKey};
 use crate::time::BoxTime;
 
-/// Replicas of one version, or of one service, that a box uses at most.
+/// Maximum number of replicas of one version, or of one service, that a box uses.
 pub const SUBSET_SIZE: usize = 24;
 
-/// A replica with this many failures in a row is ejected.
+/// Consecutive failures after which a replica is ejected.
 pub const EJECT_FAILURES: u32 = 3;
 
-/// First ejection, in milliseconds; doubled by each further one up to [`EJECT_LIMIT_MS`].
+/// Duration of the first ejection, in milliseconds; doubled for each consecutive one up to
+/// [`EJECT_LIMIT_MS`].
 pub const EJECT_FIRST_MS: u64 = 2_000;
 
-/// Longest ejection, in milliseconds.
+/// Maximum duration of an ejection, in milliseconds.
 pub const EJECT_LIMIT_MS: u64 = 30_000;
 
-/// A replica whose oldest unanswered request waits this long for its first token counts as stalled,
-/// in milliseconds, unless its pool is that slow as a whole.
+/// Minimum wait of the oldest unanswered request for its first token at which its replica counts as
+/// stalled, in milliseconds. It is longer where first tokens are slow in general, see
+/// [`ReplicaTable::stall_ms`].
 pub const STALL_MS: u64 = 1_000;
 
-/// Load bound of affinity: the preferred replica may carry this times the mean, and one more.
+/// Load bound of prefix affinity: the preferred replica may have this multiple of the mean load,
+/// plus one request.
 pub const AFFINITY_BOUND: f64 = 1.5;
 
-/// Reported load, as a share of slots, below which a box may use more than its own part: reports
-/// lag, and above it all boxes would fill the same slots.
-pub const OPEN_LOAD: f64 = 0.7;
+/// Estimated load, as a share of slots, below which a box may use more than its own slots. Above it
+/// all boxes would fill the same free slots, because reports lag.
+pub const UNCAPPED_LOAD: f64 = 0.7;
 
-/// A replica as the box list gives it.
+/// A replica as the box list describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ListedReplica {
     /// Replica name.
@@ -46,7 +49,7 @@
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Pool of model engines, or plain service.
+    /// Name of its pool of model engines, or of its plain service.
     pub service: String,
     /// Whether it is a model engine.
     pub engine: bool,
@@ -69,105 +72,107 @@
     pub leaving: bool,
 }
 
-/// What is known of a replica.
+/// State of a replica.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReplicaState {
-    /// As listed.
+    /// Entry of the box list.
     pub listed: ListedReplica,
-    /// Hash of its name, for affinity.
+    /// Hash of its name, for prefix affinity.
     #[serde(skip)]
     name_hash: u64,
     /// Versions loaded.
     #[serde(skip)]
     pub versions: Vec<VersionKey>,
-    /// Whether the list, a peer or the replica itself says that it leaves.
+    /// Whether the list, a peer or the replica itself reported that it is leaving.
     pub leaving: bool,
-    /// Last reported batch and queue.
+    /// Requests in its batch and its queue by the last report, less those of this box that have
+    /// ended since.
     pub reported: u32,
     /// Requests that its batch takes.
     pub slots: u32,
     /// When the report was made, on this box's clock.
     pub reported_at: BoxTime,
-    /// Requests of this box that it has not finished.
+    /// Requests of this box that were assigned to it and have not ended.
     pub outstanding: u32,
     /// Requests that this box dispatched to it since the report.
     pub since_report: u32,
     /// When each of this box's unanswered requests was dispatched, oldest first.
     #[serde(skip)]
     pub unanswered: Vec<BoxTime>,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Ejections in a row.
+    /// Consecutive ejections.
     pub ejections: u32,
-    /// Not chosen before this.
+    /// End of the current ejection.
     pub ejected_until: BoxTime,
 }
 
 impl ReplicaState {
-    /// Estimated load: what the replica reported and what this box sent since, or what this box has
-    /// outstanding, whichever is more; as a share of its slots.
+    /// Estimated load, as a share of its slots: the reported requests plus those that this box sent
+    /// since, or the outstanding requests of this box if they are more.
     pub fn load(&self) -> f64 {
         let estimate = (self.reported + self.since_report).max(self.outstanding);
         f64::from(estimate) / f64::from(self.slots.max(1))
     }
 
     /// Whether its oldest unanswered request has waited longer than `stall_ms`.
-    pub fn stalled(&self, now: BoxTime, stall_ms: u64) -> bool {
+    pub fn is_stalled(&self, now: BoxTime, stall_ms: u64) -> bool {
         self.unanswered.first().is_some_and(|at| now.millis_since(*at) > stall_ms)
     }
 }
 
-/// What a pick needs to know.
+/// Input of a pick.
 #[derive(Clone, Copy, Debug)]
-pub struct PickAsk {
-    /// Hash of the prompt's prefix; 0 for none.
+pub struct PickQuery {
+    /// Hash of the prompt's prefix; 0 if it has none.
     pub prefix: u64,
     /// A random number.
     pub random: u64,
-    /// The time.
+    /// Current time.
     pub now: BoxTime,
-    /// Replica to avoid, because it failed this request.
+    /// Replica to avoid because it failed this request.
     pub avoid: Option<ReplicaKey>,
 }
 
 /// How a replica was picked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PickWay {
-    /// It holds the prompt's prefix.
+pub enum PickMethod {
+    /// Prefix affinity.
     Affinity,
     /// The less loaded of two.
     TwoChoices,
-    /// All are ejected; the less loaded of two of them.
+    /// The less loaded of two, with ejection ignored.
     AllEjected,
 }
 
 /// Result of a pick.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickOutcome {
-    /// This replica.
-    Picked(ReplicaKey, PickWay),
-    /// Every replica is full: wait.
+    /// A replica was picked.
+    Picked(ReplicaKey, PickMethod),
+    /// Every replica is full, so the request has to wait.
     Full,
-    /// There is none.
+    /// There is no replica, or all of them are leaving.
     NoReplica,
 }
 
-/// Replicas by key, and the subsets that this box uses.
+/// Replicas, and the subsets of them that this box uses.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     rows: SlotMap<ReplicaKey, ReplicaState>,
     names: HashMap<String, ReplicaKey>,
     by_version: HashMap<VersionKey, Vec<ReplicaKey>>,
     by_service: HashMap<String, Vec<ReplicaKey>>,
-    /// Boxes that use a replica of the subset, by its length before it was cut.
+    /// Number of replicas of each version, before the subset is taken.
     pool_sizes: HashMap<VersionKey, usize>,
     boxes: usize,
     seed: u64,
+    /// Moving average of the time to the first token.
     ttft_ms: f64,
 }
 
 impl ReplicaTable {
-    /// A table for the box called `me`; the name seeds its subsets.
+    /// Creates a table for the box named `me`. The name seeds its subsets.
     pub fn new(me: &str) -> Self {
         let seed = xxhash_rust::xxh3::xxh3_64(me.as_bytes());
         Self { seed, ttft_ms: 200.0, ..Self::default() }
@@ -178,27 +183,27 @@
         self.rows.iter()
     }
 
-    /// A replica.
+    /// Returns the state of a replica.
     pub fn get(&self, key: ReplicaKey) -> Option<&ReplicaState> {
         self.rows.get(key)
     }
 
-    /// Key of a replica by name.
+    /// Returns the key of a replica by name.
     pub fn find(&self, name: &str) -> Option<ReplicaKey> {
         self.names.get(name).copied()
     }
 
-    /// Takes a new reading of the box list. A leaving mark is never taken back by the list, which
-    /// lags; a replica that comes back has left the list in between.
-    pub fn take_list(&mut self, listed: &[ListedReplica]) {
+    /// Applies a new reading of the box list. The list lags, so it never clears that a replica is
+    /// leaving. A replica that returns was absent from the list in between.
+    pub fn apply_list(&mut self, listed: &[ListedReplica]) {
         let names: HashSet<&str> = listed.iter().map(|new| new.name.as_str()).collect();
-        let gone: Vec<ReplicaKey> = self
+        let removed: Vec<ReplicaKey> = self
             .rows
             .iter()
             .filter(|(_, row)| !names.contains(row.listed.name.as_str()))
             .map(|(key, _)| key)
             .collect();
-        for key in gone {
+        for key in removed {
             if let Some(row) = self.rows.remove(key) {
                 self.names.remove(&row.listed.name);
             }
@@ -211,7 +216,7 @@
                     row.listed = new.clone();
                 }
                 None => {
-                    let key = self.rows.insert(fresh_row(new));
+                    let key = self.rows.insert(new_row(new));
                     self.names.insert(new.name.clone(), key);
                 }
             }
@@ -219,19 +224,20 @@
         self.rebuild();
     }
 
-    /// Notes how many boxes are listed; they share the replicas.
+    /// Sets the number of listed boxes, which share the replicas.
     pub fn set_boxes(&mut self, boxes: usize) {
         self.boxes = boxes;
     }
 
-    /// Marks a replica as leaving. Returns whether that is news.
+    /// Marks a replica as leaving. Returns whether it was not marked before.
     pub fn mark_leaving(&mut self, name: &str) -> bool {
         let Some(key) = self.find(name) else { return false };
         !std::mem::replace(&mut self.rows[key].leaving, true)
     }
 
-    /// Takes a load report made at `at`. Returns whether the replica's leaving mark is news.
-    pub fn take_report(
+    /// Applies a load report made at `at`. Returns whether it is the first to say that the replica
+    /// is leaving.
+    pub fn apply_report(
         &mut self,
         key: ReplicaKey,
         report: &LoadReport,
@@ -246,15 +252,16 @@
         row.slots = report.slots.max(1);
         row.reported_at = at;
         row.since_report = row.unanswered.iter().filter(|sent| **sent > at).count() as u32;
-        let news = report.leaving && !std::mem::replace(&mut row.leaving, true);
+        let is_new = report.leaving && !std::mem::replace(&mut row.leaving, true);
         let changed = row.versions != versions;
         row.versions = versions;
         if changed {
             self.rebuild();
         }
-        news
+        is_new
     }
 
+    /// Builds the subsets again.
     fn rebuild(&mut self) {
         self.by_version.clear();
         self.by_service.clear();
@@ -276,84 +283,96 @@
         }
     }
 
-    /// Replicas of this box's subset for `version`.
+    /// This box's subset of the replicas that have `version` loaded.
     pub fn subset(&self, version: VersionKey) -> &[ReplicaKey] {
         self.by_version.get(&version).map_or(&[], Vec::as_slice)
     }
 
-    /// Replicas of a plain service.
+    /// This box's subset of the replicas of a plain service.
     pub fn service_subset(&self, service: &str) -> &[ReplicaKey] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Picks one of `keys`.
-    pub fn pick(&self, keys: &[ReplicaKey], ask: PickAsk) -> PickOutcome {
-        let staying: Vec<ReplicaKey> =
+    /// Picks one of the replicas `keys`.
+    pub fn pick(&self, keys: &[ReplicaKey], query: PickQuery) -> PickOutcome {
+        let not_leaving: Vec<ReplicaKey> =
             keys.iter().copied().filter(|key| !self.rows[*key].leaving).collect();
-        if staying.is_empty() {
+        if not_leaving.is_empty() {
             return PickOutcome::NoReplica;
         }
         let stall_ms = self.stall_ms();
-        let healthy: Vec<ReplicaKey> = staying
+        let healthy: Vec<ReplicaKey> = not_leaving
             .iter()
             .copied()
             .filter(|key| {
                 let row = &self.rows[*key];
-                row.ejected_until <= ask.now && !row.stalled(ask.now, stall_ms)
+                row.ejected_until <= query.now && !row.is_stalled(query.now, stall_ms)
             })
-            .filter(|key| Some(*key) != ask.avoid)
+            .filter(|key| Some(*key) != query.avoid)
             .collect();
-        // The floor: with more than half ejected the cause is not the replicas, and those that are
-        // left would be overrun.
-        let floor = healthy.len() * 2 < staying.len();
-        let pool = if floor { &staying } else { &healthy };
-        let sharers = self.sharers(&self.rows[staying[0]]);
-        let open: Vec<ReplicaKey> =
-            pool.iter().copied().filter(|key| self.has_room(*key, sharers)).collect();
-        if open.is_empty() {
+        // If more than half are ejected, the replicas are not the cause, and the rest would be
+        // overloaded.
+        let ignores_ejection = healthy.len() * 2 < not_leaving.len();
+        let pool = if ignores_ejection { &not_leaving } else { &healthy };
+        let senders = self.senders(&self.rows[not_leaving[0]]);
+        let with_room: Vec<ReplicaKey> =
+            pool.iter().copied().filter(|key| self.has_room(*key, senders)).collect();
+        if with_room.is_empty() {
             return PickOutcome::Full;
         }
-        if let Some(key) = self.affine(pool, ask.prefix, sharers) {
-            return PickOutcome::Picked(key, PickWay::Affinity);
+        if let Some(key) = self.affinity_replica(pool, query.prefix, senders) {
+            return PickOutcome::Picked(key, PickMethod::Affinity);
         }
-        let key = self.less_loaded(&open, ask.random);
-        PickOutcome::Picked(key, if floor { PickWay::AllEjected } else { PickWay::TwoChoices })
+        let key = self.less_loaded(&with_room, query.random);
+        PickOutcome::Picked(
+            key,
+            if ignores_ejection { PickMethod::AllEjected } else { PickMethod::TwoChoices },
+        )
     }
 
-    /// Whether this box may send one more: while the replica is not busy, or within this box's own
-    /// part of its slots. Without the part, each report of a free slot is taken by every box at once.
-    fn has_room(&self, key: ReplicaKey, sharers: f64) -> bool {
+    /// Whether this box may send one more request: the replica has a low load, or this box has
+    /// fewer outstanding requests than its own share of the slots. Without that share all boxes
+    /// would use a free slot at once as soon as it is reported.
+    fn has_room(&self, key: ReplicaKey, senders: f64) -> bool {
         let row = &self.rows[key];
-        let part = f64::from(row.slots.max(1)) / sharers;
-        let crowd = f64::from(row.reported) + f64::from(row.since_report) * sharers;
-        f64::from(row.outstanding) < part.ceil() || crowd < f64::from(row.slots) * OPEN_LOAD
+        let own_slots = f64::from(row.slots.max(1)) / senders;
+        let fleet_load = f64::from(row.reported) + f64::from(row.since_report) * senders;
+        f64::from(row.outstanding) < own_slots.ceil()
+            || fleet_load < f64::from(row.slots) * UNCAPPED_LOAD
     }
 
-    /// Boxes that send to a replica, at least one.
-    fn sharers(&self, row: &ReplicaState) -> f64 {
+    /// Estimated number of boxes that send to a replica, at least one.
+    fn senders(&self, row: &ReplicaState) -> f64 {
         let pool = row.versions.iter().filter_map(|version| self.pool_sizes.get(version)).max();
         let used = pool.map_or(1.0, |pool| (SUBSET_SIZE as f64 / *pool as f64).min(1.0));
         (self.boxes as f64 * used).max(1.0)
     }
 
-    fn affine(&self, pool: &[ReplicaKey], prefix: u64, sharers: f64) -> Option<ReplicaKey> {
+    /// Returns the replica preferred for the prefix, if its load is within the bound.
+    fn affinity_replica(
+        &self,
+        pool: &[ReplicaKey],
+        prefix: u64,
+        senders: f64,
+    ) -> Option<ReplicaKey> {
         if prefix == 0 {
             return None;
         }
-        // The same replica from every box: by name and prefix only.
+        // Every box prefers the same replica, since the weight depends on name and prefix only.
         let weight = |key: &ReplicaKey| mix(self.rows[*key].name_hash ^ prefix);
         let preferred = pool.iter().copied().min_by_key(weight)?;
         let mean = pool.iter().map(|key| self.rows[*key].load()).sum::<f64>() / pool.len() as f64;
         let row = &self.rows[preferred];
         let bound = mean * AFFINITY_BOUND + 1.0 / f64::from(row.slots.max(1));
-        (row.load() <= bound && self.has_room(preferred, sharers)).then_some(preferred)
+        (row.load() <= bound && self.has_room(preferred, senders)).then_some(preferred)
     }
 
-    fn less_loaded(&self, open: &[ReplicaKey], random: u64) -> ReplicaKey {
-        let count = open.len() as u64;
+    /// Returns the less loaded of two replicas chosen by `random`.
+    fn less_loaded(&self, with_room: &[ReplicaKey], random: u64) -> ReplicaKey {
+        let count = with_room.len() as u64;
         let first = (random % count) as usize;
         let second = (first as u64 + 1 + (random >> 32) % count.saturating_sub(1).max(1)) % count;
-        let (a, b) = (open[first], open[second as usize]);
+        let (a, b) = (with_room[first], with_room[second as usize]);
         if self.rows[b].load() < self.rows[a].load() {
             b
         } else {
@@ -361,13 +380,14 @@
         }
     }
 
-    /// How long a first token may take before a replica counts as stalled, in milliseconds.
+    /// Wait for a first token after which a replica counts as stalled, in milliseconds:
+    /// [`STALL_MS`], or four times the mean time to the first token if that is more.
     pub fn stall_ms(&self) -> u64 {
         STALL_MS.max((self.ttft_ms * 4.0) as u64)
     }
 
-    /// Notes that a request is given to a replica.
-    pub fn assigned(&mut self, key: ReplicaKey, now: BoxTime) {
+    /// Records that a request was assigned to a replica.
+    pub fn record_assigned(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding += 1;
             row.since_report += 1;
@@ -375,8 +395,8 @@
         }
     }
 
-    /// Notes the first token, or the whole answer, of a request given at `at`.
-    pub fn answered(&mut self, key: ReplicaKey, at: BoxTime, now: BoxTime) {
+    /// Records the first token, or the complete answer, of a request that was assigned at `at`.
+    pub fn record_answered(&mut self, key: ReplicaKey, at: BoxTime, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             remove_one(&mut row.unanswered, at);
             row.failures = 0;
@@ -385,8 +405,8 @@
         }
     }
 
-    /// Notes that a request given at `at` has ended.
-    pub fn ended(&mut self, key: ReplicaKey, at: BoxTime) {
+    /// Records that a request that was assigned at `at` has ended.
+    pub fn record_ended(&mut self, key: ReplicaKey, at: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.outstanding = row.outstanding.saturating_sub(1);
             row.since_report = row.since_report.min(row.outstanding);
@@ -395,8 +415,8 @@
         }
     }
 
-    /// Notes a failure; ejects the replica when it has failed too often in a row.
-    pub fn failed(&mut self, key: ReplicaKey, now: BoxTime) {
+    /// Records a failure, and ejects the replica after [`EJECT_FAILURES`] consecutive ones.
+    pub fn record_failure(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.failures += 1;
             if row.failures >= EJECT_FAILURES {
@@ -409,7 +429,7 @@
     }
 }
 
-/// Spreads a hash: SplitMix64's finalizer.
+/// Mixes the bits of a hash with the finalizer of SplitMix64.
 pub(crate) fn mix(hash: u64) -> u64 {
     let mut mixed = hash.wrapping_add(0x9E37_79B9_7F4A_7C15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -417,8 +437,8 @@
     mixed ^ (mixed >> 31)
 }
 
-fn fresh_row(listed: &ListedReplica) -> ReplicaState {
-    /// Slots assumed of a replica that has not reported.
+fn new_row(listed: &ListedReplica) -> ReplicaState {
+    /// Number of slots assumed for a replica that has not reported.
     const ASSUMED_SLOTS: u32 = 16;
     ReplicaState {
         listed: listed.clone(),
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,9 +1,10 @@
 //! The reducer: all state of a box, and the one function that changes it.
 //!
-//! [`BoxState::apply`] hands each event to the module that has its job: `admit` (a request arrives),
-//! `choose` (model, version, replica), `run` (attempts), `settle` (ratings, bills, the end of an
-//! answer), `log` (folds and appends), `peers` (heartbeats, witnesses, marks), `guard` (roll-outs),
-//! `orders` (what engines should load) and `stop`. `dump` describes the state for operators.
+//! [`BoxState::apply`] passes each event to the module that handles it: `admit` (arriving
+//! requests), `choose` (model, version and replica), `run` (attempts), `settle` (ratings, bills and
+//! the end of an answer), `log` (folds and appends), `peers` (heartbeats, witnesses and leaving
+//! notices), `guard` (roll-outs), `orders` (versions that engines should load) and `stop`. `dump`
+//! describes the state for operators.
 
 mod admit;
 mod choose;
@@ -45,8 +46,8 @@
 
 pub use dump::{DecisionRecord, StateDump};
 
-/// Decisions kept for `explain`.
-pub const DECISIONS_KEPT: usize = 4_096;
+/// Number of decisions kept for `explain`.
+pub const DECISION_LIMIT: usize = 4_096;
 
 /// Settings of a box that the reducer needs.
 #[derive(Clone, Debug)]
@@ -55,7 +56,7 @@
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Random number drawn when the process started.
+    /// Random number that identifies this run of the process.
     pub incarnation: u64,
     /// Operator keys.
     pub sign_off: SignOffRule,
@@ -67,59 +68,63 @@
     pub queue_ms: u64,
     /// How long a claim may wait for the log, in milliseconds.
     pub claim_ms: u64,
-    /// How long callers keep the answer about which address to use, in milliseconds.
+    /// How long callers may cache the addresses of boxes, in milliseconds.
     pub entry_keep_ms: u64,
-    /// Bills that may wait for the log before new requests are refused.
+    /// Number of bills waiting for the log at which new requests are refused.
     pub bill_limit: usize,
-    /// Share of answers rated after they left, in 1/256.
+    /// Share of answers that are rated after release, in 1/256.
     pub rate_share: u64,
 }
 
-/// Stage of a request, with its attempt's state as a type.
+/// Stage of a request, with the state of its attempt as a type.
 #[derive(Clone, Copy, Debug)]
 enum RequestStage {
     /// Waits for its claim.
     Claiming(Attempt<Queued>),
     /// Waits for a replica.
     Waiting(Attempt<Queued>),
-    /// Has a replica.
+    /// Has a replica, but nothing was written to it.
     Ready(Attempt<Ready>),
-    /// Runs.
+    /// The attempt is dispatched.
     Running(Attempt<Dispatched>),
     /// Its held answer is being rated.
-    Judging(Attempt<Dispatched>),
-    /// Its end waits for witnesses.
+    Rating(Attempt<Dispatched>),
+    /// The end of its answer is held until witnesses have the bill.
     Billing,
 }
 
-/// Where a request waits.
+/// Name of a queue.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum QueueName {
     Version(VersionKey),
     Service(String),
 }
 
-/// A request that the box has taken in.
+/// State of an admitted request.
 #[derive(Debug)]
 struct RequestState {
     ticket: RequestTicket,
     id: u128,
     account: AccountKey,
     target: RequestTarget,
-    /// Key that the bill is known by, where the caller gave one.
+    /// Key of the bill, if the caller sent an idempotency key.
     bill_key: Option<String>,
+    /// Key and nonce of its claim, if it needs one.
     claim: Option<(String, u64)>,
     /// Whether it may run more than once.
     repeatable: bool,
     deadline: BoxTime,
     stage: RequestStage,
-    /// Rung of a cascade that answers now, and whether its answer is rated before release.
+    /// Rung of the cascade that answers now.
     rung: usize,
+    /// Whether the answer is rated before release.
     gated: bool,
     version: Option<VersionKey>,
     pins: SessionPins,
     pins_changed: bool,
+    /// Number of tokens that the caller already has.
     delivered: u32,
+    /// Replica that failed this request.
     avoid: Option<ReplicaKey>,
     reasons: Vec<ReasonCode>,
     cost: f64,
@@ -139,31 +144,33 @@
     verdict_next: u64,
     leases: LeaseFold,
     lease_next: u64,
-    /// Lease records that were sent and not read back, with when.
-    lease_asked: BTreeMap<String, BoxTime>,
-    /// Orders given, by replica, with when and what: a load takes a while to show in the report.
+    /// When this box requested the leases that it has not read back from the log, by pool.
+    lease_requested: BTreeMap<String, BoxTime>,
+    /// Orders by replica, with time and versions. They are kept because a load takes time to show
+    /// in the replica's report.
     ordered: BTreeMap<String, (BoxTime, Vec<String>)>,
-    /// When the record of the bundle in force was read, and how old it was then, in milliseconds.
+    /// When the record of the bundle in force was read, and its age in milliseconds at that time.
     bundle_seen: (BoxTime, u64),
     fresh: FreshLease,
     members: BoxMembership,
     replicas: ReplicaTable,
     quality: QualityTable,
-    /// Whether another box has shared what it learnt.
-    quality_joined: bool,
+    /// Whether another box has sent ratings.
+    quality_received: bool,
     rollouts: BTreeMap<String, RolloutState>,
     queues: BTreeMap<QueueName, FairQueue>,
     retry: RetryBudget,
     appends: BTreeMap<LogStream, AppendQueue>,
     ledger: BillLedger,
-    /// Boxes that bills of this round go to; chosen anew with each heartbeat.
+    /// Boxes to which bills are sent; chosen again with each heartbeat.
     witnesses: Vec<String>,
     requests: SlotMap<RequestKey, RequestState>,
     tickets: HashMap<RequestTicket, RequestKey>,
     decisions: VecDeque<DecisionRecord>,
-    /// Replicas lately heard to be leaving, with when; repeated in heartbeats for a while.
-    leaving_marks: VecDeque<(BoxTime, String)>,
-    next_beat: BoxTime,
+    /// Replicas that recently became known to be leaving, with the time. Heartbeats repeat them for
+    /// a while.
+    leaving_notices: VecDeque<(BoxTime, String)>,
+    next_heartbeat: BoxTime,
     next_evidence: BoxTime,
     stopping_since: Option<BoxTime>,
     counts: BoxCounts,
@@ -172,11 +179,11 @@
 /// Counters since the box started.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct BoxCounts {
-    /// Requests taken in.
+    /// Requests that arrived.
     pub arrived: u64,
-    /// Whole answers.
+    /// Complete answers.
     pub answered: u64,
-    /// Refusals, run or not.
+    /// Refusals, whether the request ran or not.
     pub refused: u64,
     /// Attempts dispatched.
     pub dispatched: u64,
@@ -187,7 +194,7 @@
 }
 
 impl BoxState {
-    /// State of a box that has just started and knows nothing.
+    /// Creates the state of a box that has just started.
     pub fn new(settings: BoxSettings) -> Self {
         let queue = |stream| {
             let limit = if stream == LogStream::Bills { settings.bill_limit } else { 4_096 };
@@ -202,14 +209,14 @@
             verdict_next: 0,
             leases: LeaseFold::default(),
             lease_next: 0,
-            lease_asked: BTreeMap::new(),
+            lease_requested: BTreeMap::new(),
             ordered: BTreeMap::new(),
             bundle_seen: (BoxTime::default(), 0),
             fresh: FreshLease::default(),
             members: BoxMembership::new(&settings.name),
             replicas: ReplicaTable::new(&settings.name),
             quality: QualityTable::default(),
-            quality_joined: false,
+            quality_received: false,
             rollouts: BTreeMap::new(),
             queues: BTreeMap::new(),
             retry: RetryBudget::default(),
@@ -219,8 +226,8 @@
             requests: SlotMap::with_key(),
             tickets: HashMap::new(),
             decisions: VecDeque::new(),
-            leaving_marks: VecDeque::new(),
-            next_beat: BoxTime::default(),
+            leaving_notices: VecDeque::new(),
+            next_heartbeat: BoxTime::default(),
             next_evidence: BoxTime::default(),
             stopping_since: None,
             counts: BoxCounts::default(),
@@ -228,7 +235,7 @@
         }
     }
 
-    /// Applies one event and gives what the box must do.
+    /// Applies one event and returns what the box must do.
     pub fn apply(&mut self, stamp: EventStamp, event: BoxEvent) -> Vec<BoxEffect> {
         let mut effects = Vec::new();
         let out = &mut effects;
@@ -247,16 +254,18 @@
             BoxEvent::LoadReported { replica, at, report } => {
                 self.on_load_reported(stamp, &replica, at, &report, out);
             }
-            BoxEvent::RequestArrived(ask) => self.on_request(stamp, ask, out),
-            BoxEvent::SendStarting(key) => self.on_send_begins(stamp, key, out),
+            BoxEvent::RequestArrived(details) => self.on_request(stamp, details, out),
+            BoxEvent::SendStarting(key) => self.on_send_starting(stamp, key, out),
             BoxEvent::FirstToken(key) => self.on_first_token(stamp, key),
             BoxEvent::AttemptEnded(key, end) => self.on_attempt_ended(stamp, key, end, out),
-            BoxEvent::HeldAnswerRated(key, good) => self.on_judged(stamp, key, good, out),
+            BoxEvent::HeldAnswerRated(key, good) => {
+                self.on_held_answer_rated(stamp, key, good, out)
+            }
             BoxEvent::ReleasedAnswerRated { version, class, good } => {
-                self.on_rated(stamp, &version, class, good, out);
+                self.apply_rating(stamp, &version, class, good, out);
             }
             BoxEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket, out),
-            BoxEvent::StopRequested => self.on_stop_asked(stamp, out),
+            BoxEvent::StopRequested => self.on_stop_requested(stamp, out),
         }
         effects
     }
@@ -264,37 +273,37 @@
     fn on_tick(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         self.drain_queues(stamp, out);
         self.expire_claiming(stamp, out);
-        self.press_witnesses(stamp, out);
+        self.retry_witnesses(stamp, out);
         self.append_due(stamp, out);
-        if stamp.now >= self.next_beat {
-            self.next_beat = stamp.now.plus_millis(crate::membership::BEAT_INTERVAL_MS);
-            self.beat(stamp, out);
+        if stamp.now >= self.next_heartbeat {
+            self.next_heartbeat = stamp.now.plus_millis(crate::membership::HEARTBEAT_INTERVAL_MS);
+            self.send_heartbeats(stamp, out);
             self.choose_witnesses(stamp);
-            self.share_quality(out);
+            self.send_quality(out);
             self.order_pools(stamp, out);
             self.take_over_bills(stamp, out);
             self.carry_bundle(stamp);
             let keep = self.settings.retention_ms + 2 * crate::claims::KEY_SKEW_MS;
-            self.claims.forget(stamp.now.as_millis(), keep);
+            self.claims.remove_expired(stamp.now.as_millis(), keep);
         }
         self.send_evidence(stamp, out);
         self.check_stopped(stamp, out);
     }
 
-    /// What the box may rely on now.
+    /// Freshness of the box's bundle now.
     pub fn fresh_state(&self, now: BoxTime) -> FreshState {
         let own = self.fold.sequence();
         self.fresh.state(now, self.members.listed_count(), || {
-            // A majority that includes a box with a newer bundle says that this one is stale.
+            // If a listed box has a newer bundle, this one is stale and no majority counts.
             if self.members.newest_sequence() > own {
                 0
             } else {
-                self.members.seen_count(now)
+                self.members.countable_boxes(now)
             }
         })
     }
 
-    /// Sequence in force; 0 for none.
+    /// Sequence of the bundle in force; 0 for none.
     pub fn sequence(&self) -> u64 {
         self.fold.sequence()
     }
@@ -304,7 +313,7 @@
         self.fold.in_force()
     }
 
-    /// Next offset to read of a stream that the box follows.
+    /// Next offset to read from a stream that the box follows.
     pub fn next_offset(&self, stream: LogStream) -> u64 {
         match stream {
             LogStream::Claims => self.claim_next,
@@ -319,7 +328,7 @@
         self.counts
     }
 
-    /// The bundle's lookups.
+    /// Index of the bundle in force.
     pub fn index(&self) -> &BundleIndex {
         &self.index
     }
@@ -334,7 +343,7 @@
         &self.replicas
     }
 
-    /// Boxes.
+    /// Listed boxes.
     pub fn members(&self) -> &BoxMembership {
         &self.members
     }
@@ -351,7 +360,7 @@
     }
 }
 
-/// Spreads one random number into another, for a second use within one event.
-fn next_dice(random: u64) -> u64 {
+/// Derives another random number from `random`, for a further use within one event.
+fn next_random(random: u64) -> u64 {
     crate::replica::mix(random)
 }
--- a/crates/core/src/state/admit.rs
+++ b/crates/core/src/state/admit.rs
@@ -1,4 +1,4 @@
-//! A request arrives: every check that needs no replica, in one place.
+//! Admission of an arriving request: all checks that need no replica.
 
 use crate::attempt::{Attempt, RequestRefusal};
 use crate::bundle::CascadeSpec;
@@ -13,30 +13,31 @@
 use crate::session::SessionPins;
 use crate::{appender::LogStream, fair_queue::FairQueue};
 
-use super::{next_dice, BoxState, DecisionRecord, RequestStage, RequestState};
+use super::{next_random, BoxState, DecisionRecord, RequestStage, RequestState};
 
-/// When a caller should come back to a box that waits for its bundle, in milliseconds.
+/// Retry delay for a caller of a box that has no current bundle or is stopping, in milliseconds.
 const BUNDLE_WAIT_MS: u64 = 1_000;
 
-/// When a caller should come back after the log could not be reached, in milliseconds.
+/// Retry delay for a caller whose request needs the log while the log is unreachable or behind, in
+/// milliseconds.
 const LOG_WAIT_MS: u64 = 5_000;
 
 impl BoxState {
     pub(super) fn on_request(
         &mut self,
         stamp: EventStamp,
-        ask: RequestDetails,
+        details: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) {
         self.counts.arrived += 1;
-        let ticket = ask.ticket;
-        let id = ask.id;
-        let target = ask.target.clone();
-        match self.admit(stamp, ask, out) {
+        let ticket = details.ticket;
+        let id = details.id;
+        let target = details.target.clone();
+        match self.admit(stamp, details, out) {
             Ok(()) => {}
             Err(refusal) => {
                 self.counts.refused += 1;
-                self.keep_decision(DecisionRecord::refused_early(id, &target, &refusal));
+                self.record_decision(DecisionRecord::refused(id, &target, &refusal));
                 out.push(BoxEffect::Refuse(ticket, refusal));
             }
         }
@@ -45,21 +46,21 @@
     fn admit(
         &mut self,
         stamp: EventStamp,
-        ask: RequestDetails,
+        details: RequestDetails,
         out: &mut Vec<BoxEffect>,
     ) -> Result<(), RequestRefusal> {
         self.check_box(stamp)?;
         let account = self
             .index
-            .account(&ask.key_hash)
+            .account(&details.key_hash)
             .ok_or_else(|| Attempt::first().refuse(ReasonCode::UnknownKey))?;
-        let bill_key = ask
+        let bill_key = details
             .caller_key
             .as_ref()
             .map(|key| format!("{}/{key}", self.names.accounts.name(account)));
         let mut request = RequestState {
-            ticket: ask.ticket,
-            id: ask.id,
+            ticket: details.ticket,
+            id: details.id,
             account,
             bill_key,
             claim: None,
@@ -77,12 +78,12 @@
             cost: 0.0,
             tokens: 0,
             attempts: 0,
-            target: ask.target,
+            target: details.target,
         };
         match &request.target {
             RequestTarget::Model { .. } => self.admit_model(stamp, &mut request)?,
             RequestTarget::Service { .. } => {
-                self.admit_service(stamp, &mut request, ask.caller_key.as_deref())?;
+                self.admit_service(stamp, &mut request, details.caller_key.as_deref())?;
             }
         }
         if request.repeatable {
@@ -94,10 +95,10 @@
         self.claim(stamp, request, out)
     }
 
-    /// Checks that concern the box and not the request.
+    /// Checks whether the box can serve requests at all.
     fn check_box(&self, stamp: EventStamp) -> Result<(), RequestRefusal> {
         let refuse = |reason| Err(Attempt::first().refuse(reason).retry_after(BUNDLE_WAIT_MS));
-        if self.stop_is_over(stamp.now) {
+        if self.has_stopped_accepting(stamp.now) {
             return refuse(ReasonCode::Stopping);
         }
         if self.fold.in_force().is_none() {
@@ -133,7 +134,7 @@
             return refuse(ReasonCode::NotAllowed);
         }
         if let Some(token) = session {
-            let claims = self.settings.token_keys.open(token).map_err(|error| {
+            let claims = self.settings.token_keys.verify(token).map_err(|error| {
                 Attempt::first().refuse(ReasonCode::BadToken).detail(error.to_string())
             })?;
             if claims.account != account {
@@ -143,7 +144,7 @@
         }
         if let Some(cascade) = spec.cascades.get(name) {
             let cascade = cascade.clone();
-            let plan = self.plan_cascade(name, &cascade, *class, next_dice(stamp.random));
+            let plan = self.plan_cascade(name, &cascade, *class, next_random(stamp.random));
             request.rung = plan.rung;
             request.gated = plan.gated;
             request.reasons.push(plan.reason);
@@ -159,9 +160,9 @@
         random: u64,
     ) -> CascadePlan {
         let models = &self.index.spec.models;
-        let view = |model: &'_ String| models.get(model).map_or(0.0, |row| row.cost_per_1k);
+        let cost_of = |model: &'_ String| models.get(model).map_or(0.0, |row| row.cost_per_1k);
         let rungs: Vec<RungView<'_>> =
-            cascade.rungs.iter().map(|model| RungView { model, cost: view(model) }).collect();
+            cascade.rungs.iter().map(|model| RungView { model, cost: cost_of(model) }).collect();
         self.quality.plan(name, &rungs, cascade.target, class, random)
     }
 
@@ -191,7 +192,8 @@
         Ok(())
     }
 
-    /// Queues the claim of a call that may not be repeated, unless the key is known.
+    /// Queues the claim of a call that must not be repeated. If the key has a live claim, answers
+    /// by that claim instead.
     fn claim(
         &mut self,
         stamp: EventStamp,
@@ -204,11 +206,11 @@
             return self.answer_claimed(&request, outcome, out);
         }
         let claims = self.appends.get(&LogStream::Claims);
-        if claims.is_some_and(|queue| queue.failing() || queue.is_full()) {
+        if claims.is_some_and(|queue| queue.is_failing() || queue.is_full()) {
             let refusal = Attempt::first().refuse(ReasonCode::LogDown).retry_after(LOG_WAIT_MS);
             return Err(refusal);
         }
-        let nonce = next_dice(stamp.random ^ self.settings.incarnation);
+        let nonce = next_random(stamp.random ^ self.settings.incarnation);
         request.claim = Some((key.clone(), nonce));
         request.deadline = stamp.now.plus_millis(self.settings.claim_ms);
         request.stage = RequestStage::Claiming(Attempt::first());
@@ -218,7 +220,8 @@
         Ok(())
     }
 
-    /// Answers a request whose key was claimed by an earlier one.
+    /// Answers a request whose key was claimed by an earlier request: with the recorded outcome, or
+    /// with a refusal if none is known.
     fn answer_claimed(
         &mut self,
         request: &RequestState,
@@ -238,8 +241,8 @@
         }
     }
 
-    /// A claim of this box lost to an earlier one.
-    pub(super) fn lose_claim(
+    /// Answers a request of this box whose claim lost to an earlier one.
+    pub(super) fn on_claim_lost(
         &mut self,
         key: RequestKey,
         outcome: Option<crate::message::OutcomeRecord>,
@@ -249,12 +252,12 @@
         self.tickets.remove(&request.ticket);
         if let Err(refusal) = self.answer_claimed(&request, outcome, out) {
             self.counts.refused += 1;
-            self.keep_decision(self.describe(&request, Some(&refusal), None));
+            self.record_decision(self.describe(&request, Some(&refusal), None));
             out.push(BoxEffect::Refuse(request.ticket, refusal));
         }
     }
 
-    /// Refuses requests whose claim did not come back in time, and voids their claims.
+    /// Refuses requests whose claim was not read back in time, and voids their claims.
     pub(super) fn expire_claiming(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let late: Vec<(RequestKey, Attempt<_>)> = self
             .requests
@@ -278,19 +281,20 @@
         key
     }
 
-    /// Weight of an account's fair share.
+    /// Weight of an account in fair queueing.
     pub(super) fn weight(&self, account: AccountKey) -> u32 {
         let name = self.names.accounts.name(account);
         self.index.spec.accounts.get(name).map_or(1, |row| row.weight)
     }
 
-    /// When a caller refused by this queue should come back.
-    pub(super) fn come_back_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
+    /// Retry delay for a caller that this queue refused, in milliseconds.
+    pub(super) fn queue_retry_ms(queue: Option<&FairQueue>, random: u64) -> u64 {
         queue.map_or(BUNDLE_WAIT_MS, |queue| queue.retry_after_ms(random))
     }
 }
 
-/// The refusal for a key. An expired key says nothing about an earlier request with it.
+/// Returns the refusal for a caller's key. With a key that is expired or in the future, an earlier
+/// request may have run.
 pub(super) fn key_refusal(error: KeyError) -> RequestRefusal {
     let refusal = match error {
         KeyError::Missing | KeyError::NotUuidV7 => Attempt::first().refuse(ReasonCode::BadClaimKey),
--- a/crates/core/src/state/choose.rs
+++ b/crates/core/src/state/choose.rs
@@ -1,5 +1,5 @@
-//! Which model, version and replica: checked against the bundle in force each time an attempt is
-//! placed, so a retry, an escalation and a resume are checked again.
+//! Choice of model, version and replica. Each attempt is checked against the bundle in force when
+//! it is placed, so a retry, an escalation and a resumed stream are checked again.
 
 use crate::attempt::{Attempt, Queued, Ready};
 use crate::bundle::VersionState;
@@ -9,21 +9,21 @@
 use crate::freshness::FreshState;
 use crate::ids::{AccountKey, RequestKey, VersionKey};
 use crate::reason::ReasonCode;
-use crate::replica::{PickAsk, PickOutcome, PickWay};
+use crate::replica::{PickMethod, PickOutcome, PickQuery};
 use crate::session::SessionClaims;
 use crate::time::BoxTime;
 
-use super::{next_dice, BoxState, QueueName, RequestStage};
+use super::{next_random, BoxState, QueueName, RequestStage};
 
-/// How long a box may take from a decision to its write, in milliseconds.
-const SEND_WITHIN_MS: u64 = 1_000;
+/// Maximum time from the pick of a replica to the start of the write, in milliseconds.
+const SEND_TIMEOUT_MS: u64 = 1_000;
 
-/// Version and why it was chosen.
+/// A version with the reason of its choice, or the reason why there is none.
 type VersionChoice = Result<(VersionKey, ReasonCode), ReasonCode>;
 
 impl BoxState {
-    /// Places a waiting request: gives it a replica, lets it wait, or refuses it. Returns false if
-    /// it came from its queue and must go on waiting there.
+    /// Places a waiting request: assigns a replica, queues the request or refuses it. Returns false
+    /// if the request came from its queue and must continue to wait there.
     pub(super) fn place(
         &mut self,
         stamp: EventStamp,
@@ -39,8 +39,8 @@
             return true;
         }
         match self.pick_replica(stamp, key) {
-            PickOutcome::Picked(replica, way) => {
-                self.assign(stamp, key, attempt, replica, way, out);
+            PickOutcome::Picked(replica, method) => {
+                self.assign(stamp, key, attempt, replica, method, out);
                 true
             }
             PickOutcome::NoReplica => {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes sure that the request has a version that it may run on now.
+    /// Chooses a version for the request, or checks that it may still use the one it has.
     fn choose_version(&mut self, stamp: EventStamp, key: RequestKey) -> Result<(), ReasonCode> {
         let request = &self.requests[key];
         let RequestTarget::Model { name, .. } = &request.target else { return Ok(()) };
@@ -100,11 +100,11 @@
         if let Some(pinned) = request.pins.get(model) {
             let version = self.names.versions.find(pinned).ok_or(ReasonCode::Withdrawn)?;
             self.check_version(account, version, true)?;
-            self.note_exposed(version);
+            self.count_exposed(version);
             return Ok((version, ReasonCode::SessionVersion));
         }
-        if let Some(version) = self.rollout_version(model, account, next_dice(stamp.random ^ 1)) {
-            self.note_exposed(version);
+        if let Some(version) = self.rollout_version(model, account, next_random(stamp.random ^ 1)) {
+            self.count_exposed(version);
             return Ok((version, ReasonCode::RolloutShare));
         }
         let spec = self.index.spec.models.get(model).ok_or(ReasonCode::UnknownTarget)?;
@@ -113,7 +113,8 @@
         Ok((version, ReasonCode::DefaultVersion))
     }
 
-    /// Whether `account` may send new work to `version` now; a session may go on while it drains.
+    /// Checks whether `account` may use `version` now. A session may continue on a draining
+    /// version.
     pub(super) fn check_version(
         &self,
         account: AccountKey,
@@ -121,7 +122,7 @@
         in_session: bool,
     ) -> Result<(), ReasonCode> {
         if !self.index.allows(account, version) {
-            // A version that the bundle dropped is withdrawn; one that it names is not allowed.
+            // A version that the bundle does not name counts as withdrawn.
             let named = self.index.spec.versions.contains_key(self.names.versions.name(version));
             return Err(if named { ReasonCode::NotAllowed } else { ReasonCode::Withdrawn });
         }
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Model of a version, as the bundle in force names it.
+    /// Model of a version in the bundle in force; empty if the bundle does not name the version.
     pub(super) fn model_of(&self, version: VersionKey) -> &str {
         let name = self.names.versions.name(version);
         self.index.spec.versions.get(name).map_or("", |row| &row.model)
@@ -147,8 +148,8 @@
             (RequestTarget::Service { name, .. }, _) => (self.replicas.service_subset(name), 0),
             _ => return PickOutcome::NoReplica,
         };
-        let random = next_dice(stamp.random ^ 2);
-        self.replicas.pick(keys, PickAsk { prefix, random, now: stamp.now, avoid: request.avoid })
+        let random = next_random(stamp.random ^ 2);
+        self.replicas.pick(keys, PickQuery { prefix, random, now: stamp.now, avoid: request.avoid })
     }
 
     fn assign(
@@ -157,18 +158,18 @@
         key: RequestKey,
         attempt: Attempt<Queued>,
         replica: crate::ids::ReplicaKey,
-        way: PickWay,
+        method: PickMethod,
         out: &mut Vec<BoxEffect>,
     ) {
-        self.replicas.assigned(replica, stamp.now);
+        self.replicas.record_assigned(replica, stamp.now);
         let send_before = self.send_before(stamp.now);
         let session_token = self.session_token(stamp, key);
         let request = &mut self.requests[key];
         request.pins_changed = false;
-        match way {
-            PickWay::Affinity => request.reasons.push(ReasonCode::PrefixAffinity),
-            PickWay::TwoChoices => request.reasons.push(ReasonCode::TwoChoices),
-            PickWay::AllEjected => request.reasons.push(ReasonCode::NoHealthy),
+        match method {
+            PickMethod::Affinity => request.reasons.push(ReasonCode::PrefixAffinity),
+            PickMethod::TwoChoices => request.reasons.push(ReasonCode::TwoChoices),
+            PickMethod::AllEjected => request.reasons.push(ReasonCode::NoHealthy),
         }
         let version = request.version;
         request.stage = RequestStage::Ready(attempt.assign(Ready {
@@ -191,12 +192,13 @@
         out.push(BoxEffect::PrepareAttempt(request.ticket, key, order));
     }
 
-    /// A write must begin before the freshness lease lapses, unless the log is down for all.
+    /// Time before which the write must begin: within [`SEND_TIMEOUT_MS`], and before the freshness
+    /// lease expires while the box is fresh.
     fn send_before(&self, now: BoxTime) -> BoxTime {
-        let soon = now.plus_millis(SEND_WITHIN_MS);
+        let latest = now.plus_millis(SEND_TIMEOUT_MS);
         match (self.fresh_state(now), self.fresh.expires_at()) {
-            (FreshState::Fresh, Some(lapses)) => soon.min(lapses),
-            _ => soon,
+            (FreshState::Fresh, Some(expires_at)) => latest.min(expires_at),
+            _ => latest,
         }
     }
 
@@ -206,11 +208,11 @@
             return None;
         }
         let claims = SessionClaims {
-            session: next_dice(stamp.random ^ 3),
+            session: next_random(stamp.random ^ 3),
             account: self.names.accounts.name(request.account).to_owned(),
             pins: request.pins.clone(),
         };
-        self.settings.token_keys.seal(&claims)
+        self.settings.token_keys.sign(&claims)
     }
 
     fn enqueue(
@@ -231,16 +233,16 @@
         let weight = self.weight(account);
         let queue = self.queues.entry(name).or_default();
         if let Err(refusal) = queue.push(account, weight, key, deadline, stamp.now) {
-            let come_back = Self::come_back_ms(Some(queue), next_dice(stamp.random ^ 4));
+            let retry_ms = Self::queue_retry_ms(Some(queue), next_random(stamp.random ^ 4));
             let reason = match refusal {
                 QueueRefusal::Full => ReasonCode::QueueFull,
                 QueueRefusal::Late => ReasonCode::QueueLate,
             };
-            self.end_refused(key, attempt.refuse(reason).retry_after(come_back), out);
+            self.end_refused(key, attempt.refuse(reason).retry_after(retry_ms), out);
         }
     }
 
-    /// Places what waits, as far as replicas have room, and refuses what is now too late.
+    /// Places waiting requests while replicas have room, and refuses those past their deadline.
     pub(super) fn drain_queues(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let names: Vec<QueueName> =
             self.queues.iter().filter(|(_, q)| !q.is_empty()).map(|(n, _)| n.clone()).collect();
@@ -249,7 +251,7 @@
         }
     }
 
-    /// Places what waits in one queue.
+    /// Places the waiting requests of one queue, and refuses those past their deadline.
     pub(super) fn drain_queue(
         &mut self,
         stamp: EventStamp,
@@ -258,16 +260,16 @@
     ) {
         let Some(mut queue) = self.queues.remove(name) else { return };
         for (count, key) in queue.expire(stamp.now).into_iter().enumerate() {
-            let random = next_dice(stamp.random ^ (count as u64 + 5));
-            let come_back = Self::come_back_ms(Some(&queue), random);
-            self.refuse_waiting(key, ReasonCode::QueueLate, come_back, out);
+            let random = next_random(stamp.random ^ (count as u64 + 5));
+            let retry_ms = Self::queue_retry_ms(Some(&queue), random);
+            self.refuse_waiting(key, ReasonCode::QueueLate, retry_ms, out);
         }
         let mut random = stamp.random;
         while self.queue_has_room(name, stamp) {
             let Some(key) = queue.pop(stamp.now) else { break };
-            random = next_dice(random);
+            random = next_random(random);
             if !self.place(EventStamp { random, ..stamp }, key, true, out) {
-                self.put_back(stamp, &mut queue, key);
+                self.requeue(stamp, &mut queue, key);
                 break;
             }
         }
@@ -279,12 +281,12 @@
             QueueName::Version(version) => self.replicas.subset(*version),
             QueueName::Service(service) => self.replicas.service_subset(service),
         };
-        let ask = PickAsk { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
-        // With no replica at all, what waits is placed too, so that it is refused at once.
-        !matches!(self.replicas.pick(keys, ask), PickOutcome::Full)
+        let query = PickQuery { prefix: 0, random: stamp.random, now: stamp.now, avoid: None };
+        // If there is no replica, waiting requests are placed too, which refuses them at once.
+        !matches!(self.replicas.pick(keys, query), PickOutcome::Full)
     }
 
-    fn put_back(
+    fn requeue(
         &mut self,
         stamp: EventStamp,
         queue: &mut crate::fair_queue::FairQueue,
@@ -292,8 +294,8 @@
     ) {
         let Some(request) = self.requests.get(key) else { return };
         let (account, deadline) = (request.account, request.deadline);
-        // The only replica with room is one that this request must avoid; it waits behind its own
-        // account's others, and its deadline still bounds the wait.
+        // The only replica with room is one that this request must avoid. The request keeps waiting
+        // at the head of its account's queue, until its deadline at the latest.
         queue.requeue(account, key, deadline, stamp.now);
     }
 
@@ -301,12 +303,12 @@
         &mut self,
         key: RequestKey,
         reason: ReasonCode,
-        come_back_ms: u64,
+        retry_ms: u64,
         out: &mut Vec<BoxEffect>,
     ) {
         let Some(request) = self.requests.get(key) else { return };
         if let RequestStage::Waiting(attempt) = request.stage {
-            self.end_refused(key, attempt.refuse(reason).retry_after(come_back_ms), out);
+            self.end_refused(key, attempt.refuse(reason).retry_after(retry_ms), out);
         }
     }
 }
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -1,27 +1,28 @@
-//! The roll-out guard's part of the reducer: shares, evidence and verdicts.
+//! Canary analysis of roll-outs: shares, evidence and verdicts, see [`crate::rollout`].
 
 use crate::appender::LogStream;
 use crate::cascade::QualityCount;
 use crate::effect::BoxEffect;
 use crate::event::{EventStamp, RequestTarget};
 use crate::ids::{AccountKey, RequestKey, VersionKey};
-use crate::membership::BEAT_INTERVAL_MS;
+use crate::membership::HEARTBEAT_INTERVAL_MS;
 use crate::message::{PeerBody, RecordBody, RolloutEvidence, VerdictRecord};
-use crate::rollout::{GuardVerdict, JudgedCount, RolloutState, BASE_ANSWERS, CANARY_BOXES};
+use crate::rollout::{GuardVerdict, JudgedCount, RolloutState, BASELINE_ANSWERS, CANARY_BOXES};
 
 use super::BoxState;
 
-/// Share of bad answers assumed of a version that was hardly rated.
-const UNKNOWN_BASE_BAD: f64 = 0.1;
+/// Share of bad answers assumed for a replaced version with too few ratings.
+const UNKNOWN_BASELINE_BAD: f64 = 0.1;
 
 impl BoxState {
-    /// Name of the version, if the bundle rolls it out and it is not the default yet.
+    /// Returns the name of the version if the bundle has a roll-out of it.
     pub(super) fn under_rollout(&self, version: VersionKey) -> Option<&str> {
         let name = self.names.versions.name(version);
         self.index.spec.rollouts.get_key_value(name).map(|(name, _)| name.as_str())
     }
 
-    /// The version under roll-out that a new session of `model` should use, by share and random.
+    /// Returns the version under roll-out for a new session of `model`, if `random` selects it
+    /// within the roll-out's share.
     pub(super) fn rollout_version(
         &self,
         model: &str,
@@ -34,8 +35,8 @@
             .iter()
             .find(|(name, _)| spec.versions.get(*name).is_some_and(|row| row.model == model))?;
         let version = self.names.versions.find(name)?;
-        let fresh = RolloutState::default();
-        let state = self.rollouts.get(name).unwrap_or(&fresh);
+        let initial = RolloutState::default();
+        let state = self.rollouts.get(name).unwrap_or(&initial);
         let share = state.share(rollout, self.members.rank(name));
         let chosen = random % 100 < u64::from(share);
         let has_replica = !self.replicas.subset(version).is_empty();
@@ -43,24 +44,25 @@
             .then_some(version)
     }
 
-    /// Counts a request that goes to a version under roll-out.
-    pub(super) fn note_exposed(&mut self, version: VersionKey) {
+    /// Counts a request as exposed if its version is under roll-out.
+    pub(super) fn count_exposed(&mut self, version: VersionKey) {
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
             self.rollouts.entry(name).or_default().exposed += 1;
         }
     }
 
-    /// A failed attempt counts as a bad answer of a version under roll-out.
-    pub(super) fn note_failure_evidence(&mut self, key: RequestKey) {
+    /// Counts a failed attempt as a bad answer if its version is under roll-out.
+    pub(super) fn record_failure_evidence(&mut self, key: RequestKey) {
         let request = &self.requests[key];
         let RequestTarget::Model { class, .. } = request.target else { return };
         let Some(version) = request.version else { return };
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
-            self.rollouts.entry(name).or_default().note(class, false);
+            self.rollouts.entry(name).or_default().add_judged(class, false);
         }
     }
 
-    pub(super) fn on_rated(
+    /// Applies a rating of an answer of `version`; `None` if the rating failed.
+    pub(super) fn apply_rating(
         &mut self,
         stamp: EventStamp,
         version: &str,
@@ -74,7 +76,7 @@
         };
         let spec = &self.index.spec;
         if spec.rollouts.contains_key(version) {
-            self.rollouts.entry(version.to_owned()).or_default().note(class, good);
+            self.rollouts.entry(version.to_owned()).or_default().add_judged(class, good);
             if self.members.rank(version) < CANARY_BOXES {
                 self.flush_evidence(stamp, version, out);
             }
@@ -84,15 +86,16 @@
         }
     }
 
-    /// Sends what other boxes gathered, now and then: the fewer, the more boxes there are.
+    /// Sends collected evidence to the first canary box, at intervals that grow with the number of
+    /// boxes.
     pub(super) fn send_evidence(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
-        /// Boxes whose evidence the first canary box takes in a second.
+        /// Number of boxes from which the first canary box receives evidence in a second.
         const BOXES_PER_SECOND: u64 = 50;
         if stamp.now < self.next_evidence {
             return;
         }
         let rounds = (self.members.listed_count() as u64).div_ceil(BOXES_PER_SECOND).max(1);
-        self.next_evidence = stamp.now.plus_millis(rounds * BEAT_INTERVAL_MS);
+        self.next_evidence = stamp.now.plus_millis(rounds * HEARTBEAT_INTERVAL_MS);
         let unsent: Vec<String> = self
             .rollouts
             .iter()
@@ -105,7 +108,7 @@
     }
 
     fn flush_evidence(&mut self, stamp: EventStamp, version: &str, out: &mut Vec<BoxEffect>) {
-        let guard = self.members.first_alive(version, stamp.now);
+        let first_canary = self.members.first_alive(version, stamp.now);
         let Some(state) = self.rollouts.get_mut(version) else { return };
         for (class, count) in std::mem::take(&mut state.unsent) {
             let evidence = RolloutEvidence {
@@ -114,7 +117,7 @@
                 good: count.good,
                 bad: count.bad,
             };
-            match &guard {
+            match &first_canary {
                 Some(name) => {
                     out.push(BoxEffect::SendPeer(name.clone(), PeerBody::Evidence(evidence)));
                 }
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Weighs evidence; this box is the first canary box, or was taken for it.
+    /// Adds evidence to the tests. This box is the first canary box, or the sender assumes so.
     pub(super) fn on_evidence(
         &mut self,
         stamp: EventStamp,
@@ -132,43 +135,43 @@
     ) {
         let Some(spec) = self.index.spec.rollouts.get(&evidence.version).cloned() else { return };
         let class = u8::try_from(evidence.class).unwrap_or(u8::MAX);
-        let base = self.base_bad(&evidence.version, class);
+        let baseline = self.baseline_bad(&evidence.version, class);
         let state = self.rollouts.entry(evidence.version.clone()).or_default();
         let count = JudgedCount { good: evidence.good, bad: evidence.bad };
-        let Some(verdict) = state.weigh(&spec, class, count, base) else { return };
+        let Some(verdict) = state.add_evidence(&spec, class, count, baseline) else { return };
         let (halted, step) = match verdict {
             GuardVerdict::Halt => (true, state.step),
             GuardVerdict::Step(step) => (false, step),
         };
         let record = VerdictRecord { version: evidence.version.clone(), halted, step };
         self.push_record(LogStream::Verdicts, RecordBody::Verdict(record.clone()));
-        self.take_verdict(&record, out);
+        self.apply_verdict(&record, out);
         self.append_due(stamp, out);
     }
 
-    /// Share of bad answers of the version that `version` replaces.
-    fn base_bad(&self, version: &str, class: u8) -> f64 {
+    /// Share of bad answers of the version that `version` replaces, for a request class.
+    fn baseline_bad(&self, version: &str, class: u8) -> f64 {
         let spec = &self.index.spec;
         let Some(model) = spec.versions.get(version).map(|row| &row.model) else {
-            return UNKNOWN_BASE_BAD;
+            return UNKNOWN_BASELINE_BAD;
         };
         let count: QualityCount = self.quality.count(model, class);
-        if count.good + count.bad < BASE_ANSWERS {
-            return UNKNOWN_BASE_BAD;
+        if count.good + count.bad < BASELINE_ANSWERS {
+            return UNKNOWN_BASELINE_BAD;
         }
         1.0 - count.mean()
     }
 
-    /// Takes a verdict, own, passed on or read, and passes it on if it is news.
-    pub(super) fn take_verdict(&mut self, verdict: &VerdictRecord, out: &mut Vec<BoxEffect>) {
+    /// Applies a verdict of this box, of a peer or from the log, and gossips it if it is new.
+    pub(super) fn apply_verdict(&mut self, verdict: &VerdictRecord, out: &mut Vec<BoxEffect>) {
         let state = self.rollouts.entry(verdict.version.clone()).or_default();
-        if !state.take_verdict(verdict.halted, verdict.step) {
+        if !state.apply_verdict(verdict.halted, verdict.step) {
             return;
         }
         out.push(match verdict.halted {
             true => BoxEffect::RolloutHalted(verdict.version.clone()),
             false => BoxEffect::RolloutStep(verdict.version.clone(), verdict.step),
         });
-        self.spread(PeerBody::Verdict(verdict.clone()), out);
+        self.gossip(PeerBody::Verdict(verdict.clone()), out);
     }
 }
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the platform's log: the folds, and the batches.
+//! Reads and appends of the platform's log: the folds of its streams and the batches to append.
 
 use crate::appender::LogStream;
 use crate::bundle::{BundleIndex, BundleSpec};
@@ -14,7 +14,7 @@
 
 use super::{BoxState, RequestStage};
 
-/// What a read of a stream says besides its records.
+/// Properties of a read of a stream, see [`crate::event::BoxEvent::LogRead`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StreamRead {
     pub stream: LogStream,
@@ -49,12 +49,12 @@
         out: &mut Vec<BoxEffect>,
     ) {
         if read.first > self.fold.next_offset() {
-            self.fold.note_gap(read.first);
+            self.fold.record_gap(read.first);
         }
         for (offset, record) in records {
             if let Some(RecordBody::Bundle(bundle)) = record.body {
                 let outcome = self.fold.fold_record(offset, &bundle);
-                self.bundle_folded(stamp, &bundle, outcome, None, out);
+                self.on_bundle_folded(stamp, &bundle, outcome, None, out);
                 if bundle.sequence == self.fold.sequence() {
                     self.bundle_seen = (read.asked_at, read.age_ms);
                 }
@@ -67,8 +67,9 @@
         }
     }
 
-    /// Carries out what folding a bundle record did. `from` is the peer that it came from, if any.
-    pub(super) fn bundle_folded(
+    /// Handles the outcome of folding a bundle record. `from` is the peer that sent it; `None` if
+    /// it was read from the log.
+    pub(super) fn on_bundle_folded(
         &mut self,
         stamp: EventStamp,
         record: &BundleRecord,
@@ -77,11 +78,11 @@
         out: &mut Vec<BoxEffect>,
     ) {
         match outcome {
-            FoldOutcome::Accepted => self.take_bundle(stamp, record, out),
+            FoldOutcome::Accepted => self.apply_bundle(stamp, record, out),
             FoldOutcome::Repeated => {}
             FoldOutcome::Rejected(rejection) => match from {
                 Some(peer) if record.sequence > self.fold.sequence() => {
-                    self.want_bundle(peer, out);
+                    self.request_bundle(peer, out);
                 }
                 Some(_) => {}
                 None => out.push(BoxEffect::BundleRejected(rejection)),
@@ -89,10 +90,10 @@
         }
     }
 
-    fn take_bundle(&mut self, stamp: EventStamp, record: &BundleRecord, out: &mut Vec<BoxEffect>) {
+    fn apply_bundle(&mut self, stamp: EventStamp, record: &BundleRecord, out: &mut Vec<BoxEffect>) {
         let Some(bundle) = self.fold.in_force() else { return };
         let (sequence, digest) = (bundle.sequence, bundle.digest.clone());
-        // The fold accepted it, so it is of this format.
+        // The fold accepted the bundle, so its sections are valid.
         let Ok(spec) = BundleSpec::from_sections(&bundle.sections) else { return };
         self.index = BundleIndex::build(spec, &mut self.names);
         self.bundle_seen = (stamp.now, 0);
@@ -106,8 +107,9 @@
         self.drain_queues(stamp, out);
     }
 
-    /// Carries the bundle in force, and verdicts that still matter, forward before they expire.
-    /// Boxes take turns by rank, so that one of them does it and the others see it.
+    /// Appends the bundle in force and the verdicts on roll-outs again, before the log's retention
+    /// removes them. Boxes wait by rank, so that usually one box appends and the others read it in
+    /// time.
     pub(super) fn carry_bundle(&mut self, stamp: EventStamp) {
         let Some(record) = self.fold.carry_record() else { return };
         let rank = self.members.rank("carry") as u64;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A claim of this box came back in the log's order.
+    /// Handles a claim of this box that was read back from the log.
     fn own_claim_read(
         &mut self,
         stamp: EventStamp,
@@ -169,16 +171,16 @@
         outcome: ClaimOutcome,
         out: &mut Vec<BoxEffect>,
     ) {
-        let mine = |(_, request): &(RequestKey, &super::RequestState)| {
+        let is_own = |(_, request): &(RequestKey, &super::RequestState)| {
             request.claim.as_ref().is_some_and(|(_, nonce)| *nonce == claim.nonce)
         };
-        // A claim whose request was refused meanwhile is found here no more, and never dispatches.
-        let Some((key, request)) = self.requests.iter().find(mine) else { return };
+        // If the request was refused in the meantime, it is not found and is never dispatched.
+        let Some((key, request)) = self.requests.iter().find(is_own) else { return };
         let RequestStage::Claiming(attempt) = request.stage else { return };
         match outcome {
-            ClaimOutcome::First => self.claim_won(stamp, key, attempt, out),
-            ClaimOutcome::Lost(outcome) => self.lose_claim(key, outcome, out),
-            ClaimOutcome::Dead => {}
+            ClaimOutcome::First => self.on_claim_won(stamp, key, attempt, out),
+            ClaimOutcome::Lost(outcome) => self.on_claim_lost(key, outcome, out),
+            ClaimOutcome::Ignored => {}
         }
     }
 
@@ -195,12 +197,12 @@
             }
             self.verdict_next = offset + 1;
             if let Some(RecordBody::Verdict(verdict)) = record.body {
-                self.take_verdict(&verdict, out);
+                self.apply_verdict(&verdict, out);
             }
         }
     }
 
-    /// Appends the batches that are due.
+    /// Emits the batches that are due.
     pub(super) fn append_due(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let boxes = self.members.listed_count();
         for (stream, queue) in &mut self.appends {
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -1,16 +1,16 @@
-//! Orders to pools: every replica should have loaded what the bundle in force says.
+//! Orders to pools, so that every replica loads the versions that the bundle in force names.
 //!
-//! The first live box of a pool by hash takes the pool's lease, or a later one where that does not
-//! renew it, and compares what replicas report with
-//! what they should have. An order names the whole target state, so a roll-out that was interrupted
-//! halfway goes on with whoever holds the lease next, and a repeat is harmless. No more replicas load at
-//! once than the weight store feeds.
+//! The first live box by a hash of box and pool takes the lease on the pool, or a later box if that
+//! one does not renew it. The holder compares the versions that replicas report with those that
+//! they should have. An order names the complete target state, so the next holder can continue an
+//! interrupted roll-out, and a repeat is harmless. The number of replicas that load at the same
+//! time is limited by the throughput of the weight store.
 
 use crate::appender::LogStream;
 use crate::bundle::PoolSpec;
 use crate::effect::{BoxEffect, PoolOrder};
 use crate::event::EventStamp;
-use crate::lease::{LEASE_TERM_MS, ORDER_FLIGHT_MS};
+use crate::lease::{LEASE_TERM_MS, ORDER_TIMEOUT_MS};
 use crate::message::{LeaseRecord, LogRecord, RecordBody};
 use crate::replica::ReplicaState;
 use crate::time::BoxTime;
@@ -18,8 +18,9 @@
 use super::log::StreamRead;
 use super::BoxState;
 
-/// A load that does not show in the report after this is ordered again, in milliseconds.
-const LOAD_LIMIT_MS: u64 = 120_000;
+/// Time after which a load that the replica's report does not show is ordered again, in
+/// milliseconds.
+const LOAD_TIMEOUT_MS: u64 = 120_000;
 
 impl BoxState {
     pub(super) fn read_leases(
@@ -35,51 +36,52 @@
             }
             self.lease_next = offset + 1;
             let Some(RecordBody::Lease(lease)) = record.body else { continue };
-            let mine = record.incarnation == self.settings.incarnation;
-            let from = if mine { BoxTime::from_micros(lease.asked_us) } else { stamp.now };
-            if mine {
-                self.lease_asked.remove(&lease.pool);
+            let is_own = record.incarnation == self.settings.incarnation;
+            let from = if is_own { BoxTime::from_micros(lease.asked_us) } else { stamp.now };
+            if is_own {
+                self.lease_requested.remove(&lease.pool);
             }
             let (pool, term) = (&lease.pool, lease.term_ms);
             self.leases.fold_lease(pool, record.incarnation, offset, from, term);
         }
     }
 
-    /// Renews leases and gives the orders that are due.
+    /// Renews leases and emits the orders that are due.
     pub(super) fn order_pools(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         if self.stopping_since.is_some() || self.fold.in_force().is_none() {
             return;
         }
         let pools = self.index.spec.pools.clone();
         for (name, pool) in &pools {
-            if self.should_hold(stamp, name) {
+            if self.should_hold_lease(stamp, name) {
                 self.renew_lease(stamp, name, out);
             }
             self.order_pool(stamp, name, pool, out);
         }
     }
 
-    /// Whether this box should hold the pool's lease: it does, it is the first live box for it, or
-    /// the boxes before it had a term each to renew it and did not: alive, but cut off from the log.
-    fn should_hold(&self, stamp: EventStamp, pool: &str) -> bool {
-        let job = format!("order/{pool}");
+    /// Whether this box should hold the lease on the pool: it already does, it is the first live
+    /// box for the pool, or each box before it had one term to renew the lease and did not, because
+    /// it is alive but cut off from the log.
+    fn should_hold_lease(&self, stamp: EventStamp, pool: &str) -> bool {
+        let job_name = format!("order/{pool}");
         let entry = self.leases.find(pool);
         let holds = entry.is_some_and(|entry| entry.holder == self.settings.incarnation);
-        let turns = 1 + self.members.rank(&job) as u64;
-        let lapsed = entry.map_or(BoxTime::default(), |entry| entry.until);
+        let turns = 1 + self.members.rank(&job_name) as u64;
+        let expired_at = entry.map_or(BoxTime::default(), |entry| entry.until);
         holds
-            || self.members.first_alive(&job, stamp.now).is_none()
-            || stamp.now >= lapsed.plus_millis(turns * LEASE_TERM_MS)
+            || self.members.first_alive(&job_name, stamp.now).is_none()
+            || stamp.now >= expired_at.plus_millis(turns * LEASE_TERM_MS)
     }
 
     fn renew_lease(&mut self, stamp: EventStamp, pool: &str, out: &mut Vec<BoxEffect>) {
         let me = self.settings.incarnation;
-        let asked = self.lease_asked.get(pool);
-        let pending = asked.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
-        if pending || !self.leases.wants_renewal(pool, me, stamp.now) {
+        let requested_at = self.lease_requested.get(pool);
+        let pending = requested_at.is_some_and(|at| stamp.now.millis_since(*at) < LEASE_TERM_MS);
+        if pending || !self.leases.needs_renewal(pool, me, stamp.now) {
             return;
         }
-        self.lease_asked.insert(pool.to_owned(), stamp.now);
+        self.lease_requested.insert(pool.to_owned(), stamp.now);
         let lease = LeaseRecord {
             pool: pool.to_owned(),
             term_ms: LEASE_TERM_MS,
@@ -99,29 +101,30 @@
         let me = self.settings.incarnation;
         let lease = self.leases.may_order(name, me, pool.checks_token, stamp.now).copied();
         let Some(lease) = lease else { return };
-        let wanted = self.index.spec.pool_versions(pool);
-        let behind: Vec<(String, String)> = self
+        let target_versions = self.index.spec.pool_versions(pool);
+        let outdated: Vec<(String, String)> = self
             .replicas
             .rows()
             .filter(|(_, row)| row.listed.engine && row.listed.service == name && !row.leaving)
             .filter(|(_, row)| row.reported_at > BoxTime::default())
-            .filter(|(_, row)| self.loaded_names(row) != wanted)
+            .filter(|(_, row)| self.loaded_names(row) != target_versions)
             .map(|(_, row)| (row.listed.name.clone(), row.listed.address.clone()))
             .collect();
         self.ordered.retain(|replica, (at, versions)| {
-            let fresh = stamp.now.millis_since(*at) < LOAD_LIMIT_MS && *versions == wanted;
-            fresh && behind.iter().any(|(name, _)| name == replica)
+            let is_current =
+                stamp.now.millis_since(*at) < LOAD_TIMEOUT_MS && *versions == target_versions;
+            is_current && outdated.iter().any(|(name, _)| name == replica)
         });
-        for (replica, address) in behind {
+        for (replica, address) in outdated {
             if self.ordered.len() >= pool.loads_at_once.max(1) as usize {
                 return;
             }
             if self.ordered.contains_key(&replica) {
                 continue;
             }
-            self.ordered.insert(replica.clone(), (stamp.now, wanted.clone()));
-            let versions = wanted.clone();
-            let send_before = lease.until.min(stamp.now.plus_millis(ORDER_FLIGHT_MS));
+            self.ordered.insert(replica.clone(), (stamp.now, target_versions.clone()));
+            let versions = target_versions.clone();
+            let send_before = lease.until.min(stamp.now.plus_millis(ORDER_TIMEOUT_MS));
             let token = lease.token;
             out.push(BoxEffect::Order(PoolOrder {
                 replica,
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Versions that a replica reported, in order of name.
+    /// Names of the versions that a replica reported, sorted.
     fn loaded_names(&self, row: &ReplicaState) -> Vec<String> {
         let name = |key: &crate::ids::VersionKey| self.names.versions.name(*key).to_owned();
         let mut names: Vec<String> = row.versions.iter().map(name).collect();
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -1,4 +1,4 @@
-//! Attempts: the last check before the write, what comes back, and retries.
+//! Attempts: the last check before the write, the end of an attempt, and retries.
 
 use crate::attempt::{Attempt, Dispatched, Queued, RequestRefusal};
 use crate::claims::check_key;
@@ -13,9 +13,9 @@
 use super::{BoxState, QueueName, RequestStage};
 
 impl BoxState {
-    /// The box is about to write. It may have been paused since the decision, and the bundle may
-    /// have changed, so everything that allows the write is checked here, last thing.
-    pub(super) fn on_send_begins(
+    /// Handles that the box is about to write. Since the decision the process may have been paused
+    /// or the bundle may have changed, so all conditions of the write are checked again here.
+    pub(super) fn on_send_starting(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
@@ -32,20 +32,20 @@
                 out.push(BoxEffect::Send(request.ticket));
             }
             Err(refusal) => {
-                self.replicas.ended(ready.state.replica, ready.state.at);
+                self.replicas.record_ended(ready.state.replica, ready.state.at);
                 let attempt = ready.requeue();
                 match refusal {
-                    SendRefusal::Again if stamp.now < self.requests[key].deadline => {
+                    SendRefusal::PlaceAgain if stamp.now < self.requests[key].deadline => {
                         self.requests[key].stage = RequestStage::Waiting(attempt);
                         self.place(stamp, key, false, out);
                     }
-                    SendRefusal::Again => {
+                    SendRefusal::PlaceAgain => {
                         self.end_refused(key, attempt.refuse(ReasonCode::Deadline), out);
                     }
-                    SendRefusal::For(reason) => {
+                    SendRefusal::Reason(reason) => {
                         self.end_refused(key, attempt.refuse(reason).retry_after(1_000), out);
                     }
-                    SendRefusal::Said(refusal) => self.end_refused(key, refusal, out),
+                    SendRefusal::Refusal(refusal) => self.end_refused(key, refusal, out),
                 }
             }
         }
@@ -54,24 +54,26 @@
     fn check_send(&self, stamp: EventStamp, key: RequestKey) -> Result<(), SendRefusal> {
         let request = &self.requests[key];
         if self.fresh_state(stamp.now) == FreshState::CutOff {
-            return Err(SendRefusal::For(ReasonCode::CutOff));
+            return Err(SendRefusal::Reason(ReasonCode::CutOff));
         }
         if let Some(version) = request.version {
-            self.check_version(request.account, version, true).map_err(SendRefusal::For)?;
+            self.check_version(request.account, version, true).map_err(SendRefusal::Reason)?;
         }
         if let (Some((claim, _)), false) = (&request.claim, request.repeatable) {
             let caller_key = claim.rsplit('/').next();
             check_key(caller_key, stamp.wall, self.settings.retention_ms)
-                .map_err(|error| SendRefusal::Said(super::admit::key_refusal(error)))?;
-            // The claim bounds how long a caller waits; a box that was paused past it has refused.
+                .map_err(|error| SendRefusal::Refusal(super::admit::key_refusal(error)))?;
+            // The claim's deadline bounds the wait of the caller, also if the process was paused.
             if stamp.now > request.deadline {
-                return Err(SendRefusal::For(ReasonCode::Deadline));
+                return Err(SendRefusal::Reason(ReasonCode::Deadline));
             }
         }
-        let RequestStage::Ready(ready) = &request.stage else { return Err(SendRefusal::Again) };
+        let RequestStage::Ready(ready) = &request.stage else {
+            return Err(SendRefusal::PlaceAgain);
+        };
         let leaving = self.replicas.get(ready.state.replica).is_none_or(|replica| replica.leaving);
         if leaving || stamp.now > ready.state.send_before {
-            return Err(SendRefusal::Again);
+            return Err(SendRefusal::PlaceAgain);
         }
         Ok(())
     }
@@ -82,7 +84,7 @@
             if attempt.state.first_token.is_none() {
                 attempt.state.first_token = Some(stamp.now);
                 let Dispatched { replica, assigned_at, .. } = attempt.state;
-                self.replicas.answered(replica, assigned_at, stamp.now);
+                self.replicas.record_answered(replica, assigned_at, stamp.now);
             }
         }
     }
@@ -98,36 +100,36 @@
         let RequestStage::Running(attempt) = request.stage else { return };
         let Dispatched { replica, assigned_at, .. } = attempt.state;
         let queue = self.queue_of(key);
-        self.replicas.ended(replica, assigned_at);
+        self.replicas.record_ended(replica, assigned_at);
         match end {
             AttemptEnd::Answered { tokens, status, body } => {
                 if attempt.state.first_token.is_none() {
-                    self.replicas.answered(replica, assigned_at, stamp.now);
+                    self.replicas.record_answered(replica, assigned_at, stamp.now);
                 }
                 let answer = WholeAnswer { tokens, status, body };
                 self.on_answered(stamp, key, attempt, answer, out);
             }
             AttemptEnd::Declined { leaving } => {
                 if leaving {
-                    self.note_leaving(stamp, replica, out);
+                    self.on_replica_leaving(stamp, replica, out);
                 } else {
-                    self.replicas.failed(replica, stamp.now);
+                    self.replicas.record_failure(replica, stamp.now);
                 }
                 self.on_failed(stamp, key, attempt, ReasonCode::ReplicaFailed, out);
             }
             AttemptEnd::NeverConnected => {
-                self.replicas.failed(replica, stamp.now);
+                self.replicas.record_failure(replica, stamp.now);
                 self.on_failed(stamp, key, attempt, ReasonCode::ReplicaFailed, out);
             }
-            AttemptEnd::Broken { delivered } => {
-                self.replicas.failed(replica, stamp.now);
-                self.note_failure_evidence(key);
+            AttemptEnd::Aborted { delivered } => {
+                self.replicas.record_failure(replica, stamp.now);
+                self.record_failure_evidence(key);
                 self.requests[key].delivered += delivered;
                 self.on_failed(stamp, key, attempt, ReasonCode::StreamBroken, out);
             }
             AttemptEnd::WrongEcho => {
-                self.replicas.failed(replica, stamp.now);
-                self.note_failure_evidence(key);
+                self.replicas.record_failure(replica, stamp.now);
+                self.record_failure_evidence(key);
                 self.on_failed(stamp, key, attempt, ReasonCode::WrongEcho, out);
             }
         }
@@ -148,7 +150,7 @@
         let in_time = stamp.now < request.deadline || request.delivered > 0;
         let may_retry = request.repeatable && attempt.number < ATTEMPT_LIMIT && in_time;
         if !may_retry || !self.retry.spend() {
-            self.end_refused(key, attempt.lose(reason), out);
+            self.end_refused(key, attempt.end_unknown(reason), out);
             return;
         }
         self.counts.retried += 1;
@@ -168,19 +170,19 @@
         let queue = self.queue_of(key);
         let refusal = match self.requests[key].stage {
             RequestStage::Waiting(attempt) | RequestStage::Claiming(attempt) => {
-                self.leave_queue(key, queue.as_ref());
+                self.remove_from_queue(key, queue.as_ref());
                 attempt.refuse(ReasonCode::Cancelled)
             }
             RequestStage::Ready(attempt) => {
-                self.replicas.ended(attempt.state.replica, attempt.state.at);
+                self.replicas.record_ended(attempt.state.replica, attempt.state.at);
                 attempt.requeue().refuse(ReasonCode::Cancelled)
             }
             RequestStage::Running(attempt) => {
-                self.replicas.ended(attempt.state.replica, attempt.state.assigned_at);
-                attempt.lose(ReasonCode::Cancelled)
+                self.replicas.record_ended(attempt.state.replica, attempt.state.assigned_at);
+                attempt.end_unknown(ReasonCode::Cancelled)
             }
-            RequestStage::Judging(attempt) => attempt.fail(ReasonCode::Cancelled),
-            // The answer was whole; its bill stands, and the end of it goes nowhere.
+            RequestStage::Rating(attempt) => attempt.end_ran(ReasonCode::Cancelled),
+            // The answer is complete, so it is still billed, but its end is not delivered.
             RequestStage::Billing => return,
         };
         self.end_refused(key, refusal, out);
@@ -189,13 +191,13 @@
         }
     }
 
-    fn leave_queue(&mut self, key: RequestKey, name: Option<&QueueName>) {
+    fn remove_from_queue(&mut self, key: RequestKey, name: Option<&QueueName>) {
         if let Some(queue) = name.and_then(|name| self.queues.get_mut(name)) {
             queue.remove(key);
         }
     }
 
-    /// Queue that the request waits in, or that its replica serves.
+    /// Queue in which the request waits, or which its replica serves.
     fn queue_of(&self, key: RequestKey) -> Option<QueueName> {
         let request = self.requests.get(key)?;
         match &request.target {
@@ -204,7 +206,8 @@
         }
     }
 
-    /// Ends a request without a whole answer. A claim that was never dispatched is voided.
+    /// Ends a request without a complete answer. The claim of a call that was never dispatched is
+    /// voided.
     pub(super) fn end_refused(
         &mut self,
         key: RequestKey,
@@ -217,12 +220,12 @@
         if let (Some((claim, nonce)), 0) = (&request.claim, request.attempts) {
             self.void_claim(claim.clone(), *nonce);
         }
-        self.keep_decision(self.describe(&request, Some(&refusal), None));
+        self.record_decision(self.describe(&request, Some(&refusal), None));
         out.push(BoxEffect::Refuse(request.ticket, refusal));
     }
 
-    /// The first live claim came back: the call may run.
-    pub(super) fn claim_won(
+    /// Handles that the claim was read back as the first live one, so that the call may run.
+    pub(super) fn on_claim_won(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
@@ -243,9 +246,9 @@
 /// Why a write may not begin.
 enum SendRefusal {
     /// Place the request again.
-    Again,
+    PlaceAgain,
     /// Refuse it for this reason.
-    For(ReasonCode),
+    Reason(ReasonCode),
     /// Refuse it with this refusal.
-    Said(RequestRefusal),
+    Refusal(RequestRefusal),
 }
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -1,4 +1,4 @@
-//! What follows an answer: its rating, escalation, the bill, and the end of the answer.
+//! Steps after an answer: its rating, escalation, the bill, and the release of its end.
 
 use crate::appender::LogStream;
 use crate::attempt::{Attempt, Dispatched};
@@ -12,9 +12,9 @@
 };
 use crate::reason::ReasonCode;
 
-use super::{next_dice, BoxState, RequestStage};
+use super::{next_random, BoxState, RequestStage};
 
-/// A whole answer of a replica.
+/// A complete answer of a replica.
 pub(super) struct WholeAnswer {
     pub tokens: u32,
     pub status: u16,
@@ -36,7 +36,7 @@
         request.cost += cost;
         request.tokens += tokens;
         if request.gated {
-            request.stage = RequestStage::Judging(attempt);
+            request.stage = RequestStage::Rating(attempt);
             out.push(BoxEffect::RateHeldAnswer(request.ticket, key));
             return;
         }
@@ -45,10 +45,10 @@
             let outcome = OutcomeRecord { key: claim, nonce, status: u32::from(status), body };
             self.push_record(LogStream::Claims, RecordBody::Outcome(outcome));
         }
-        if self.wants_rating(stamp, key) {
+        if self.needs_rating(stamp, key) {
             out.push(BoxEffect::RateReleasedAnswer(self.requests[key].ticket));
         }
-        self.bill(stamp, key, out);
+        self.bill_request(stamp, key, out);
     }
 
     fn attempt_cost(&self, key: RequestKey, tokens: u32) -> f64 {
@@ -66,16 +66,16 @@
         }
     }
 
-    fn wants_rating(&self, stamp: EventStamp, key: RequestKey) -> bool {
+    fn needs_rating(&self, stamp: EventStamp, key: RequestKey) -> bool {
         let request = &self.requests[key];
         let Some(version) = request.version else { return false };
         self.under_rollout(version).is_some()
             || request.reasons.contains(&ReasonCode::CascadeExplore)
-            || next_dice(stamp.random ^ 6) % 256 < self.settings.rate_share
+            || next_random(stamp.random ^ 6) % 256 < self.settings.rate_share
     }
 
-    /// A held answer was rated: release it, or let the next rung answer.
-    pub(super) fn on_judged(
+    /// Handles the rating of a held answer: bills the answer, or lets the next rung answer.
+    pub(super) fn on_held_answer_rated(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
@@ -83,16 +83,16 @@
         out: &mut Vec<BoxEffect>,
     ) {
         let Some(request) = self.requests.get(key) else { return };
-        let RequestStage::Judging(attempt) = request.stage else { return };
-        self.learn(stamp, key, good, out);
+        let RequestStage::Rating(attempt) = request.stage else { return };
+        self.record_rating(stamp, key, good, out);
         if good == Some(true) {
-            self.bill(stamp, key, out);
+            self.bill_request(stamp, key, out);
         } else {
             self.escalate(stamp, key, attempt, out);
         }
     }
 
-    fn learn(
+    fn record_rating(
         &mut self,
         stamp: EventStamp,
         key: RequestKey,
@@ -106,7 +106,7 @@
             return;
         };
         let (name, class) = (self.names.versions.name(version).to_owned(), *class);
-        self.on_rated(stamp, &name, class, good, out);
+        self.apply_rating(stamp, &name, class, good, out);
     }
 
     fn escalate(
@@ -124,7 +124,7 @@
         request.rung = if rating_down { rungs - 1 } else { (request.rung + 1).min(rungs - 1) };
         request.gated = request.rung + 1 < rungs;
         request.version = None;
-        // The caller has waited for the cheap answer; the next rung gets the full wait again.
+        // The cheap answer used up waiting time, so the next rung gets the full time again.
         request.deadline = stamp.now.plus_millis(self.settings.queue_ms);
         request.stage = RequestStage::Waiting(attempt.next());
         self.place(stamp, key, false, out);
@@ -135,9 +135,10 @@
         self.index.spec.cascades.get(name).map_or(1, |cascade| cascade.rungs.len().max(1))
     }
 
-    /// Writes the bill, hands it to witnesses, and holds the end of the answer until they have it.
-    fn bill(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
-        let number = self.ledger.take_number();
+    /// Creates the bill, queues it for the log and sends it to witnesses. The end of the answer is
+    /// held until they have it.
+    fn bill_request(&mut self, stamp: EventStamp, key: RequestKey, out: &mut Vec<BoxEffect>) {
+        let number = self.ledger.assign_number();
         let request = &mut self.requests[key];
         request.stage = RequestStage::Billing;
         let request = &self.requests[key];
@@ -159,58 +160,60 @@
             reasons: request.reasons.iter().map(|reason| *reason as u32).collect(),
             number,
         };
-        self.ledger.own(record.clone(), key, stamp.now);
+        self.ledger.add_owned(record.clone(), key, stamp.now);
         self.push_record(LogStream::Bills, RecordBody::Bill(record));
-        self.ask_witnesses(stamp, number, out);
+        self.send_to_witnesses(stamp, number, out);
         self.append_due(stamp, out);
     }
 
-    /// Chooses the boxes that bills go to until the next heartbeat.
+    /// Chooses the boxes to which bills are sent until the next heartbeat.
     pub(super) fn choose_witnesses(&mut self, stamp: EventStamp) {
         let zone = &self.settings.zone;
         self.witnesses = self.members.witnesses(stamp.random, zone, stamp.now, &[]);
         self.witnesses.truncate(WITNESS_COUNT);
     }
 
-    /// Witnesses needed: two, or as many other boxes as are alive.
+    /// Number of witnesses needed: [`WITNESS_COUNT`], or the number of other live boxes if lower.
     fn witnesses_needed(&self, stamp: EventStamp) -> usize {
         let members = &self.members;
         let alive = members.peers().filter(|row| members.is_alive(row, stamp.now));
         alive.take(WITNESS_COUNT).count()
     }
 
-    fn ask_witnesses(&mut self, stamp: EventStamp, number: u64, out: &mut Vec<BoxEffect>) {
+    fn send_to_witnesses(&mut self, stamp: EventStamp, number: u64, out: &mut Vec<BoxEffect>) {
         let needed = self.witnesses_needed(stamp);
         let Some(bill) = self.ledger.owned_mut(number) else { return };
         let missing = needed.saturating_sub(bill.held_by.len());
-        let asked: Vec<String> = bill.asked.iter().cloned().collect();
-        let mut names = match asked.is_empty() && self.witnesses.len() >= missing {
+        let sent_to: Vec<String> = bill.sent_to.iter().cloned().collect();
+        let mut names = match sent_to.is_empty() && self.witnesses.len() >= missing {
             true => self.witnesses.clone(),
-            false => self.members.witnesses(number, &self.settings.zone, stamp.now, &asked),
+            false => self.members.witnesses(number, &self.settings.zone, stamp.now, &sent_to),
         };
         if names.len() < missing {
-            // Everybody was asked already: ask again those that did not answer.
-            names = asked.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
+            // The bill was sent to all boxes already, so it is sent again to those that did not
+            // acknowledge it.
+            names = sent_to.into_iter().filter(|name| !bill.held_by.contains(name)).collect();
         }
-        bill.asked_at = stamp.now;
+        bill.sent_at = stamp.now;
         for name in names.into_iter().take(missing) {
-            bill.asked.insert(name.clone());
+            bill.sent_to.insert(name.clone());
             let bills = WitnessBills { bills: vec![bill.record.clone()] };
             out.push(BoxEffect::SendPeer(name, PeerBody::Witness(bills)));
         }
     }
 
-    /// Asks other witnesses where the first did not answer, and lets an answer end after a limit.
-    pub(super) fn press_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
+    /// Sends bills to other boxes if witnesses did not acknowledge them in time, and releases
+    /// answers after [`WITNESS_LIMIT_MS`].
+    pub(super) fn retry_witnesses(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         for number in self.ledger.unreleased() {
             let Some(bill) = self.ledger.owned_mut(number) else { continue };
-            if stamp.now.millis_since(bill.made_at) >= WITNESS_LIMIT_MS {
+            if stamp.now.millis_since(bill.created_at) >= WITNESS_LIMIT_MS {
                 let (request, record) = (bill.request.take(), bill.record.clone());
                 self.ledger.unwitnessed += 1;
                 out.push(BoxEffect::Unwitnessed(record));
                 self.finish(request, out);
-            } else if stamp.now.millis_since(bill.asked_at) >= WITNESS_WAIT_MS {
-                self.ask_witnesses(stamp, number, out);
+            } else if stamp.now.millis_since(bill.sent_at) >= WITNESS_WAIT_MS {
+                self.send_to_witnesses(stamp, number, out);
             }
         }
     }
@@ -224,35 +227,37 @@
     ) {
         let needed = self.witnesses_needed(stamp).max(1);
         for number in numbers {
-            let request = self.ledger.witnessed(*number, witness, needed);
+            let request = self.ledger.add_witness(*number, witness, needed);
             self.finish(request, out);
         }
     }
 
-    /// Bills of this box are in the log: the answers may end, and the witnesses may forget.
+    /// Handles that bills of this box are in the log: releases the answers, and tells the witnesses
+    /// to drop their copies.
     pub(super) fn bills_appended(&mut self, bills: &[BillRecord], out: &mut Vec<BoxEffect>) {
         let mut releases = std::collections::BTreeMap::<String, Vec<u64>>::new();
         for bill in bills {
-            let ours = self.ledger.owned_mut(bill.number).is_some_and(|own| own.record == *bill);
-            let Some(own) = ours.then(|| self.ledger.appended(bill.number)).flatten() else {
+            let ours =
+                self.ledger.owned_mut(bill.number).is_some_and(|owned| owned.record == *bill);
+            let Some(owned) = ours.then(|| self.ledger.remove_owned(bill.number)).flatten() else {
                 continue;
             };
-            for name in own.asked {
+            for name in owned.sent_to {
                 releases.entry(name).or_default().push(bill.number);
             }
-            self.finish(own.request, out);
+            self.finish(owned.request, out);
         }
         for (name, numbers) in releases {
             out.push(BoxEffect::SendPeer(name, PeerBody::Release(BillNumbers { numbers })));
         }
     }
 
-    /// Lets the end of the answer leave.
+    /// Releases the end of the answer.
     fn finish(&mut self, key: Option<RequestKey>, out: &mut Vec<BoxEffect>) {
         let Some(request) = key.and_then(|key| self.requests.remove(key)) else { return };
         self.tickets.remove(&request.ticket);
         self.counts.answered += 1;
-        self.keep_decision(self.describe(&request, None, request.version));
+        self.record_decision(self.describe(&request, None, request.version));
         out.push(BoxEffect::Finish(request.ticket, request.reasons));
     }
 
--- a/crates/core/src/state/stop.rs
+++ b/crates/core/src/state/stop.rs
@@ -1,5 +1,6 @@
-//! The planned stop: out of the entry list at once, serving on while callers may keep the answer,
-//! then out once nothing runs and every bill is in the log.
+//! Planned stop. The box is removed from the addresses for callers at once and continues to serve
+//! while callers may cache its address. It exits once no request runs and its records are in the
+//! log.
 
 use crate::effect::BoxEffect;
 use crate::event::EventStamp;
@@ -8,14 +9,14 @@
 
 use super::BoxState;
 
-/// How long a stopping box waits for the log with bills that its witnesses hold, in milliseconds.
+/// How long a stopping box waits for the log while witnesses hold all its bills, in milliseconds.
 const BILL_GRACE_MS: u64 = 5_000;
 
-/// Boxes told directly of a stop; beyond that the word goes round with the heartbeats.
-const TOLD_DIRECTLY: usize = 32;
+/// Number of boxes that are notified of a stop directly. The others learn of it through heartbeats.
+const STOP_FAN_OUT: usize = 32;
 
 impl BoxState {
-    pub(super) fn on_stop_asked(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
+    pub(super) fn on_stop_requested(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         if self.stopping_since.is_some() {
             return;
         }
@@ -23,37 +24,40 @@
         let me = self.settings.name.clone();
         self.members.mark_leaving(&me);
         let sequence = self.fold.sequence();
-        let beat = PeerHeartbeat {
+        let heartbeat = PeerHeartbeat {
             stamp: stamp.now.as_micros(),
             sequence,
             leaving: true,
             ..PeerHeartbeat::default()
         };
-        for row in self.members.peers().take(TOLD_DIRECTLY) {
-            out.push(BoxEffect::SendPeer(row.listed.name.clone(), PeerBody::Beat(beat.clone())));
+        for row in self.members.peers().take(STOP_FAN_OUT) {
+            out.push(BoxEffect::SendPeer(
+                row.listed.name.clone(),
+                PeerBody::Heartbeat(heartbeat.clone()),
+            ));
         }
     }
 
-    /// Whether the box takes no new requests any more.
-    pub(super) fn stop_is_over(&self, now: BoxTime) -> bool {
+    /// Whether the box no longer accepts requests: callers' cached addresses have expired.
+    pub(super) fn has_stopped_accepting(&self, now: BoxTime) -> bool {
         self.stopping_since
             .is_some_and(|since| now.millis_since(since) >= self.settings.entry_keep_ms)
     }
 
     pub(super) fn check_stopped(&mut self, stamp: EventStamp, out: &mut Vec<BoxEffect>) {
         let Some(since) = self.stopping_since else { return };
-        if !self.stop_is_over(stamp.now) || !self.requests.is_empty() {
+        if !self.has_stopped_accepting(stamp.now) || !self.requests.is_empty() {
             return;
         }
-        let owed = self.appends.values().any(|queue| !queue.is_empty());
+        let has_unwritten = self.appends.values().any(|queue| !queue.is_empty());
         let grace = self.settings.entry_keep_ms + BILL_GRACE_MS;
         let witnessed = self.ledger.all_witnessed();
-        if !owed || (witnessed && stamp.now.millis_since(since) >= grace) {
+        if !has_unwritten || (witnessed && stamp.now.millis_since(since) >= grace) {
             out.push(BoxEffect::ExitAllowed);
         }
     }
 
-    /// Whether a planned stop was asked.
+    /// Whether a planned stop was requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.is_some()
     }
