--- a/crates/core/src/route/admission.rs
+++ b/crates/core/src/route/admission.rs
@@ -12,7 +12,7 @@
 
 /// Part of the time until there is room by which returns are spread: those turned away together would else
 /// come back together.
-pub const SPREAD: f64 = 0.5;
+pub const RETRY_JITTER: f64 = 0.5;
 
 /// Callers honour the wait that they are told up to this part of what is left of their time.
 const HONOURED_PART: f64 = 1.0 / 3.0;
@@ -27,7 +27,7 @@
     }
     let drained_ms = (expected_ms - target_ms as f64).max(0.0);
     let chance = (mix(random) % 1_000) as f64 / 1_000.0;
-    let spread_ms = drained_ms * (1.0 + SPREAD * chance);
+    let spread_ms = drained_ms * (1.0 + RETRY_JITTER * chance);
     Some((spread_ms as u64).min(latest_return(left_ms, random)))
 }
 
@@ -35,5 +35,5 @@
 /// since those that are refused together would else come back together.
 pub fn latest_return(left_ms: u64, random: u64) -> u64 {
     let chance = (mix(random) % 1_000) as f64 / 1_000.0;
-    (left_ms as f64 * HONOURED_PART * (1.0 - SPREAD * chance)) as u64
+    (left_ms as f64 * HONOURED_PART * (1.0 - RETRY_JITTER * chance)) as u64
 }
