--- a/crates/core/src/route/admission.rs
+++ b/crates/core/src/route/admission.rs
@@ -15,7 +15,7 @@
 pub const RETRY_JITTER: f64 = 0.5;
 
 /// Callers honour the wait that they are told up to this part of what is left of their time.
-const HONOURED_PART: f64 = 1.0 / 3.0;
+const MAX_RETRY_SHARE: f64 = 1.0 / 3.0;
 
 /// When a request that would begin after `expected_ms` is to come back, in milliseconds; `None` if it is
 /// taken, since it begins within the `left_ms` that its caller waits. A caller that comes back then finds
@@ -35,5 +35,5 @@
 /// since those that are refused together would else come back together.
 pub fn latest_return(left_ms: u64, random: u64) -> u64 {
     let chance = (mix(random) % 1_000) as f64 / 1_000.0;
-    (left_ms as f64 * HONOURED_PART * (1.0 - RETRY_JITTER * chance)) as u64
+    (left_ms as f64 * MAX_RETRY_SHARE * (1.0 - RETRY_JITTER * chance)) as u64
 }
