--- a/crates/core/src/route/admission.rs
+++ b/crates/core/src/route/admission.rs
@@ -20,7 +20,12 @@
 /// When a request that would begin after `expected_ms` is to come back, in milliseconds; `None` if it is
 /// taken, since it begins within the `left_ms` that its caller waits. A caller that comes back then finds
 /// work for less than `target_ms` if nothing more comes.
-pub fn turned_away(expected_ms: f64, left_ms: u64, target_ms: u64, random: u64) -> Option<u64> {
+pub fn overload_retry_ms(
+    expected_ms: f64,
+    left_ms: u64,
+    target_ms: u64,
+    random: u64,
+) -> Option<u64> {
     let left = left_ms as f64;
     if expected_ms < left {
         return None;
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -1,7 +1,7 @@
 //! The attempts of a request: a replica gets it, how long it is waited for, and whether there may be
 //! another attempt when one keeps silent, fails or ends.
 
-use super::admission::{latest_return, turned_away};
+use super::admission::{latest_return, overload_retry_ms};
 use super::backend_health::{BackendOutcome, UNREACHABLE_DELAY_MS};
 use super::choice::AttemptChoice;
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
@@ -108,7 +108,7 @@
         }
         let left_ms = request.deadline.millis_since(stamp.now);
         let target_ms = request.route.target_ms;
-        let after = turned_away(pick.expected_ms, left_ms, target_ms, stamp.random);
+        let after = overload_retry_ms(pick.expected_ms, left_ms, target_ms, stamp.random);
         request.retry_after_ms = after;
         after.is_some()
     }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ravenspoke_core::event::RequestTicket;
-use ravenspoke_core::route::admission::turned_away;
+use ravenspoke_core::route::admission::overload_retry_ms;
 use ravenspoke_core::route::backend::{backend_hash, BackendEntry};
 use ravenspoke_core::route::backlog::ReplicaBacklog;
 use ravenspoke_core::route::event::{
@@ -301,8 +301,8 @@
 
 #[test]
 fn nobody_is_turned_away_while_there_is_time() {
-    assert_eq!(turned_away(3_999.0, 4_000, 1_000, 7), None);
-    let after = turned_away(4_000.0, 4_000, 1_000, 7).expect("it is turned away");
+    assert_eq!(overload_retry_ms(3_999.0, 4_000, 1_000, 7), None);
+    let after = overload_retry_ms(4_000.0, 4_000, 1_000, 7).expect("it is turned away");
     assert!((500..=1_333).contains(&after), "{after}");
 }
 
