--- a/crates/core/src/route/admission.rs
+++ b/crates/core/src/route/admission.rs
@@ -33,12 +33,12 @@
     let drained_ms = (expected_ms - target_ms as f64).max(0.0);
     let chance = (mix(random) % 1_000) as f64 / 1_000.0;
     let spread_ms = drained_ms * (1.0 + RETRY_JITTER * chance);
-    Some((spread_ms as u64).min(latest_return(left_ms, random)))
+    Some((spread_ms as u64).min(latest_retry_ms(left_ms, random)))
 }
 
 /// When a caller who waits for `left_ms` is to come back at the latest, in milliseconds, so that it still honours that; spread,
 /// since those that are refused together would else come back together.
-pub fn latest_return(left_ms: u64, random: u64) -> u64 {
+pub fn latest_retry_ms(left_ms: u64, random: u64) -> u64 {
     let chance = (mix(random) % 1_000) as f64 / 1_000.0;
     (left_ms as f64 * MAX_RETRY_SHARE * (1.0 - RETRY_JITTER * chance)) as u64
 }
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -1,7 +1,7 @@
 //! The attempts of a request: a replica gets it, how long it is waited for, and whether there may be
 //! another attempt when one keeps silent, fails or ends.
 
-use super::admission::{latest_return, overload_retry_ms};
+use super::admission::{latest_retry_ms, overload_retry_ms};
 use super::backend_health::{BackendOutcome, UNREACHABLE_DELAY_MS};
 use super::choice::AttemptChoice;
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
@@ -72,7 +72,7 @@
     fn return_late(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let left_ms = request.deadline.millis_since(stamp.now);
-        request.retry_after_ms = Some(latest_return(left_ms, stamp.random));
+        request.retry_after_ms = Some(latest_retry_ms(left_ms, stamp.random));
     }
 
     /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
