--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -61,7 +61,7 @@
             self.give_up(stamp, ticket, reason, out);
             return;
         };
-        if self.turns_away(stamp, ticket, &choice.pick) {
+        if self.rejects_overload(stamp, ticket, &choice.pick) {
             self.give_up(stamp, ticket, RefusalReason::DeadlineTooShort, out);
             return;
         }
@@ -101,7 +101,12 @@
     }
 
     /// Whether a request that was not sent yet has no time left for what waits where it would begin soonest.
-    fn turns_away(&mut self, stamp: EventStamp, ticket: RequestTicket, pick: &BackendPick) -> bool {
+    fn rejects_overload(
+        &mut self,
+        stamp: EventStamp,
+        ticket: RequestTicket,
+        pick: &BackendPick,
+    ) -> bool {
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         if request.sends > 0 || request.prompt.is_none() {
             return false;
