--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -38,11 +38,11 @@
             return;
         }
         let took_ms = stamp.now.millis_since(attempt.began) as f64;
-        self.judge_head(stamp, ticket, head, took_ms, out);
+        self.handle_head(stamp, ticket, head, took_ms, out);
     }
 
     /// Decides on the head of an answer that began after `took_ms`, of a replica that ran the request.
-    fn judge_head(
+    fn handle_head(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
