--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -25,7 +25,7 @@
             self.backends.reported(attempt.replica, load, mean_ms, stamp.now);
         }
         self.learn_limit(stamp, attempt.replica, head, out);
-        self.learn_rest(stamp, attempt.replica, head);
+        self.learn_backoff(stamp, attempt.replica, head);
         self.learn_leaving(stamp, attempt.replica, head, out);
         if head.not_run || head.other_replica {
             let deed = if head.other_replica {
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -59,7 +59,7 @@
 
 impl RouteState {
     /// Takes what the head of a replica's answer says of its rest.
-    pub(super) fn learn_rest(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
+    pub(super) fn learn_backoff(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
         let rest_ms = head.rest_ms.filter(|_| !head.other_replica);
         if let Some(rest_ms) = rest_ms {
             self.backends.let_rest(key, stamp.now.plus_millis(rest_ms.min(REST_LIMIT_MS)));
