--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -41,7 +41,7 @@
 
 impl BackendTable {
     /// Takes a replica's word that it wants nothing until `until`.
-    fn let_rest(&mut self, key: ReplicaKey, until: BoxTime) {
+    fn back_off(&mut self, key: ReplicaKey, until: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.backoff_until = row.backoff_until.max(until);
         }
@@ -62,7 +62,7 @@
     pub(super) fn learn_backoff(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
         let rest_ms = head.rest_ms.filter(|_| !head.other_replica);
         if let Some(rest_ms) = rest_ms {
-            self.backends.let_rest(key, stamp.now.plus_millis(rest_ms.min(REST_LIMIT_MS)));
+            self.backends.back_off(key, stamp.now.plus_millis(rest_ms.min(REST_LIMIT_MS)));
         }
     }
 }
