--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -11,7 +11,7 @@
 use crate::time::BoxTime;
 
 /// A rest lasts no longer than this, in milliseconds: a replica that wants nothing for good leaves.
-pub const REST_LIMIT_MS: u64 = 3_600_000;
+pub const BACKOFF_LIMIT_MS: u64 = 3_600_000;
 
 impl BackendState {
     /// Whether it wants nothing from this box for now.
@@ -62,7 +62,7 @@
     pub(super) fn learn_backoff(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
         let rest_ms = head.rest_ms.filter(|_| !head.other_replica);
         if let Some(rest_ms) = rest_ms {
-            self.backends.back_off(key, stamp.now.plus_millis(rest_ms.min(REST_LIMIT_MS)));
+            self.backends.back_off(key, stamp.now.plus_millis(rest_ms.min(BACKOFF_LIMIT_MS)));
         }
     }
 }
--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -1,6 +1,6 @@
 //! Replicas that turn requests away and ask for rest.
 
-use ravenspoke_core::route::backoff::REST_LIMIT_MS;
+use ravenspoke_core::route::backoff::BACKOFF_LIMIT_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RefusalReason, RouteEvent};
 use ravenspoke_core::time::BoxTime;
 
@@ -63,7 +63,7 @@
     for (ticket, rest_ms) in [(ticket, u64::MAX), (other, 1)] {
         subject.feed(RouteEvent::HeadReceived(ticket, turning_away(rest_ms)));
     }
-    subject.now += REST_LIMIT_MS - 1;
+    subject.now += BACKOFF_LIMIT_MS - 1;
     subject.read_plan(Some(plan(1)));
     let used = (0..REQUESTS).map(|_| subject.sent(ask("/read/x")).1.replica_id);
     let used: std::collections::BTreeSet<String> = used.collect();
