--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -15,13 +15,13 @@
 
 impl BackendState {
     /// Whether it wants nothing from this box for now.
-    pub(super) fn rests(&self, now: BoxTime) -> bool {
+    pub(super) fn backs_off(&self, now: BoxTime) -> bool {
         now < self.backoff_until
     }
 
     /// Whether this box may send it a request now, by its rest and its limit.
     pub(super) fn takes_more(&self, now: BoxTime) -> bool {
-        !self.rests(now) && self.limit.allows(now)
+        !self.backs_off(now) && self.limit.allows(now)
     }
 
     /// From when on this box may send it a request; `None` if it may send it none while its limit stands.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -552,7 +552,7 @@
         let attempt = self.requests.get(&ticket).and_then(|request| request.attempt);
         let row = attempt.and_then(|attempt| self.backends.get(attempt.replica));
         row.is_some_and(|row| {
-            row.usable(now) && !row.rests(now) && !self.evacuated.contains(&row.entry.zone)
+            row.usable(now) && !row.backs_off(now) && !self.evacuated.contains(&row.entry.zone)
         })
     }
 
