--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -28,12 +28,12 @@
         self.learn_backoff(stamp, attempt.replica, head);
         self.learn_leaving(stamp, attempt.replica, head, out);
         if head.not_run || head.other_replica {
-            let deed = if head.other_replica {
+            let outcome = if head.other_replica {
                 BackendOutcome::Unreachable
             } else {
                 BackendOutcome::Neither
             };
-            self.end_attempt(stamp, ticket, deed);
+            self.end_attempt(stamp, ticket, outcome);
             self.try_again(stamp, ticket, RefusalReason::Full, out);
             return;
         }
@@ -74,7 +74,7 @@
                 request.relayed_on_trial = request.attempt.is_some_and(|attempt| attempt.on_trial);
             }
             request.relayed = true;
-            request.deed = if failed { BackendOutcome::Failed } else { BackendOutcome::Served };
+            request.outcome = if failed { BackendOutcome::Failed } else { BackendOutcome::Served };
         }
         out.push(RouteEffect::Relay(ticket));
     }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -71,7 +71,7 @@
             may_have_run: false,
             relayed: false,
             relayed_on_trial: false,
-            deed: BackendOutcome::Served,
+            outcome: BackendOutcome::Served,
             attempt: None,
             retry_after_ms: None,
             route: route.clone(),
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -227,11 +227,11 @@
             }
             return false;
         };
-        let deed = match cause {
+        let outcome = match cause {
             SendCause::LargerModel => BackendOutcome::Served,
             SendCause::Failure | SendCause::Silence => BackendOutcome::Failed,
         };
-        self.end_attempt(stamp, ticket, deed);
+        self.end_attempt(stamp, ticket, outcome);
         self.assign(stamp, ticket, choice, out);
         true
     }
@@ -291,13 +291,13 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        deed: BackendOutcome,
+        outcome: BackendOutcome,
     ) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         if let Some(attempt) = request.attempt.take() {
             self.backends.left(attempt.replica, attempt.began);
-            self.backends.ended(attempt.replica, deed, stamp.now);
-            if deed == BackendOutcome::Unreachable {
+            self.backends.ended(attempt.replica, outcome, stamp.now);
+            if outcome == BackendOutcome::Unreachable {
                 self.settle_crashes(stamp.now);
                 self.mark_unreachable_cold(attempt.replica);
                 self.rounds.next_note =
@@ -342,12 +342,12 @@
             AttemptFailure::Withdrawn => Some(BackendOutcome::Neither),
             AttemptFailure::Broken | AttemptFailure::Silent => None,
         };
-        if let Some(deed) = unwritten {
+        if let Some(outcome) = unwritten {
             request.free_connects += 1;
             if request.free_connects <= FREE_CONNECTS {
                 request.sends -= 1;
             }
-            self.end_attempt(stamp, ticket, deed);
+            self.end_attempt(stamp, ticket, outcome);
             self.try_in_place(stamp, ticket, out);
             return;
         }
@@ -366,12 +366,12 @@
     }
 
     pub(super) fn on_response_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        let deed =
-            self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.deed);
-        if deed == BackendOutcome::Served {
+        let outcome =
+            self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.outcome);
+        if outcome == BackendOutcome::Served {
             self.clear_content(stamp, ticket);
         }
-        self.end_attempt(stamp, ticket, deed);
+        self.end_attempt(stamp, ticket, outcome);
         self.requests.remove(&ticket);
     }
 
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -79,7 +79,7 @@
 
 impl BackendTable {
     /// Notes that a request has ended, and how well the replica did.
-    pub fn ended(&mut self, key: ReplicaKey, deed: BackendOutcome, now: BoxTime) {
+    pub fn ended(&mut self, key: ReplicaKey, outcome: BackendOutcome, now: BoxTime) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.outstanding = row.outstanding.saturating_sub(1);
         // It is part of what the replica reported, or was sent since; some replicas never report.
@@ -88,7 +88,7 @@
         } else {
             row.since_report = row.since_report.saturating_sub(1);
         }
-        match deed {
+        match outcome {
             BackendOutcome::Served => {
                 row.failures = 0;
                 row.ejections = 0;
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -42,7 +42,7 @@
     /// Whether that answer began on a version on trial.
     pub(super) relayed_on_trial: bool,
     /// How well the replica whose answer was relayed did.
-    pub(super) deed: BackendOutcome,
+    pub(super) outcome: BackendOutcome,
     pub(super) attempt: Option<RunningAttempt>,
     /// When it is to come back if it is turned away, in milliseconds, where that is known.
     pub(super) retry_after_ms: Option<u64>,
