--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -54,7 +54,7 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         request.may_have_run = true;
         let failed = head.status >= 500 || !head.proven;
-        self.tally(ticket, failed, took_ms);
+        self.count_answer(ticket, failed, took_ms);
         let Some(request) = self.requests.get(&ticket) else { return };
         let (kind, relayed) = (request.route.kind, request.relayed);
         if failed && kind.repeatable() && self.go_elsewhere(stamp, ticket, SendCause::Failure, out)
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -61,7 +61,7 @@
 
     /// Adds the attempt's answer to its service's trial, if there is one, and with it what the replica left
     /// out before: it lives, so that was not for a crash.
-    pub(super) fn tally(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
+    pub(super) fn count_answer(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
         let (replica, on_trial, blamed) = (attempt.replica, attempt.on_trial, attempt.blamed);
