--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -321,7 +321,7 @@
         if !request.route.kind.repeatable() || too_early {
             return;
         }
-        self.tally_lost(stamp, ticket);
+        self.count_lost_answer(stamp, ticket);
         if self.go_elsewhere(stamp, ticket, SendCause::Silence, out) {
             if let Some(request) = self.requests.get_mut(&ticket) {
                 request.may_have_run = true;
@@ -355,7 +355,7 @@
         if failure == AttemptFailure::Broken {
             self.note_broken(stamp, ticket);
         }
-        self.tally_lost(stamp, ticket);
+        self.count_lost_answer(stamp, ticket);
         self.end_attempt(stamp, ticket, BackendOutcome::Failed);
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.route.kind.repeatable() {
@@ -389,7 +389,7 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         request.may_have_run |= request.attempt.is_some();
         if !request.relayed {
-            self.tally_lost(stamp, ticket);
+            self.count_lost_answer(stamp, ticket);
         }
         self.end_attempt(stamp, ticket, BackendOutcome::Neither);
         self.give_up(stamp, ticket, RefusalReason::DeadlinePassed, out);
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -75,7 +75,7 @@
 
     /// Notes that the attempt's replica left its answer out: it is held against the version unless the
     /// replica is lost.
-    pub(super) fn tally_lost(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    pub(super) fn count_lost_answer(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
         if std::mem::replace(&mut attempt.blamed, true) {
