--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -86,7 +86,7 @@
     }
 
     /// Counts what replicas left out that are still there and have not answered since.
-    pub(super) fn tally_silent(&mut self, stamp: EventStamp) {
+    pub(super) fn count_silent_replicas(&mut self, stamp: EventStamp) {
         for replica in self.backends.silent_since(stamp.now) {
             let Some(row) = self.backends.get(replica) else { continue };
             let service = row.entry.service.clone();
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -338,7 +338,7 @@
         self.tell_open(stamp.now);
         self.settle_reader(stamp.now);
         self.note_reader(stamp.now, out);
-        self.tally_silent(stamp);
+        self.count_silent_replicas(stamp);
         self.advance_trials(stamp, out);
         self.judge_trials(stamp, out);
         self.write_checkpoints(stamp, out);
