--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -67,7 +67,7 @@
         let (replica, on_trial, blamed) = (attempt.replica, attempt.on_trial, attempt.blamed);
         attempt.blamed |= bad;
         let (service, route) = (request.service.clone(), request.route.name.clone());
-        self.hold_to_account(&service, replica);
+        self.apply_lost_answers(&service, replica);
         if !blamed {
             self.add_answer(&service, &route, on_trial, bad, (!bad).then_some(took_ms));
         }
@@ -90,11 +90,11 @@
         for replica in self.backends.silent_since(stamp.now) {
             let Some(row) = self.backends.get(replica) else { continue };
             let service = row.entry.service.clone();
-            self.hold_to_account(&service, replica);
+            self.apply_lost_answers(&service, replica);
         }
     }
 
-    fn hold_to_account(&mut self, service: &str, replica: ReplicaKey) {
+    fn apply_lost_answers(&mut self, service: &str, replica: ReplicaKey) {
         for lost in self.backends.drain_lost(replica) {
             self.add_answer(service, &lost.route, lost.on_trial, true, None);
         }
