--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -138,7 +138,7 @@
     }
 
     /// Keeps an answer that a replica left out until it shows what that means.
-    pub(super) fn note_lost(&mut self, key: ReplicaKey, lost: LostAnswer) {
+    pub(super) fn add_lost(&mut self, key: ReplicaKey, lost: LostAnswer) {
         let Some(row) = self.rows.get_mut(key) else { return };
         if row.lost.len() < LOST_LIMIT {
             row.lost.push(lost);
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -82,7 +82,7 @@
             return;
         }
         let (route, on_trial) = (request.route.name.clone(), attempt.on_trial);
-        self.backends.note_lost(attempt.replica, LostAnswer { route, on_trial, at: stamp.now });
+        self.backends.add_lost(attempt.replica, LostAnswer { route, on_trial, at: stamp.now });
     }
 
     /// Counts what replicas left out that are still there and have not answered since.
