--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -175,7 +175,7 @@
             began: stamp.now,
             on_trial,
             pauses: 0,
-            blamed: false,
+            counted_bad: false,
             held: pick.holds,
             quiet: pick.wait_ms <= QUIET_MS,
         });
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -64,11 +64,12 @@
     pub(super) fn count_answer(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
-        let (replica, on_trial, blamed) = (attempt.replica, attempt.on_trial, attempt.blamed);
-        attempt.blamed |= bad;
+        let (replica, on_trial, counted_bad) =
+            (attempt.replica, attempt.on_trial, attempt.counted_bad);
+        attempt.counted_bad |= bad;
         let (service, route) = (request.service.clone(), request.route.name.clone());
         self.apply_lost_answers(&service, replica);
-        if !blamed {
+        if !counted_bad {
             self.add_answer(&service, &route, on_trial, bad, (!bad).then_some(took_ms));
         }
     }
@@ -78,7 +79,7 @@
     pub(super) fn count_lost_answer(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
-        if std::mem::replace(&mut attempt.blamed, true) {
+        if std::mem::replace(&mut attempt.counted_bad, true) {
             return;
         }
         let (route, on_trial) = (request.route.name.clone(), attempt.on_trial);
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -65,7 +65,7 @@
     /// Pauses so far.
     pub(super) pauses: u32,
     /// Whether it was held against its version: that happens once, however often it fails.
-    pub(super) blamed: bool,
+    pub(super) counted_bad: bool,
     /// Whether the replica was taken to hold the prompt's shared parts.
     pub(super) held: bool,
     /// Whether nothing was known to wait there.
