--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -57,8 +57,7 @@
         self.count_answer(ticket, failed, took_ms);
         let Some(request) = self.requests.get(&ticket) else { return };
         let (kind, relayed) = (request.route.kind, request.relayed);
-        if failed && kind.repeatable() && self.go_elsewhere(stamp, ticket, SendCause::Failure, out)
-        {
+        if failed && kind.repeatable() && self.reassign(stamp, ticket, SendCause::Failure, out) {
             return;
         }
         if !head.proven || (failed && relayed) {
@@ -99,7 +98,7 @@
             return false;
         };
         request.size = Some(next);
-        if self.go_elsewhere(stamp, ticket, SendCause::LargerModel, out) {
+        if self.reassign(stamp, ticket, SendCause::LargerModel, out) {
             return true;
         }
         if let Some(request) = self.requests.get_mut(&ticket) {
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -206,7 +206,7 @@
 
     /// Ends the attempt under way and gives the request to another replica, if there is one and
     /// attempts, time and budget allow it. Else nothing changes.
-    pub(super) fn go_elsewhere(
+    pub(super) fn reassign(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -322,7 +322,7 @@
             return;
         }
         self.count_lost_answer(stamp, ticket);
-        if self.go_elsewhere(stamp, ticket, SendCause::Silence, out) {
+        if self.reassign(stamp, ticket, SendCause::Silence, out) {
             if let Some(request) = self.requests.get_mut(&ticket) {
                 request.may_have_run = true;
             }
