--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -34,7 +34,7 @@
                 BackendOutcome::Neither
             };
             self.end_attempt(stamp, ticket, outcome);
-            self.try_again(stamp, ticket, RefusalReason::Full, out);
+            self.resend(stamp, ticket, RefusalReason::Full, out);
             return;
         }
         let took_ms = stamp.now.millis_since(attempt.began) as f64;
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -238,7 +238,7 @@
 
     /// Sends a request again that may be sent again, or gives it up for `otherwise` if attempts, time or
     /// budget forbid it.
-    pub(super) fn try_again(
+    pub(super) fn resend(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -359,7 +359,7 @@
         self.end_attempt(stamp, ticket, BackendOutcome::Failed);
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.route.kind.repeatable() {
-            self.try_again(stamp, ticket, RefusalReason::Failed, out);
+            self.resend(stamp, ticket, RefusalReason::Failed, out);
         } else {
             self.give_up(stamp, ticket, RefusalReason::Failed, out);
         }
