--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -256,7 +256,7 @@
     /// Sends a request in place of an attempt of which nothing was written. The retry budget bounds what arrives at replicas,
     /// so it has no part in this: with it, 257 requests of a day on which a quarter of 140 replicas crashed were refused
     /// after one connection that did not come about.
-    fn try_in_place(
+    fn resend_unwritten(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -348,7 +348,7 @@
                 request.sends -= 1;
             }
             self.end_attempt(stamp, ticket, outcome);
-            self.try_in_place(stamp, ticket, out);
+            self.resend_unwritten(stamp, ticket, out);
             return;
         }
         request.may_have_run = true;
