--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -65,7 +65,7 @@
             self.give_up(stamp, ticket, RefusalReason::Failed, out);
             return;
         }
-        if !failed && self.ask_larger(stamp, ticket, head, out) {
+        if !failed && self.escalate(stamp, ticket, head, out) {
             return;
         }
         if let Some(request) = self.requests.get_mut(&ticket) {
@@ -79,7 +79,7 @@
     }
 
     /// Asks a larger model in place of an unsure one, if one may be asked.
-    fn ask_larger(
+    fn escalate(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
