--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -53,8 +53,8 @@
 fn a_stream_that_the_caller_has_a_part_of_stays_with_its_model() {
     let mut subject = box_with_models(20);
     let ticket = asked_of_the_large_model(&mut subject);
-    let sure = AnswerHead { confidence: Some(90), ..head(200) };
-    subject.feed(RouteEvent::HeadReceived(ticket, sure));
+    let confident = AnswerHead { confidence: Some(90), ..head(200) };
+    subject.feed(RouteEvent::HeadReceived(ticket, confident));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(order_in(&effects).expect("a last attempt").model.as_deref(), Some("large"));
 }
@@ -77,8 +77,8 @@
         asked += usize::from(order_in(&effects).is_some());
         subject.now += gap_ms.min(LARGE_MODEL_MS);
         if gap_ms > LARGE_MODEL_MS {
-            let sure = AnswerHead { confidence: Some(90), ..head(200) };
-            subject.feed(RouteEvent::HeadReceived(ticket, sure));
+            let confident = AnswerHead { confidence: Some(90), ..head(200) };
+            subject.feed(RouteEvent::HeadReceived(ticket, confident));
             subject.feed(RouteEvent::ResponseFinished(ticket));
             subject.now += gap_ms - LARGE_MODEL_MS;
         }
