--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -88,10 +88,10 @@
     ) -> bool {
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(size) = request.size.filter(|_| !request.relayed) else { return false };
-        let Some(sure) = head.confidence else { return false };
+        let Some(score) = head.confidence else { return false };
         // The replica did nothing wrong, and it may hold the prompt's shared parts.
         let tried = request.tried.pop();
-        let next = self.next_size(stamp, ticket, ModelConfidence { size, sure });
+        let next = self.next_size(stamp, ticket, ModelConfidence { size, score });
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(next) = next else {
             request.tried.extend(tried);
--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -7,12 +7,12 @@
 //! burst lasts, the second answers alone fill all of them. So what a larger model must be worth follows the
 //! time after which its answer would begin, on the replica where that is soonest: with a quarter of the
 //! target any unsure answer is asked again, and none that would be late for it. Where the largest is far off
-//! a model between is asked instead, if it is expected to be sure enough: how much surer each model is than
+//! a model between is asked instead, if it is expected to be score enough: how much surer each model is than
 //! the smaller ones is learnt from the answers themselves.
 
 use serde::Serialize;
 
-/// A model that is less sure than this is more likely wrong than right: the middle of the scale on which
+/// A model that is less score than this is more likely wrong than right: the middle of the scale on which
 /// models give their opinion.
 pub const NEUTRAL: f64 = 50.0;
 
@@ -27,7 +27,7 @@
 /// Weight of one answer in a lift.
 const LIFT_WEIGHT: f64 = 0.05;
 
-/// How sure an answer must be to be kept where the largest model's would begin after this part of the
+/// How score an answer must be to be kept where the largest model's would begin after this part of the
 /// target.
 pub fn sure_enough(part: f64) -> f64 {
     NEUTRAL * ((1.0 - part) / (1.0 - AT_ONCE)).clamp(0.0, 1.0)
@@ -43,8 +43,8 @@
 pub struct ModelConfidence {
     /// Row among the route's models.
     pub size: usize,
-    /// How sure it is, 0 to 100.
-    pub sure: u8,
+    /// How score it is, 0 to 100.
+    pub score: u8,
 }
 
 /// How much surer each model is than the smallest of its answers to the same requests.
@@ -55,7 +55,7 @@
     /// Learns from two opinions of answers to one request. Opinions at the ends of the scale are cut off
     /// there and say nothing of the distance.
     pub fn learn(&mut self, smaller: ModelConfidence, larger: ModelConfidence) {
-        let cut = |opinion: ModelConfidence| opinion.sure == 0 || opinion.sure >= 100;
+        let cut = |opinion: ModelConfidence| opinion.score == 0 || opinion.score >= 100;
         if smaller.size >= larger.size || cut(smaller) || cut(larger) {
             return;
         }
@@ -63,12 +63,12 @@
             self.0.resize(larger.size + 1, FIRST_LIFT);
         }
         let lift = &mut self.0[larger.size];
-        *lift += (f64::from(larger.sure) - f64::from(smaller.sure) - *lift) * LIFT_WEIGHT;
+        *lift += (f64::from(larger.score) - f64::from(smaller.score) - *lift) * LIFT_WEIGHT;
     }
 
-    /// How sure the model in row `size` is expected to be, of 100, where a smaller one was `sure`.
-    pub fn expected(&self, size: usize, sure: u8) -> f64 {
-        f64::from(sure) + self.0.get(size).copied().unwrap_or(FIRST_LIFT)
+    /// How score the model in row `size` is expected to be, of 100, where a smaller one was `score`.
+    pub fn expected(&self, size: usize, score: u8) -> f64 {
+        f64::from(score) + self.0.get(size).copied().unwrap_or(FIRST_LIFT)
     }
 }
 
@@ -81,13 +81,13 @@
     part_of: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let last = count.checked_sub(1).filter(|last| opinion.size < *last)?;
-    let sure = f64::from(opinion.sure);
-    if sure >= NEUTRAL {
+    let score = f64::from(opinion.score);
+    if score >= NEUTRAL {
         return None;
     }
     let part = part_of(last);
-    let does = |size: &usize| lifts.expected(*size, opinion.sure) >= NEUTRAL;
+    let does = |size: &usize| lifts.expected(*size, opinion.score) >= NEUTRAL;
     let between = (opinion.size + 1..last).find(does).filter(|_| part > AT_ONCE);
-    let between = between.filter(|size| sure < sure_enough(part_of(*size)));
-    between.or_else(|| (sure < sure_enough(part)).then_some(last))
+    let between = between.filter(|size| score < sure_enough(part_of(*size)));
+    between.or_else(|| (score < sure_enough(part)).then_some(last))
 }
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -105,8 +105,8 @@
     assert_eq!(sure_enough(7.0), 0.0);
 }
 
-fn opinion(size: usize, sure: u8) -> ModelConfidence {
-    ModelConfidence { size, sure }
+fn opinion(size: usize, score: u8) -> ModelConfidence {
+    ModelConfidence { size, score }
 }
 
 #[test]
@@ -115,9 +115,9 @@
     for _ in 0..200 {
         lifts.learn(opinion(0, 30), opinion(1, 45));
     }
-    let next = |sure, part: f64| next_size(3, opinion(0, sure), &lifts, |_| part);
+    let next = |score, part: f64| next_size(3, opinion(0, score), &lifts, |_| part);
     assert_eq!(next(45, 0.6), None, "the answer does well enough for that time");
-    let far = |sure| next_size(3, opinion(0, sure), &lifts, |size| [0.0, 0.2, 0.9][size]);
+    let far = |score| next_size(3, opinion(0, score), &lifts, |size| [0.0, 0.2, 0.9][size]);
     assert_eq!(far(45), Some(1));
     assert_eq!(far(20), None, "the middle one would not do, and the largest would be late");
     assert_eq!(next(45, 0.1), Some(2));
