--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -113,12 +113,12 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        opinion: ModelConfidence,
+        confidence: ModelConfidence,
     ) -> Option<usize> {
         let request = self.requests.get_mut(&ticket)?;
         let lifts = self.lifts.entry(request.service.clone()).or_default();
-        if let Some(before) = request.opinion.replace(opinion) {
-            lifts.learn(before, opinion);
+        if let Some(before) = request.confidence.replace(confidence) {
+            lifts.learn(before, confidence);
         }
         let request = self.requests.get(&ticket)?;
         let lifts = self.lifts.get(&request.service)?;
@@ -128,6 +128,6 @@
             let choice = self.choose(stamp, ticket, Some(size));
             (spent_ms + choice.map_or(0.0, |choice| choice.pick.expected_ms)) / target_ms
         };
-        model_cascade::next_size(request.route.sizes.len(), opinion, lifts, part_of)
+        model_cascade::next_size(request.route.sizes.len(), confidence, lifts, part_of)
     }
 }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -61,7 +61,7 @@
             content: ask.content,
             id_hash: xxh3_64(ask.id.as_bytes()),
             size: if chooses { model_cascade::first_size(&route.sizes) } else { None },
-            opinion: None,
+            confidence: None,
             arrived: stamp.now,
             deadline: stamp.now.plus_millis(left),
             tried: Vec::new(),
--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -1,6 +1,6 @@
 //! Which of a route's models answers: the smallest that can be trusted with it, as far as time allows.
 //!
-//! A model's own opinion of its answer, 0 to 100, comes with the head. Where it is low, the answer is
+//! A model's own confidence of its answer, 0 to 100, comes with the head. Where it is low, the answer is
 //! dropped before the caller has any of it, and a larger model is asked.
 //!
 //! The load pattern: a large model takes ten times a small one's time, and while replicas are down or a
@@ -13,7 +13,7 @@
 use serde::Serialize;
 
 /// A model that is less score than this is more likely wrong than right: the middle of the scale on which
-/// models give their opinion.
+/// models give their confidence.
 pub const NEUTRAL: f64 = 50.0;
 
 /// Part of the target after which the largest model's answer may begin so that every unsure answer is
@@ -38,7 +38,7 @@
     (!sizes.is_empty()).then_some(0)
 }
 
-/// An opinion of the model in row `size` of its own answer.
+/// An confidence of the model in row `size` of its own answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelConfidence {
     /// Row among the route's models.
@@ -55,7 +55,7 @@
     /// Learns from two opinions of answers to one request. Opinions at the ends of the scale are cut off
     /// there and say nothing of the distance.
     pub fn learn(&mut self, smaller: ModelConfidence, larger: ModelConfidence) {
-        let cut = |opinion: ModelConfidence| opinion.score == 0 || opinion.score >= 100;
+        let cut = |confidence: ModelConfidence| confidence.score == 0 || confidence.score >= 100;
         if smaller.size >= larger.size || cut(smaller) || cut(larger) {
             return;
         }
@@ -76,18 +76,18 @@
 /// after which an answer of a model would begin.
 pub fn next_size(
     count: usize,
-    opinion: ModelConfidence,
+    confidence: ModelConfidence,
     lifts: &ConfidenceGains,
     part_of: impl Fn(usize) -> f64,
 ) -> Option<usize> {
-    let last = count.checked_sub(1).filter(|last| opinion.size < *last)?;
-    let score = f64::from(opinion.score);
+    let last = count.checked_sub(1).filter(|last| confidence.size < *last)?;
+    let score = f64::from(confidence.score);
     if score >= NEUTRAL {
         return None;
     }
     let part = part_of(last);
-    let does = |size: &usize| lifts.expected(*size, opinion.score) >= NEUTRAL;
-    let between = (opinion.size + 1..last).find(does).filter(|_| part > AT_ONCE);
+    let does = |size: &usize| lifts.expected(*size, confidence.score) >= NEUTRAL;
+    let between = (confidence.size + 1..last).find(does).filter(|_| part > AT_ONCE);
     let between = between.filter(|size| score < sure_enough(part_of(*size)));
     between.or_else(|| (score < sure_enough(part)).then_some(last))
 }
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -27,7 +27,7 @@
     /// Row of `route.sizes` that answers, where the router chooses.
     pub(super) size: Option<usize>,
     /// What its model thought of the last answer that was dropped or kept.
-    pub(super) opinion: Option<ModelConfidence>,
+    pub(super) confidence: Option<ModelConfidence>,
     pub(super) arrived: BoxTime,
     pub(super) deadline: BoxTime,
     pub(super) tried: Vec<ReplicaKey>,
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -105,7 +105,7 @@
     assert_eq!(sure_enough(7.0), 0.0);
 }
 
-fn opinion(size: usize, score: u8) -> ModelConfidence {
+fn confidence(size: usize, score: u8) -> ModelConfidence {
     ModelConfidence { size, score }
 }
 
@@ -113,16 +113,16 @@
 fn a_middle_model_is_asked_where_the_largest_is_far_off_and_it_is_expected_to_do() {
     let mut lifts = ConfidenceGains::default();
     for _ in 0..200 {
-        lifts.learn(opinion(0, 30), opinion(1, 45));
+        lifts.learn(confidence(0, 30), confidence(1, 45));
     }
-    let next = |score, part: f64| next_size(3, opinion(0, score), &lifts, |_| part);
+    let next = |score, part: f64| next_size(3, confidence(0, score), &lifts, |_| part);
     assert_eq!(next(45, 0.6), None, "the answer does well enough for that time");
-    let far = |score| next_size(3, opinion(0, score), &lifts, |size| [0.0, 0.2, 0.9][size]);
+    let far = |score| next_size(3, confidence(0, score), &lifts, |size| [0.0, 0.2, 0.9][size]);
     assert_eq!(far(45), Some(1));
     assert_eq!(far(20), None, "the middle one would not do, and the largest would be late");
     assert_eq!(next(45, 0.1), Some(2));
     assert_eq!(next(51, 0.1), None);
-    assert_eq!(next_size(3, opinion(2, 3), &lifts, |_| 0.0), None, "there is none larger");
+    assert_eq!(next_size(3, confidence(2, 3), &lifts, |_| 0.0), None, "there is none larger");
 }
 
 #[test]
@@ -130,9 +130,9 @@
     let mut lifts = ConfidenceGains::default();
     let before = lifts.expected(1, 10);
     for _ in 0..100 {
-        lifts.learn(opinion(0, 0), opinion(1, 90));
-        lifts.learn(opinion(0, 40), opinion(1, 100));
-        lifts.learn(opinion(1, 40), opinion(1, 10));
+        lifts.learn(confidence(0, 0), confidence(1, 90));
+        lifts.learn(confidence(0, 40), confidence(1, 100));
+        lifts.learn(confidence(1, 40), confidence(1, 10));
     }
     assert_eq!(lifts.expected(1, 10), before);
 }
