--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -29,7 +29,7 @@
 
 /// How score an answer must be to be kept where the largest model's would begin after this part of the
 /// target.
-pub fn sure_enough(part: f64) -> f64 {
+pub fn required_confidence(part: f64) -> f64 {
     NEUTRAL * ((1.0 - part) / (1.0 - AT_ONCE)).clamp(0.0, 1.0)
 }
 
@@ -88,6 +88,6 @@
     let part = part_of(last);
     let does = |size: &usize| lifts.expected(*size, confidence.score) >= NEUTRAL;
     let between = (confidence.size + 1..last).find(does).filter(|_| part > AT_ONCE);
-    let between = between.filter(|size| score < sure_enough(part_of(*size)));
-    between.or_else(|| (score < sure_enough(part)).then_some(last))
+    let between = between.filter(|size| score < required_confidence(part_of(*size)));
+    between.or_else(|| (score < required_confidence(part)).then_some(last))
 }
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -6,7 +6,7 @@
 };
 
 use ravenspoke_core::route::model_cascade::{
-    next_size, sure_enough, ConfidenceGains, ModelConfidence, AT_ONCE, NEUTRAL,
+    next_size, required_confidence, ConfidenceGains, ModelConfidence, AT_ONCE, NEUTRAL,
 };
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
@@ -98,11 +98,11 @@
 
 #[test]
 fn how_sure_an_answer_must_be_follows_the_time_of_the_larger_models() {
-    assert_eq!(sure_enough(0.0), NEUTRAL);
-    assert_eq!(sure_enough(AT_ONCE), NEUTRAL);
-    assert!((0.0..NEUTRAL).contains(&sure_enough(0.6)));
-    assert_eq!(sure_enough(1.0), 0.0);
-    assert_eq!(sure_enough(7.0), 0.0);
+    assert_eq!(required_confidence(0.0), NEUTRAL);
+    assert_eq!(required_confidence(AT_ONCE), NEUTRAL);
+    assert!((0.0..NEUTRAL).contains(&required_confidence(0.6)));
+    assert_eq!(required_confidence(1.0), 0.0);
+    assert_eq!(required_confidence(7.0), 0.0);
 }
 
 fn confidence(size: usize, score: u8) -> ModelConfidence {
