--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -22,7 +22,7 @@
 pub const AT_ONCE: f64 = 0.25;
 
 /// How much surer a model is taken to be than a smaller one before it was asked.
-const FIRST_LIFT: f64 = 25.0;
+const INITIAL_GAIN: f64 = 25.0;
 
 /// Weight of one answer in a lift.
 const LIFT_WEIGHT: f64 = 0.05;
@@ -60,7 +60,7 @@
             return;
         }
         if self.0.len() <= larger.size {
-            self.0.resize(larger.size + 1, FIRST_LIFT);
+            self.0.resize(larger.size + 1, INITIAL_GAIN);
         }
         let lift = &mut self.0[larger.size];
         *lift += (f64::from(larger.score) - f64::from(smaller.score) - *lift) * LIFT_WEIGHT;
@@ -68,7 +68,7 @@
 
     /// How score the model in row `size` is expected to be, of 100, where a smaller one was `score`.
     pub fn expected(&self, size: usize, score: u8) -> f64 {
-        f64::from(score) + self.0.get(size).copied().unwrap_or(FIRST_LIFT)
+        f64::from(score) + self.0.get(size).copied().unwrap_or(INITIAL_GAIN)
     }
 }
 
