--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -25,7 +25,7 @@
 const INITIAL_GAIN: f64 = 25.0;
 
 /// Weight of one answer in a lift.
-const LIFT_WEIGHT: f64 = 0.05;
+const GAIN_WEIGHT: f64 = 0.05;
 
 /// How score an answer must be to be kept where the largest model's would begin after this part of the
 /// target.
@@ -63,7 +63,7 @@
             self.0.resize(larger.size + 1, INITIAL_GAIN);
         }
         let lift = &mut self.0[larger.size];
-        *lift += (f64::from(larger.score) - f64::from(smaller.score) - *lift) * LIFT_WEIGHT;
+        *lift += (f64::from(larger.score) - f64::from(smaller.score) - *lift) * GAIN_WEIGHT;
     }
 
     /// How score the model in row `size` is expected to be, of 100, where a smaller one was `score`.
