--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -24,7 +24,7 @@
 /// How much surer a model is taken to be than a smaller one before it was asked.
 const INITIAL_GAIN: f64 = 25.0;
 
-/// Weight of one answer in a lift.
+/// Weight of one answer in a gain.
 const GAIN_WEIGHT: f64 = 0.05;
 
 /// How score an answer must be to be kept where the largest model's would begin after this part of the
@@ -62,8 +62,8 @@
         if self.0.len() <= larger.size {
             self.0.resize(larger.size + 1, INITIAL_GAIN);
         }
-        let lift = &mut self.0[larger.size];
-        *lift += (f64::from(larger.score) - f64::from(smaller.score) - *lift) * GAIN_WEIGHT;
+        let gain = &mut self.0[larger.size];
+        *gain += (f64::from(larger.score) - f64::from(smaller.score) - *gain) * GAIN_WEIGHT;
     }
 
     /// How score the model in row `size` is expected to be, of 100, where a smaller one was `score`.
