--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -160,8 +160,8 @@
         head: AnswerHead,
         out: &mut Vec<RouteEffect>,
     ) {
-        let lifts = head.proven && !head.not_run;
-        if !head.other_replica && (head.limit_per_s.is_some() || lifts) {
+        let clears = head.proven && !head.not_run;
+        if !head.other_replica && (head.limit_per_s.is_some() || clears) {
             self.apply_limit(stamp, key, head.limit_per_s, stamp.now, out);
         }
     }
