--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -77,7 +77,7 @@
 pub fn next_size(
     count: usize,
     confidence: ModelConfidence,
-    lifts: &ConfidenceGains,
+    gains: &ConfidenceGains,
     part_of: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let last = count.checked_sub(1).filter(|last| confidence.size < *last)?;
@@ -86,7 +86,7 @@
         return None;
     }
     let part = part_of(last);
-    let does = |size: &usize| lifts.expected(*size, confidence.score) >= NEUTRAL;
+    let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL;
     let between = (confidence.size + 1..last).find(does).filter(|_| part > AT_ONCE);
     let between = between.filter(|size| score < required_confidence(part_of(*size)));
     between.or_else(|| (score < required_confidence(part)).then_some(last))
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -111,28 +111,28 @@
 
 #[test]
 fn a_middle_model_is_asked_where_the_largest_is_far_off_and_it_is_expected_to_do() {
-    let mut lifts = ConfidenceGains::default();
+    let mut gains = ConfidenceGains::default();
     for _ in 0..200 {
-        lifts.learn(confidence(0, 30), confidence(1, 45));
+        gains.learn(confidence(0, 30), confidence(1, 45));
     }
-    let next = |score, part: f64| next_size(3, confidence(0, score), &lifts, |_| part);
+    let next = |score, part: f64| next_size(3, confidence(0, score), &gains, |_| part);
     assert_eq!(next(45, 0.6), None, "the answer does well enough for that time");
-    let far = |score| next_size(3, confidence(0, score), &lifts, |size| [0.0, 0.2, 0.9][size]);
+    let far = |score| next_size(3, confidence(0, score), &gains, |size| [0.0, 0.2, 0.9][size]);
     assert_eq!(far(45), Some(1));
     assert_eq!(far(20), None, "the middle one would not do, and the largest would be late");
     assert_eq!(next(45, 0.1), Some(2));
     assert_eq!(next(51, 0.1), None);
-    assert_eq!(next_size(3, confidence(2, 3), &lifts, |_| 0.0), None, "there is none larger");
+    assert_eq!(next_size(3, confidence(2, 3), &gains, |_| 0.0), None, "there is none larger");
 }
 
 #[test]
 fn opinions_at_the_ends_of_the_scale_teach_nothing() {
-    let mut lifts = ConfidenceGains::default();
-    let before = lifts.expected(1, 10);
+    let mut gains = ConfidenceGains::default();
+    let before = gains.expected(1, 10);
     for _ in 0..100 {
-        lifts.learn(confidence(0, 0), confidence(1, 90));
-        lifts.learn(confidence(0, 40), confidence(1, 100));
-        lifts.learn(confidence(1, 40), confidence(1, 10));
+        gains.learn(confidence(0, 0), confidence(1, 90));
+        gains.learn(confidence(0, 40), confidence(1, 100));
+        gains.learn(confidence(1, 40), confidence(1, 10));
     }
-    assert_eq!(lifts.expected(1, 10), before);
+    assert_eq!(gains.expected(1, 10), before);
 }
