--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -19,7 +19,7 @@
 /// Part of the target after which the largest model's answer may begin so that every unsure answer is
 /// asked of it. On ten deployments drawn at random, payoff earned of that owed, means over five kinds of
 /// trouble at half and full load: 0.925 and 0.879 at 0.12, 0.937 and 0.864 at 0.25, 0.945 and 0.811 at 0.5.
-pub const AT_ONCE: f64 = 0.25;
+pub const ESCALATE_ALL_SHARE: f64 = 0.25;
 
 /// How much surer a model is taken to be than a smaller one before it was asked.
 const INITIAL_GAIN: f64 = 25.0;
@@ -30,7 +30,7 @@
 /// How score an answer must be to be kept where the largest model's would begin after this part of the
 /// target.
 pub fn required_confidence(part: f64) -> f64 {
-    NEUTRAL * ((1.0 - part) / (1.0 - AT_ONCE)).clamp(0.0, 1.0)
+    NEUTRAL * ((1.0 - part) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
 }
 
 /// The model to begin with.
@@ -87,7 +87,7 @@
     }
     let part = part_of(last);
     let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL;
-    let between = (confidence.size + 1..last).find(does).filter(|_| part > AT_ONCE);
+    let between = (confidence.size + 1..last).find(does).filter(|_| part > ESCALATE_ALL_SHARE);
     let between = between.filter(|size| score < required_confidence(part_of(*size)));
     between.or_else(|| (score < required_confidence(part)).then_some(last))
 }
