--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -14,7 +14,7 @@
 
 /// A model that is less score than this is more likely wrong than right: the middle of the scale on which
 /// models give their confidence.
-pub const NEUTRAL: f64 = 50.0;
+pub const NEUTRAL_CONFIDENCE: f64 = 50.0;
 
 /// Part of the target after which the largest model's answer may begin so that every unsure answer is
 /// asked of it. On ten deployments drawn at random, payoff earned of that owed, means over five kinds of
@@ -30,7 +30,7 @@
 /// How score an answer must be to be kept where the largest model's would begin after this part of the
 /// target.
 pub fn required_confidence(part: f64) -> f64 {
-    NEUTRAL * ((1.0 - part) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
+    NEUTRAL_CONFIDENCE * ((1.0 - part) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
 }
 
 /// The model to begin with.
@@ -82,11 +82,11 @@
 ) -> Option<usize> {
     let last = count.checked_sub(1).filter(|last| confidence.size < *last)?;
     let score = f64::from(confidence.score);
-    if score >= NEUTRAL {
+    if score >= NEUTRAL_CONFIDENCE {
         return None;
     }
     let part = part_of(last);
-    let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL;
+    let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL_CONFIDENCE;
     let between = (confidence.size + 1..last).find(does).filter(|_| part > ESCALATE_ALL_SHARE);
     let between = between.filter(|size| score < required_confidence(part_of(*size)));
     between.or_else(|| (score < required_confidence(part)).then_some(last))
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -6,7 +6,8 @@
 };
 
 use ravenspoke_core::route::model_cascade::{
-    next_size, required_confidence, ConfidenceGains, ModelConfidence, ESCALATE_ALL_SHARE, NEUTRAL,
+    next_size, required_confidence, ConfidenceGains, ModelConfidence, ESCALATE_ALL_SHARE,
+    NEUTRAL_CONFIDENCE,
 };
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
@@ -98,9 +99,9 @@
 
 #[test]
 fn how_sure_an_answer_must_be_follows_the_time_of_the_larger_models() {
-    assert_eq!(required_confidence(0.0), NEUTRAL);
-    assert_eq!(required_confidence(ESCALATE_ALL_SHARE), NEUTRAL);
-    assert!((0.0..NEUTRAL).contains(&required_confidence(0.6)));
+    assert_eq!(required_confidence(0.0), NEUTRAL_CONFIDENCE);
+    assert_eq!(required_confidence(ESCALATE_ALL_SHARE), NEUTRAL_CONFIDENCE);
+    assert!((0.0..NEUTRAL_CONFIDENCE).contains(&required_confidence(0.6)));
     assert_eq!(required_confidence(1.0), 0.0);
     assert_eq!(required_confidence(7.0), 0.0);
 }
