--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -124,10 +124,10 @@
         let gains = self.gains.get(&request.service)?;
         let spent_ms = stamp.now.millis_since(request.arrived) as f64;
         let target_ms = request.route.target_ms.max(1) as f64;
-        let part_of = |size: usize| {
+        let target_share = |size: usize| {
             let choice = self.choose(stamp, ticket, Some(size));
             (spent_ms + choice.map_or(0.0, |choice| choice.pick.expected_ms)) / target_ms
         };
-        model_cascade::next_size(request.route.sizes.len(), confidence, gains, part_of)
+        model_cascade::next_size(request.route.sizes.len(), confidence, gains, target_share)
     }
 }
--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -72,22 +72,22 @@
     }
 }
 
-/// The model to go on with of `count`, `None` to keep the answer. `part_of` gives the part of the target
+/// The model to go on with of `count`, `None` to keep the answer. `target_share` gives the part of the target
 /// after which an answer of a model would begin.
 pub fn next_size(
     count: usize,
     confidence: ModelConfidence,
     gains: &ConfidenceGains,
-    part_of: impl Fn(usize) -> f64,
+    target_share: impl Fn(usize) -> f64,
 ) -> Option<usize> {
     let last = count.checked_sub(1).filter(|last| confidence.size < *last)?;
     let score = f64::from(confidence.score);
     if score >= NEUTRAL_CONFIDENCE {
         return None;
     }
-    let part = part_of(last);
+    let part = target_share(last);
     let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL_CONFIDENCE;
     let between = (confidence.size + 1..last).find(does).filter(|_| part > ESCALATE_ALL_SHARE);
-    let between = between.filter(|size| score < required_confidence(part_of(*size)));
+    let between = between.filter(|size| score < required_confidence(target_share(*size)));
     between.or_else(|| (score < required_confidence(part)).then_some(last))
 }
