--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -28,7 +28,7 @@
 const QUIET_MS: f64 = 20.0;
 
 /// Connections that did not come about and cost a request none of its attempts, at most.
-pub const FREE_CONNECTS: u32 = 3;
+pub const FREE_CONNECT_FAILURES: u32 = 3;
 
 /// A stream of which the caller has a part is given to the last replica that may be asked only after
 /// this many pauses in a row: should that one fail, the answer is lost, and the first may only be slow.
@@ -344,7 +344,7 @@
         };
         if let Some(outcome) = unwritten {
             request.free_connects += 1;
-            if request.free_connects <= FREE_CONNECTS {
+            if request.free_connects <= FREE_CONNECT_FAILURES {
                 request.sends -= 1;
             }
             self.end_attempt(stamp, ticket, outcome);
