--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -66,7 +66,7 @@
             deadline: stamp.now.plus_millis(left),
             tried: Vec::new(),
             sends: 0,
-            free_connects: 0,
+            connect_failures: 0,
             counted: false,
             may_have_run: false,
             relayed: false,
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -343,8 +343,8 @@
             AttemptFailure::Broken | AttemptFailure::Silent => None,
         };
         if let Some(outcome) = unwritten {
-            request.free_connects += 1;
-            if request.free_connects <= FREE_CONNECT_FAILURES {
+            request.connect_failures += 1;
+            if request.connect_failures <= FREE_CONNECT_FAILURES {
                 request.sends -= 1;
             }
             self.end_attempt(stamp, ticket, outcome);
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -32,7 +32,7 @@
     pub(super) deadline: BoxTime,
     pub(super) tried: Vec<ReplicaKey>,
     pub(super) sends: u32,
-    pub(super) free_connects: u32,
+    pub(super) connect_failures: u32,
     /// Whether a replica is known to have begun to work on it.
     pub(super) counted: bool,
     /// Whether any replica may have begun to work on it.
