--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -19,7 +19,7 @@
 pub const HEAD_TARGETS: f64 = 1.0;
 
 /// For an answer that is no stream: its work takes a fraction of the target.
-pub const PLAIN_HEAD_TARGETS: f64 = 2.0;
+pub const UNARY_HEAD_TARGETS: f64 = 2.0;
 
 /// A pause between events is not waited out beyond this part of the longest that counts in full.
 pub const PAUSE_PART: f64 = 0.8;
@@ -398,7 +398,7 @@
 
 /// How long a head is waited for where another replica may be asked, in milliseconds.
 fn head_ms(route: &RouteSpec) -> u64 {
-    let targets = if route.kind.is_stream() { HEAD_TARGETS } else { PLAIN_HEAD_TARGETS };
+    let targets = if route.kind.is_stream() { HEAD_TARGETS } else { UNARY_HEAD_TARGETS };
     (route.target_ms as f64 * targets) as u64
 }
 
