--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -22,7 +22,7 @@
 pub const UNARY_HEAD_TARGETS: f64 = 2.0;
 
 /// A pause between events is not waited out beyond this part of the longest that counts in full.
-pub const PAUSE_PART: f64 = 0.8;
+pub const PAUSE_SHARE: f64 = 0.8;
 
 /// Work up to which a replica counts as idle when its pace is learnt, in milliseconds: a few steps.
 const QUIET_MS: f64 = 20.0;
@@ -406,7 +406,7 @@
 fn pause_ms(route: &RouteSpec) -> u64 {
     match route.kind {
         RouteKind::Stream { .. } if route.pause_ms > 0 => {
-            (route.pause_ms as f64 * PAUSE_PART) as u64
+            (route.pause_ms as f64 * PAUSE_SHARE) as u64
         }
         _ => route.timeout_ms,
     }
