--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -25,7 +25,7 @@
 pub const PAUSE_SHARE: f64 = 0.8;
 
 /// Work up to which a replica counts as idle when its pace is learnt, in milliseconds: a few steps.
-const QUIET_MS: f64 = 20.0;
+const IDLE_WORK_MS: f64 = 20.0;
 
 /// Connections that did not come about and cost a request none of its attempts, at most.
 pub const FREE_CONNECT_FAILURES: u32 = 3;
@@ -177,7 +177,7 @@
             pauses: 0,
             counted_bad: false,
             held: pick.holds,
-            quiet: pick.wait_ms <= QUIET_MS,
+            quiet: pick.wait_ms <= IDLE_WORK_MS,
         });
         request.tried.push(pick.key);
         request.sends += 1;
