--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -32,7 +32,7 @@
 
 /// A stream of which the caller has a part is given to the last replica that may be asked only after
 /// this many pauses in a row: should that one fail, the answer is lost, and the first may only be slow.
-pub const LAST_PAUSES: u32 = 3;
+pub const LAST_REPLICA_PAUSES: u32 = 3;
 
 impl RouteState {
     /// Sends a request to a replica, or gives it up for `otherwise` if there is none.
@@ -317,7 +317,7 @@
         let Some(attempt) = &mut request.attempt else { return };
         attempt.pauses += 1;
         let last = request.sends + 1 >= request.route.attempts;
-        let too_early = request.relayed && last && attempt.pauses < LAST_PAUSES;
+        let too_early = request.relayed && last && attempt.pauses < LAST_REPLICA_PAUSES;
         if !request.route.kind.repeatable() || too_early {
             return;
         }
