--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -177,7 +177,7 @@
             pauses: 0,
             counted_bad: false,
             held: pick.holds,
-            quiet: pick.wait_ms <= IDLE_WORK_MS,
+            was_idle: pick.wait_ms <= IDLE_WORK_MS,
         });
         request.tried.push(pick.key);
         request.sends += 1;
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -45,12 +45,12 @@
     ) {
         let Some(request) = self.requests.get(&ticket) else { return };
         let (Some(attempt), Some(prompt)) = (request.attempt, request.prompt) else { return };
-        let quiet = head.load.is_none_or(|load| load.waiting == 0) && attempt.quiet;
+        let was_idle = head.load.is_none_or(|load| load.waiting == 0) && attempt.was_idle;
         if head.not_run || head.other_replica {
             return;
         }
         self.backends.left(attempt.replica, attempt.began);
-        if quiet && head.status < 300 {
+        if was_idle && head.status < 300 {
             let shared = if attempt.held { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -69,5 +69,5 @@
     /// Whether the replica was taken to hold the prompt's shared parts.
     pub(super) held: bool,
     /// Whether nothing was known to wait there.
-    pub(super) quiet: bool,
+    pub(super) was_idle: bool,
 }
