--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -51,7 +51,7 @@
         }
         self.backends.left(attempt.replica, attempt.began);
         if was_idle && head.status < 300 {
-            let shared = if attempt.held { 0 } else { prompt.shared };
+            let shared = if attempt.cached { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
             let pace = self.paces.entry(request.service.clone()).or_default();
--- a/crates/core/src/route/request.rs
+++ b/crates/core/src/route/request.rs
@@ -67,7 +67,7 @@
     /// Whether it was held against its version: that happens once, however often it fails.
     pub(super) counted_bad: bool,
     /// Whether the replica was taken to hold the prompt's shared parts.
-    pub(super) held: bool,
+    pub(super) cached: bool,
     /// Whether nothing was known to wait there.
     pub(super) was_idle: bool,
 }
