--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -53,7 +53,7 @@
             let reason = self.why_none(stamp, ticket).unwrap_or(otherwise);
             match reason {
                 RefusalReason::Evacuated | RefusalReason::NoRegion => {
-                    self.return_late(stamp, ticket);
+                    self.set_latest_retry(stamp, ticket);
                 }
                 RefusalReason::ReplicasLimited => self.return_in_turn(stamp, ticket),
                 _ => {}
@@ -69,7 +69,7 @@
     }
 
     /// A request's caller is to come back as late as it honours: sooner nothing will have changed.
-    fn return_late(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    fn set_latest_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let left_ms = request.deadline.millis_since(stamp.now);
         request.retry_after_ms = Some(latest_retry_ms(left_ms, stamp.random));
@@ -77,7 +77,7 @@
 
     /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
     fn return_in_turn(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        self.return_late(stamp, ticket);
+        self.set_latest_retry(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let held_back = self.backends.all_throttled(&request.service, stamp.now);
         let Some(next_at) = held_back.and_then(|service| service.next_at) else { return };
