--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -55,7 +55,7 @@
                 RefusalReason::Evacuated | RefusalReason::NoRegion => {
                     self.set_latest_retry(stamp, ticket);
                 }
-                RefusalReason::ReplicasLimited => self.return_in_turn(stamp, ticket),
+                RefusalReason::ReplicasLimited => self.set_backoff_retry(stamp, ticket),
                 _ => {}
             }
             self.give_up(stamp, ticket, reason, out);
@@ -76,7 +76,7 @@
     }
 
     /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
-    fn return_in_turn(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    fn set_backoff_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.set_latest_retry(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let held_back = self.backends.all_throttled(&request.service, stamp.now);
