--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -50,7 +50,7 @@
         self.share_newly_cold(stamp.now);
         let size = self.requests.get(&ticket).and_then(|request| request.size);
         let Some(choice) = self.choose(stamp, ticket, size) else {
-            let reason = self.why_none(stamp, ticket).unwrap_or(otherwise);
+            let reason = self.no_replica_reason(stamp, ticket).unwrap_or(otherwise);
             match reason {
                 RefusalReason::Evacuated | RefusalReason::NoRegion => {
                     self.set_latest_retry(stamp, ticket);
@@ -86,7 +86,7 @@
     }
 
     /// Why no replica may get a request, where that is known.
-    fn why_none(&self, stamp: EventStamp, ticket: RequestTicket) -> Option<RefusalReason> {
+    fn no_replica_reason(&self, stamp: EventStamp, ticket: RequestTicket) -> Option<RefusalReason> {
         let request = self.requests.get(&ticket)?;
         let service = &request.service;
         let zones = request.zones.as_deref();
