--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -136,7 +136,7 @@
 
     /// The model for a request's next attempt. The last one that is allowed goes to the smallest: where a
     /// larger one failed or kept silent, an answer that may do is worth more than none.
-    fn settle_size(&mut self, ticket: RequestTicket) {
+    fn fall_back_to_small(&mut self, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let last = request.sends + 1 >= request.route.attempts;
         if last && !request.relayed {
@@ -215,7 +215,7 @@
     ) -> bool {
         let size = self.requests.get(&ticket).and_then(|request| request.size);
         if cause != SendCause::LargerModel {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
         }
         self.advance_trial(stamp, ticket, out);
         self.share_newly_cold(stamp.now);
@@ -246,7 +246,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         if self.may_send_again(stamp, ticket, SendCause::Failure) {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
             self.send(stamp, ticket, otherwise, out);
         } else {
             self.give_up(stamp, ticket, otherwise, out);
@@ -264,7 +264,7 @@
     ) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.may_be_sent(stamp.now) {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
             self.send(stamp, ticket, RefusalReason::NoReplica, out);
         } else {
             self.give_up(stamp, ticket, RefusalReason::NoReplica, out);
