--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -181,7 +181,7 @@
         });
         request.tried.push(pick.key);
         request.sends += 1;
-        let spare = request.route.kind.repeatable() && request.sends < request.route.attempts;
+        let retryable = request.route.kind.repeatable() && request.sends < request.route.attempts;
         let left = request.deadline.millis_since(stamp.now);
         let order = SendOrder {
             number: request.sends,
@@ -197,8 +197,8 @@
             content: request.content,
             urgency: request.size.map(urgency),
             deadline: request.deadline,
-            head_ms: if spare { head_ms(&request.route).min(left) } else { left },
-            pause_ms: if spare { pause_ms(&request.route).min(left) } else { left },
+            head_ms: if retryable { head_ms(&request.route).min(left) } else { left },
+            pause_ms: if retryable { pause_ms(&request.route).min(left) } else { left },
             inputs,
         };
         out.push(RouteEffect::Send(ticket, order));
