--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -79,8 +79,8 @@
     fn set_backoff_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.set_latest_retry(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let held_back = self.backends.all_throttled(&request.service, stamp.now);
-        let Some(next_at) = held_back.and_then(|service| service.next_at) else { return };
+        let throttled = self.backends.all_throttled(&request.service, stamp.now);
+        let Some(next_at) = throttled.and_then(|service| service.next_at) else { return };
         let after_ms = next_at.millis_since(stamp.now);
         request.retry_after_ms = request.retry_after_ms.map(|late| late.min(after_ms));
     }
@@ -96,8 +96,8 @@
         if self.backends.all_evacuated(service, &self.evacuated, stamp.now) {
             return Some(RefusalReason::Evacuated);
         }
-        let held_back = self.backends.all_throttled(service, stamp.now);
-        held_back.map(|_| RefusalReason::ReplicasLimited)
+        let throttled = self.backends.all_throttled(service, stamp.now);
+        throttled.map(|_| RefusalReason::ReplicasLimited)
     }
 
     /// Whether a request that was not sent yet has no time left for what waits where it would begin soonest.
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -51,9 +51,9 @@
     pub(super) fn all_throttled(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
         let keys = self.by_service.get(service)?;
         let rows = || keys.iter().map(|key| &self.rows[*key]).filter(|row| row.usable(now));
-        let held_back = rows().count() > 0 && rows().all(|row| !row.takes_more(now));
+        let throttled = rows().count() > 0 && rows().all(|row| !row.takes_more(now));
         let next_at = rows().filter_map(|row| row.next_at(now)).min();
-        held_back.then_some(ThrottledService { next_at })
+        throttled.then_some(ThrottledService { next_at })
     }
 }
 
