--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -20,7 +20,7 @@
     }
 
     /// Whether this box may send it a request now, by its rest and its limit.
-    pub(super) fn takes_more(&self, now: BoxTime) -> bool {
+    pub(super) fn accepts_requests(&self, now: BoxTime) -> bool {
         !self.backs_off(now) && self.limit.allows(now)
     }
 
@@ -51,7 +51,7 @@
     pub(super) fn all_throttled(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
         let keys = self.by_service.get(service)?;
         let rows = || keys.iter().map(|key| &self.rows[*key]).filter(|row| row.usable(now));
-        let throttled = rows().count() > 0 && rows().all(|row| !row.takes_more(now));
+        let throttled = rows().count() > 0 && rows().all(|row| !row.accepts_requests(now));
         let next_at = rows().filter_map(|row| row.next_at(now)).min();
         throttled.then_some(ThrottledService { next_at })
     }
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -95,7 +95,7 @@
                 && !ask.evacuated.contains(&row.entry.zone)
                 && ask.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
                 && !(ask.bounds_cold && row.too_cold(ask.now))
-                && row.takes_more(ask.now)
+                && row.accepts_requests(ask.now)
                 && ask.version.takes(&row.entry.version)
                 && !ask.tried.contains(*key)
         };
