--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -109,7 +109,7 @@
 
 /// Tokens of a prompt whose size the caller doesn't tell: a short one, of which the pace learnt is a guess
 /// that serves others like it.
-const UNTOLD_TOKENS: u32 = 1_000;
+const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
 
 /// The size of a request's prompt, if it has one.
 fn prompt_size(ask: &CallerRequest) -> Option<PromptSize> {
@@ -117,9 +117,9 @@
         return Some(ask.prompt);
     }
     let untold = if ask.affinity == 0 {
-        PromptSize { shared: 0, own: UNTOLD_TOKENS }
+        PromptSize { shared: 0, own: DEFAULT_PROMPT_TOKENS }
     } else {
-        PromptSize { shared: UNTOLD_TOKENS, own: 0 }
+        PromptSize { shared: DEFAULT_PROMPT_TOKENS, own: 0 }
     };
     (ask.affinity != 0 || ask.any_model).then_some(untold)
 }
