--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -116,12 +116,12 @@
     if ask.prompt != PromptSize::default() {
         return Some(ask.prompt);
     }
-    let untold = if ask.affinity == 0 {
+    let assumed = if ask.affinity == 0 {
         PromptSize { shared: 0, own: DEFAULT_PROMPT_TOKENS }
     } else {
         PromptSize { shared: DEFAULT_PROMPT_TOKENS, own: 0 }
     };
-    (ask.affinity != 0 || ask.any_model).then_some(untold)
+    (ask.affinity != 0 || ask.any_model).then_some(assumed)
 }
 
 /// A service of the route, by the weights of its targets.
