--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -18,10 +18,10 @@
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        ask: CallerRequest,
+        caller: CallerRequest,
         out: &mut Vec<RouteEffect>,
     ) {
-        let request = match self.admit(stamp, &ask) {
+        let request = match self.admit(stamp, &caller) {
             Ok(request) => request,
             Err(reason) => {
                 out.push(RouteEffect::Refuse(ticket, refusal(reason, false), self.inputs(stamp)));
@@ -34,7 +34,11 @@
         self.send(stamp, ticket, RefusalReason::NoReplica, out);
     }
 
-    fn admit(&self, stamp: EventStamp, ask: &CallerRequest) -> Result<RouteRequest, RefusalReason> {
+    fn admit(
+        &self,
+        stamp: EventStamp,
+        caller: &CallerRequest,
+    ) -> Result<RouteRequest, RefusalReason> {
         let since = self.stopping_since;
         let late = |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
         if since.is_some_and(late) {
@@ -43,23 +47,23 @@
         if !self.has_plan() {
             return Err(RefusalReason::NoPlan);
         }
-        let (route, holder) = self.find_route(stamp, ask)?;
-        let allowed = ask.deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-        let left = allowed.saturating_sub(ask.waited_ms);
+        let (route, holder) = self.find_route(stamp, caller)?;
+        let allowed = caller.deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+        let left = allowed.saturating_sub(caller.waited_ms);
         let service = pick_target(route, stamp.random).ok_or(RefusalReason::NoReplica)?;
-        let chooses = ask.any_model && !route.sizes.is_empty();
+        let chooses = caller.any_model && !route.sizes.is_empty();
         let of_account = holder.map_or(&[][..], |holder| &holder.regions);
         let zones = allowed_zones(&self.settings.regions, &[&route.regions, of_account]);
         Ok(RouteRequest {
             service,
             account: holder.map(|holder| holder.name.clone()),
             zones,
-            affinity: ask.affinity,
-            prompt: prompt_size(ask),
-            body_bytes: ask.body_bytes,
-            session: ask.session,
-            content: ask.content,
-            id_hash: xxh3_64(ask.id.as_bytes()),
+            affinity: caller.affinity,
+            prompt: prompt_size(caller),
+            body_bytes: caller.body_bytes,
+            session: caller.session,
+            content: caller.content,
+            id_hash: xxh3_64(caller.id.as_bytes()),
             size: if chooses { model_cascade::first_size(&route.sizes) } else { None },
             confidence: None,
             arrived: stamp.now,
@@ -82,7 +86,7 @@
     fn find_route(
         &self,
         stamp: EventStamp,
-        ask: &CallerRequest,
+        caller: &CallerRequest,
     ) -> Result<(&RouteSpec, Option<&KeyHolder>), RefusalReason> {
         let bounds = self.settings.fresh;
         let deny = |reason| {
@@ -93,13 +97,13 @@
                 RefusalReason::PlanStale
             }
         };
-        let route = self.table.find(&ask.host, &ask.path);
+        let route = self.table.find(&caller.host, &caller.path);
         let route = route.ok_or_else(|| deny(RefusalReason::NoRoute))?;
         let keyed = self.table.asks_for_keys() && !route.anonymous;
         if keyed && !self.fresh.honours_keys(stamp.now, bounds) {
             return Err(RefusalReason::PlanStale);
         }
-        let holder = ask.key.as_deref().and_then(|key| self.table.holder(key));
+        let holder = caller.key.as_deref().and_then(|key| self.table.holder(key));
         if keyed && holder.is_none() {
             return Err(deny(RefusalReason::UnknownKey));
         }
@@ -112,16 +116,16 @@
 const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
 
 /// The size of a request's prompt, if it has one.
-fn prompt_size(ask: &CallerRequest) -> Option<PromptSize> {
-    if ask.prompt != PromptSize::default() {
-        return Some(ask.prompt);
+fn prompt_size(caller: &CallerRequest) -> Option<PromptSize> {
+    if caller.prompt != PromptSize::default() {
+        return Some(caller.prompt);
     }
-    let assumed = if ask.affinity == 0 {
+    let assumed = if caller.affinity == 0 {
         PromptSize { shared: 0, own: DEFAULT_PROMPT_TOKENS }
     } else {
         PromptSize { shared: DEFAULT_PROMPT_TOKENS, own: 0 }
     };
-    (ask.affinity != 0 || ask.any_model).then_some(assumed)
+    (caller.affinity != 0 || caller.any_model).then_some(assumed)
 }
 
 /// A service of the route, by the weights of its targets.
