--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -40,7 +40,7 @@
             };
             version_wish(trial, on_trial)
         });
-        let ask = BackendQuery {
+        let query = BackendQuery {
             service: &request.service,
             version,
             work: self.prompt_work(request, size),
@@ -52,10 +52,10 @@
             random: stamp.random,
             now: stamp.now,
         };
-        let wished = self.backends.pick(&ask);
+        let wished = self.backends.pick(&query);
         // A wish that nobody fits gives way, but never to a version that is bad.
         let fallback =
-            || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..ask });
+            || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..query });
         let pick = wished.or_else(fallback)?;
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -87,42 +87,45 @@
 
 impl BackendTable {
     /// Picks a replica; `None` if there is none that may be used.
-    pub fn pick(&self, ask: &BackendQuery) -> Option<BackendPick> {
-        let keys = self.by_service.get(ask.service)?;
+    pub fn pick(&self, query: &BackendQuery) -> Option<BackendPick> {
+        let keys = self.by_service.get(query.service)?;
         let fits = |key: &&ReplicaKey| {
             let row = &self.rows[**key];
-            row.usable(ask.now)
-                && !ask.evacuated.contains(&row.entry.zone)
-                && ask.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
-                && !(ask.bounds_cold && row.too_cold(ask.now))
-                && row.accepts_requests(ask.now)
-                && ask.version.takes(&row.entry.version)
-                && !ask.tried.contains(*key)
+            row.usable(query.now)
+                && !query.evacuated.contains(&row.entry.zone)
+                && query.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
+                && !(query.bounds_cold && row.too_cold(query.now))
+                && row.accepts_requests(query.now)
+                && query.version.takes(&row.entry.version)
+                && !query.tried.contains(*key)
         };
         let usable: Vec<ReplicaKey> = keys.iter().filter(fits).copied().collect();
-        let well: Vec<ReplicaKey> =
-            usable.iter().copied().filter(|key| self.rows[*key].ejected_until <= ask.now).collect();
+        let well: Vec<ReplicaKey> = usable
+            .iter()
+            .copied()
+            .filter(|key| self.rows[*key].ejected_until <= query.now)
+            .collect();
         // With more than half passed over the cause is not the replicas.
         let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
-        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.asks(ask.now));
+        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.asks(query.now));
         if let Some(asked) = asked {
             pool = vec![asked];
         }
-        let placed = ask.work.and_then(|work| self.cheapest(&pool, ask, &work));
+        let placed = query.work.and_then(|work| self.cheapest(&pool, query, &work));
         let (key, view) = match placed {
             Some((key, view)) => (key, Some(view)),
-            None => (self.lightest(&pool, ask)?, None),
+            None => (self.lightest(&pool, query)?, None),
         };
-        let expected = view.zip(ask.work).map_or(0.0, |(view, work)| view.expected_ms(&work));
+        let expected = view.zip(query.work).map_or(0.0, |(view, work)| view.expected_ms(&work));
         Some(BackendPick {
             key,
-            load: self.rows[key].load(ask.now),
+            load: self.rows[key].load(query.now),
             candidates: pool.len(),
             affine: view.is_some_and(|view| view.holds || view.holder),
             holds: view.is_some_and(|view| view.holds),
             expected_ms: expected,
             wait_ms: view.map_or(0.0, |view| view.wait_ms),
-            work_ms: view.zip(ask.work).map_or(0.0, |(view, work)| work.read_ms(view.holds)),
+            work_ms: view.zip(query.work).map_or(0.0, |(view, work)| work.read_ms(view.holds)),
         })
     }
 
@@ -146,13 +149,13 @@
     }
 
     /// The lightest of some replicas drawn by chance; the box's own zone counts for something.
-    fn lightest(&self, pool: &[ReplicaKey], ask: &BackendQuery) -> Option<ReplicaKey> {
+    fn lightest(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
-            let far = if row.entry.zone == ask.zone { 0.0 } else { ZONE_MARGIN };
-            row.load(ask.now) + far
+            let far = if row.entry.zone == query.zone { 0.0 } else { ZONE_MARGIN };
+            row.load(query.now) + far
         };
-        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ ask.random);
+        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ query.random);
         let mut drawn = pool.to_vec();
         drawn.sort_by_key(order);
         drawn.truncate(DRAWN);
@@ -163,20 +166,20 @@
     fn cheapest(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendQuery,
+        query: &BackendQuery,
         work: &PromptWork,
     ) -> Option<(ReplicaKey, ReplicaView)> {
-        let holder = self.holder(pool, ask, work);
+        let holder = self.holder(pool, query, work);
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
-            let mut view = row.view(ask.now);
-            view.holds = row.held.holds(work.shared, ask.now);
+            let mut view = row.view(query.now);
+            view.holds = row.held.holds(work.shared, query.now);
             view.holder = holder == Some(*key);
-            view.near = row.entry.zone == ask.zone;
+            view.near = row.entry.zone == query.zone;
             (*key, view)
         };
         let weigh = |(key, view): (ReplicaKey, ReplicaView)| {
-            let order = mix(self.rows[key].id_hash ^ ask.random);
+            let order = mix(self.rows[key].id_hash ^ query.random);
             (view.cost_ms(work), order, key, view)
         };
         let rows = pool.iter().map(view).map(weigh);
@@ -189,14 +192,14 @@
     fn holder(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendQuery,
+        query: &BackendQuery,
         work: &PromptWork,
     ) -> Option<ReplicaKey> {
         if work.shared == 0 {
             return None;
         }
         let weight = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ work.shared);
-        let near = |key: &ReplicaKey| self.rows[*key].entry.zone == ask.zone;
+        let near = |key: &ReplicaKey| self.rows[*key].entry.zone == query.zone;
         let own = pool.iter().copied().filter(near).min_by_key(weight);
         own.filter(|_| work.held_by_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
     }
