--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -52,15 +52,15 @@
             random: stamp.random,
             now: stamp.now,
         };
-        let wished = self.backends.pick(&query);
+        let preferred = self.backends.pick(&query);
         // A wish that nobody fits gives way, but never to a version that is bad.
         let fallback =
             || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..query });
-        let pick = wished.or_else(fallback)?;
+        let pick = preferred.or_else(fallback)?;
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
             share,
-            fell_back: wished.is_none(),
+            fell_back: preferred.is_none(),
         });
         Some(AttemptChoice { pick, trial })
     }
