--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -38,7 +38,7 @@
             } else {
                 trial.session_draw(request.session, stamp.random) < share
             };
-            version_wish(trial, on_trial)
+            version_filter(trial, on_trial)
         });
         let query = BackendQuery {
             service: &request.service,
@@ -86,7 +86,7 @@
 }
 
 /// Which versions a new attempt is to go to: the one on trial, or the others.
-fn version_wish(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
+fn version_filter(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
     let version = trial.order.version.as_str();
     if on_trial {
         VersionFilter::Only(version)
