--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -55,7 +55,7 @@
         let preferred = self.backends.pick(&query);
         // A wish that nobody fits gives way, but never to a version that is bad.
         let fallback =
-            || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..query });
+            || self.backends.pick(&BackendQuery { version: fallback_filter(trial), ..query });
         let pick = preferred.or_else(fallback)?;
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
@@ -95,7 +95,7 @@
     }
 }
 
-fn fallback_wish(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
+fn fallback_filter(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
     match trial {
         Some(trial) if trial.finds_bad() => VersionFilter::Not(&trial.order.version),
         _ => VersionFilter::Any,
