--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -27,7 +27,7 @@
 pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
 /// Such words in one note, at most, the newest first: some 670 bytes, worked out.
-const DOWN_TOLD: usize = 48;
+const UNREACHABLE_PER_MESSAGE: usize = 48;
 
 /// A box that could not reach a replica tells others after this at the latest, in milliseconds: each request until then may
 /// be given to it.
@@ -133,7 +133,7 @@
         };
         let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(note).collect();
         notes.sort_by_key(|note| note.age_ms);
-        notes.truncate(DOWN_TOLD);
+        notes.truncate(UNREACHABLE_PER_MESSAGE);
         notes
     }
 
