--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -69,7 +69,7 @@
 
 impl BackendState {
     /// Passes it over for a span, longer each time in a row.
-    fn pass_over(&mut self, now: BoxTime) {
+    fn eject(&mut self, now: BoxTime) {
         let span = (EJECTION_FIRST_MS << self.ejections.min(8)).min(EJECTION_LIMIT_MS);
         self.ejected_until = now.plus_millis(span);
         self.ejections += 1;
@@ -101,7 +101,7 @@
             BackendOutcome::Neither => {}
         }
         if row.failures >= EJECTION_FAILURES {
-            row.pass_over(now);
+            row.eject(now);
         }
     }
 
