--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -151,7 +151,7 @@
     }
 
     /// Replicas whose entry still stands [`LOST_COUNT_MS`] after they left out an answer.
-    pub(super) fn silent_since(&self, now: BoxTime) -> Vec<ReplicaKey> {
+    pub(super) fn silent_replicas(&self, now: BoxTime) -> Vec<ReplicaKey> {
         let first = |lost: &[LostAnswer]| lost.first().map(|lost| lost.at);
         let over = |at: BoxTime| now.millis_since(at) >= LOST_COUNT_MS;
         let silent = self.rows.iter().filter(|(_, row)| first(&row.lost).is_some_and(over));
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -88,7 +88,7 @@
 
     /// Counts what replicas left out that are still there and have not answered since.
     pub(super) fn count_silent_replicas(&mut self, stamp: EventStamp) {
-        for replica in self.backends.silent_since(stamp.now) {
+        for replica in self.backends.silent_replicas(stamp.now) {
             let Some(row) = self.backends.get(replica) else { continue };
             let service = row.entry.service.clone();
             self.apply_lost_answers(&service, replica);
