--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -18,7 +18,7 @@
 
 /// Answers that a replica left out are held against its version after this, in milliseconds, where it has
 /// not answered since: the entry of one that crashed is gone by then, after three heartbeats of silence.
-pub const LOST_COUNT_MS: u64 = 5_000;
+pub const LOST_GRACE_MS: u64 = 5_000;
 
 /// Answers left out that are kept for each replica, at most: a version is found bad by fewer.
 const LOST_LIMIT: usize = 64;
@@ -150,10 +150,10 @@
         self.rows.get_mut(key).map(|row| std::mem::take(&mut row.lost)).unwrap_or_default()
     }
 
-    /// Replicas whose entry still stands [`LOST_COUNT_MS`] after they left out an answer.
+    /// Replicas whose entry still stands [`LOST_GRACE_MS`] after they left out an answer.
     pub(super) fn silent_replicas(&self, now: BoxTime) -> Vec<ReplicaKey> {
         let first = |lost: &[LostAnswer]| lost.first().map(|lost| lost.at);
-        let over = |at: BoxTime| now.millis_since(at) >= LOST_COUNT_MS;
+        let over = |at: BoxTime| now.millis_since(at) >= LOST_GRACE_MS;
         let silent = self.rows.iter().filter(|(_, row)| first(&row.lost).is_some_and(over));
         silent.map(|(key, _)| key).collect()
     }
