--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -31,7 +31,7 @@
             let outcome = if head.other_replica {
                 BackendOutcome::Unreachable
             } else {
-                BackendOutcome::Neither
+                BackendOutcome::Inconclusive
             };
             self.end_attempt(stamp, ticket, outcome);
             self.resend(stamp, ticket, RefusalReason::Full, out);
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -339,7 +339,7 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let unwritten = match failure {
             AttemptFailure::NeverSent => Some(BackendOutcome::Unreachable),
-            AttemptFailure::Withdrawn => Some(BackendOutcome::Neither),
+            AttemptFailure::Withdrawn => Some(BackendOutcome::Inconclusive),
             AttemptFailure::Broken | AttemptFailure::Silent => None,
         };
         if let Some(outcome) = unwritten {
@@ -366,8 +366,10 @@
     }
 
     pub(super) fn on_response_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        let outcome =
-            self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.outcome);
+        let outcome = self
+            .requests
+            .get(&ticket)
+            .map_or(BackendOutcome::Inconclusive, |request| request.outcome);
         if outcome == BackendOutcome::Served {
             self.clear_content(stamp, ticket);
         }
@@ -376,7 +378,7 @@
     }
 
     pub(super) fn on_caller_disconnected(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Inconclusive);
         self.requests.remove(&ticket);
     }
 
@@ -391,7 +393,7 @@
         if !request.relayed {
             self.count_lost_answer(stamp, ticket);
         }
-        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Inconclusive);
         self.give_up(stamp, ticket, RefusalReason::DeadlinePassed, out);
     }
 }
--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -64,7 +64,7 @@
     /// No connection came about.
     Unreachable,
     /// The end says nothing of it: the caller left, or it said that it is full.
-    Neither,
+    Inconclusive,
 }
 
 impl BackendState {
@@ -98,7 +98,7 @@
                 row.unreachable_at = Some(now);
                 row.failures += EJECTION_FAILURES;
             }
-            BackendOutcome::Neither => {}
+            BackendOutcome::Inconclusive => {}
         }
         if row.failures >= EJECTION_FAILURES {
             row.eject(now);
