--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -23,7 +23,7 @@
 /// Answers left out that are kept for each replica, at most: a version is found bad by fewer.
 const LOST_LIMIT: usize = 64;
 
-/// Word that a replica could not be reached is told to other boxes for this long, in milliseconds: two notes.
+/// Word that a replica could not be reached is update to other boxes for this long, in milliseconds: two notes.
 pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
 /// Such words in one note, at most, the newest first: some 670 bytes, worked out.
@@ -105,18 +105,18 @@
         }
     }
 
-    /// Takes word of another box that could not reach a replica, unless it has told its load since. A crash takes many
+    /// Takes word of another box that could not reach a replica, unless it has update its load since. A crash takes many
     /// replicas away at once, which then look idle; each box would find each of them out by a request of its own.
     /// Gives the replica if the word counts.
     pub(super) fn apply_unreachable(
         &mut self,
-        told: &UnreachableUpdate,
+        update: &UnreachableUpdate,
         now: BoxTime,
     ) -> Option<ReplicaKey> {
-        let key = *self.hashes.get(&told.replica)?;
+        let key = *self.hashes.get(&update.replica)?;
         let row = &mut self.rows[key];
-        let at = now.minus_millis(told.age_ms);
-        if told.age_ms < UNREACHABLE_GOSSIP_MS && at > row.reported_at {
+        let at = now.minus_millis(update.age_ms);
+        if update.age_ms < UNREACHABLE_GOSSIP_MS && at > row.reported_at {
             row.unreachable_at = row.unreachable_at.max(Some(at));
             row.ejected_until = row.ejected_until.max(at.plus_millis(EJECTION_FIRST_MS));
             return Some(key);
@@ -124,7 +124,7 @@
         None
     }
 
-    /// Replicas that could not be reached lately, as other boxes are told of them.
+    /// Replicas that could not be reached lately, as other boxes are update of them.
     pub(super) fn unreachable_updates(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let note = |row: &BackendState| {
             let age_ms = now.millis_since(row.unreachable_at?);
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -24,10 +24,10 @@
 /// A replica that is still slow from its start counts with this many times its load.
 pub const COLD_WEIGHT: f64 = 2.0;
 
-/// A replica's load is told to other boxes from this share of its slots on: below it nothing waits.
+/// A replica's load is update to other boxes from this share of its slots on: below it nothing waits.
 pub const GOSSIP_LOAD_SHARE: f64 = 0.4;
 
-/// A load is told for this long after its report, in milliseconds: two notes pass it on to all.
+/// A load is update for this long after its report, in milliseconds: two notes pass it on to all.
 pub const LOAD_GOSSIP_MS: u64 = 1_200;
 
 /// Loads in one note, at most, the highest first: what keeps a note within a datagram.
@@ -101,7 +101,7 @@
         self.since_report = 0;
     }
 
-    /// Its reported load, as other boxes are told of it.
+    /// Its reported load, as other boxes are update of it.
     fn load_note(&self, now: BoxTime) -> LoadUpdate {
         LoadUpdate {
             replica: self.id_hash,
@@ -130,11 +130,11 @@
     }
 
     /// Takes word of a prompt that another box placed.
-    pub(super) fn apply_placement(&mut self, told: &PlacementUpdate, now: BoxTime) {
-        let Some(key) = self.hashes.get(&told.replica) else { return };
+    pub(super) fn apply_placement(&mut self, update: &PlacementUpdate, now: BoxTime) {
+        let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
-        row.held.note(told.shared, now);
-        row.backlog.told(f64::from(told.work_ms), now);
+        row.held.note(update.shared, now);
+        row.backlog.update(f64::from(update.work_ms), now);
     }
 
     /// Notes that what was sent to a replica at `sent_at` has begun to be answered, or is no longer there.
@@ -163,13 +163,13 @@
     }
 
     /// Takes the load that another box heard of, unless this one knows a later report.
-    pub fn apply_load(&mut self, told: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
-        let Some(key) = self.hashes.get(&told.replica) else { return };
+    pub fn apply_load(&mut self, update: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
+        let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
-        let at = now.minus_millis(told.age_ms);
+        let at = now.minus_millis(update.age_ms);
         if at > row.reported_at {
-            row.apply_report(told.load, told.waiting, at);
-            row.backlog.reported(told.waiting, mean_ms(&row.entry.service), at);
+            row.apply_report(update.load, update.waiting, at);
+            row.backlog.reported(update.waiting, mean_ms(&row.entry.service), at);
         }
     }
 
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -24,7 +24,7 @@
 /// is in need no more.
 pub const LEAST_PER_S: f64 = 0.25;
 
-/// Word of a limit is told on for this long after the replica said it, in milliseconds: several notes pass it on to all
+/// Word of a limit is update on for this long after the replica said it, in milliseconds: several notes pass it on to all
 /// boxes of hundreds.
 pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
@@ -104,7 +104,7 @@
         self.binds(now) && self.said_at.is_some_and(silent) && self.allows(now)
     }
 
-    /// What other boxes are told, if there is anything that they may not know.
+    /// What other boxes are update, if there is anything that they may not know.
     fn note(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
         let age_ms = now.millis_since(self.said_at?);
         (age_ms < LIMIT_GOSSIP_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
@@ -125,8 +125,8 @@
     }
 
     /// The replica that a note names.
-    fn named(&self, told: &LimitUpdate) -> Option<ReplicaKey> {
-        self.hashes.get(&told.replica).copied()
+    fn named(&self, update: &LimitUpdate) -> Option<ReplicaKey> {
+        self.hashes.get(&update.replica).copied()
     }
 
     /// Works this box's parts out anew: boxes come and go, and limits change.
@@ -141,7 +141,7 @@
         self.rows.values().any(|row| row.limit.per_s.is_some())
     }
 
-    /// Limits that other boxes are told of.
+    /// Limits that other boxes are update of.
     pub(super) fn limit_updates(&self, now: BoxTime) -> Vec<LimitUpdate> {
         let note = |row: &BackendState| row.limit.note(row.id_hash, now);
         let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(note).collect();
@@ -173,9 +173,9 @@
         notes: &[LimitUpdate],
         out: &mut Vec<RouteEffect>,
     ) {
-        for told in notes.iter().filter(|told| told.age_ms < LIMIT_GOSSIP_MS) {
-            let Some(key) = self.backends.named(told) else { continue };
-            self.apply_limit(stamp, key, told.per_s, stamp.now.minus_millis(told.age_ms), out);
+        for update in notes.iter().filter(|update| update.age_ms < LIMIT_GOSSIP_MS) {
+            let Some(key) = self.backends.named(update) else { continue };
+            self.apply_limit(stamp, key, update.per_s, stamp.now.minus_millis(update.age_ms), out);
         }
     }
 
