--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -57,7 +57,7 @@
     }
 
     /// Notes that another box sent a prompt that takes `work_ms` to read.
-    pub fn told(&mut self, work_ms: f64, now: BoxTime) {
+    pub fn add_remote(&mut self, work_ms: f64, now: BoxTime) {
         self.queued_ms = self.wait_ms(now) + work_ms;
         self.at = now;
     }
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -134,7 +134,7 @@
         let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
         row.held.note(update.shared, now);
-        row.backlog.update(f64::from(update.work_ms), now);
+        row.backlog.add_remote(f64::from(update.work_ms), now);
     }
 
     /// Notes that what was sent to a replica at `sent_at` has begun to be answered, or is no longer there.
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -219,7 +219,7 @@
 fn a_backlog_drains_but_not_below_what_has_not_begun() {
     let at = BoxTime::from_millis;
     let mut backlog = ReplicaBacklog::default();
-    backlog.told(400.0, at(1_000));
+    backlog.add_remote(400.0, at(1_000));
     assert_eq!(backlog.wait_ms(at(1_100)), 300.0);
     backlog.sent(200.0, 600.0, at(1_100));
     assert_eq!(backlog.wait_ms(at(1_600)), 200.0, "its own request has not begun");
@@ -232,7 +232,7 @@
 fn the_replicas_word_on_its_queue_goes_before_the_estimate() {
     let at = BoxTime::from_millis;
     let mut backlog = ReplicaBacklog::default();
-    backlog.told(5_000.0, at(1_000));
+    backlog.add_remote(5_000.0, at(1_000));
     backlog.reported(0, 100.0, at(1_200));
     assert_eq!(backlog.wait_ms(at(1_200)), 0.0);
     backlog.reported(3, 100.0, at(1_300));
