--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -295,7 +295,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         if let Some(attempt) = request.attempt.take() {
-            self.backends.left(attempt.replica, attempt.began);
+            self.backends.remove_pending(attempt.replica, attempt.began);
             self.backends.ended(attempt.replica, outcome, stamp.now);
             if outcome == BackendOutcome::Unreachable {
                 self.settle_crashes(stamp.now);
--- a/crates/core/src/route/backlog.rs
+++ b/crates/core/src/route/backlog.rs
@@ -63,7 +63,7 @@
     }
 
     /// Notes that a request sent at `sent_at` began to be answered, or is no longer at the replica.
-    pub fn left(&mut self, sent_at: BoxTime) {
+    pub fn remove_pending(&mut self, sent_at: BoxTime) {
         if let Some(row) = self.pending.iter().position(|pending| pending.sent_at == sent_at) {
             self.pending.swap_remove(row);
         }
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -49,7 +49,7 @@
         if head.not_run || head.other_replica {
             return;
         }
-        self.backends.left(attempt.replica, attempt.began);
+        self.backends.remove_pending(attempt.replica, attempt.began);
         if was_idle && head.status < 300 {
             let shared = if attempt.cached { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -138,9 +138,9 @@
     }
 
     /// Notes that what was sent to a replica at `sent_at` has begun to be answered, or is no longer there.
-    pub(super) fn left(&mut self, key: ReplicaKey, sent_at: BoxTime) {
+    pub(super) fn remove_pending(&mut self, key: ReplicaKey, sent_at: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.backlog.left(sent_at);
+            row.backlog.remove_pending(sent_at);
         }
     }
 
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -224,7 +224,7 @@
     backlog.sent(200.0, 600.0, at(1_100));
     assert_eq!(backlog.wait_ms(at(1_600)), 200.0, "its own request has not begun");
     assert_eq!(backlog.wait_ms(at(1_900)), 400.0, "and is overdue");
-    backlog.left(at(1_100));
+    backlog.remove_pending(at(1_100));
     assert_eq!(backlog.wait_ms(at(1_900)), 0.0);
 }
 
