--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -124,7 +124,7 @@
         now: BoxTime,
     ) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.held.note(work.shared, now);
+            row.held.insert(work.shared, now);
             row.backlog.sent(work_ms, expected_ms, now);
         }
     }
@@ -133,7 +133,7 @@
     pub(super) fn apply_placement(&mut self, update: &PlacementUpdate, now: BoxTime) {
         let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
-        row.held.note(update.shared, now);
+        row.held.insert(update.shared, now);
         row.backlog.add_remote(f64::from(update.work_ms), now);
     }
 
--- a/crates/core/src/route/prefix_cache.rs
+++ b/crates/core/src/route/prefix_cache.rs
@@ -22,7 +22,7 @@
     }
 
     /// Notes that they are read.
-    pub fn note(&mut self, shared: u64, now: BoxTime) {
+    pub fn insert(&mut self, shared: u64, now: BoxTime) {
         if shared == 0 {
             return;
         }
