--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -173,7 +173,7 @@
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let mut view = row.view(query.now);
-            view.holds = row.held.holds(work.shared, query.now);
+            view.holds = row.held.contains(work.shared, query.now);
             view.holder = holder == Some(*key);
             view.near = row.entry.zone == query.zone;
             (*key, view)
--- a/crates/core/src/route/prefix_cache.rs
+++ b/crates/core/src/route/prefix_cache.rs
@@ -17,7 +17,7 @@
 
 impl PrefixCache {
     /// Whether they are held.
-    pub fn holds(&self, shared: u64, now: BoxTime) -> bool {
+    pub fn contains(&self, shared: u64, now: BoxTime) -> bool {
         self.0.get(&shared).is_some_and(|at| now.millis_since(*at) < HELD_MS)
     }
 
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -261,9 +261,9 @@
 fn held_parts_are_forgotten_after_a_while() {
     let mut held = PrefixCache::default();
     held.insert(7, BoxTime::from_millis(1_000));
-    assert!(held.holds(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
-    assert!(!held.holds(7, BoxTime::from_millis(1_000 + HELD_MS)));
-    assert!(!held.holds(8, BoxTime::from_millis(1_000)));
+    assert!(held.contains(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
+    assert!(!held.contains(7, BoxTime::from_millis(1_000 + HELD_MS)));
+    assert!(!held.contains(8, BoxTime::from_millis(1_000)));
 }
 
 #[test]
