--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -259,11 +259,11 @@
 
 #[test]
 fn held_parts_are_forgotten_after_a_while() {
-    let mut held = PrefixCache::default();
-    held.insert(7, BoxTime::from_millis(1_000));
-    assert!(held.contains(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
-    assert!(!held.contains(7, BoxTime::from_millis(1_000 + HELD_MS)));
-    assert!(!held.contains(8, BoxTime::from_millis(1_000)));
+    let mut cache = PrefixCache::default();
+    cache.insert(7, BoxTime::from_millis(1_000));
+    assert!(cache.contains(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
+    assert!(!cache.contains(7, BoxTime::from_millis(1_000 + HELD_MS)));
+    assert!(!cache.contains(8, BoxTime::from_millis(1_000)));
 }
 
 #[test]
