--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -26,7 +26,7 @@
 /// Word that a replica could not be reached is update to other boxes for this long, in milliseconds: two notes.
 pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
-/// Such words in one note, at most, the newest first: some 670 bytes, worked out.
+/// Such words in one update, at most, the newest first: some 670 bytes, worked out.
 const UNREACHABLE_PER_MESSAGE: usize = 48;
 
 /// A box that could not reach a replica tells others after this at the latest, in milliseconds: each request until then may
@@ -126,13 +126,13 @@
 
     /// Replicas that could not be reached lately, as other boxes are update of them.
     pub(super) fn unreachable_updates(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
-        let note = |row: &BackendState| {
+        let update = |row: &BackendState| {
             let age_ms = now.millis_since(row.unreachable_at?);
             (age_ms < UNREACHABLE_GOSSIP_MS)
                 .then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
         };
-        let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(note).collect();
-        notes.sort_by_key(|note| note.age_ms);
+        let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(update).collect();
+        notes.sort_by_key(|update| update.age_ms);
         notes.truncate(UNREACHABLE_PER_MESSAGE);
         notes
     }
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -28,10 +28,10 @@
         if work_ms >= PLACEMENT_GOSSIP_WORK_MS {
             let Some(row) = self.backends.get(pick.key) else { return };
             let replica = row.id_hash;
-            let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
+            let update = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
             out.push(RouteEffect::SendPlacement(
                 self.peers.gossip_targets(&self.settings.zone, stamp.random),
-                note,
+                update,
             ));
         }
     }
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -28,7 +28,7 @@
 /// boxes of hundreds.
 pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
-/// Limits in one note, at most, the latest word first: some 600 bytes.
+/// Limits in one update, at most, the latest word first: some 600 bytes.
 const LIMITS_TOLD: usize = 40;
 
 /// Without word for this long, in milliseconds, a limit no longer counts: its senders' answers bring some every few seconds.
@@ -105,7 +105,7 @@
     }
 
     /// What other boxes are update, if there is anything that they may not know.
-    fn note(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
+    fn update(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
         let age_ms = now.millis_since(self.said_at?);
         (age_ms < LIMIT_GOSSIP_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
     }
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The replica that a note names.
+    /// The replica that a update names.
     fn named(&self, update: &LimitUpdate) -> Option<ReplicaKey> {
         self.hashes.get(&update.replica).copied()
     }
@@ -143,9 +143,9 @@
 
     /// Limits that other boxes are update of.
     pub(super) fn limit_updates(&self, now: BoxTime) -> Vec<LimitUpdate> {
-        let note = |row: &BackendState| row.limit.note(row.id_hash, now);
-        let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(note).collect();
-        notes.sort_by_key(|note| note.age_ms);
+        let update = |row: &BackendState| row.limit.update(row.id_hash, now);
+        let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(update).collect();
+        notes.sort_by_key(|update| update.age_ms);
         notes.truncate(LIMITS_TOLD);
         notes
     }
