--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -23,7 +23,7 @@
 /// Answers left out that are kept for each replica, at most: a version is found bad by fewer.
 const LOST_LIMIT: usize = 64;
 
-/// Word that a replica could not be reached is update to other boxes for this long, in milliseconds: two notes.
+/// Word that a replica could not be reached is update to other boxes for this long, in milliseconds: two updates.
 pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
 /// Such words in one update, at most, the newest first: some 670 bytes, worked out.
@@ -131,10 +131,10 @@
             (age_ms < UNREACHABLE_GOSSIP_MS)
                 .then_some(UnreachableUpdate { replica: row.id_hash, age_ms })
         };
-        let mut notes: Vec<UnreachableUpdate> = self.rows.values().filter_map(update).collect();
-        notes.sort_by_key(|update| update.age_ms);
-        notes.truncate(UNREACHABLE_PER_MESSAGE);
-        notes
+        let mut updates: Vec<UnreachableUpdate> = self.rows.values().filter_map(update).collect();
+        updates.sort_by_key(|update| update.age_ms);
+        updates.truncate(UNREACHABLE_PER_MESSAGE);
+        updates
     }
 
     /// Keeps an answer that a replica left out until it shows what that means.
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -24,7 +24,7 @@
 /// is in need no more.
 pub const LEAST_PER_S: f64 = 0.25;
 
-/// Word of a limit is update on for this long after the replica said it, in milliseconds: several notes pass it on to all
+/// Word of a limit is update on for this long after the replica said it, in milliseconds: several updates pass it on to all
 /// boxes of hundreds.
 pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
@@ -144,10 +144,10 @@
     /// Limits that other boxes are update of.
     pub(super) fn limit_updates(&self, now: BoxTime) -> Vec<LimitUpdate> {
         let update = |row: &BackendState| row.limit.update(row.id_hash, now);
-        let mut notes: Vec<LimitUpdate> = self.rows.values().filter_map(update).collect();
-        notes.sort_by_key(|update| update.age_ms);
-        notes.truncate(LIMITS_TOLD);
-        notes
+        let mut updates: Vec<LimitUpdate> = self.rows.values().filter_map(update).collect();
+        updates.sort_by_key(|update| update.age_ms);
+        updates.truncate(LIMITS_TOLD);
+        updates
     }
 }
 
@@ -170,10 +170,10 @@
     pub(super) fn apply_limits(
         &mut self,
         stamp: EventStamp,
-        notes: &[LimitUpdate],
+        updates: &[LimitUpdate],
         out: &mut Vec<RouteEffect>,
     ) {
-        for update in notes.iter().filter(|update| update.age_ms < LIMIT_GOSSIP_MS) {
+        for update in updates.iter().filter(|update| update.age_ms < LIMIT_GOSSIP_MS) {
             let Some(key) = self.backends.named(update) else { continue };
             self.apply_limit(stamp, key, update.per_s, stamp.now.minus_millis(update.age_ms), out);
         }
