--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -147,8 +147,8 @@
     /// Notes that a request was given to a replica.
     pub fn sent(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.warm_up.note_sent(now);
-            row.limit.note_sent(now);
+            row.warm_up.record_sent(now);
+            row.limit.record_sent(now);
             row.outstanding += 1;
             row.since_report += 1;
         }
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -88,8 +88,8 @@
     }
 
     /// Notes that this box sent a request.
-    pub(super) fn note_sent(&mut self, now: BoxTime) {
-        self.part.note_sent(now);
+    pub(super) fn record_sent(&mut self, now: BoxTime) {
+        self.part.record_sent(now);
     }
 
     /// Takes this box's part in the limit of the replica of hash `replica`.
--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes that this box sent a request.
-    pub(super) fn note_sent(&mut self, now: BoxTime) {
+    pub(super) fn record_sent(&mut self, now: BoxTime) {
         self.sent_at = Some(now);
     }
 
