--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -102,7 +102,7 @@
     }
 
     /// Its reported load, as other boxes are update of it.
-    fn load_note(&self, now: BoxTime) -> LoadUpdate {
+    fn load_update(&self, now: BoxTime) -> LoadUpdate {
         LoadUpdate {
             replica: self.id_hash,
             load: self.reported,
@@ -182,6 +182,6 @@
         let mut rows: Vec<&BackendState> = self.rows.values().filter(tells).collect();
         rows.sort_by(|a, b| b.reported_share().total_cmp(&a.reported_share()));
         rows.truncate(LOADS_PER_MESSAGE);
-        rows.into_iter().map(|row| row.load_note(now)).collect()
+        rows.into_iter().map(|row| row.load_update(now)).collect()
     }
 }
