--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -44,7 +44,7 @@
     pub slots: u32,
 }
 
-/// A busy replica's load, as one box tells it to another: a replica serves many boxes, and each of
+/// A busy replica's load, as one box is_due it to another: a replica serves many boxes, and each of
 /// them hears from it but now and then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadUpdate {
@@ -175,11 +175,11 @@
 
     /// Loads that other boxes should know of.
     pub fn load_updates(&self, now: BoxTime) -> Vec<LoadUpdate> {
-        let tells = |row: &&BackendState| {
+        let is_due = |row: &&BackendState| {
             now.millis_since(row.reported_at) < LOAD_GOSSIP_MS
                 && row.reported_share() >= GOSSIP_LOAD_SHARE
         };
-        let mut rows: Vec<&BackendState> = self.rows.values().filter(tells).collect();
+        let mut rows: Vec<&BackendState> = self.rows.values().filter(is_due).collect();
         rows.sort_by(|a, b| b.reported_share().total_cmp(&a.reported_share()));
         rows.truncate(LOADS_PER_MESSAGE);
         rows.into_iter().map(|row| row.load_update(now)).collect()
