--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -74,8 +74,8 @@
     pub fn load(&self, now: BoxTime) -> f64 {
         let age = now.millis_since(self.reported_at) as f64;
         let left = (-age / REPORT_HALF_LIFE_MS).exp2();
-        let faded = self.typical_load + (f64::from(self.reported) - self.typical_load) * left;
-        let estimate = (faded + f64::from(self.since_report)).max(f64::from(self.outstanding));
+        let decayed = self.typical_load + (f64::from(self.reported) - self.typical_load) * left;
+        let estimate = (decayed + f64::from(self.since_report)).max(f64::from(self.outstanding));
         let cold = if self.cold_until > now { COLD_WEIGHT } else { 1.0 };
         estimate * cold / self.slots()
     }
