--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -12,7 +12,7 @@
 
 /// The usual load of a replica follows its reports with this half-life, in milliseconds: some answers of each box. What is
 /// known of a replica fades to it, not to nothing: one of which no box has heard for long would else look idle to all.
-pub const USUAL_HALF_LIFE_MS: f64 = 1_000.0;
+pub const TYPICAL_HALF_LIFE_MS: f64 = 1_000.0;
 
 /// Part of the usual load that stays with a report, at most, however soon it follows the last one.
 const USUAL_KEPT: f64 = 0.9;
@@ -93,7 +93,7 @@
     /// Takes a report of its load, as of `at`.
     fn apply_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
         let age_ms = at.millis_since(self.reported_at) as f64;
-        let left = (-age_ms / USUAL_HALF_LIFE_MS).exp2().min(USUAL_KEPT);
+        let left = (-age_ms / TYPICAL_HALF_LIFE_MS).exp2().min(USUAL_KEPT);
         self.typical_load += (f64::from(load) - self.typical_load) * (1.0 - left);
         self.reported = load;
         self.reported_waiting = waiting;
