--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -15,7 +15,7 @@
 pub const TYPICAL_HALF_LIFE_MS: f64 = 1_000.0;
 
 /// Part of the usual load that stays with a report, at most, however soon it follows the last one.
-const USUAL_KEPT: f64 = 0.9;
+const TYPICAL_KEPT_SHARE: f64 = 0.9;
 
 /// A waiting request weighs as much as this many running ones in a replica's load. From the bench: late
 /// first events came from replicas with a queue.
@@ -93,7 +93,7 @@
     /// Takes a report of its load, as of `at`.
     fn apply_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
         let age_ms = at.millis_since(self.reported_at) as f64;
-        let left = (-age_ms / TYPICAL_HALF_LIFE_MS).exp2().min(USUAL_KEPT);
+        let left = (-age_ms / TYPICAL_HALF_LIFE_MS).exp2().min(TYPICAL_KEPT_SHARE);
         self.typical_load += (f64::from(load) - self.typical_load) * (1.0 - left);
         self.reported = load;
         self.reported_waiting = waiting;
