--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -73,13 +73,13 @@
     ) -> Option<PromptWork> {
         let prompt = request.prompt?;
         let unknown = ServiceLatency::default();
-        let pace = self.paces.get(&request.service).unwrap_or(&unknown);
+        let latency = self.paces.get(&request.service).unwrap_or(&unknown);
         let size = size.unwrap_or(0);
         let shared = if request.affinity == 0 { 0 } else { mix(request.affinity ^ size as u64) };
         Some(PromptWork {
             shared,
-            shared_ms: pace.read_ms(size, f64::from(prompt.shared)),
-            own_ms: pace.read_ms(size, f64::from(prompt.own)),
+            shared_ms: latency.read_ms(size, f64::from(prompt.shared)),
+            own_ms: latency.read_ms(size, f64::from(prompt.own)),
             kilobytes: request.body_bytes as f64 / 1_000.0,
         })
     }
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -1,4 +1,4 @@
-//! What sends and answers teach: work that waits at replicas, the pace of models, the evidence in a trial.
+//! What sends and answers teach: work that waits at replicas, the latency of models, the evidence in a trial.
 
 use super::backend_health::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
@@ -21,9 +21,9 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(work) = self.prompt_work(request, request.size) else { return };
         let work_ms = pick.work_ms;
-        let pace = self.paces.entry(request.service.clone()).or_default();
-        pace.sent(work_ms);
-        let expected_ms = pick.expected_ms + pace.begin_ms(request.size.unwrap_or(0));
+        let latency = self.paces.entry(request.service.clone()).or_default();
+        latency.sent(work_ms);
+        let expected_ms = pick.expected_ms + latency.begin_ms(request.size.unwrap_or(0));
         self.backends.placed(pick.key, &work, work_ms, expected_ms, stamp.now);
         if work_ms >= PLACEMENT_GOSSIP_WORK_MS {
             let Some(row) = self.backends.get(pick.key) else { return };
@@ -54,8 +54,8 @@
             let shared = if attempt.cached { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
-            let pace = self.paces.entry(request.service.clone()).or_default();
-            pace.learn(request.size.unwrap_or(0), tokens, took_ms);
+            let latency = self.paces.entry(request.service.clone()).or_default();
+            latency.learn(request.size.unwrap_or(0), tokens, took_ms);
         }
     }
 
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -1,9 +1,9 @@
 //! How long engines take to read prompts, learnt from answers, and what a request is expected to cost them.
 //!
-//! The load pattern: models that differ in pace by ten times and prompts that differ in length by a
+//! The load pattern: models that differ in latency by ten times and prompts that differ in length by a
 //! hundred run on the same replicas. What a token of each model takes is not told anywhere, so it is learnt:
 //! a running median, which a wrong guess of what a replica holds or a full queue does not drag along. Where hundreds of
-//! boxes see two requests a second each, one alone would need half a minute to know the pace of the largest model, and
+//! boxes see two requests a second each, one alone would need half a minute to know the latency of the largest model, and
 //! ask it for whatever it is unsure of until then: so boxes tell each other what they have learnt.
 
 use serde::Serialize;
@@ -33,7 +33,7 @@
 /// Weight of one send in the mean work.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// Answers after which a pace is known: what more were seen adds nothing to its weight.
+/// Answers after which a latency is known: what more were seen adds nothing to its weight.
 const KNOWN_ANSWERS: f64 = 30.0;
 
 /// Weight of another box's word against what this one has learnt, where it has seen nothing to speak of: boxes hear some
@@ -52,7 +52,7 @@
     pub answers: f64,
 }
 
-/// What a box tells of the pace of one model.
+/// What a box tells of the latency of one model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelLatency {
     /// Time to read a token.
@@ -151,18 +151,18 @@
         self.mean_ms
     }
 
-    /// The pace of a model; one that was not asked yet is taken for no faster than the one before it.
+    /// The latency of a model; one that was not asked yet is taken for no faster than the one before it.
     fn model(&self, size: usize) -> ModelPace {
-        let known = self.models.get(size).filter(|pace| pace.begin_ms.seen > 0.0);
-        let before = || self.models.iter().take(size).rfind(|pace| pace.begin_ms.seen > 0.0);
+        let known = self.models.get(size).filter(|latency| latency.begin_ms.seen > 0.0);
+        let before = || self.models.iter().take(size).rfind(|latency| latency.begin_ms.seen > 0.0);
         known.or_else(before).copied().unwrap_or_default()
     }
 
     /// What is told to other boxes.
     pub fn told(&self) -> Vec<ModelLatency> {
-        let told = |pace: &ModelPace| ModelLatency {
-            token: pace.token_ms.told(),
-            begin: pace.begin_ms.told(),
+        let told = |latency: &ModelPace| ModelLatency {
+            token: latency.token_ms.told(),
+            begin: latency.begin_ms.told(),
         };
         self.models.iter().map(told).collect()
     }
@@ -190,10 +190,10 @@
         if self.models.len() <= size {
             self.models.resize(size + 1, ModelPace::default());
         }
-        let pace = &mut self.models[size];
-        pace.begin_ms.add(took_ms);
+        let latency = &mut self.models[size];
+        latency.begin_ms.add(took_ms);
         if tokens >= LEARN_TOKENS {
-            pace.token_ms.add((took_ms - pace.begin_ms.value).max(0.0) / tokens);
+            latency.token_ms.add((took_ms - latency.begin_ms.value).max(0.0) / tokens);
         }
     }
 }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -241,18 +241,18 @@
 
 #[test]
 fn the_pace_of_each_model_is_learnt_whatever_a_few_answers_say() {
-    let mut pace = ServiceLatency::default();
+    let mut latency = ServiceLatency::default();
     for round in 0..400 {
         // One answer in five was held up for two seconds.
         let held_up = if round % 5 == 0 { 2_000.0 } else { 0.0 };
         for (size, token_ms) in [(0, 0.008), (2, 0.08)] {
             for tokens in [1_000.0, 4_000.0, 16_000.0] {
-                pace.learn(size, tokens, 20.0 + tokens * token_ms + held_up);
+                latency.learn(size, tokens, 20.0 + tokens * token_ms + held_up);
             }
         }
     }
-    let small = pace.read_ms(0, 10_000.0);
-    let large = pace.read_ms(2, 10_000.0);
+    let small = latency.read_ms(0, 10_000.0);
+    let large = latency.read_ms(2, 10_000.0);
     assert!((60.0..120.0).contains(&small), "{small}");
     assert!((650.0..1_050.0).contains(&large), "{large}");
 }
@@ -306,13 +306,13 @@
     assert!((500..=1_333).contains(&after), "{after}");
 }
 
-/// A pace of which `answers` answers have told that a token takes `token_ms`.
+/// A latency of which `answers` answers have told that a token takes `token_ms`.
 fn learnt(token_ms: f64, answers: usize) -> ServiceLatency {
-    let mut pace = ServiceLatency::default();
+    let mut latency = ServiceLatency::default();
     for _ in 0..answers {
-        pace.learn(0, 10_000.0, 20.0 + 10_000.0 * token_ms);
+        latency.learn(0, 10_000.0, 20.0 + 10_000.0 * token_ms);
     }
-    pace
+    latency
 }
 
 #[test]
