--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -113,12 +113,12 @@
 
 /// Pace of one model on a service's replicas.
 #[derive(Clone, Copy, Debug, Serialize)]
-struct ModelPace {
+struct ModelEstimates {
     token_ms: RunningQuantile,
     begin_ms: RunningQuantile,
 }
 
-impl Default for ModelPace {
+impl Default for ModelEstimates {
     fn default() -> Self {
         Self {
             token_ms: RunningQuantile::new(FIRST_TOKEN_MS, 0.5),
@@ -131,7 +131,7 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServiceLatency {
     /// By row among the route's models; the first also where callers name their own.
-    models: Vec<ModelPace>,
+    models: Vec<ModelEstimates>,
     mean_ms: f64,
 }
 
@@ -152,7 +152,7 @@
     }
 
     /// The latency of a model; one that was not asked yet is taken for no faster than the one before it.
-    fn model(&self, size: usize) -> ModelPace {
+    fn model(&self, size: usize) -> ModelEstimates {
         let known = self.models.get(size).filter(|latency| latency.begin_ms.seen > 0.0);
         let before = || self.models.iter().take(size).rfind(|latency| latency.begin_ms.seen > 0.0);
         known.or_else(before).copied().unwrap_or_default()
@@ -160,7 +160,7 @@
 
     /// What is told to other boxes.
     pub fn told(&self) -> Vec<ModelLatency> {
-        let told = |latency: &ModelPace| ModelLatency {
+        let told = |latency: &ModelEstimates| ModelLatency {
             token: latency.token_ms.told(),
             begin: latency.begin_ms.told(),
         };
@@ -171,7 +171,7 @@
     pub fn merge(&mut self, models: &[ModelLatency]) {
         let count = models.len().min(MODELS_HEARD);
         if self.models.len() < count {
-            self.models.resize(count, ModelPace::default());
+            self.models.resize(count, ModelEstimates::default());
         }
         for (own, other) in self.models.iter_mut().zip(models) {
             own.token_ms.merge(other.token);
@@ -188,7 +188,7 @@
     /// its prompt to be read.
     pub fn learn(&mut self, size: usize, tokens: f64, took_ms: f64) {
         if self.models.len() <= size {
-            self.models.resize(size + 1, ModelPace::default());
+            self.models.resize(size + 1, ModelEstimates::default());
         }
         let latency = &mut self.models[size];
         latency.begin_ms.add(took_ms);
