--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -90,7 +90,7 @@
         self.value *= (2.0 * step).exp();
     }
 
-    fn told(&self) -> LatencyEstimate {
+    fn estimate(&self) -> LatencyEstimate {
         LatencyEstimate { ms: self.value, answers: self.seen.min(KNOWN_ANSWERS) }
     }
 
@@ -160,11 +160,11 @@
 
     /// What is told to other boxes.
     pub fn told(&self) -> Vec<ModelLatency> {
-        let told = |latency: &ModelEstimates| ModelLatency {
-            token: latency.token_ms.told(),
-            begin: latency.begin_ms.told(),
+        let estimates = |latency: &ModelEstimates| ModelLatency {
+            token: latency.token_ms.estimate(),
+            begin: latency.begin_ms.estimate(),
         };
-        self.models.iter().map(told).collect()
+        self.models.iter().map(estimates).collect()
     }
 
     /// Takes what another box has learnt of models that this one knows of.
