--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -99,18 +99,18 @@
     let (ticket, first) = subject.sent(prompt(9, 10_000, 500));
     answer(&mut subject, ticket, 1_050);
     // 300 ms of work there are less than the second that the parts take.
-    subject.feed(RouteEvent::PlacementReceived(told(&first.replica_id, 300)));
+    subject.feed(RouteEvent::PlacementReceived(update_for(&first.replica_id, 300)));
     let (ticket, held) = subject.sent(prompt(9, 10_000, 500));
     assert_eq!(held.replica_id, first.replica_id);
     assert!(held.inputs.affine);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
     // Four seconds of work are more.
-    subject.feed(RouteEvent::PlacementReceived(told(&first.replica_id, 4_000)));
+    subject.feed(RouteEvent::PlacementReceived(update_for(&first.replica_id, 4_000)));
     let (_, spilled) = subject.sent(prompt(9, 10_000, 500));
     assert_ne!(spilled.replica_id, first.replica_id);
 }
 
-fn told(replica: &str, work_ms: u32) -> PlacementUpdate {
+fn update_for(replica: &str, work_ms: u32) -> PlacementUpdate {
     PlacementUpdate { replica: backend_hash(replica), shared: 0, work_ms }
 }
 
@@ -184,7 +184,7 @@
 fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
     let mut subject = taught_box(1, 0.1);
     subject.put(engine("i-west", "west"));
-    subject.feed(RouteEvent::PlacementReceived(told("i-0", waiting_ms)));
+    subject.feed(RouteEvent::PlacementReceived(update_for("i-0", waiting_ms)));
     subject.sent(prompt).1.replica_id
 }
 
