--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -152,10 +152,10 @@
 
     /// Paces of the models of services that have any.
     fn told_paces(&self) -> Vec<LatencyUpdate> {
-        let told = self
-            .paces
-            .iter()
-            .map(|(service, pace)| LatencyUpdate { service: service.clone(), models: pace.told() });
+        let told = self.paces.iter().map(|(service, pace)| LatencyUpdate {
+            service: service.clone(),
+            models: pace.estimates(),
+        });
         told.filter(|note| !note.models.is_empty()).collect()
     }
 
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -159,7 +159,7 @@
     }
 
     /// What is told to other boxes.
-    pub fn told(&self) -> Vec<ModelLatency> {
+    pub fn estimates(&self) -> Vec<ModelLatency> {
         let estimates = |latency: &ModelEstimates| ModelLatency {
             token: latency.token_ms.estimate(),
             begin: latency.begin_ms.estimate(),
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -320,7 +320,7 @@
     let known = learnt(0.2, 100);
     let mut started = ServiceLatency::default();
 
-    started.merge(&known.told());
+    started.merge(&known.estimates());
 
     let tokens = 10_000.0;
     assert!((started.read_ms(0, tokens) - known.read_ms(0, tokens)).abs() < 1.0);
@@ -331,7 +331,7 @@
     let (mut known, other) = (learnt(0.2, 100), learnt(0.02, 1));
     let before = known.read_ms(0, 10_000.0);
 
-    known.merge(&other.told());
+    known.merge(&other.estimates());
 
     let after = known.read_ms(0, 10_000.0);
     assert!((after / before - 1.0).abs() < 0.1, "{before} ms before, {after} ms after");
@@ -346,7 +346,7 @@
             if round % 10 == number {
                 boxes[number].learn(0, 10_000.0, 20.0 + 10_000.0 * 0.06);
             }
-            let word = boxes[number].told();
+            let word = boxes[number].estimates();
             let other = (number + 1 + round) % boxes.len();
             boxes[other].merge(&word);
         }
