--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -43,7 +43,7 @@
 
 fn told_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::SendPlacement(_, told) => Some(*told),
+        RouteEffect::SendPlacement(_, update) => Some(*update),
         _ => None,
     })
 }
@@ -119,10 +119,10 @@
     let mut subject = taught_box(3, 0.1);
     let (_, effects) = subject.arrive(prompt(9, 0, 10_000));
     let order = order_in(&effects).expect("it is sent");
-    let told = told_in(&effects).expect("it is told");
-    assert_eq!(told.replica, backend_hash(&order.replica_id));
+    let update = told_in(&effects).expect("it is told");
+    assert_eq!(update.replica, backend_hash(&order.replica_id));
     let near = |ms: u32| (800..1_200).contains(&ms);
-    assert!(near(told.work_ms), "{told:?}");
+    assert!(near(update.work_ms), "{update:?}");
     let short = (PLACEMENT_GOSSIP_WORK_MS / 0.1 / 2.0) as u32;
     let (_, effects) = subject.arrive(prompt(10, 0, short));
     assert_eq!(told_in(&effects), None);
@@ -134,11 +134,11 @@
     let mut other = taught_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
     let usual = order_in(&effects).expect("it is sent").replica_id;
-    let told = told_in(&effects).expect("it is told");
+    let update = told_in(&effects).expect("it is told");
     // The other box had a reason to have them read elsewhere.
     let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
-    let told = PlacementUpdate { replica: backend_hash(&placed), ..told };
-    subject.feed(RouteEvent::PlacementReceived(told));
+    let update = PlacementUpdate { replica: backend_hash(&placed), ..update };
+    subject.feed(RouteEvent::PlacementReceived(update));
     subject.now += 2_000;
     subject.read_plan(None);
     let (_, order) = subject.sent(prompt(9, 10_000, 500));
@@ -172,7 +172,7 @@
     let (late, slow) = subject.sent(prompt(5, 0, 1_000));
     subject.now += 1_500;
     subject.read_plan(None);
-    // It should have begun after 120 ms: something waits there that nobody told of.
+    // It should have begun after 120 ms: something waits there that nobody update of.
     for affinity in 200..203 {
         let (_, order) = subject.sent(prompt(affinity, 0, 3_000));
         assert_ne!(order.replica_id, slow.replica_id);
@@ -306,7 +306,7 @@
     assert!((500..=1_333).contains(&after), "{after}");
 }
 
-/// A latency of which `answers` answers have told that a token takes `token_ms`.
+/// A latency of which `answers` answers have update that a token takes `token_ms`.
 fn learnt(token_ms: f64, answers: usize) -> ServiceLatency {
     let mut latency = ServiceLatency::default();
     for _ in 0..answers {
