--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -346,9 +346,9 @@
             if round % 10 == number {
                 boxes[number].learn(0, 10_000.0, 20.0 + 10_000.0 * 0.06);
             }
-            let word = boxes[number].estimates();
+            let estimates = boxes[number].estimates();
             let other = (number + 1 + round) % boxes.len();
-            boxes[other].merge(&word);
+            boxes[other].merge(&estimates);
         }
     }
     for subject in &boxes {
