--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -34,7 +34,7 @@
 const MEAN_WEIGHT: f64 = 0.02;
 
 /// Answers after which a latency is known: what more were seen adds nothing to its weight.
-const KNOWN_ANSWERS: f64 = 30.0;
+const FULL_WEIGHT_ANSWERS: f64 = 30.0;
 
 /// Weight of another box's word against what this one has learnt, where it has seen nothing to speak of: boxes hear some
 /// words a second, and one that is far off is soon outweighed.
@@ -91,7 +91,7 @@
     }
 
     fn estimate(&self) -> LatencyEstimate {
-        LatencyEstimate { ms: self.value, answers: self.seen.min(KNOWN_ANSWERS) }
+        LatencyEstimate { ms: self.value, answers: self.seen.min(FULL_WEIGHT_ANSWERS) }
     }
 
     /// Comes nearer to what another box has learnt, by how much each of them has seen.
@@ -100,12 +100,12 @@
         if !sound || other.answers < 1.0 {
             return;
         }
-        let answers = other.answers.min(KNOWN_ANSWERS);
+        let answers = other.answers.min(FULL_WEIGHT_ANSWERS);
         if self.seen == 0.0 {
             (self.value, self.seen) = (other.ms, answers);
             return;
         }
-        let part = HEARD_WEIGHT * answers / (answers + self.seen.min(KNOWN_ANSWERS));
+        let part = HEARD_WEIGHT * answers / (answers + self.seen.min(FULL_WEIGHT_ANSWERS));
         self.value *= (other.ms / self.value).powf(part);
         self.seen = self.seen.max(answers);
     }
