--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -38,7 +38,7 @@
 
 /// Weight of another box's word against what this one has learnt, where it has seen nothing to speak of: boxes hear some
 /// words a second, and one that is far off is soon outweighed.
-const HEARD_WEIGHT: f64 = 0.5;
+const REMOTE_WEIGHT: f64 = 0.5;
 
 /// Models of a service of which word is taken, at most: what a wrong note may cost in memory.
 const MODELS_HEARD: usize = 64;
@@ -105,7 +105,7 @@
             (self.value, self.seen) = (other.ms, answers);
             return;
         }
-        let part = HEARD_WEIGHT * answers / (answers + self.seen.min(FULL_WEIGHT_ANSWERS));
+        let part = REMOTE_WEIGHT * answers / (answers + self.seen.min(FULL_WEIGHT_ANSWERS));
         self.value *= (other.ms / self.value).powf(part);
         self.seen = self.seen.max(answers);
     }
