--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -41,7 +41,7 @@
 const REMOTE_WEIGHT: f64 = 0.5;
 
 /// Models of a service of which word is taken, at most: what a wrong note may cost in memory.
-const MODELS_HEARD: usize = 64;
+const REMOTE_MODEL_LIMIT: usize = 64;
 
 /// What a box tells of a quantile that it learnt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -169,7 +169,7 @@
 
     /// Takes what another box has learnt of models that this one knows of.
     pub fn merge(&mut self, models: &[ModelLatency]) {
-        let count = models.len().min(MODELS_HEARD);
+        let count = models.len().min(REMOTE_MODEL_LIMIT);
         if self.models.len() < count {
             self.models.resize(count, ModelEstimates::default());
         }
