--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -28,7 +28,7 @@
 const BEGIN_PART: f64 = 0.1;
 
 /// Prompts with fewer tokens to be read say nothing of the time for a token.
-const LEARN_TOKENS: f64 = 500.0;
+const MIN_LEARN_TOKENS: f64 = 500.0;
 
 /// Weight of one send in the mean work.
 const MEAN_WEIGHT: f64 = 0.02;
@@ -192,7 +192,7 @@
         }
         let latency = &mut self.models[size];
         latency.begin_ms.add(took_ms);
-        if tokens >= LEARN_TOKENS {
+        if tokens >= MIN_LEARN_TOKENS {
             latency.token_ms.add((took_ms - latency.begin_ms.value).max(0.0) / tokens);
         }
     }
