--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -10,7 +10,7 @@
 
 /// Time to read a token before any answer came, in milliseconds. Any will do: some thirty answers later
 /// it is forgotten.
-const FIRST_TOKEN_MS: f64 = 0.03;
+const INITIAL_TOKEN_MS: f64 = 0.03;
 
 /// Time to begin an answer without its prompt, before any answer came, in milliseconds.
 const FIRST_BEGIN_MS: f64 = 20.0;
@@ -121,7 +121,7 @@
 impl Default for ModelEstimates {
     fn default() -> Self {
         Self {
-            token_ms: RunningQuantile::new(FIRST_TOKEN_MS, 0.5),
+            token_ms: RunningQuantile::new(INITIAL_TOKEN_MS, 0.5),
             begin_ms: RunningQuantile::new(FIRST_BEGIN_MS, BEGIN_PART),
         }
     }
