--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -13,7 +13,7 @@
 const INITIAL_TOKEN_MS: f64 = 0.03;
 
 /// Time to begin an answer without its prompt, before any answer came, in milliseconds.
-const FIRST_BEGIN_MS: f64 = 20.0;
+const INITIAL_BEGIN_MS: f64 = 20.0;
 
 /// Least step of a running median, as a part of it: it follows a change by a half within 14 answers.
 const STEP: f64 = 0.05;
@@ -122,7 +122,7 @@
     fn default() -> Self {
         Self {
             token_ms: RunningQuantile::new(INITIAL_TOKEN_MS, 0.5),
-            begin_ms: RunningQuantile::new(FIRST_BEGIN_MS, BEGIN_PART),
+            begin_ms: RunningQuantile::new(INITIAL_BEGIN_MS, BEGIN_PART),
         }
     }
 }
