--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -19,7 +19,7 @@
 const STEP: f64 = 0.05;
 
 /// First step, as a part: the first answers find the order of magnitude.
-const FIRST_STEP: f64 = 0.7;
+const INITIAL_STEP: f64 = 0.7;
 
 /// Answers that take the step down by a half.
 const STEP_ANSWERS: f64 = 3.0;
@@ -85,7 +85,7 @@
 
     fn add(&mut self, sample: f64) {
         self.seen += 1.0;
-        let step = STEP.max(FIRST_STEP / (1.0 + self.seen / STEP_ANSWERS));
+        let step = STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_ANSWERS));
         let step = if sample > self.value { step * self.part } else { step * (self.part - 1.0) };
         self.value *= (2.0 * step).exp();
     }
