--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -16,7 +16,7 @@
 const INITIAL_BEGIN_MS: f64 = 20.0;
 
 /// Least step of a running median, as a part of it: it follows a change by a half within 14 answers.
-const STEP: f64 = 0.05;
+const MIN_STEP: f64 = 0.05;
 
 /// First step, as a part: the first answers find the order of magnitude.
 const INITIAL_STEP: f64 = 0.7;
@@ -85,7 +85,7 @@
 
     fn add(&mut self, sample: f64) {
         self.seen += 1.0;
-        let step = STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_ANSWERS));
+        let step = MIN_STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_ANSWERS));
         let step = if sample > self.value { step * self.part } else { step * (self.part - 1.0) };
         self.value *= (2.0 * step).exp();
     }
