--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -22,7 +22,7 @@
 const INITIAL_STEP: f64 = 0.7;
 
 /// Answers that take the step down by a half.
-const STEP_ANSWERS: f64 = 3.0;
+const STEP_HALVING_ANSWERS: f64 = 3.0;
 
 /// Part of the answers that begin sooner than the time to begin: it is that of the quickest.
 const BEGIN_PART: f64 = 0.1;
@@ -85,7 +85,7 @@
 
     fn add(&mut self, sample: f64) {
         self.seen += 1.0;
-        let step = MIN_STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_ANSWERS));
+        let step = MIN_STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_HALVING_ANSWERS));
         let step = if sample > self.value { step * self.part } else { step * (self.part - 1.0) };
         self.value *= (2.0 * step).exp();
     }
