--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -25,7 +25,7 @@
 const STEP_HALVING_ANSWERS: f64 = 3.0;
 
 /// Part of the answers that begin sooner than the time to begin: it is that of the quickest.
-const BEGIN_PART: f64 = 0.1;
+const BEGIN_QUANTILE: f64 = 0.1;
 
 /// Prompts with fewer tokens to be read say nothing of the time for a token.
 const MIN_LEARN_TOKENS: f64 = 500.0;
@@ -122,7 +122,7 @@
     fn default() -> Self {
         Self {
             token_ms: RunningQuantile::new(INITIAL_TOKEN_MS, 0.5),
-            begin_ms: RunningQuantile::new(INITIAL_BEGIN_MS, BEGIN_PART),
+            begin_ms: RunningQuantile::new(INITIAL_BEGIN_MS, BEGIN_QUANTILE),
         }
     }
 }
