--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -15,7 +15,7 @@
 /// same choose the same: where three of six replicas of six slots were left at a load of two thirds, 205 of 2,494 calls of
 /// 300 boxes were late or refused with the lightest of all; with two drawn, and loads that fade to the usual one, none of
 /// 2,458 (virtual time).
-const DRAWN: usize = 2;
+const SAMPLE_SIZE: usize = 2;
 
 /// Which replicas a pick may take.
 #[derive(Clone, Copy, Debug)]
@@ -158,7 +158,7 @@
         let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ query.random);
         let mut drawn = pool.to_vec();
         drawn.sort_by_key(order);
-        drawn.truncate(DRAWN);
+        drawn.truncate(SAMPLE_SIZE);
         drawn.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
     }
 
