--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -13,7 +13,7 @@
 
 /// Replicas of which a plain call takes the lightest. Each box hears of a replica's load now and then, and those that heard the
 /// same choose the same: where three of six replicas of six slots were left at a load of two thirds, 205 of 2,494 calls of
-/// 300 boxes were late or refused with the lightest of all; with two drawn, and loads that fade to the usual one, none of
+/// 300 boxes were late or refused with the lightest of all; with two sample, and loads that fade to the usual one, none of
 /// 2,458 (virtual time).
 const SAMPLE_SIZE: usize = 2;
 
@@ -148,7 +148,7 @@
         usable.peek().is_some() && usable.all(|row| evacuated.contains(&row.entry.zone))
     }
 
-    /// The lightest of some replicas drawn by chance; the box's own zone counts for something.
+    /// The lightest of some replicas sample by chance; the box's own zone counts for something.
     fn lightest(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
@@ -156,10 +156,10 @@
             row.load(query.now) + far
         };
         let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ query.random);
-        let mut drawn = pool.to_vec();
-        drawn.sort_by_key(order);
-        drawn.truncate(SAMPLE_SIZE);
-        drawn.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
+        let mut sample = pool.to_vec();
+        sample.sort_by_key(order);
+        sample.truncate(SAMPLE_SIZE);
+        sample.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
     }
 
     /// The replica where placing a prompt costs least; ties go by chance.
