--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -54,7 +54,7 @@
 }
 
 impl VersionFilter<'_> {
-    fn takes(self, version: &str) -> bool {
+    fn matches(self, version: &str) -> bool {
         match self {
             VersionFilter::Any => true,
             VersionFilter::Only(wanted) => version == wanted,
@@ -96,7 +96,7 @@
                 && query.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
                 && !(query.bounds_cold && row.too_cold(query.now))
                 && row.accepts_requests(query.now)
-                && query.version.takes(&row.entry.version)
+                && query.version.matches(&row.entry.version)
                 && !query.tried.contains(*key)
         };
         let usable: Vec<ReplicaKey> = keys.iter().filter(fits).copied().collect();
