--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -107,7 +107,7 @@
             .collect();
         // With more than half passed over the cause is not the replicas.
         let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
-        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.asks(query.now));
+        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
         if let Some(asked) = asked {
             pool = vec![asked];
         }
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -99,7 +99,7 @@
     }
 
     /// Whether this box is to find out how the replica is.
-    pub(super) fn asks(&self, now: BoxTime) -> bool {
+    pub(super) fn needs_probe(&self, now: BoxTime) -> bool {
         let silent = |at: BoxTime| now.millis_since(at) >= ASK_AFTER_MS;
         self.binds(now) && self.said_at.is_some_and(silent) && self.allows(now)
     }
