--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -107,9 +107,9 @@
             .collect();
         // With more than half passed over the cause is not the replicas.
         let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
-        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
-        if let Some(asked) = asked {
-            pool = vec![asked];
+        let probe = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
+        if let Some(probe) = probe {
+            pool = vec![probe];
         }
         let placed = query.work.and_then(|work| self.cheapest(&pool, query, &work));
         let (key, view) = match placed {
