--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -100,13 +100,13 @@
                 && !query.tried.contains(*key)
         };
         let usable: Vec<ReplicaKey> = keys.iter().filter(fits).copied().collect();
-        let well: Vec<ReplicaKey> = usable
+        let healthy: Vec<ReplicaKey> = usable
             .iter()
             .copied()
             .filter(|key| self.rows[*key].ejected_until <= query.now)
             .collect();
         // With more than half passed over the cause is not the replicas.
-        let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
+        let mut pool = if healthy.len() * 2 < usable.len() { usable } else { healthy };
         let probe = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
         if let Some(probe) = probe {
             pool = vec![probe];
