--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -121,8 +121,8 @@
     let order = order_in(&effects).expect("it is sent");
     let update = told_in(&effects).expect("it is told");
     assert_eq!(update.replica, backend_hash(&order.replica_id));
-    let near = |ms: u32| (800..1_200).contains(&ms);
-    assert!(near(update.work_ms), "{update:?}");
+    let about = |ms: u32| (800..1_200).contains(&ms);
+    assert!(about(update.work_ms), "{update:?}");
     let short = (PLACEMENT_GOSSIP_WORK_MS / 0.1 / 2.0) as u32;
     let (_, effects) = subject.arrive(prompt(10, 0, short));
     assert_eq!(told_in(&effects), None);
