--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -175,7 +175,7 @@
             let mut view = row.view(query.now);
             view.holds = row.held.contains(work.shared, query.now);
             view.holder = holder == Some(*key);
-            view.near = row.entry.zone == query.zone;
+            view.same_zone = row.entry.zone == query.zone;
             (*key, view)
         };
         let weigh = |(key, view): (ReplicaKey, ReplicaView)| {
@@ -199,8 +199,8 @@
             return None;
         }
         let weight = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ work.shared);
-        let near = |key: &ReplicaKey| self.rows[*key].entry.zone == query.zone;
-        let own = pool.iter().copied().filter(near).min_by_key(weight);
+        let same_zone = |key: &ReplicaKey| self.rows[*key].entry.zone == query.zone;
+        let own = pool.iter().copied().filter(same_zone).min_by_key(weight);
         own.filter(|_| work.held_by_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
     }
 }
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -96,7 +96,7 @@
     /// Whether it is the one that all boxes have the shared parts read at.
     pub holder: bool,
     /// Whether it is in the box's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
 }
 
 impl ReplicaView {
@@ -110,7 +110,7 @@
     pub fn cost_ms(&self, work: &PromptWork) -> f64 {
         let again =
             if self.holds || self.holder { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
-        let crossing = if self.near { 0.0 } else { work.crossing_ms() };
+        let crossing = if self.same_zone { 0.0 } else { work.crossing_ms() };
         self.expected_ms(work) + again + crossing
     }
 }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -269,11 +269,12 @@
 #[test]
 fn a_view_costs_what_waits_what_is_read_and_what_crosses() {
     let work = PromptWork { shared: 1, shared_ms: 100.0, own_ms: 20.0, kilobytes: 5.0 };
-    let view = ReplicaView { slowness: 1.0, near: true, holds: true, ..ReplicaView::default() };
+    let view =
+        ReplicaView { slowness: 1.0, same_zone: true, holds: true, ..ReplicaView::default() };
     assert_eq!(view.cost_ms(&work), 20.0);
     assert_eq!(ReplicaView { wait_ms: 50.0, ..view }.cost_ms(&work), 70.0);
     assert_eq!(ReplicaView { slowness: 3.0, ..view }.cost_ms(&work), 60.0);
-    assert_eq!(ReplicaView { near: false, ..view }.cost_ms(&work), 20.0 + 5.0 * ZONE_KB_MS);
+    assert_eq!(ReplicaView { same_zone: false, ..view }.cost_ms(&work), 20.0 + 5.0 * ZONE_KB_MS);
     let lacks = ReplicaView { holds: false, ..view };
     assert!(lacks.cost_ms(&work) > ReplicaView { holder: true, ..lacks }.cost_ms(&work));
 }
