--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -176,7 +176,7 @@
             on_trial,
             pauses: 0,
             counted_bad: false,
-            cached: pick.holds,
+            cached: pick.cached,
             was_idle: pick.wait_ms <= IDLE_WORK_MS,
         });
         request.tried.push(pick.key);
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -75,7 +75,7 @@
     /// Whether it is known to hold the prompt's shared parts, or is to hold them for all.
     pub affine: bool,
     /// Whether it is known to hold them.
-    pub holds: bool,
+    pub cached: bool,
     /// Until the answer is expected to begin, beside what an idle replica takes for an empty prompt, in
     /// milliseconds; 0 without a prompt.
     pub expected_ms: f64,
@@ -121,11 +121,11 @@
             key,
             load: self.rows[key].load(query.now),
             candidates: pool.len(),
-            affine: view.is_some_and(|view| view.holds || view.holder),
-            holds: view.is_some_and(|view| view.holds),
+            affine: view.is_some_and(|view| view.cached || view.holder),
+            cached: view.is_some_and(|view| view.cached),
             expected_ms: expected,
             wait_ms: view.map_or(0.0, |view| view.wait_ms),
-            work_ms: view.zip(query.work).map_or(0.0, |(view, work)| work.read_ms(view.holds)),
+            work_ms: view.zip(query.work).map_or(0.0, |(view, work)| work.read_ms(view.cached)),
         })
     }
 
@@ -173,7 +173,7 @@
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let mut view = row.view(query.now);
-            view.holds = row.held.contains(work.shared, query.now);
+            view.cached = row.held.contains(work.shared, query.now);
             view.holder = holder == Some(*key);
             view.same_zone = row.entry.zone == query.zone;
             (*key, view)
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -6,7 +6,7 @@
 //! a prompt's shared parts is worth waiting for exactly as long as they take to read; another availability
 //! zone is worth its bytes where the time that it saves is longer. No margin of load says either.
 
-/// Reading shared parts that another replica holds takes the replica's time from those that come after,
+/// Reading shared parts that another replica cached takes the replica's time from those that come after,
 /// too: it counts this many times beside the request's own delay.
 pub const READ_AGAIN_WEIGHT: f64 = 1.0;
 
@@ -77,8 +77,8 @@
     }
 
     /// Time to read what a replica lacks, in milliseconds.
-    pub fn read_ms(&self, holds: bool) -> f64 {
-        self.own_ms + if holds { 0.0 } else { self.shared_ms }
+    pub fn read_ms(&self, cached: bool) -> f64 {
+        self.own_ms + if cached { 0.0 } else { self.shared_ms }
     }
 }
 
@@ -92,7 +92,7 @@
     /// Its load as a share of its slots: prompts are read between the tokens of what runs.
     pub load: f64,
     /// Whether it is known to hold the prompt's shared parts.
-    pub holds: bool,
+    pub cached: bool,
     /// Whether it is the one that all boxes have the shared parts read at.
     pub holder: bool,
     /// Whether it is in the box's availability zone.
@@ -103,13 +103,13 @@
     /// Time until the answer begins, without what it takes on an idle replica beside reading, in
     /// milliseconds.
     pub fn expected_ms(&self, work: &PromptWork) -> f64 {
-        self.slowness * (self.wait_ms + work.read_ms(self.holds) * (1.0 + self.load))
+        self.slowness * (self.wait_ms + work.read_ms(self.cached) * (1.0 + self.load))
     }
 
     /// What placing the request there costs, in milliseconds.
     pub fn cost_ms(&self, work: &PromptWork) -> f64 {
         let again =
-            if self.holds || self.holder { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
+            if self.cached || self.holder { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
         let crossing = if self.same_zone { 0.0 } else { work.crossing_ms() };
         self.expected_ms(work) + again + crossing
     }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -270,12 +270,12 @@
 fn a_view_costs_what_waits_what_is_read_and_what_crosses() {
     let work = PromptWork { shared: 1, shared_ms: 100.0, own_ms: 20.0, kilobytes: 5.0 };
     let view =
-        ReplicaView { slowness: 1.0, same_zone: true, holds: true, ..ReplicaView::default() };
+        ReplicaView { slowness: 1.0, same_zone: true, cached: true, ..ReplicaView::default() };
     assert_eq!(view.cost_ms(&work), 20.0);
     assert_eq!(ReplicaView { wait_ms: 50.0, ..view }.cost_ms(&work), 70.0);
     assert_eq!(ReplicaView { slowness: 3.0, ..view }.cost_ms(&work), 60.0);
     assert_eq!(ReplicaView { same_zone: false, ..view }.cost_ms(&work), 20.0 + 5.0 * ZONE_KB_MS);
-    let lacks = ReplicaView { holds: false, ..view };
+    let lacks = ReplicaView { cached: false, ..view };
     assert!(lacks.cost_ms(&work) > ReplicaView { holder: true, ..lacks }.cost_ms(&work));
 }
 
@@ -283,7 +283,7 @@
 fn what_would_not_begin_before_its_deadline_is_turned_away_at_once_and_spread() {
     let mut subject = taught_box(2, 0.1);
     let mut after = Vec::new();
-    // Prompts of a second each, a hundred at once, before two replicas: what is left of four seconds holds
+    // Prompts of a second each, a hundred at once, before two replicas: what is left of four seconds cached
     // eight of them.
     for number in 0..100 {
         let (_, effects) = subject.arrive(prompt(300 + number, 0, 10_000));
