--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -121,7 +121,7 @@
             key,
             load: self.rows[key].load(query.now),
             candidates: pool.len(),
-            affine: view.is_some_and(|view| view.cached || view.holder),
+            affine: view.is_some_and(|view| view.cached || view.designated),
             cached: view.is_some_and(|view| view.cached),
             expected_ms: expected,
             wait_ms: view.map_or(0.0, |view| view.wait_ms),
@@ -169,12 +169,12 @@
         query: &BackendQuery,
         work: &PromptWork,
     ) -> Option<(ReplicaKey, ReplicaView)> {
-        let holder = self.holder(pool, query, work);
+        let designated = self.designated(pool, query, work);
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let mut view = row.view(query.now);
             view.cached = row.held.contains(work.shared, query.now);
-            view.holder = holder == Some(*key);
+            view.designated = designated == Some(*key);
             view.same_zone = row.entry.zone == query.zone;
             (*key, view)
         };
@@ -189,7 +189,7 @@
 
     /// The replica that is taken to hold a prompt's shared parts where this box knows of none: the same
     /// from every box, or from every box of a zone, by the hashes of its id and the parts alone.
-    fn holder(
+    fn designated(
         &self,
         pool: &[ReplicaKey],
         query: &BackendQuery,
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -2,7 +2,7 @@
 //! begin, and what the choice takes from others.
 //!
 //! The load pattern: replicas go down at full load, or a burst of long prompts comes, and a prompt that is
-//! put behind another of a large model begins seconds late while a replica beside it is free. The holder of
+//! put behind another of a large model begins seconds late while a replica beside it is free. The designated of
 //! a prompt's shared parts is worth waiting for exactly as long as they take to read; another availability
 //! zone is worth its bytes where the time that it saves is longer. No margin of load says either.
 
@@ -94,7 +94,7 @@
     /// Whether it is known to hold the prompt's shared parts.
     pub cached: bool,
     /// Whether it is the one that all boxes have the shared parts read at.
-    pub holder: bool,
+    pub designated: bool,
     /// Whether it is in the box's availability zone.
     pub same_zone: bool,
 }
@@ -109,7 +109,7 @@
     /// What placing the request there costs, in milliseconds.
     pub fn cost_ms(&self, work: &PromptWork) -> f64 {
         let again =
-            if self.cached || self.holder { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
+            if self.cached || self.designated { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
         let crossing = if self.same_zone { 0.0 } else { work.crossing_ms() };
         self.expected_ms(work) + again + crossing
     }
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -276,7 +276,7 @@
     assert_eq!(ReplicaView { slowness: 3.0, ..view }.cost_ms(&work), 60.0);
     assert_eq!(ReplicaView { same_zone: false, ..view }.cost_ms(&work), 20.0 + 5.0 * ZONE_KB_MS);
     let lacks = ReplicaView { cached: false, ..view };
-    assert!(lacks.cost_ms(&work) > ReplicaView { holder: true, ..lacks }.cost_ms(&work));
+    assert!(lacks.cost_ms(&work) > ReplicaView { designated: true, ..lacks }.cost_ms(&work));
 }
 
 #[test]
