--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -10,7 +10,7 @@
 use crate::fixture::{ask, head, note_in, ready_box, TestBox};
 
 /// The replica that holds the parts of `affinity`, as this box sends a first request for them.
-fn holder(subject: &mut TestBox, affinity: u64) -> String {
+fn designated_replica(subject: &mut TestBox, affinity: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { affinity, ..ask("/chat/x") });
     subject.feed(RouteEvent::CallerDisconnected(ticket));
     subject.now += 60_000;
@@ -30,7 +30,7 @@
 #[test]
 fn a_replica_that_another_box_found_full_is_passed_over_for_its_parts() {
     let mut subject = ready_box();
-    let full = holder(&mut subject, 9);
+    let full = designated_replica(&mut subject, 9);
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
     subject.feed(note_of_loads(vec![load]));
     let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
@@ -40,7 +40,7 @@
 #[test]
 fn an_older_word_on_a_load_changes_nothing() {
     let mut subject = ready_box();
-    let full = holder(&mut subject, 9);
+    let full = designated_replica(&mut subject, 9);
     let (ticket, _) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     let idle = BackendLoad { running: 0, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
