--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -201,6 +201,6 @@
         let weight = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ work.shared);
         let same_zone = |key: &ReplicaKey| self.rows[*key].entry.zone == query.zone;
         let own = pool.iter().copied().filter(same_zone).min_by_key(weight);
-        own.filter(|_| work.held_by_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
+        own.filter(|_| work.cached_per_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
     }
 }
--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether each zone is to hold the shared parts, in place of one replica for all.
-    pub fn held_by_zone(&self) -> bool {
+    pub fn cached_per_zone(&self) -> bool {
         self.shared_ms <= ZONE_READS * self.crossing_ms()
     }
 
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -199,8 +199,8 @@
 #[test]
 fn cheap_shared_parts_are_held_in_each_zone_and_dear_ones_once() {
     let work = PromptWork { shared: 1, shared_ms: 50.0, own_ms: 10.0, kilobytes: 10.0 };
-    assert!(work.held_by_zone());
-    assert!(!PromptWork { shared_ms: 2_000.0, ..work }.held_by_zone());
+    assert!(work.cached_per_zone());
+    assert!(!PromptWork { shared_ms: 2_000.0, ..work }.cached_per_zone());
 }
 
 #[test]
