--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -18,7 +18,7 @@
 
 /// Shared parts are held once in each zone where reading them takes at most this many times what sending a
 /// prompt to another zone costs: they are asked for again within minutes, and else cross each time.
-pub const ZONE_READS: f64 = 4.0;
+pub const ZONE_CACHE_RATIO: f64 = 4.0;
 
 /// A prompt that takes a replica at least this long is told to other boxes at once, in milliseconds: what
 /// is shorter drains before others' next requests.
@@ -73,7 +73,7 @@
 
     /// Whether each zone is to hold the shared parts, in place of one replica for all.
     pub fn cached_per_zone(&self) -> bool {
-        self.shared_ms <= ZONE_READS * self.crossing_ms()
+        self.shared_ms <= ZONE_CACHE_RATIO * self.crossing_ms()
     }
 
     /// Time to read what a replica lacks, in milliseconds.
