--- a/crates/core/src/route/prefix_cache.rs
+++ b/crates/core/src/route/prefix_cache.rs
@@ -6,7 +6,7 @@
 
 /// Parts that were last read longer ago are taken to have given way to others, in milliseconds. An engine's
 /// memory holds some half a million tokens, and a busy one reads them within about half a minute.
-pub const HELD_MS: u64 = 30_000;
+pub const PREFIX_KEPT_MS: u64 = 30_000;
 
 /// Prompts remembered for each replica, at most.
 const HELD_LIMIT: usize = 512;
@@ -18,7 +18,7 @@
 impl PrefixCache {
     /// Whether they are held.
     pub fn contains(&self, shared: u64, now: BoxTime) -> bool {
-        self.0.get(&shared).is_some_and(|at| now.millis_since(*at) < HELD_MS)
+        self.0.get(&shared).is_some_and(|at| now.millis_since(*at) < PREFIX_KEPT_MS)
     }
 
     /// Notes that they are read.
@@ -27,7 +27,7 @@
             return;
         }
         if self.0.len() >= HELD_LIMIT {
-            self.0.retain(|_, at| now.millis_since(*at) < HELD_MS / 2);
+            self.0.retain(|_, at| now.millis_since(*at) < PREFIX_KEPT_MS / 2);
         }
         if self.0.len() < HELD_LIMIT {
             self.0.insert(shared, now);
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -14,7 +14,7 @@
 use ravenspoke_core::route::placement::{
     PlacementUpdate, PromptWork, ReplicaView, PLACEMENT_GOSSIP_WORK_MS, ZONE_KB_MS,
 };
-use ravenspoke_core::route::prefix_cache::{PrefixCache, HELD_MS};
+use ravenspoke_core::route::prefix_cache::{PrefixCache, PREFIX_KEPT_MS};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, refusal_in, TestBox};
@@ -261,8 +261,8 @@
 fn held_parts_are_forgotten_after_a_while() {
     let mut cache = PrefixCache::default();
     cache.insert(7, BoxTime::from_millis(1_000));
-    assert!(cache.contains(7, BoxTime::from_millis(1_000 + HELD_MS - 1)));
-    assert!(!cache.contains(7, BoxTime::from_millis(1_000 + HELD_MS)));
+    assert!(cache.contains(7, BoxTime::from_millis(1_000 + PREFIX_KEPT_MS - 1)));
+    assert!(!cache.contains(7, BoxTime::from_millis(1_000 + PREFIX_KEPT_MS)));
     assert!(!cache.contains(8, BoxTime::from_millis(1_000)));
 }
 
