--- a/crates/core/src/route/prefix_cache.rs
+++ b/crates/core/src/route/prefix_cache.rs
@@ -9,7 +9,7 @@
 pub const PREFIX_KEPT_MS: u64 = 30_000;
 
 /// Prompts remembered for each replica, at most.
-const HELD_LIMIT: usize = 512;
+const PREFIX_LIMIT: usize = 512;
 
 /// Shared parts held by one replica, by [`super::placement::PromptWork::shared`].
 #[derive(Clone, Debug, Default)]
@@ -26,10 +26,10 @@
         if shared == 0 {
             return;
         }
-        if self.0.len() >= HELD_LIMIT {
+        if self.0.len() >= PREFIX_LIMIT {
             self.0.retain(|_, at| now.millis_since(*at) < PREFIX_KEPT_MS / 2);
         }
-        if self.0.len() < HELD_LIMIT {
+        if self.0.len() < PREFIX_LIMIT {
             self.0.insert(shared, now);
         }
     }
