--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -41,14 +41,14 @@
 const SMALL_URGENCY: u8 = 0;
 
 /// Urgency of any other prompt: what replicas take one without a word for.
-const USUAL_URGENCY: u8 = 5;
+const DEFAULT_URGENCY: u8 = 5;
 
 /// Urgency at a replica of a prompt for the model in row `size`.
 pub fn urgency(size: usize) -> u8 {
     if size == 0 {
         SMALL_URGENCY
     } else {
-        USUAL_URGENCY
+        DEFAULT_URGENCY
     }
 }
 
