--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -26,7 +26,7 @@
 use crate::time::BoxTime;
 
 /// Ends under one content after which it is sent no further, whatever its requests.
-pub const FATAL_ENDS: usize = 3;
+pub const POISON_CRASHES: usize = 3;
 
 /// The same where the ends were under different requests: a bystander is mostly one request that is sent on.
 pub const FATAL_ENDS_APART: usize = 2;
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::poison::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, POISON_CRASHES, UNHEARD_MS,
 };
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -302,7 +302,7 @@
         replica: backend_hash(&format!("gone-{number}")),
         age_ms: 500 * number,
     };
-    subject.feed(told((0..FATAL_ENDS as u64).map(end).collect()));
+    subject.feed(told((0..POISON_CRASHES as u64).map(end).collect()));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     subject.now += FATAL_BINDS_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
