--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -29,7 +29,7 @@
 pub const POISON_CRASHES: usize = 3;
 
 /// The same where the ends were under different requests: a bystander is mostly one request that is sent on.
-pub const FATAL_ENDS_APART: usize = 2;
+pub const POISON_CRASHES_DISTINCT: usize = 2;
 
 /// Ends of replicas under different requests within this count once, in milliseconds: what takes many at once is no request.
 pub const SAME_MOMENT_MS: u64 = 100;
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -4,7 +4,7 @@
 
 use super::{
     CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, END_SPREAD_MS, FATAL_BINDS_MS,
-    FATAL_ENDS_APART, FATAL_KEPT_MS, POISON_CRASHES, REQUESTS_KEPT, SAME_MOMENT_MS,
+    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SAME_MOMENT_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -142,7 +142,8 @@
     fn judge(&mut self, now: BoxTime) {
         let ends = self.counted(now);
         let requests: BTreeSet<u64> = ends.iter().flat_map(|end| &end.requests).copied().collect();
-        let apart = requests.len() >= FATAL_ENDS_APART && ends.len() >= FATAL_ENDS_APART;
+        let apart =
+            requests.len() >= POISON_CRASHES_DISTINCT && ends.len() >= POISON_CRASHES_DISTINCT;
         if self.fatal_at.is_some() || apart || ends.len() >= POISON_CRASHES {
             self.fatal_at = self.fatal_at.max(ends.iter().map(|end| end.at).max());
         }
