--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -32,7 +32,7 @@
 pub const POISON_CRASHES_DISTINCT: usize = 2;
 
 /// Ends of replicas under different requests within this count once, in milliseconds: what takes many at once is no request.
-pub const SAME_MOMENT_MS: u64 = 100;
+pub const SIMULTANEOUS_MS: u64 = 100;
 
 /// A replica that this box has heard nothing of for so long after an attempt broke is taken to have ended, in milliseconds:
 /// another that only broke a connection answers somebody meanwhile.
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -4,7 +4,7 @@
 
 use super::{
     CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, END_SPREAD_MS, FATAL_BINDS_MS,
-    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SAME_MOMENT_MS,
+    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -42,7 +42,7 @@
     /// each other.
     fn is_together(&self, first: &ReplicaEnd) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
-        !shared && self.at.millis_since(first.at) < SAME_MOMENT_MS
+        !shared && self.at.millis_since(first.at) < SIMULTANEOUS_MS
     }
 }
 
