--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -36,7 +36,7 @@
 
 /// A replica that this box has heard nothing of for so long after an attempt broke is taken to have ended, in milliseconds:
 /// another that only broke a connection answers somebody meanwhile.
-pub const UNHEARD_MS: u64 = 300;
+pub const CRASH_SILENCE_MS: u64 = 300;
 
 /// A replica that tells its load so long after an attempt broke has not ended, in milliseconds: what it said before that was
 /// under way.
@@ -207,7 +207,9 @@
         match unreachable_at {
             Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => EndFate::Ended,
             _ if lived => EndFate::Lived,
-            _ if self.reported_at < at && now.millis_since(at) >= UNHEARD_MS => EndFate::Ended,
+            _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
+                EndFate::Ended
+            }
             _ => EndFate::Open,
         }
     }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::poison::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, POISON_CRASHES, UNHEARD_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_SILENCE_MS, FATAL_BINDS_MS, POISON_CRASHES,
 };
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -143,7 +143,7 @@
 
 /// Nothing is heard of any replica for a while.
 fn hear_nothing(subject: &mut TestBox) {
-    subject.now += UNHEARD_MS;
+    subject.now += CRASH_SILENCE_MS;
     subject.feed(RouteEvent::Tick);
 }
 
