--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -40,7 +40,7 @@
 
 /// A replica that tells its load so long after an attempt broke has not ended, in milliseconds: what it said before that was
 /// under way.
-pub const LIVED_MS: u64 = 100;
+pub const SURVIVED_MS: u64 = 100;
 
 /// Sights of a replica's end within this are of the same one, in milliseconds: it takes seconds to start again.
 pub const END_SPREAD_MS: u64 = 1_000;
@@ -203,7 +203,7 @@
     /// What became of a replica after an attempt broke at `at`.
     fn fate_since(&self, at: BoxTime, now: BoxTime) -> EndFate {
         let unreachable_at = self.unreachable_at.filter(|unreachable_at| *unreachable_at >= at);
-        let lived = self.reported_at.millis_since(at) >= LIVED_MS;
+        let lived = self.reported_at.millis_since(at) >= SURVIVED_MS;
         match unreachable_at {
             Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => EndFate::Ended,
             _ if lived => EndFate::Lived,
