--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -43,7 +43,7 @@
 pub const SURVIVED_MS: u64 = 100;
 
 /// Sights of a replica's end within this are of the same one, in milliseconds: it takes seconds to start again.
-pub const END_SPREAD_MS: u64 = 1_000;
+pub const SAME_CRASH_MS: u64 = 1_000;
 
 /// Requests in hand at one end that are kept, at most.
 const REQUESTS_KEPT: usize = 4;
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, END_SPREAD_MS, FATAL_BINDS_MS,
-    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SIMULTANEOUS_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, FATAL_BINDS_MS, FATAL_KEPT_MS,
+    POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -25,7 +25,7 @@
     /// Whether two boxes, or two requests, saw this same end.
     fn is_same(&self, other: &ReplicaEnd) -> bool {
         let apart_ms = self.at.millis_since(other.at).max(other.at.millis_since(self.at));
-        self.replica == other.replica && apart_ms < END_SPREAD_MS
+        self.replica == other.replica && apart_ms < SAME_CRASH_MS
     }
 
     /// Takes what another sight of this end adds.
