--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -46,7 +46,7 @@
 pub const SAME_CRASH_MS: u64 = 1_000;
 
 /// Requests in hand at one end that are kept, at most.
-const REQUESTS_KEPT: usize = 4;
+const CRASH_REQUEST_LIMIT: usize = 4;
 
 /// An end is kept for this long, in milliseconds: callers repeat themselves for about as long.
 pub const END_KEPT_MS: u64 = 60_000;
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, FATAL_BINDS_MS, FATAL_KEPT_MS,
-    POISON_CRASHES, POISON_CRASHES_DISTINCT, REQUESTS_KEPT, SAME_CRASH_MS, SIMULTANEOUS_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_REQUEST_LIMIT, END_KEPT_MS, FATAL_BINDS_MS,
+    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -31,7 +31,7 @@
     /// Takes what another sight of this end adds.
     fn merge(&mut self, other: ReplicaEnd) {
         for request in other.requests {
-            if !self.requests.contains(&request) && self.requests.len() < REQUESTS_KEPT {
+            if !self.requests.contains(&request) && self.requests.len() < CRASH_REQUEST_LIMIT {
                 self.requests.push(request);
             }
         }
