--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -49,7 +49,7 @@
 const CRASH_REQUEST_LIMIT: usize = 4;
 
 /// An end is kept for this long, in milliseconds: callers repeat themselves for about as long.
-pub const END_KEPT_MS: u64 = 60_000;
+pub const CRASH_KEPT_MS: u64 = 60_000;
 
 /// An end is told on for this long, in milliseconds: several notes pass it on to all boxes of hundreds.
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_REQUEST_LIMIT, END_KEPT_MS, FATAL_BINDS_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, FATAL_BINDS_MS,
     FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
@@ -78,7 +78,7 @@
 
     /// Whether it is kept.
     pub(super) fn is_kept(&self, now: BoxTime) -> bool {
-        let kept_ms = if self.fatal_at.is_some() { FATAL_KEPT_MS } else { END_KEPT_MS };
+        let kept_ms = if self.fatal_at.is_some() { FATAL_KEPT_MS } else { CRASH_KEPT_MS };
         now.millis_since(self.last_at()) < kept_ms
     }
 
@@ -152,7 +152,7 @@
     /// Sure ends, without those at the moment of another request's.
     fn counted(&self, now: BoxTime) -> Vec<&ReplicaEnd> {
         let kept =
-            |end: &&ReplicaEnd| end.unsure.is_none() && now.millis_since(end.at) < END_KEPT_MS;
+            |end: &&ReplicaEnd| end.unsure.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS;
         let mut ends: Vec<&ReplicaEnd> = self.ends.iter().filter(kept).collect();
         ends.sort_by_key(|end| end.at);
         let mut counted: Vec<&ReplicaEnd> = Vec::with_capacity(ends.len());
