--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -56,9 +56,9 @@
 
 /// That a content crashes replicas binds for this long after the last end, in milliseconds: callers go on for minutes, and
 /// each try ends all that a replica has in hand.
-pub const FATAL_BINDS_MS: u64 = 300_000;
+pub const POISON_REFUSED_MS: u64 = 300_000;
 
-/// It is kept for this long, in milliseconds: after [`FATAL_BINDS_MS`] the next end alone makes it bind again.
+/// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next end alone makes it bind again.
 pub const FATAL_KEPT_MS: u64 = 600_000;
 
 /// Words of contents in one note, at most, by turns: some 120 bytes.
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, FATAL_BINDS_MS,
-    FATAL_KEPT_MS, POISON_CRASHES, POISON_CRASHES_DISTINCT, SAME_CRASH_MS, SIMULTANEOUS_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, FATAL_KEPT_MS,
+    POISON_CRASHES, POISON_CRASHES_DISTINCT, POISON_REFUSED_MS, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -178,7 +178,7 @@
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
         let open = || self.ends.iter().any(|end| end.unsure.is_some());
-        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < FATAL_BINDS_MS || open())
+        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || open())
     }
 
     /// Ends that other boxes are told of, one note for each request.
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::poison::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_SILENCE_MS, FATAL_BINDS_MS, POISON_CRASHES,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_SILENCE_MS, POISON_CRASHES, POISON_REFUSED_MS,
 };
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
@@ -272,7 +272,7 @@
     let mut subject = box_of_six();
     end_under(&mut subject, "one");
     end_under(&mut subject, "two");
-    subject.now += FATAL_BINDS_MS;
+    subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     let (ticket, _) = subject.sent(asking("three"));
     assert!(break_off(&mut subject, ticket).is_none(), "no second replica for it");
@@ -304,7 +304,7 @@
     };
     subject.feed(told((0..POISON_CRASHES as u64).map(end).collect()));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
-    subject.now += FATAL_BINDS_MS;
+    subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     subject.sent(asking("two"));
 }
