--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -59,7 +59,7 @@
 pub const POISON_REFUSED_MS: u64 = 300_000;
 
 /// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next end alone makes it bind again.
-pub const FATAL_KEPT_MS: u64 = 600_000;
+pub const POISON_KEPT_MS: u64 = 600_000;
 
 /// Words of contents in one note, at most, by turns: some 120 bytes.
 pub const POISON_PER_MESSAGE: usize = 8;
@@ -263,7 +263,7 @@
             let end = ReplicaEnd { requests: vec![request], replica, unsure: None, at };
             self.fatal.note(content, end, stamp.now);
         }
-        for word in words.iter().filter(|word| word.age_ms < FATAL_KEPT_MS) {
+        for word in words.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
             self.fatal.merge(word, stamp.now);
         }
     }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, FATAL_KEPT_MS,
-    POISON_CRASHES, POISON_CRASHES_DISTINCT, POISON_REFUSED_MS, SAME_CRASH_MS, SIMULTANEOUS_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, POISON_CRASHES,
+    POISON_CRASHES_DISTINCT, POISON_KEPT_MS, POISON_REFUSED_MS, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
@@ -78,7 +78,7 @@
 
     /// Whether it is kept.
     pub(super) fn is_kept(&self, now: BoxTime) -> bool {
-        let kept_ms = if self.fatal_at.is_some() { FATAL_KEPT_MS } else { CRASH_KEPT_MS };
+        let kept_ms = if self.fatal_at.is_some() { POISON_KEPT_MS } else { CRASH_KEPT_MS };
         now.millis_since(self.last_at()) < kept_ms
     }
 
