--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -68,7 +68,7 @@
 pub const POISON_PER_RESPONSE: usize = 64;
 
 /// Ends in one note, at most; those of contents with most ends first: some 900 bytes.
-const ENDS_TOLD: usize = 24;
+const CRASHES_PER_MESSAGE: usize = 24;
 
 /// Contents that are kept, at most; the one whose last end is the oldest gives way.
 const CONTENT_LIMIT: usize = 1_024;
@@ -172,7 +172,7 @@
         };
         let mut told: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(notes).collect();
         told.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
-        told.truncate(ENDS_TOLD);
+        told.truncate(CRASHES_PER_MESSAGE);
         told.into_iter().map(|(_, note)| note).collect()
     }
 
