--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -15,7 +15,7 @@
 
 use std::collections::HashMap;
 
-use record::{ContentRecord, EndFate, ReplicaEnd};
+use record::{ContentRecord, EndFate, ReplicaCrash};
 use serde::Serialize;
 
 use super::backend::BackendState;
@@ -124,7 +124,7 @@
         self.rows.entry(content).or_default()
     }
 
-    fn note(&mut self, content: u64, end: ReplicaEnd, now: BoxTime) {
+    fn note(&mut self, content: u64, end: ReplicaCrash, now: BoxTime) {
         self.row(content).note(end, now);
     }
 
@@ -227,7 +227,7 @@
         if row.entry.leaving {
             return;
         }
-        let end = ReplicaEnd {
+        let end = ReplicaCrash {
             requests: vec![request.id_hash],
             replica: row.id_hash,
             unsure: Some(attempt.replica),
@@ -260,7 +260,7 @@
         for told in ends.iter().filter(|told| told.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
             let CrashUpdate { content, request, replica, .. } = *told;
-            let end = ReplicaEnd { requests: vec![request], replica, unsure: None, at };
+            let end = ReplicaCrash { requests: vec![request], replica, unsure: None, at };
             self.fatal.note(content, end, stamp.now);
         }
         for word in words.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -11,7 +11,7 @@
 
 /// A replica's end while it worked on requests that ask for the same.
 #[derive(Clone, Debug)]
-pub(super) struct ReplicaEnd {
+pub(super) struct ReplicaCrash {
     /// Hashes of the requests' ids.
     pub(super) requests: Vec<u64>,
     /// The replica, by a hash of its id.
@@ -21,15 +21,15 @@
     pub(super) at: BoxTime,
 }
 
-impl ReplicaEnd {
+impl ReplicaCrash {
     /// Whether two boxes, or two requests, saw this same end.
-    fn is_same(&self, other: &ReplicaEnd) -> bool {
+    fn is_same(&self, other: &ReplicaCrash) -> bool {
         let apart_ms = self.at.millis_since(other.at).max(other.at.millis_since(self.at));
         self.replica == other.replica && apart_ms < SAME_CRASH_MS
     }
 
     /// Takes what another sight of this end adds.
-    fn merge(&mut self, other: ReplicaEnd) {
+    fn merge(&mut self, other: ReplicaCrash) {
         for request in other.requests {
             if !self.requests.contains(&request) && self.requests.len() < CRASH_REQUEST_LIMIT {
                 self.requests.push(request);
@@ -40,7 +40,7 @@
 
     /// Whether this end and an earlier one are of one moment, under different requests. One request's ends follow
     /// each other.
-    fn is_together(&self, first: &ReplicaEnd) -> bool {
+    fn is_together(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
         !shared && self.at.millis_since(first.at) < SIMULTANEOUS_MS
     }
@@ -60,7 +60,7 @@
 /// What is known of a content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ContentRecord {
-    ends: Vec<ReplicaEnd>,
+    ends: Vec<ReplicaCrash>,
     /// When it was last answered; ends before that say nothing.
     answered_at: Option<BoxTime>,
     /// The last end under it, once it is known to crash replicas.
@@ -83,7 +83,7 @@
     }
 
     /// Takes note of an end.
-    pub(super) fn note(&mut self, end: ReplicaEnd, now: BoxTime) {
+    pub(super) fn note(&mut self, end: ReplicaCrash, now: BoxTime) {
         if self.answered_at.is_some_and(|at| at >= end.at) {
             return;
         }
@@ -150,12 +150,12 @@
     }
 
     /// Sure ends, without those at the moment of another request's.
-    fn counted(&self, now: BoxTime) -> Vec<&ReplicaEnd> {
+    fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
         let kept =
-            |end: &&ReplicaEnd| end.unsure.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS;
-        let mut ends: Vec<&ReplicaEnd> = self.ends.iter().filter(kept).collect();
+            |end: &&ReplicaCrash| end.unsure.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS;
+        let mut ends: Vec<&ReplicaCrash> = self.ends.iter().filter(kept).collect();
         ends.sort_by_key(|end| end.at);
-        let mut counted: Vec<&ReplicaEnd> = Vec::with_capacity(ends.len());
+        let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(ends.len());
         for end in ends {
             if !counted.iter().any(|first| end.is_together(first)) {
                 counted.push(end);
