--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -15,7 +15,7 @@
 
 use std::collections::HashMap;
 
-use record::{ContentRecord, EndFate, ReplicaCrash};
+use record::{ContentRecord, ReplicaCrash, ReplicaFate};
 use serde::Serialize;
 
 use super::backend::BackendState;
@@ -152,7 +152,7 @@
     }
 
     /// Settles ends by what became of their replicas. Returns whether there were any.
-    fn settle(&mut self, fate: &dyn Fn(ReplicaKey, BoxTime) -> EndFate, now: BoxTime) -> bool {
+    fn settle(&mut self, fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate, now: BoxTime) -> bool {
         let mut settled = false;
         for row in self.rows.values_mut() {
             settled |= row.settle(fate, now);
@@ -201,16 +201,18 @@
 
 impl BackendState {
     /// What became of a replica after an attempt broke at `at`.
-    fn fate_since(&self, at: BoxTime, now: BoxTime) -> EndFate {
+    fn fate_since(&self, at: BoxTime, now: BoxTime) -> ReplicaFate {
         let unreachable_at = self.unreachable_at.filter(|unreachable_at| *unreachable_at >= at);
         let lived = self.reported_at.millis_since(at) >= SURVIVED_MS;
         match unreachable_at {
-            Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => EndFate::Ended,
-            _ if lived => EndFate::Lived,
+            Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => {
+                ReplicaFate::Ended
+            }
+            _ if lived => ReplicaFate::Lived,
             _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
-                EndFate::Ended
+                ReplicaFate::Ended
             }
-            _ => EndFate::Open,
+            _ => ReplicaFate::Open,
         }
     }
 }
@@ -272,7 +274,7 @@
     pub(super) fn settle_crashes(&mut self, now: BoxTime) {
         let backends = &self.backends;
         let fate = |key: ReplicaKey, at: BoxTime| {
-            backends.get(key).map_or(EndFate::Ended, |row| row.fate_since(at, now))
+            backends.get(key).map_or(ReplicaFate::Ended, |row| row.fate_since(at, now))
         };
         let settled = self.fatal.settle(&fate, now);
         self.fatal.forget(now);
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -48,7 +48,7 @@
 
 /// What became of a replica after an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EndFate {
+pub(super) enum ReplicaFate {
     /// It ended.
     Ended,
     /// It answered others afterwards.
@@ -119,18 +119,18 @@
     /// Settles ends by what became of their replicas. Returns whether there were any.
     pub(super) fn settle(
         &mut self,
-        fate: &dyn Fn(ReplicaKey, BoxTime) -> EndFate,
+        fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate,
         now: BoxTime,
     ) -> bool {
         let mut settled = false;
         self.ends.retain_mut(|end| match end.unsure.map(|key| fate(key, end.at)) {
-            Some(EndFate::Ended) => {
+            Some(ReplicaFate::Ended) => {
                 end.unsure = None;
                 settled = true;
                 true
             }
-            Some(EndFate::Lived) => false,
-            Some(EndFate::Open) | None => true,
+            Some(ReplicaFate::Lived) => false,
+            Some(ReplicaFate::Open) | None => true,
         });
         if settled {
             self.judge(now);
