--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -206,11 +206,11 @@
         let lived = self.reported_at.millis_since(at) >= SURVIVED_MS;
         match unreachable_at {
             Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => {
-                ReplicaFate::Ended
+                ReplicaFate::Crashed
             }
             _ if lived => ReplicaFate::Lived,
             _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
-                ReplicaFate::Ended
+                ReplicaFate::Crashed
             }
             _ => ReplicaFate::Open,
         }
@@ -274,7 +274,7 @@
     pub(super) fn settle_crashes(&mut self, now: BoxTime) {
         let backends = &self.backends;
         let fate = |key: ReplicaKey, at: BoxTime| {
-            backends.get(key).map_or(ReplicaFate::Ended, |row| row.fate_since(at, now))
+            backends.get(key).map_or(ReplicaFate::Crashed, |row| row.fate_since(at, now))
         };
         let settled = self.fatal.settle(&fate, now);
         self.fatal.forget(now);
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplicaFate {
     /// It ended.
-    Ended,
+    Crashed,
     /// It answered others afterwards.
     Lived,
     /// That is not known yet.
@@ -124,7 +124,7 @@
     ) -> bool {
         let mut settled = false;
         self.ends.retain_mut(|end| match end.unsure.map(|key| fate(key, end.at)) {
-            Some(ReplicaFate::Ended) => {
+            Some(ReplicaFate::Crashed) => {
                 end.unsure = None;
                 settled = true;
                 true
