--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -208,7 +208,7 @@
             Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => {
                 ReplicaFate::Crashed
             }
-            _ if lived => ReplicaFate::Lived,
+            _ if lived => ReplicaFate::Survived,
             _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
                 ReplicaFate::Crashed
             }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -52,7 +52,7 @@
     /// It ended.
     Crashed,
     /// It answered others afterwards.
-    Lived,
+    Survived,
     /// That is not known yet.
     Open,
 }
@@ -129,7 +129,7 @@
                 settled = true;
                 true
             }
-            Some(ReplicaFate::Lived) => false,
+            Some(ReplicaFate::Survived) => false,
             Some(ReplicaFate::Open) | None => true,
         });
         if settled {
