--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -212,7 +212,7 @@
             _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
                 ReplicaFate::Crashed
             }
-            _ => ReplicaFate::Open,
+            _ => ReplicaFate::Unknown,
         }
     }
 }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -54,7 +54,7 @@
     /// It answered others afterwards.
     Survived,
     /// That is not known yet.
-    Open,
+    Unknown,
 }
 
 /// What is known of a content.
@@ -130,7 +130,7 @@
                 true
             }
             Some(ReplicaFate::Survived) => false,
-            Some(ReplicaFate::Open) | None => true,
+            Some(ReplicaFate::Unknown) | None => true,
         });
         if settled {
             self.judge(now);
