--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -203,12 +203,12 @@
     /// What became of a replica after an attempt broke at `at`.
     fn fate_since(&self, at: BoxTime, now: BoxTime) -> ReplicaFate {
         let unreachable_at = self.unreachable_at.filter(|unreachable_at| *unreachable_at >= at);
-        let lived = self.reported_at.millis_since(at) >= SURVIVED_MS;
+        let survived = self.reported_at.millis_since(at) >= SURVIVED_MS;
         match unreachable_at {
-            Some(unreachable_at) if !lived || self.reported_at >= unreachable_at => {
+            Some(unreachable_at) if !survived || self.reported_at >= unreachable_at => {
                 ReplicaFate::Crashed
             }
-            _ if lived => ReplicaFate::Survived,
+            _ if survived => ReplicaFate::Survived,
             _ if self.reported_at < at && now.millis_since(at) >= CRASH_SILENCE_MS => {
                 ReplicaFate::Crashed
             }
