--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -232,7 +232,7 @@
         let end = ReplicaCrash {
             requests: vec![request.id_hash],
             replica: row.id_hash,
-            unsure: Some(attempt.replica),
+            unconfirmed: Some(attempt.replica),
             at: stamp.now,
         };
         self.fatal.note(request.content, end, stamp.now);
@@ -262,7 +262,7 @@
         for told in ends.iter().filter(|told| told.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
             let CrashUpdate { content, request, replica, .. } = *told;
-            let end = ReplicaCrash { requests: vec![request], replica, unsure: None, at };
+            let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
             self.fatal.note(content, end, stamp.now);
         }
         for word in words.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -17,7 +17,7 @@
     /// The replica, by a hash of its id.
     pub(super) replica: u64,
     /// Its row, while it is not known that the replica itself ended.
-    pub(super) unsure: Option<ReplicaKey>,
+    pub(super) unconfirmed: Option<ReplicaKey>,
     pub(super) at: BoxTime,
 }
 
@@ -35,7 +35,7 @@
                 self.requests.push(request);
             }
         }
-        self.unsure = self.unsure.and(other.unsure);
+        self.unconfirmed = self.unconfirmed.and(other.unconfirmed);
     }
 
     /// Whether this end and an earlier one are of one moment, under different requests. One request's ends follow
@@ -123,9 +123,9 @@
         now: BoxTime,
     ) -> bool {
         let mut settled = false;
-        self.ends.retain_mut(|end| match end.unsure.map(|key| fate(key, end.at)) {
+        self.ends.retain_mut(|end| match end.unconfirmed.map(|key| fate(key, end.at)) {
             Some(ReplicaFate::Crashed) => {
-                end.unsure = None;
+                end.unconfirmed = None;
                 settled = true;
                 true
             }
@@ -151,8 +151,9 @@
 
     /// Sure ends, without those at the moment of another request's.
     fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
-        let kept =
-            |end: &&ReplicaCrash| end.unsure.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS;
+        let kept = |end: &&ReplicaCrash| {
+            end.unconfirmed.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS
+        };
         let mut ends: Vec<&ReplicaCrash> = self.ends.iter().filter(kept).collect();
         ends.sort_by_key(|end| end.at);
         let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(ends.len());
@@ -177,7 +178,7 @@
     /// Whether it is sent no further. A while after the last end it is tried again, by one attempt at a time: until it is
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
-        let open = || self.ends.iter().any(|end| end.unsure.is_some());
+        let open = || self.ends.iter().any(|end| end.unconfirmed.is_some());
         self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || open())
     }
 
@@ -187,7 +188,7 @@
         content: u64,
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
-        let sure = self.ends.iter().filter(|end| end.unsure.is_none());
+        let sure = self.ends.iter().filter(|end| end.unconfirmed.is_none());
         let notes = sure.flat_map(move |end| {
             let (replica, age_ms) = (end.replica, now.millis_since(end.at));
             end.requests.iter().map(move |request| CrashUpdate {
