--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -188,8 +188,8 @@
         content: u64,
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
-        let sure = self.ends.iter().filter(|end| end.unconfirmed.is_none());
-        let notes = sure.flat_map(move |end| {
+        let confirmed = self.ends.iter().filter(|end| end.unconfirmed.is_none());
+        let notes = confirmed.flat_map(move |end| {
             let (replica, age_ms) = (end.replica, now.millis_since(end.at));
             end.requests.iter().map(move |request| CrashUpdate {
                 content,
