--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -178,8 +178,8 @@
     /// Whether it is sent no further. A while after the last end it is tried again, by one attempt at a time: until it is
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
-        let open = || self.ends.iter().any(|end| end.unconfirmed.is_some());
-        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || open())
+        let pending = || self.ends.iter().any(|end| end.unconfirmed.is_some());
+        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
     /// Ends that other boxes are told of, one note for each request.
