--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -64,7 +64,7 @@
     /// When it was last answered; ends before that say nothing.
     answered_at: Option<BoxTime>,
     /// The last end under it, once it is known to crash replicas.
-    fatal_at: Option<BoxTime>,
+    poison_at: Option<BoxTime>,
     /// Whether it was logged that it is sent no further.
     pub(super) logged: bool,
 }
@@ -73,12 +73,12 @@
     /// The last thing known of it.
     pub(super) fn last_at(&self) -> BoxTime {
         let last = self.ends.iter().map(|end| end.at).max();
-        last.max(self.answered_at).max(self.fatal_at).unwrap_or_default()
+        last.max(self.answered_at).max(self.poison_at).unwrap_or_default()
     }
 
     /// Whether it is kept.
     pub(super) fn is_kept(&self, now: BoxTime) -> bool {
-        let kept_ms = if self.fatal_at.is_some() { POISON_KEPT_MS } else { CRASH_KEPT_MS };
+        let kept_ms = if self.poison_at.is_some() { POISON_KEPT_MS } else { CRASH_KEPT_MS };
         now.millis_since(self.last_at()) < kept_ms
     }
 
@@ -101,8 +101,8 @@
         }
         self.answered_at = Some(at);
         self.ends.retain(|end| end.at > at);
-        self.fatal_at = self.fatal_at.filter(|fatal| *fatal > at);
-        self.logged &= self.fatal_at.is_some();
+        self.poison_at = self.poison_at.filter(|fatal| *fatal > at);
+        self.logged &= self.poison_at.is_some();
         true
     }
 
@@ -112,7 +112,7 @@
         if word.answered {
             self.clear(at);
         } else if self.answered_at.is_none_or(|answered| answered < at) {
-            self.fatal_at = self.fatal_at.max(Some(at));
+            self.poison_at = self.poison_at.max(Some(at));
         }
     }
 
@@ -144,8 +144,8 @@
         let requests: BTreeSet<u64> = ends.iter().flat_map(|end| &end.requests).copied().collect();
         let apart =
             requests.len() >= POISON_CRASHES_DISTINCT && ends.len() >= POISON_CRASHES_DISTINCT;
-        if self.fatal_at.is_some() || apart || ends.len() >= POISON_CRASHES {
-            self.fatal_at = self.fatal_at.max(ends.iter().map(|end| end.at).max());
+        if self.poison_at.is_some() || apart || ends.len() >= POISON_CRASHES {
+            self.poison_at = self.poison_at.max(ends.iter().map(|end| end.at).max());
         }
     }
 
@@ -172,7 +172,7 @@
 
     /// How long ago the last end under it was, in milliseconds, if it is known to crash replicas.
     pub(super) fn fatal_age_ms(&self, now: BoxTime) -> Option<u64> {
-        self.fatal_at.map(|at| now.millis_since(at))
+        self.poison_at.map(|at| now.millis_since(at))
     }
 
     /// Whether it is sent no further. A while after the last end it is tried again, by one attempt at a time: until it is
