--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -105,7 +105,8 @@
     /// Ends known here.
     pub ends: usize,
     /// How long ago the last end was, in milliseconds, if it is known to crash replicas.
-    pub fatal_age_ms: Option<u64>,
+    #[serde(rename = "fatal_age_ms")]
+    pub poison_age_ms: Option<u64>,
 }
 
 /// Contents under which replicas ended lately, by their hashes.
@@ -193,7 +194,7 @@
         let dump = |(content, row): (&u64, &ContentRecord)| PoisonDump {
             content: format!("{content:016x}"),
             ends: row.count(now),
-            fatal_age_ms: row.fatal_age_ms(now),
+            poison_age_ms: row.poison_age_ms(now),
         };
         self.rows.iter().map(dump).collect()
     }
@@ -325,7 +326,7 @@
         let content = request.content;
         let account = request.account.clone();
         let Some(row) = self.fatal.first_met(content) else { return };
-        let (ends, age_ms) = (row.count(stamp.now), row.fatal_age_ms(stamp.now));
+        let (ends, age_ms) = (row.count(stamp.now), row.poison_age_ms(stamp.now));
         out.push(RouteEffect::PoisonRefused { content, account, ends, age_ms });
     }
 }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -171,7 +171,7 @@
     }
 
     /// How long ago the last end under it was, in milliseconds, if it is known to crash replicas.
-    pub(super) fn fatal_age_ms(&self, now: BoxTime) -> Option<u64> {
+    pub(super) fn poison_age_ms(&self, now: BoxTime) -> Option<u64> {
         self.poison_at.map(|at| now.millis_since(at))
     }
 
@@ -179,7 +179,7 @@
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
         let pending = || self.ends.iter().any(|end| end.unconfirmed.is_some());
-        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
+        self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
     /// Ends that other boxes are told of, one note for each request.
@@ -203,7 +203,7 @@
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
     pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
-        let fatal = self.fatal_age_ms(now);
+        let fatal = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
         let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
