--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -101,7 +101,7 @@
         }
         self.answered_at = Some(at);
         self.ends.retain(|end| end.at > at);
-        self.poison_at = self.poison_at.filter(|fatal| *fatal > at);
+        self.poison_at = self.poison_at.filter(|poison| *poison > at);
         self.logged &= self.poison_at.is_some();
         true
     }
@@ -203,10 +203,10 @@
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
     pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
-        let fatal = self.poison_age_ms(now);
+        let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
         let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
-        fatal.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
+        poison.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
     }
 }
