--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -244,13 +244,13 @@
 #[test]
 fn what_another_box_knows_to_crash_replicas_is_sent_on_once_it_was_answered_there() {
     let mut subject = box_of_six();
-    let fatal = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
-    subject.feed(told_content(1, fatal));
+    let poison = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
+    subject.feed(told_content(1, poison));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
     subject.feed(told_content(2, answered));
     subject.sent(asking("two"));
-    subject.feed(told_content(3, fatal));
+    subject.feed(told_content(3, poison));
     subject.sent(asking("three"));
 }
 
