--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// The record of a content, if it was not logged yet that it is sent no further.
-    fn first_met(&mut self, content: u64) -> Option<&ContentRecord> {
+    fn first_refusal(&mut self, content: u64) -> Option<&ContentRecord> {
         let row = self.rows.get_mut(&content).filter(|row| !row.logged)?;
         row.logged = true;
         Some(row)
@@ -325,7 +325,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let content = request.content;
         let account = request.account.clone();
-        let Some(row) = self.poison.first_met(content) else { return };
+        let Some(row) = self.poison.first_refusal(content) else { return };
         let (ends, age_ms) = (row.count(stamp.now), row.poison_age_ms(stamp.now));
         out.push(RouteEffect::PoisonRefused { content, account, ends, age_ms });
     }
