--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -40,7 +40,7 @@
 
     /// Whether this end and an earlier one are of one moment, under different requests. One request's ends follow
     /// each other.
-    fn is_together(&self, first: &ReplicaCrash) -> bool {
+    fn is_simultaneous(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
         !shared && self.at.millis_since(first.at) < SIMULTANEOUS_MS
     }
@@ -158,7 +158,7 @@
         ends.sort_by_key(|end| end.at);
         let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(ends.len());
         for end in ends {
-            if !counted.iter().any(|first| end.is_together(first)) {
+            if !counted.iter().any(|first| end.is_simultaneous(first)) {
                 counted.push(end);
             }
         }
