--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -353,7 +353,7 @@
         }
         request.may_have_run = true;
         if failure == AttemptFailure::Broken {
-            self.note_broken(stamp, ticket);
+            self.record_broken(stamp, ticket);
         }
         self.count_lost_answer(stamp, ticket);
         self.end_attempt(stamp, ticket, BackendOutcome::Failed);
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -221,7 +221,7 @@
 impl RouteState {
     /// Notes that an attempt broke: if its replica turns out to have ended, it did so under this request. One that leaves
     /// ends for that.
-    pub(super) fn note_broken(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    pub(super) fn record_broken(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket).filter(|row| row.content != 0) else {
             return;
         };
