--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -178,7 +178,7 @@
     }
 
     /// At most `limit` words of contents, from another one on with each `turn`.
-    fn words(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
+    fn poison_updates(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
         let words = self.rows.iter().filter_map(|(content, row)| row.word(*content, now));
         let mut words: Vec<PoisonUpdate> = words.collect();
         words.sort_by_key(|word| word.content);
@@ -292,12 +292,12 @@
 
     /// What other boxes are told of contents with the note of this number.
     pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.poison.words(number, POISON_PER_MESSAGE, now)
+        self.poison.poison_updates(number, POISON_PER_MESSAGE, now)
     }
 
     /// What a box that asks is told of contents.
     pub(super) fn poison_response(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.poison.words(number, POISON_PER_RESPONSE, now)
+        self.poison.poison_updates(number, POISON_PER_RESPONSE, now)
     }
 
     /// Contents under which replicas ended, as operators see them.
