--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -177,17 +177,17 @@
         told.into_iter().map(|(_, note)| note).collect()
     }
 
-    /// At most `limit` words of contents, from another one on with each `turn`.
+    /// At most `limit` updates of contents, from another one on with each `turn`.
     fn poison_updates(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
-        let words = self.rows.iter().filter_map(|(content, row)| row.word(*content, now));
-        let mut words: Vec<PoisonUpdate> = words.collect();
-        words.sort_by_key(|word| word.content);
-        if words.len() > limit {
-            let first = turn.wrapping_mul(limit as u64) % words.len() as u64;
-            words.rotate_left(first as usize);
-            words.truncate(limit);
+        let updates = self.rows.iter().filter_map(|(content, row)| row.word(*content, now));
+        let mut updates: Vec<PoisonUpdate> = updates.collect();
+        updates.sort_by_key(|word| word.content);
+        if updates.len() > limit {
+            let first = turn.wrapping_mul(limit as u64) % updates.len() as u64;
+            updates.rotate_left(first as usize);
+            updates.truncate(limit);
         }
-        words
+        updates
     }
 
     fn dump(&self, now: BoxTime) -> Vec<PoisonDump> {
@@ -258,7 +258,7 @@
         &mut self,
         stamp: EventStamp,
         ends: &[CrashUpdate],
-        words: &[PoisonUpdate],
+        updates: &[PoisonUpdate],
     ) {
         for told in ends.iter().filter(|told| told.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(told.age_ms);
@@ -266,7 +266,7 @@
             let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
             self.poison.note(content, end, stamp.now);
         }
-        for word in words.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
+        for word in updates.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
             self.poison.merge(word, stamp.now);
         }
     }
