--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -179,7 +179,8 @@
 
     /// At most `limit` updates of contents, from another one on with each `turn`.
     fn poison_updates(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
-        let updates = self.rows.iter().filter_map(|(content, row)| row.word(*content, now));
+        let updates =
+            self.rows.iter().filter_map(|(content, row)| row.poison_update(*content, now));
         let mut updates: Vec<PoisonUpdate> = updates.collect();
         updates.sort_by_key(|word| word.content);
         if updates.len() > limit {
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -202,7 +202,7 @@
     }
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
-    pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
+    pub(super) fn poison_update(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
         let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
