--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -129,10 +129,10 @@
         self.row(content).note(end, now);
     }
 
-    fn merge(&mut self, word: &PoisonUpdate, now: BoxTime) {
+    fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
         // What was answered is no news of a content of which nothing bad is known.
-        if !word.answered || self.rows.contains_key(&word.content) {
-            self.row(word.content).merge(word, now);
+        if !update.answered || self.rows.contains_key(&update.content) {
+            self.row(update.content).merge(update, now);
         }
     }
 
@@ -182,7 +182,7 @@
         let updates =
             self.rows.iter().filter_map(|(content, row)| row.poison_update(*content, now));
         let mut updates: Vec<PoisonUpdate> = updates.collect();
-        updates.sort_by_key(|word| word.content);
+        updates.sort_by_key(|update| update.content);
         if updates.len() > limit {
             let first = turn.wrapping_mul(limit as u64) % updates.len() as u64;
             updates.rotate_left(first as usize);
@@ -267,8 +267,8 @@
             let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
             self.poison.note(content, end, stamp.now);
         }
-        for word in updates.iter().filter(|word| word.age_ms < POISON_KEPT_MS) {
-            self.poison.merge(word, stamp.now);
+        for update in updates.iter().filter(|update| update.age_ms < POISON_KEPT_MS) {
+            self.poison.merge(update, stamp.now);
         }
     }
 
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -106,10 +106,10 @@
         true
     }
 
-    /// Takes another box's word.
-    pub(super) fn merge(&mut self, word: &PoisonUpdate, now: BoxTime) {
-        let at = now.minus_millis(word.age_ms);
-        if word.answered {
+    /// Takes another box's update.
+    pub(super) fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
+        let at = now.minus_millis(update.age_ms);
+        if update.answered {
             self.clear(at);
         } else if self.answered_at.is_none_or(|answered| answered < at) {
             self.poison_at = self.poison_at.max(Some(at));
@@ -206,7 +206,7 @@
         let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
-        let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
-        poison.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
+        let update = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
+        poison.map(|age_ms| update(age_ms, false)).or(answered.map(|age_ms| update(age_ms, true)))
     }
 }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -227,10 +227,10 @@
     }
 }
 
-/// Another box's word of [`CONTENT`].
-fn told_content(number: u64, word: PoisonUpdate) -> RouteEvent {
+/// Another box's update of [`CONTENT`].
+fn told_content(number: u64, update: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let contents = vec![PoisonUpdate { content: CONTENT, ..word }];
+    let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
@@ -263,8 +263,8 @@
     subject.feed(told(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
     let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
-    let word = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
-    assert_eq!(note.contents, vec![word]);
+    let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
+    assert_eq!(note.contents, vec![update]);
 }
 
 #[test]
