--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -165,7 +165,7 @@
         self.rows.retain(|_, row| row.is_kept(now));
     }
 
-    fn told(&self, now: BoxTime) -> Vec<CrashUpdate> {
+    fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         let notes = |(content, row): (&u64, &ContentRecord)| {
             let ends: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
             let count = ends.len();
@@ -288,7 +288,7 @@
 
     /// Ends that other boxes are told of.
     pub(super) fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
-        self.poison.told(now)
+        self.poison.crash_updates(now)
     }
 
     /// What other boxes are told of contents with the note of this number.
