--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -171,10 +171,10 @@
             let count = ends.len();
             ends.into_iter().map(move |note| (count, note))
         };
-        let mut told: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(notes).collect();
-        told.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
-        told.truncate(CRASHES_PER_MESSAGE);
-        told.into_iter().map(|(_, note)| note).collect()
+        let mut updates: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(notes).collect();
+        updates.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
+        updates.truncate(CRASHES_PER_MESSAGE);
+        updates.into_iter().map(|(_, note)| note).collect()
     }
 
     /// At most `limit` updates of contents, from another one on with each `turn`.
