--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! An attempt that breaks counts as an end once its replica can't be reached, or says nothing to anybody for a while.
 //! Ends under different requests at about the same moment count once, since a loss of power takes many replicas, and an
-//! answer clears a content, on all boxes. Boxes tell ends on while they are new. What is known to crash replicas is told
+//! answer clears a content, on all boxes. Boxes tell ends on while they are new. What is known to crash replicas is update
 //! on for as long as it is kept, and whole to a box that asks: boxes start again, stand still and lose their links while
 //! callers go on. [`record`] keeps one content.
 
@@ -51,7 +51,7 @@
 /// An end is kept for this long, in milliseconds: callers repeat themselves for about as long.
 pub const CRASH_KEPT_MS: u64 = 60_000;
 
-/// An end is told on for this long, in milliseconds: several notes pass it on to all boxes of hundreds.
+/// An end is update on for this long, in milliseconds: several notes pass it on to all boxes of hundreds.
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
 /// That a content crashes replicas binds for this long after the last end, in milliseconds: callers go on for minutes, and
@@ -261,9 +261,9 @@
         ends: &[CrashUpdate],
         updates: &[PoisonUpdate],
     ) {
-        for told in ends.iter().filter(|told| told.age_ms < CRASH_GOSSIP_MS) {
-            let at = stamp.now.minus_millis(told.age_ms);
-            let CrashUpdate { content, request, replica, .. } = *told;
+        for update in ends.iter().filter(|update| update.age_ms < CRASH_GOSSIP_MS) {
+            let at = stamp.now.minus_millis(update.age_ms);
+            let CrashUpdate { content, request, replica, .. } = *update;
             let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
             self.poison.note(content, end, stamp.now);
         }
@@ -286,17 +286,17 @@
         }
     }
 
-    /// Ends that other boxes are told of.
+    /// Ends that other boxes are update of.
     pub(super) fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         self.poison.crash_updates(now)
     }
 
-    /// What other boxes are told of contents with the note of this number.
+    /// What other boxes are update of contents with the note of this number.
     pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.poison.poison_updates(number, POISON_PER_MESSAGE, now)
     }
 
-    /// What a box that asks is told of contents.
+    /// What a box that asks is update of contents.
     pub(super) fn poison_response(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.poison.poison_updates(number, POISON_PER_RESPONSE, now)
     }
