--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -125,8 +125,8 @@
         self.rows.entry(content).or_default()
     }
 
-    fn note(&mut self, content: u64, end: ReplicaCrash, now: BoxTime) {
-        self.row(content).note(end, now);
+    fn add_crash(&mut self, content: u64, end: ReplicaCrash, now: BoxTime) {
+        self.row(content).add_crash(end, now);
     }
 
     fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
@@ -237,7 +237,7 @@
             unconfirmed: Some(attempt.replica),
             at: stamp.now,
         };
-        self.poison.note(request.content, end, stamp.now);
+        self.poison.add_crash(request.content, end, stamp.now);
     }
 
     /// Whether a request asks for what crashes replicas.
@@ -265,7 +265,7 @@
             let at = stamp.now.minus_millis(update.age_ms);
             let CrashUpdate { content, request, replica, .. } = *update;
             let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
-            self.poison.note(content, end, stamp.now);
+            self.poison.add_crash(content, end, stamp.now);
         }
         for update in updates.iter().filter(|update| update.age_ms < POISON_KEPT_MS) {
             self.poison.merge(update, stamp.now);
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -83,7 +83,7 @@
     }
 
     /// Takes note of an end.
-    pub(super) fn note(&mut self, end: ReplicaCrash, now: BoxTime) {
+    pub(super) fn add_crash(&mut self, end: ReplicaCrash, now: BoxTime) {
         if self.answered_at.is_some_and(|at| at >= end.at) {
             return;
         }
