--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -51,7 +51,7 @@
 /// An end is kept for this long, in milliseconds: callers repeat themselves for about as long.
 pub const CRASH_KEPT_MS: u64 = 60_000;
 
-/// An end is update on for this long, in milliseconds: several notes pass it on to all boxes of hundreds.
+/// An end is update on for this long, in milliseconds: several updates pass it on to all boxes of hundreds.
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
 /// That a content crashes replicas binds for this long after the last end, in milliseconds: callers go on for minutes, and
@@ -166,12 +166,12 @@
     }
 
     fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
-        let notes = |(content, row): (&u64, &ContentRecord)| {
+        let updates = |(content, row): (&u64, &ContentRecord)| {
             let ends: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
             let count = ends.len();
             ends.into_iter().map(move |note| (count, note))
         };
-        let mut updates: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(notes).collect();
+        let mut updates: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(updates).collect();
         updates.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
         updates.truncate(CRASHES_PER_MESSAGE);
         updates.into_iter().map(|(_, note)| note).collect()
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -189,7 +189,7 @@
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
         let confirmed = self.ends.iter().filter(|end| end.unconfirmed.is_none());
-        let notes = confirmed.flat_map(move |end| {
+        let updates = confirmed.flat_map(move |end| {
             let (replica, age_ms) = (end.replica, now.millis_since(end.at));
             end.requests.iter().map(move |request| CrashUpdate {
                 content,
@@ -198,7 +198,7 @@
                 age_ms,
             })
         });
-        notes.filter(|note| note.age_ms < CRASH_GOSSIP_MS)
+        updates.filter(|note| note.age_ms < CRASH_GOSSIP_MS)
     }
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
