--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -61,13 +61,13 @@
 /// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next end alone makes it bind again.
 pub const POISON_KEPT_MS: u64 = 600_000;
 
-/// Words of contents in one note, at most, by turns: some 120 bytes.
+/// Words of contents in one update, at most, by turns: some 120 bytes.
 pub const POISON_PER_MESSAGE: usize = 8;
 
 /// The same in an answer to an ask: what is known in all, in most cases; some 900 bytes.
 pub const POISON_PER_RESPONSE: usize = 64;
 
-/// Ends in one note, at most; those of contents with most ends first: some 900 bytes.
+/// Ends in one update, at most; those of contents with most ends first: some 900 bytes.
 const CRASHES_PER_MESSAGE: usize = 24;
 
 /// Contents that are kept, at most; the one whose last end is the oldest gives way.
@@ -147,7 +147,7 @@
         Some(row)
     }
 
-    /// Takes note that a content was answered. Returns whether replicas had ended under it.
+    /// Takes update that a content was answered. Returns whether replicas had ended under it.
     fn clear(&mut self, content: u64, now: BoxTime) -> bool {
         self.rows.get_mut(&content).is_some_and(|row| row.clear(now))
     }
@@ -169,12 +169,12 @@
         let updates = |(content, row): (&u64, &ContentRecord)| {
             let ends: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
             let count = ends.len();
-            ends.into_iter().map(move |note| (count, note))
+            ends.into_iter().map(move |update| (count, update))
         };
         let mut updates: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(updates).collect();
-        updates.sort_by_key(|(ends, note)| (std::cmp::Reverse(*ends), note.age_ms));
+        updates.sort_by_key(|(ends, update)| (std::cmp::Reverse(*ends), update.age_ms));
         updates.truncate(CRASHES_PER_MESSAGE);
-        updates.into_iter().map(|(_, note)| note).collect()
+        updates.into_iter().map(|(_, update)| update).collect()
     }
 
     /// At most `limit` updates of contents, from another one on with each `turn`.
@@ -291,7 +291,7 @@
         self.poison.crash_updates(now)
     }
 
-    /// What other boxes are update of contents with the note of this number.
+    /// What other boxes are update of contents with the update of this number.
     pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.poison.poison_updates(number, POISON_PER_MESSAGE, now)
     }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -82,7 +82,7 @@
         now.millis_since(self.last_at()) < kept_ms
     }
 
-    /// Takes note of an end.
+    /// Takes update of an end.
     pub(super) fn add_crash(&mut self, end: ReplicaCrash, now: BoxTime) {
         if self.answered_at.is_some_and(|at| at >= end.at) {
             return;
@@ -94,7 +94,7 @@
         self.judge(now);
     }
 
-    /// Takes note that it was answered whole at `at`. Returns whether that is news.
+    /// Takes update that it was answered whole at `at`. Returns whether that is news.
     pub(super) fn clear(&mut self, at: BoxTime) -> bool {
         if self.answered_at.is_some_and(|known| known >= at) {
             return false;
@@ -182,7 +182,7 @@
         self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
-    /// Ends that other boxes are told of, one note for each request.
+    /// Ends that other boxes are told of, one update for each request.
     pub(super) fn crash_updates(
         &self,
         content: u64,
@@ -198,7 +198,7 @@
                 age_ms,
             })
         });
-        updates.filter(|note| note.age_ms < CRASH_GOSSIP_MS)
+        updates.filter(|update| update.age_ms < CRASH_GOSSIP_MS)
     }
 
     /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
