--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -1,11 +1,11 @@
-//! Requests under which replicas end: one that crashes each replica that runs it is sent no further.
+//! Requests under which replicas crash: one that crashes each replica that runs it is sent no further.
 //!
 //! Load pattern: many callers ask the same thing, and each replica that begins to work on it ends, with all that runs there.
 //! Each try of each caller is another request to another box, so what they have in common is what they ask for: its
 //! *content*, by a hash. Whoever else ran there ended as well, and is sent on, often to the replica that ends next. What
-//! tells it apart: it is there at each end, under several requests, and is never answered.
+//! tells it apart: it is there at each crash, under several requests, and is never answered.
 //!
-//! An attempt that breaks counts as an end once its replica can't be reached, or says nothing to anybody for a while.
+//! An attempt that breaks counts as an crash once its replica can't be reached, or says nothing to anybody for a while.
 //! Ends under different requests at about the same moment count once, since a loss of power takes many replicas, and an
 //! answer clears a content, on all boxes. Boxes tell ends on while they are new. What is known to crash replicas is update
 //! on for as long as it is kept, and whole to a box that asks: boxes start again, stand still and lose their links while
@@ -42,23 +42,23 @@
 /// under way.
 pub const SURVIVED_MS: u64 = 100;
 
-/// Sights of a replica's end within this are of the same one, in milliseconds: it takes seconds to start again.
+/// Sights of a replica's crash within this are of the same one, in milliseconds: it takes seconds to start again.
 pub const SAME_CRASH_MS: u64 = 1_000;
 
-/// Requests in hand at one end that are kept, at most.
+/// Requests in hand at one crash that are kept, at most.
 const CRASH_REQUEST_LIMIT: usize = 4;
 
-/// An end is kept for this long, in milliseconds: callers repeat themselves for about as long.
+/// An crash is kept for this long, in milliseconds: callers repeat themselves for about as long.
 pub const CRASH_KEPT_MS: u64 = 60_000;
 
-/// An end is update on for this long, in milliseconds: several updates pass it on to all boxes of hundreds.
+/// An crash is update on for this long, in milliseconds: several updates pass it on to all boxes of hundreds.
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
-/// That a content crashes replicas binds for this long after the last end, in milliseconds: callers go on for minutes, and
+/// That a content crashes replicas binds for this long after the last crash, in milliseconds: callers go on for minutes, and
 /// each try ends all that a replica has in hand.
 pub const POISON_REFUSED_MS: u64 = 300_000;
 
-/// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next end alone makes it bind again.
+/// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next crash alone makes it bind again.
 pub const POISON_KEPT_MS: u64 = 600_000;
 
 /// Words of contents in one update, at most, by turns: some 120 bytes.
@@ -70,10 +70,10 @@
 /// Ends in one update, at most; those of contents with most ends first: some 900 bytes.
 const CRASHES_PER_MESSAGE: usize = 24;
 
-/// Contents that are kept, at most; the one whose last end is the oldest gives way.
+/// Contents that are kept, at most; the one whose last crash is the oldest gives way.
 const CONTENT_LIMIT: usize = 1_024;
 
-/// A replica's end while it worked on a request, as one box tells it to another.
+/// A replica's crash while it worked on a request, as one box tells it to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashUpdate {
     /// Hash of what the request asked for.
@@ -104,7 +104,7 @@
     pub content: String,
     /// Ends known here.
     pub ends: usize,
-    /// How long ago the last end was, in milliseconds, if it is known to crash replicas.
+    /// How long ago the last crash was, in milliseconds, if it is known to crash replicas.
     #[serde(rename = "fatal_age_ms")]
     pub poison_age_ms: Option<u64>,
 }
@@ -125,8 +125,8 @@
         self.rows.entry(content).or_default()
     }
 
-    fn add_crash(&mut self, content: u64, end: ReplicaCrash, now: BoxTime) {
-        self.row(content).add_crash(end, now);
+    fn add_crash(&mut self, content: u64, crash: ReplicaCrash, now: BoxTime) {
+        self.row(content).add_crash(crash, now);
     }
 
     fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
@@ -231,13 +231,13 @@
         if row.entry.leaving {
             return;
         }
-        let end = ReplicaCrash {
+        let crash = ReplicaCrash {
             requests: vec![request.id_hash],
             replica: row.id_hash,
             unconfirmed: Some(attempt.replica),
             at: stamp.now,
         };
-        self.poison.add_crash(request.content, end, stamp.now);
+        self.poison.add_crash(request.content, crash, stamp.now);
     }
 
     /// Whether a request asks for what crashes replicas.
@@ -264,8 +264,8 @@
         for update in ends.iter().filter(|update| update.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(update.age_ms);
             let CrashUpdate { content, request, replica, .. } = *update;
-            let end = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
-            self.poison.add_crash(content, end, stamp.now);
+            let crash = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
+            self.poison.add_crash(content, crash, stamp.now);
         }
         for update in updates.iter().filter(|update| update.age_ms < POISON_KEPT_MS) {
             self.poison.merge(update, stamp.now);
@@ -281,7 +281,7 @@
         let settled = self.poison.settle(&fate, now);
         self.poison.forget(now);
         if settled {
-            // Each request until others know may end one more replica.
+            // Each request until others know may crash one more replica.
             self.rounds.next_note = BoxTime::default();
         }
     }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -9,7 +9,7 @@
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// A replica's end while it worked on requests that ask for the same.
+/// A replica's crash while it worked on requests that ask for the same.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaCrash {
     /// Hashes of the requests' ids.
@@ -22,13 +22,13 @@
 }
 
 impl ReplicaCrash {
-    /// Whether two boxes, or two requests, saw this same end.
+    /// Whether two boxes, or two requests, saw this same crash.
     fn is_same(&self, other: &ReplicaCrash) -> bool {
         let apart_ms = self.at.millis_since(other.at).max(other.at.millis_since(self.at));
         self.replica == other.replica && apart_ms < SAME_CRASH_MS
     }
 
-    /// Takes what another sight of this end adds.
+    /// Takes what another sight of this crash adds.
     fn merge(&mut self, other: ReplicaCrash) {
         for request in other.requests {
             if !self.requests.contains(&request) && self.requests.len() < CRASH_REQUEST_LIMIT {
@@ -38,7 +38,7 @@
         self.unconfirmed = self.unconfirmed.and(other.unconfirmed);
     }
 
-    /// Whether this end and an earlier one are of one moment, under different requests. One request's ends follow
+    /// Whether this crash and an earlier one are of one moment, under different requests. One request's ends follow
     /// each other.
     fn is_simultaneous(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
@@ -63,7 +63,7 @@
     ends: Vec<ReplicaCrash>,
     /// When it was last answered; ends before that say nothing.
     answered_at: Option<BoxTime>,
-    /// The last end under it, once it is known to crash replicas.
+    /// The last crash under it, once it is known to crash replicas.
     poison_at: Option<BoxTime>,
     /// Whether it was logged that it is sent no further.
     pub(super) logged: bool,
@@ -72,7 +72,7 @@
 impl ContentRecord {
     /// The last thing known of it.
     pub(super) fn last_at(&self) -> BoxTime {
-        let last = self.ends.iter().map(|end| end.at).max();
+        let last = self.ends.iter().map(|crash| crash.at).max();
         last.max(self.answered_at).max(self.poison_at).unwrap_or_default()
     }
 
@@ -82,14 +82,14 @@
         now.millis_since(self.last_at()) < kept_ms
     }
 
-    /// Takes update of an end.
-    pub(super) fn add_crash(&mut self, end: ReplicaCrash, now: BoxTime) {
-        if self.answered_at.is_some_and(|at| at >= end.at) {
+    /// Takes update of an crash.
+    pub(super) fn add_crash(&mut self, crash: ReplicaCrash, now: BoxTime) {
+        if self.answered_at.is_some_and(|at| at >= crash.at) {
             return;
         }
-        match self.ends.iter_mut().find(|known| known.is_same(&end)) {
-            Some(known) => known.merge(end),
-            None => self.ends.push(end),
+        match self.ends.iter_mut().find(|known| known.is_same(&crash)) {
+            Some(known) => known.merge(crash),
+            None => self.ends.push(crash),
         }
         self.judge(now);
     }
@@ -100,7 +100,7 @@
             return false;
         }
         self.answered_at = Some(at);
-        self.ends.retain(|end| end.at > at);
+        self.ends.retain(|crash| crash.at > at);
         self.poison_at = self.poison_at.filter(|poison| *poison > at);
         self.logged &= self.poison_at.is_some();
         true
@@ -123,9 +123,9 @@
         now: BoxTime,
     ) -> bool {
         let mut settled = false;
-        self.ends.retain_mut(|end| match end.unconfirmed.map(|key| fate(key, end.at)) {
+        self.ends.retain_mut(|crash| match crash.unconfirmed.map(|key| fate(key, crash.at)) {
             Some(ReplicaFate::Crashed) => {
-                end.unconfirmed = None;
+                crash.unconfirmed = None;
                 settled = true;
                 true
             }
@@ -138,28 +138,29 @@
         settled
     }
 
-    /// Finds out whether it crashes replicas. Once that is known, each further end shows that it still does.
+    /// Finds out whether it crashes replicas. Once that is known, each further crash shows that it still does.
     fn judge(&mut self, now: BoxTime) {
         let ends = self.counted(now);
-        let requests: BTreeSet<u64> = ends.iter().flat_map(|end| &end.requests).copied().collect();
+        let requests: BTreeSet<u64> =
+            ends.iter().flat_map(|crash| &crash.requests).copied().collect();
         let apart =
             requests.len() >= POISON_CRASHES_DISTINCT && ends.len() >= POISON_CRASHES_DISTINCT;
         if self.poison_at.is_some() || apart || ends.len() >= POISON_CRASHES {
-            self.poison_at = self.poison_at.max(ends.iter().map(|end| end.at).max());
+            self.poison_at = self.poison_at.max(ends.iter().map(|crash| crash.at).max());
         }
     }
 
     /// Sure ends, without those at the moment of another request's.
     fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
-        let kept = |end: &&ReplicaCrash| {
-            end.unconfirmed.is_none() && now.millis_since(end.at) < CRASH_KEPT_MS
+        let kept = |crash: &&ReplicaCrash| {
+            crash.unconfirmed.is_none() && now.millis_since(crash.at) < CRASH_KEPT_MS
         };
         let mut ends: Vec<&ReplicaCrash> = self.ends.iter().filter(kept).collect();
-        ends.sort_by_key(|end| end.at);
+        ends.sort_by_key(|crash| crash.at);
         let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(ends.len());
-        for end in ends {
-            if !counted.iter().any(|first| end.is_simultaneous(first)) {
-                counted.push(end);
+        for crash in ends {
+            if !counted.iter().any(|first| crash.is_simultaneous(first)) {
+                counted.push(crash);
             }
         }
         counted
@@ -170,15 +171,15 @@
         self.counted(now).len()
     }
 
-    /// How long ago the last end under it was, in milliseconds, if it is known to crash replicas.
+    /// How long ago the last crash under it was, in milliseconds, if it is known to crash replicas.
     pub(super) fn poison_age_ms(&self, now: BoxTime) -> Option<u64> {
         self.poison_at.map(|at| now.millis_since(at))
     }
 
-    /// Whether it is sent no further. A while after the last end it is tried again, by one attempt at a time: until it is
+    /// Whether it is sent no further. A while after the last crash it is tried again, by one attempt at a time: until it is
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
-        let pending = || self.ends.iter().any(|end| end.unconfirmed.is_some());
+        let pending = || self.ends.iter().any(|crash| crash.unconfirmed.is_some());
         self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
@@ -188,10 +189,10 @@
         content: u64,
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
-        let confirmed = self.ends.iter().filter(|end| end.unconfirmed.is_none());
-        let updates = confirmed.flat_map(move |end| {
-            let (replica, age_ms) = (end.replica, now.millis_since(end.at));
-            end.requests.iter().map(move |request| CrashUpdate {
+        let confirmed = self.ends.iter().filter(|crash| crash.unconfirmed.is_none());
+        let updates = confirmed.flat_map(move |crash| {
+            let (replica, age_ms) = (crash.replica, now.millis_since(crash.at));
+            crash.requests.iter().map(move |request| CrashUpdate {
                 content,
                 request: *request,
                 replica,
