--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -1,13 +1,13 @@
 //! Requests under which replicas crash: one that crashes each replica that runs it is sent no further.
 //!
-//! Load pattern: many callers ask the same thing, and each replica that begins to work on it ends, with all that runs there.
+//! Load pattern: many callers ask the same thing, and each replica that begins to work on it crashes, with all that runs there.
 //! Each try of each caller is another request to another box, so what they have in common is what they ask for: its
-//! *content*, by a hash. Whoever else ran there ended as well, and is sent on, often to the replica that ends next. What
+//! *content*, by a hash. Whoever else ran there ended as well, and is sent on, often to the replica that crashes next. What
 //! tells it apart: it is there at each crash, under several requests, and is never answered.
 //!
 //! An attempt that breaks counts as an crash once its replica can't be reached, or says nothing to anybody for a while.
 //! Ends under different requests at about the same moment count once, since a loss of power takes many replicas, and an
-//! answer clears a content, on all boxes. Boxes tell ends on while they are new. What is known to crash replicas is update
+//! answer clears a content, on all boxes. Boxes tell crashes on while they are new. What is known to crash replicas is update
 //! on for as long as it is kept, and whole to a box that asks: boxes start again, stand still and lose their links while
 //! callers go on. [`record`] keeps one content.
 
@@ -28,7 +28,7 @@
 /// Ends under one content after which it is sent no further, whatever its requests.
 pub const POISON_CRASHES: usize = 3;
 
-/// The same where the ends were under different requests: a bystander is mostly one request that is sent on.
+/// The same where the crashes were under different requests: a bystander is mostly one request that is sent on.
 pub const POISON_CRASHES_DISTINCT: usize = 2;
 
 /// Ends of replicas under different requests within this count once, in milliseconds: what takes many at once is no request.
@@ -55,7 +55,7 @@
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
 /// That a content crashes replicas binds for this long after the last crash, in milliseconds: callers go on for minutes, and
-/// each try ends all that a replica has in hand.
+/// each try crashes all that a replica has in hand.
 pub const POISON_REFUSED_MS: u64 = 300_000;
 
 /// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next crash alone makes it bind again.
@@ -67,7 +67,7 @@
 /// The same in an answer to an ask: what is known in all, in most cases; some 900 bytes.
 pub const POISON_PER_RESPONSE: usize = 64;
 
-/// Ends in one update, at most; those of contents with most ends first: some 900 bytes.
+/// Ends in one update, at most; those of contents with most crashes first: some 900 bytes.
 const CRASHES_PER_MESSAGE: usize = 24;
 
 /// Contents that are kept, at most; the one whose last crash is the oldest gives way.
@@ -103,7 +103,8 @@
     /// Hash of what requests ask for, as in logs.
     pub content: String,
     /// Ends known here.
-    pub ends: usize,
+    #[serde(rename = "ends")]
+    pub crashes: usize,
     /// How long ago the last crash was, in milliseconds, if it is known to crash replicas.
     #[serde(rename = "fatal_age_ms")]
     pub poison_age_ms: Option<u64>,
@@ -152,7 +153,7 @@
         self.rows.get_mut(&content).is_some_and(|row| row.clear(now))
     }
 
-    /// Settles ends by what became of their replicas. Returns whether there were any.
+    /// Settles crashes by what became of their replicas. Returns whether there were any.
     fn settle(&mut self, fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate, now: BoxTime) -> bool {
         let mut settled = false;
         for row in self.rows.values_mut() {
@@ -167,12 +168,12 @@
 
     fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         let updates = |(content, row): (&u64, &ContentRecord)| {
-            let ends: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
-            let count = ends.len();
-            ends.into_iter().map(move |update| (count, update))
+            let crashes: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
+            let count = crashes.len();
+            crashes.into_iter().map(move |update| (count, update))
         };
         let mut updates: Vec<(usize, CrashUpdate)> = self.rows.iter().flat_map(updates).collect();
-        updates.sort_by_key(|(ends, update)| (std::cmp::Reverse(*ends), update.age_ms));
+        updates.sort_by_key(|(crashes, update)| (std::cmp::Reverse(*crashes), update.age_ms));
         updates.truncate(CRASHES_PER_MESSAGE);
         updates.into_iter().map(|(_, update)| update).collect()
     }
@@ -194,7 +195,7 @@
     fn dump(&self, now: BoxTime) -> Vec<PoisonDump> {
         let dump = |(content, row): (&u64, &ContentRecord)| PoisonDump {
             content: format!("{content:016x}"),
-            ends: row.count(now),
+            crashes: row.count(now),
             poison_age_ms: row.poison_age_ms(now),
         };
         self.rows.iter().map(dump).collect()
@@ -221,7 +222,7 @@
 
 impl RouteState {
     /// Notes that an attempt broke: if its replica turns out to have ended, it did so under this request. One that leaves
-    /// ends for that.
+    /// crashes for that.
     pub(super) fn record_broken(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket).filter(|row| row.content != 0) else {
             return;
@@ -254,14 +255,14 @@
         }
     }
 
-    /// Takes what other boxes tell of ends, and of contents.
+    /// Takes what other boxes tell of crashes, and of contents.
     pub(super) fn apply_crashes(
         &mut self,
         stamp: EventStamp,
-        ends: &[CrashUpdate],
+        crashes: &[CrashUpdate],
         updates: &[PoisonUpdate],
     ) {
-        for update in ends.iter().filter(|update| update.age_ms < CRASH_GOSSIP_MS) {
+        for update in crashes.iter().filter(|update| update.age_ms < CRASH_GOSSIP_MS) {
             let at = stamp.now.minus_millis(update.age_ms);
             let CrashUpdate { content, request, replica, .. } = *update;
             let crash = ReplicaCrash { requests: vec![request], replica, unconfirmed: None, at };
@@ -327,7 +328,7 @@
         let content = request.content;
         let account = request.account.clone();
         let Some(row) = self.poison.first_refusal(content) else { return };
-        let (ends, age_ms) = (row.count(stamp.now), row.poison_age_ms(stamp.now));
-        out.push(RouteEffect::PoisonRefused { content, account, ends, age_ms });
+        let (crashes, age_ms) = (row.count(stamp.now), row.poison_age_ms(stamp.now));
+        out.push(RouteEffect::PoisonRefused { content, account, ends: crashes, age_ms });
     }
 }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one content: the ends of replicas under it, and whether it crashes replicas.
+//! What is known of one content: the crashes of replicas under it, and whether it crashes replicas.
 
 use std::collections::BTreeSet;
 
@@ -38,7 +38,7 @@
         self.unconfirmed = self.unconfirmed.and(other.unconfirmed);
     }
 
-    /// Whether this crash and an earlier one are of one moment, under different requests. One request's ends follow
+    /// Whether this crash and an earlier one are of one moment, under different requests. One request's crashes follow
     /// each other.
     fn is_simultaneous(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
@@ -60,8 +60,8 @@
 /// What is known of a content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ContentRecord {
-    ends: Vec<ReplicaCrash>,
-    /// When it was last answered; ends before that say nothing.
+    crashes: Vec<ReplicaCrash>,
+    /// When it was last answered; crashes before that say nothing.
     answered_at: Option<BoxTime>,
     /// The last crash under it, once it is known to crash replicas.
     poison_at: Option<BoxTime>,
@@ -72,7 +72,7 @@
 impl ContentRecord {
     /// The last thing known of it.
     pub(super) fn last_at(&self) -> BoxTime {
-        let last = self.ends.iter().map(|crash| crash.at).max();
+        let last = self.crashes.iter().map(|crash| crash.at).max();
         last.max(self.answered_at).max(self.poison_at).unwrap_or_default()
     }
 
@@ -87,9 +87,9 @@
         if self.answered_at.is_some_and(|at| at >= crash.at) {
             return;
         }
-        match self.ends.iter_mut().find(|known| known.is_same(&crash)) {
+        match self.crashes.iter_mut().find(|known| known.is_same(&crash)) {
             Some(known) => known.merge(crash),
-            None => self.ends.push(crash),
+            None => self.crashes.push(crash),
         }
         self.judge(now);
     }
@@ -100,7 +100,7 @@
             return false;
         }
         self.answered_at = Some(at);
-        self.ends.retain(|crash| crash.at > at);
+        self.crashes.retain(|crash| crash.at > at);
         self.poison_at = self.poison_at.filter(|poison| *poison > at);
         self.logged &= self.poison_at.is_some();
         true
@@ -116,14 +116,14 @@
         }
     }
 
-    /// Settles ends by what became of their replicas. Returns whether there were any.
+    /// Settles crashes by what became of their replicas. Returns whether there were any.
     pub(super) fn settle(
         &mut self,
         fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate,
         now: BoxTime,
     ) -> bool {
         let mut settled = false;
-        self.ends.retain_mut(|crash| match crash.unconfirmed.map(|key| fate(key, crash.at)) {
+        self.crashes.retain_mut(|crash| match crash.unconfirmed.map(|key| fate(key, crash.at)) {
             Some(ReplicaFate::Crashed) => {
                 crash.unconfirmed = None;
                 settled = true;
@@ -140,25 +140,25 @@
 
     /// Finds out whether it crashes replicas. Once that is known, each further crash shows that it still does.
     fn judge(&mut self, now: BoxTime) {
-        let ends = self.counted(now);
+        let crashes = self.counted(now);
         let requests: BTreeSet<u64> =
-            ends.iter().flat_map(|crash| &crash.requests).copied().collect();
+            crashes.iter().flat_map(|crash| &crash.requests).copied().collect();
         let apart =
-            requests.len() >= POISON_CRASHES_DISTINCT && ends.len() >= POISON_CRASHES_DISTINCT;
-        if self.poison_at.is_some() || apart || ends.len() >= POISON_CRASHES {
-            self.poison_at = self.poison_at.max(ends.iter().map(|crash| crash.at).max());
+            requests.len() >= POISON_CRASHES_DISTINCT && crashes.len() >= POISON_CRASHES_DISTINCT;
+        if self.poison_at.is_some() || apart || crashes.len() >= POISON_CRASHES {
+            self.poison_at = self.poison_at.max(crashes.iter().map(|crash| crash.at).max());
         }
     }
 
-    /// Sure ends, without those at the moment of another request's.
+    /// Sure crashes, without those at the moment of another request's.
     fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
         let kept = |crash: &&ReplicaCrash| {
             crash.unconfirmed.is_none() && now.millis_since(crash.at) < CRASH_KEPT_MS
         };
-        let mut ends: Vec<&ReplicaCrash> = self.ends.iter().filter(kept).collect();
-        ends.sort_by_key(|crash| crash.at);
-        let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(ends.len());
-        for crash in ends {
+        let mut crashes: Vec<&ReplicaCrash> = self.crashes.iter().filter(kept).collect();
+        crashes.sort_by_key(|crash| crash.at);
+        let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(crashes.len());
+        for crash in crashes {
             if !counted.iter().any(|first| crash.is_simultaneous(first)) {
                 counted.push(crash);
             }
@@ -179,7 +179,7 @@
     /// Whether it is sent no further. A while after the last crash it is tried again, by one attempt at a time: until it is
     /// known what became of that one's replica there is no other.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
-        let pending = || self.ends.iter().any(|crash| crash.unconfirmed.is_some());
+        let pending = || self.crashes.iter().any(|crash| crash.unconfirmed.is_some());
         self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
@@ -189,7 +189,7 @@
         content: u64,
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
-        let confirmed = self.ends.iter().filter(|crash| crash.unconfirmed.is_none());
+        let confirmed = self.crashes.iter().filter(|crash| crash.unconfirmed.is_none());
         let updates = confirmed.flat_map(move |crash| {
             let (replica, age_ms) = (crash.replica, now.millis_since(crash.at));
             crash.requests.iter().map(move |request| CrashUpdate {
@@ -202,7 +202,7 @@
         updates.filter(|update| update.age_ms < CRASH_GOSSIP_MS)
     }
 
-    /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
+    /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as crashes are told.
     pub(super) fn poison_update(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
         let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
