--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -18,7 +18,7 @@
 /// Without word of a limit for this long, in milliseconds, a sender's next request goes to that replica, wherever else it
 /// would be read sooner: where hundreds of boxes share many replicas, the few senders may have no request that
 /// belongs there, and nobody would learn that it is in need no more.
-pub const ASK_AFTER_MS: u64 = 3_000;
+pub const PROBE_AFTER_MS: u64 = 3_000;
 
 /// A replica is taken to bear at least this, in requests a second: without any request nobody would learn that it
 /// is in need no more.
@@ -100,7 +100,7 @@
 
     /// Whether this box is to find out how the replica is.
     pub(super) fn needs_probe(&self, now: BoxTime) -> bool {
-        let silent = |at: BoxTime| now.millis_since(at) >= ASK_AFTER_MS;
+        let silent = |at: BoxTime| now.millis_since(at) >= PROBE_AFTER_MS;
         self.binds(now) && self.said_at.is_some_and(silent) && self.allows(now)
     }
 
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::rate_limit::{
-    LimitUpdate, ASK_AFTER_MS, LIMIT_GOSSIP_MS, LIMIT_KEPT_MS,
+    LimitUpdate, LIMIT_GOSSIP_MS, LIMIT_KEPT_MS, PROBE_AFTER_MS,
 };
 use ravenspoke_core::route::RouteState;
 
@@ -29,7 +29,7 @@
 
 /// All boxes know that a replica names its limit no more after this, in milliseconds: a sender asks it, its answer comes,
 /// and word of it goes from box to box.
-const LIFTED_MS: u64 = ASK_AFTER_MS + 3_000;
+const LIFTED_MS: u64 = PROBE_AFTER_MS + 3_000;
 
 /// Requests that a replica may get in a span: one and a half times what its limit allows, and five.
 fn allowed(limit_per_s: f64) -> usize {
