--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -22,7 +22,7 @@
 
 /// A replica is taken to bear at least this, in requests a second: without any request nobody would learn that it
 /// is in need no more.
-pub const LEAST_PER_S: f64 = 0.25;
+pub const MIN_PER_S: f64 = 0.25;
 
 /// Word of a limit is update on for this long after the replica said it, in milliseconds: several updates pass it on to all
 /// boxes of hundreds.
@@ -94,7 +94,7 @@
 
     /// Takes this box's part in the limit of the replica of hash `replica`.
     fn share(&mut self, replica: u64, fleet: &FleetNames) {
-        let per_s = self.per_s.unwrap_or(0.0).max(LEAST_PER_S);
+        let per_s = self.per_s.unwrap_or(0.0).max(MIN_PER_S);
         self.part.share(per_s, replica, fleet);
     }
 
