--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -29,7 +29,7 @@
 pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
 /// Limits in one update, at most, the latest word first: some 600 bytes.
-const LIMITS_TOLD: usize = 40;
+const LIMITS_PER_MESSAGE: usize = 40;
 
 /// Without word for this long, in milliseconds, a limit no longer counts: its senders' answers bring some every few seconds.
 pub const LIMIT_KEPT_MS: u64 = 30_000;
@@ -146,7 +146,7 @@
         let update = |row: &BackendState| row.limit.update(row.id_hash, now);
         let mut updates: Vec<LimitUpdate> = self.rows.values().filter_map(update).collect();
         updates.sort_by_key(|update| update.age_ms);
-        updates.truncate(LIMITS_TOLD);
+        updates.truncate(LIMITS_PER_MESSAGE);
         updates
     }
 }
