--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -51,7 +51,8 @@
     /// Requests a second from all boxes together; `None` without a limit.
     pub per_s: Option<f64>,
     /// When the replica said so.
-    said_at: Option<BoxTime>,
+    #[serde(rename = "said_at")]
+    reported_at: Option<BoxTime>,
     /// This box's part.
     part: SenderPart,
 }
@@ -60,12 +61,12 @@
     /// Takes what the replica said at `at`, unless it is known to have said something later. Returns whether it named a limit
     /// that it had not, or names one no more.
     fn take(&mut self, per_s: Option<f64>, at: BoxTime) -> bool {
-        if self.said_at.is_some_and(|known| known > at) {
+        if self.reported_at.is_some_and(|known| known > at) {
             return false;
         }
         let moved = self.per_s.is_some() != per_s.is_some();
         if moved || per_s.is_some() {
-            self.said_at = Some(at);
+            self.reported_at = Some(at);
         }
         self.per_s = per_s;
         moved
@@ -74,7 +75,7 @@
     /// Whether a limit is in force.
     fn binds(&self, now: BoxTime) -> bool {
         let kept = |at: BoxTime| now.millis_since(at) < LIMIT_KEPT_MS;
-        self.per_s.is_some() && self.said_at.is_some_and(kept)
+        self.per_s.is_some() && self.reported_at.is_some_and(kept)
     }
 
     /// From when on this box may send the next request; `None` if it is none of the senders.
@@ -101,12 +102,12 @@
     /// Whether this box is to find out how the replica is.
     pub(super) fn needs_probe(&self, now: BoxTime) -> bool {
         let silent = |at: BoxTime| now.millis_since(at) >= PROBE_AFTER_MS;
-        self.binds(now) && self.said_at.is_some_and(silent) && self.allows(now)
+        self.binds(now) && self.reported_at.is_some_and(silent) && self.allows(now)
     }
 
     /// What other boxes are update, if there is anything that they may not know.
     fn update(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
-        let age_ms = now.millis_since(self.said_at?);
+        let age_ms = now.millis_since(self.reported_at?);
         (age_ms < LIMIT_GOSSIP_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
     }
 }
