--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -14,7 +14,7 @@
 use super::leader::scale::ZoneCount;
 use super::prefix_cache::PrefixCache;
 use super::rate_limit::ReplicaLimit;
-use super::rate_share::SenderPart;
+use super::rate_share::SenderShare;
 use super::tombstones::ReplicaTombstones;
 use super::warm_up::{WarmUpPlan, ASSUMED_DOWN_MS};
 use crate::ids::ReplicaKey;
@@ -114,7 +114,7 @@
     /// Cold until this.
     pub cold_until: BoxTime,
     /// This box's part of what it bears until then.
-    pub(super) warm_up: SenderPart,
+    pub(super) warm_up: SenderShare,
     /// It wants nothing from this box before this.
     #[serde(rename = "rests_until")]
     pub backoff_until: BoxTime,
@@ -382,7 +382,7 @@
         let key = self.rows.insert(BackendState {
             id_hash: backend_hash(&id),
             cold_until: now.plus_millis(entry.cold_ms),
-            warm_up: SenderPart::default(),
+            warm_up: SenderShare::default(),
             backoff_until: BoxTime::default(),
             limit: ReplicaLimit::default(),
             at,
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::backend::{BackendState, BackendTable};
-use super::rate_share::{FleetNames, SenderPart};
+use super::rate_share::{FleetNames, SenderShare};
 use super::RouteState;
 use crate::event::EventStamp;
 use crate::ids::ReplicaKey;
@@ -54,7 +54,7 @@
     #[serde(rename = "said_at")]
     reported_at: Option<BoxTime>,
     /// This box's part.
-    part: SenderPart,
+    part: SenderShare,
 }
 
 impl ReplicaLimit {
--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -20,14 +20,14 @@
 
 /// This box's part in a bound on what a replica gets from all boxes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub(super) struct SenderPart {
+pub(super) struct SenderShare {
     /// Requests a second that this box may send; 0 if it is none of the senders.
     own_per_s: f64,
     /// When it last sent a request there.
     sent_at: Option<BoxTime>,
 }
 
-impl SenderPart {
+impl SenderShare {
     /// Requests a second that this box may send.
     pub(super) fn own_per_s(&self) -> f64 {
         self.own_per_s
