--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -54,7 +54,8 @@
     #[serde(rename = "said_at")]
     reported_at: Option<BoxTime>,
     /// This box's part.
-    part: SenderShare,
+    #[serde(rename = "part")]
+    share: SenderShare,
 }
 
 impl ReplicaLimit {
@@ -80,23 +81,23 @@
 
     /// From when on this box may send the next request; `None` if it is none of the senders.
     pub(super) fn next_at(&self) -> Option<BoxTime> {
-        self.part.next_at()
+        self.share.next_at()
     }
 
     /// Whether this box may send a request now.
     pub(super) fn allows(&self, now: BoxTime) -> bool {
-        !self.binds(now) || self.part.allows(now)
+        !self.binds(now) || self.share.allows(now)
     }
 
     /// Notes that this box sent a request.
     pub(super) fn record_sent(&mut self, now: BoxTime) {
-        self.part.record_sent(now);
+        self.share.record_sent(now);
     }
 
     /// Takes this box's part in the limit of the replica of hash `replica`.
     fn share(&mut self, replica: u64, fleet: &FleetNames) {
         let per_s = self.per_s.unwrap_or(0.0).max(MIN_PER_S);
-        self.part.share(per_s, replica, fleet);
+        self.share.share(per_s, replica, fleet);
     }
 
     /// Whether this box is to find out how the replica is.
@@ -194,7 +195,7 @@
         let fleet = self.fleet_names(stamp.now);
         self.backends.share_limit(key, &fleet);
         let Some(row) = self.backends.get(key) else { return };
-        let (replica, own_per_s) = (row.entry.id.clone(), row.limit.part.own_per_s());
+        let (replica, own_per_s) = (row.entry.id.clone(), row.limit.share.own_per_s());
         out.push(RouteEffect::LimitChanged { replica, per_s, own_per_s });
     }
 
