--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -95,9 +95,9 @@
     }
 
     /// Takes this box's part in the limit of the replica of hash `replica`.
-    fn share(&mut self, replica: u64, fleet: &FleetNames) {
+    fn set_share(&mut self, replica: u64, fleet: &FleetNames) {
         let per_s = self.per_s.unwrap_or(0.0).max(MIN_PER_S);
-        self.share.share(per_s, replica, fleet);
+        self.share.set_share(per_s, replica, fleet);
     }
 
     /// Whether this box is to find out how the replica is.
@@ -122,7 +122,7 @@
     /// Works this box's part in one limit out.
     fn share_limit(&mut self, key: ReplicaKey, fleet: &FleetNames) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.limit.share(row.id_hash, fleet);
+            row.limit.set_share(row.id_hash, fleet);
         }
     }
 
@@ -134,7 +134,7 @@
     /// Works this box's parts out anew: boxes come and go, and limits change.
     fn share_limits(&mut self, fleet: &FleetNames) {
         for row in self.rows.values_mut().filter(|row| row.limit.per_s.is_some()) {
-            row.limit.share(row.id_hash, fleet);
+            row.limit.set_share(row.id_hash, fleet);
         }
     }
 
--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -53,7 +53,7 @@
     }
 
     /// Takes this box's part in `per_s` requests a second to the replica of hash `replica`.
-    pub(super) fn share(&mut self, per_s: f64, replica: u64, fleet: &FleetNames) {
+    pub(super) fn set_share(&mut self, per_s: f64, replica: u64, fleet: &FleetNames) {
         let senders = (per_s as usize + SENDERS_BEYOND).min(fleet.others.len() + 1);
         let weight = |name: u64| mix(name ^ replica);
         let before = fleet.others.iter().filter(|other| weight(**other) < weight(fleet.own));
--- a/crates/core/src/route/warm_up.rs
+++ b/crates/core/src/route/warm_up.rs
@@ -34,7 +34,7 @@
     ) {
         for row in self.rows.values_mut().filter(|row| row.cold_until > now) {
             if let Some(plan) = warm_up(&row.entry.service) {
-                row.warm_up.share(plan.per_s, row.id_hash, fleet);
+                row.warm_up.set_share(plan.per_s, row.id_hash, fleet);
             }
         }
     }
