--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -61,7 +61,7 @@
 impl ReplicaLimit {
     /// Takes what the replica said at `at`, unless it is known to have said something later. Returns whether it named a limit
     /// that it had not, or names one no more.
-    fn take(&mut self, per_s: Option<f64>, at: BoxTime) -> bool {
+    fn apply(&mut self, per_s: Option<f64>, at: BoxTime) -> bool {
         if self.reported_at.is_some_and(|known| known > at) {
             return false;
         }
@@ -116,7 +116,7 @@
 impl BackendTable {
     /// Takes what a replica said of its limit. Returns whether that is news.
     fn apply_limit(&mut self, key: ReplicaKey, per_s: Option<f64>, at: BoxTime) -> bool {
-        self.rows.get_mut(key).is_some_and(|row| row.limit.take(per_s, at))
+        self.rows.get_mut(key).is_some_and(|row| row.limit.apply(per_s, at))
     }
 
     /// Works this box's part in one limit out.
