--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -127,7 +127,7 @@
     }
 
     /// The replica that a update names.
-    fn named(&self, update: &LimitUpdate) -> Option<ReplicaKey> {
+    fn replica_key(&self, update: &LimitUpdate) -> Option<ReplicaKey> {
         self.hashes.get(&update.replica).copied()
     }
 
@@ -176,7 +176,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         for update in updates.iter().filter(|update| update.age_ms < LIMIT_GOSSIP_MS) {
-            let Some(key) = self.backends.named(update) else { continue };
+            let Some(key) = self.backends.replica_key(update) else { continue };
             self.apply_limit(stamp, key, update.per_s, stamp.now.minus_millis(update.age_ms), out);
         }
     }
