--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -74,7 +74,7 @@
     }
 
     /// Whether a limit is in force.
-    fn binds(&self, now: BoxTime) -> bool {
+    fn in_force(&self, now: BoxTime) -> bool {
         let kept = |at: BoxTime| now.millis_since(at) < LIMIT_KEPT_MS;
         self.per_s.is_some() && self.reported_at.is_some_and(kept)
     }
@@ -86,7 +86,7 @@
 
     /// Whether this box may send a request now.
     pub(super) fn allows(&self, now: BoxTime) -> bool {
-        !self.binds(now) || self.share.allows(now)
+        !self.in_force(now) || self.share.allows(now)
     }
 
     /// Notes that this box sent a request.
@@ -103,7 +103,7 @@
     /// Whether this box is to find out how the replica is.
     pub(super) fn needs_probe(&self, now: BoxTime) -> bool {
         let silent = |at: BoxTime| now.millis_since(at) >= PROBE_AFTER_MS;
-        self.binds(now) && self.reported_at.is_some_and(silent) && self.allows(now)
+        self.in_force(now) && self.reported_at.is_some_and(silent) && self.allows(now)
     }
 
     /// What other boxes are update, if there is anything that they may not know.
