--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -65,12 +65,12 @@
         if self.reported_at.is_some_and(|known| known > at) {
             return false;
         }
-        let moved = self.per_s.is_some() != per_s.is_some();
-        if moved || per_s.is_some() {
+        let changed = self.per_s.is_some() != per_s.is_some();
+        if changed || per_s.is_some() {
             self.reported_at = Some(at);
         }
         self.per_s = per_s;
-        moved
+        changed
     }
 
     /// Whether a limit is in force.
