--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -16,7 +16,7 @@
 
 /// Senders to a replica beyond the requests a second that it takes. With as many more, some of them have a request
 /// for it at any time, and one stays when others are lost; what each may send at once stays small beside the bound.
-pub const SENDERS_BEYOND: usize = 4;
+pub const EXTRA_SENDERS: usize = 4;
 
 /// This box's part in a bound on what a replica gets from all boxes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -54,7 +54,7 @@
 
     /// Takes this box's part in `per_s` requests a second to the replica of hash `replica`.
     pub(super) fn set_share(&mut self, per_s: f64, replica: u64, fleet: &FleetNames) {
-        let senders = (per_s as usize + SENDERS_BEYOND).min(fleet.others.len() + 1);
+        let senders = (per_s as usize + EXTRA_SENDERS).min(fleet.others.len() + 1);
         let weight = |name: u64| mix(name ^ replica);
         let before = fleet.others.iter().filter(|other| weight(**other) < weight(fleet.own));
         let sends = before.count() < senders;
