--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -38,8 +38,8 @@
         if self.own_per_s <= 0.0 {
             return None;
         }
-        let apart_ms = (1_000.0 / self.own_per_s).ceil() as u64;
-        Some(self.sent_at.map_or(BoxTime::default(), |at| at.plus_millis(apart_ms)))
+        let interval_ms = (1_000.0 / self.own_per_s).ceil() as u64;
+        Some(self.sent_at.map_or(BoxTime::default(), |at| at.plus_millis(interval_ms)))
     }
 
     /// Whether this box may send a request now.
