--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -57,8 +57,8 @@
         let senders = (per_s as usize + EXTRA_SENDERS).min(fleet.others.len() + 1);
         let weight = |name: u64| mix(name ^ replica);
         let before = fleet.others.iter().filter(|other| weight(**other) < weight(fleet.own));
-        let sends = before.count() < senders;
-        self.own_per_s = if sends { per_s / senders as f64 } else { 0.0 };
+        let is_sender = before.count() < senders;
+        self.own_per_s = if is_sender { per_s / senders as f64 } else { 0.0 };
     }
 }
 
