--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -23,7 +23,7 @@
 
 /// Part of the budget that is kept for requests that failed: asking a larger model may wait. Since boxes use what
 /// others leave, a tenth does: with a quarter and a tenth 187 and 188 of some 18,600 requests failed (eight days).
-pub const KEPT_FOR_FAILURES: f64 = 0.1;
+pub const FAILURE_RESERVE: f64 = 0.1;
 
 /// Further sends for silence alone, for each request: where replicas are slow because all of them are
 /// busy, asking others as well makes it worse.
@@ -133,7 +133,7 @@
         let own = self.count(bounds, now);
         let part = match cause {
             SendCause::Failure => 1.0,
-            SendCause::Silence | SendCause::LargerModel => 1.0 - KEPT_FOR_FAILURES,
+            SendCause::Silence | SendCause::LargerModel => 1.0 - FAILURE_RESERVE,
         };
         let slack = bounds.slack * SLACK_USED / boxes.max(1) as f64;
         let limit = (part * bounds.limit(f64::from(own.requests), slack)).max(1.0);
