--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -9,7 +9,7 @@
 //! chance some want more than their part while others leave theirs. Where 100 boxes kept to their own parts, 5 of 100
 //! wanted sends were denied, though the fleet's budget had room for all; now none is (virtual time).
 //! The limits below are for the other pattern, where all boxes want more at once, as when every request fails: what
-//! is heard lags behind, so it counts for [`HEARD_MS`] alone, and each box stops at [`OWN_PARTS`] of its own part.
+//! is heard lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_PARTS`] of its own part.
 
 use std::collections::HashMap;
 
@@ -32,7 +32,7 @@
 /// What another box told of its further sends counts for this long, in milliseconds: two notes, in which a box hears
 /// some twenty others. A storm of failures that nobody has heard of yet goes on for as long: with 2,000 ms one that came
 /// while nothing was spent went 10 sends beyond what the operator allows, of 2,000 (100 boxes, virtual time).
-pub const HEARD_MS: u64 = 1_000;
+pub const REPORT_KEPT_MS: u64 = 1_000;
 
 /// A box sends at most this many times its own part, however much the others have left: what a storm that nobody
 /// has heard of yet may take.
@@ -118,7 +118,7 @@
 
     /// Takes another box's counts.
     pub fn merge(&mut self, name: &str, count: SendCount, now: BoxTime) {
-        self.heard.retain(|_, (at, _)| now.millis_since(*at) < HEARD_MS);
+        self.heard.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
         self.heard.insert(name.to_owned(), (now, count));
     }
 
@@ -156,7 +156,7 @@
         own: SendCount,
         now: BoxTime,
     ) -> bool {
-        self.heard.retain(|_, (at, _)| now.millis_since(*at) < HEARD_MS);
+        self.heard.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
         let counts = || self.heard.values().map(|(_, count)| count).chain([&own]);
         let requests = counts().map(|count| f64::from(count.requests)).sum();
         let sends: f64 = counts().map(|count| f64::from(count.sends)).sum();
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget of a fleet: boxes that see few requests each, and what they make of the whole.
 
 use ravenspoke_core::route::retry_budget::{
-    BudgetBounds, SendBudget, SendCause, SendCount, HEARD_MS,
+    BudgetBounds, SendBudget, SendCause, SendCount, REPORT_KEPT_MS,
 };
 use ravenspoke_core::time::BoxTime;
 
@@ -154,7 +154,7 @@
 #[test]
 fn what_was_heard_long_ago_leaves_nothing() {
     let (mut budget, now) = box_that_spent_its_part(SendCount { requests: 200, sends: 0 });
-    let later = now.plus_millis(HEARD_MS);
+    let later = now.plus_millis(REPORT_KEPT_MS);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, later));
 }
 
