--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -9,7 +9,7 @@
 //! chance some want more than their part while others leave theirs. Where 100 boxes kept to their own parts, 5 of 100
 //! wanted sends were denied, though the fleet's budget had room for all; now none is (virtual time).
 //! The limits below are for the other pattern, where all boxes want more at once, as when every request fails: what
-//! is heard lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_PARTS`] of its own part.
+//! is heard lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_SHARE_LIMIT`] of its own part.
 
 use std::collections::HashMap;
 
@@ -36,7 +36,7 @@
 
 /// A box sends at most this many times its own part, however much the others have left: what a storm that nobody
 /// has heard of yet may take.
-pub const OWN_PARTS: f64 = 2.0;
+pub const OWN_SHARE_LIMIT: f64 = 2.0;
 
 /// Slots of a window.
 const SLOTS: u64 = 10;
@@ -139,7 +139,8 @@
         let limit = (part * bounds.limit(f64::from(own.requests), slack)).max(1.0);
         let next = f64::from(own.sends) + 1.0;
         let room = next <= limit
-            || (next <= OWN_PARTS * limit && self.others_leave(bounds, slack, part, own, now));
+            || (next <= OWN_SHARE_LIMIT * limit
+                && self.others_leave(bounds, slack, part, own, now));
         let allowed = room && !(cause == SendCause::Silence && self.is_impatient(own.requests));
         let slot = self.slot(bounds, now);
         slot.sends += u32::from(allowed);
