--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -3,13 +3,13 @@
 //! The operator bounds further sends in every span of the window's length by a ratio of the requests in
 //! it and a slack for the whole fleet. A box counts both in slots of a tenth of the window, and tells the others
 //! its counts with its notes. What its own traffic's part allows it may always send. Beyond that it goes on while
-//! the boxes heard lately have together not spent theirs.
+//! the boxes reports lately have together not spent theirs.
 //!
 //! Load pattern: hundreds of boxes with some twenty requests a window each, half of which want one more send. By
 //! chance some want more than their part while others leave theirs. Where 100 boxes kept to their own parts, 5 of 100
 //! wanted sends were denied, though the fleet's budget had room for all; now none is (virtual time).
 //! The limits below are for the other pattern, where all boxes want more at once, as when every request fails: what
-//! is heard lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_SHARE_LIMIT`] of its own part.
+//! is reports lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_SHARE_LIMIT`] of its own part.
 
 use std::collections::HashMap;
 
@@ -30,12 +30,12 @@
 pub const SILENCE_RATIO: f64 = 0.05;
 
 /// What another box told of its further sends counts for this long, in milliseconds: two notes, in which a box hears
-/// some twenty others. A storm of failures that nobody has heard of yet goes on for as long: with 2,000 ms one that came
+/// some twenty others. A storm of failures that nobody has reports of yet goes on for as long: with 2,000 ms one that came
 /// while nothing was spent went 10 sends beyond what the operator allows, of 2,000 (100 boxes, virtual time).
 pub const REPORT_KEPT_MS: u64 = 1_000;
 
 /// A box sends at most this many times its own part, however much the others have left: what a storm that nobody
-/// has heard of yet may take.
+/// has reports of yet may take.
 pub const OWN_SHARE_LIMIT: f64 = 2.0;
 
 /// Slots of a window.
@@ -98,8 +98,8 @@
     slots: [BudgetSlot; COUNTED],
     /// Number of the newest slot, counted from the box's start.
     newest: u64,
-    /// By the other box's name, with when it was heard.
-    heard: HashMap<String, (BoxTime, SendCount)>,
+    /// By the other box's name, with when it was reports.
+    reports: HashMap<String, (BoxTime, SendCount)>,
 }
 
 impl SendBudget {
@@ -118,8 +118,8 @@
 
     /// Takes another box's counts.
     pub fn merge(&mut self, name: &str, count: SendCount, now: BoxTime) {
-        self.heard.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
-        self.heard.insert(name.to_owned(), (now, count));
+        self.reports.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
+        self.reports.insert(name.to_owned(), (now, count));
     }
 
     /// Takes one further send, if there is one; `boxes` share the slack.
@@ -148,7 +148,7 @@
         allowed
     }
 
-    /// Whether this box and those heard lately have together not spent their parts of the budget.
+    /// Whether this box and those reports lately have together not spent their parts of the budget.
     fn others_leave(
         &mut self,
         bounds: BudgetBounds,
@@ -157,8 +157,8 @@
         own: SendCount,
         now: BoxTime,
     ) -> bool {
-        self.heard.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
-        let counts = || self.heard.values().map(|(_, count)| count).chain([&own]);
+        self.reports.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
+        let counts = || self.reports.values().map(|(_, count)| count).chain([&own]);
         let requests = counts().map(|count| f64::from(count.requests)).sum();
         let sends: f64 = counts().map(|count| f64::from(count.sends)).sum();
         let slack = slack * counts().count() as f64;
