--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -141,7 +141,8 @@
         let room = next <= limit
             || (next <= OWN_SHARE_LIMIT * limit
                 && self.others_leave(bounds, slack, part, own, now));
-        let allowed = room && !(cause == SendCause::Silence && self.is_impatient(own.requests));
+        let allowed =
+            room && !(cause == SendCause::Silence && self.silence_exhausted(own.requests));
         let slot = self.slot(bounds, now);
         slot.sends += u32::from(allowed);
         slot.silences += u32::from(allowed && cause == SendCause::Silence);
@@ -166,7 +167,7 @@
     }
 
     /// Whether one more send for silence alone would be too many.
-    fn is_impatient(&self, requests: u32) -> bool {
+    fn silence_exhausted(&self, requests: u32) -> bool {
         let silences: u32 = self.slots.iter().map(|slot| slot.silences).sum();
         f64::from(silences) + 1.0 > (SILENCE_RATIO * f64::from(requests)).max(1.0)
     }
