--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -140,7 +140,7 @@
         let next = f64::from(own.sends) + 1.0;
         let room = next <= limit
             || (next <= OWN_SHARE_LIMIT * limit
-                && self.others_leave(bounds, slack, part, own, now));
+                && self.fleet_has_room(bounds, slack, part, own, now));
         let allowed =
             room && !(cause == SendCause::Silence && self.silence_exhausted(own.requests));
         let slot = self.slot(bounds, now);
@@ -150,7 +150,7 @@
     }
 
     /// Whether this box and those reports lately have together not spent their parts of the budget.
-    fn others_leave(
+    fn fleet_has_room(
         &mut self,
         bounds: BudgetBounds,
         slack: f64,
