--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -42,7 +42,7 @@
 const SLOTS: u64 = 10;
 
 /// Slots that are counted: one more, since the first and the last are not whole.
-const COUNTED: usize = SLOTS as usize + 1;
+const COUNTED_SLOTS: usize = SLOTS as usize + 1;
 
 /// Bounds from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,7 +58,7 @@
 impl BudgetBounds {
     /// Further sends that boxes allow themselves for so many requests in the counted slots.
     fn limit(&self, requests: f64, slack: f64) -> f64 {
-        let part = SLOTS as f64 / COUNTED as f64;
+        let part = SLOTS as f64 / COUNTED_SLOTS as f64;
         self.ratio * RATIO_USED * part * requests + slack
     }
 }
@@ -95,7 +95,7 @@
 /// Requests and further sends to one service: of this box, and of others as they told them.
 #[derive(Clone, Debug, Default)]
 pub struct SendBudget {
-    slots: [BudgetSlot; COUNTED],
+    slots: [BudgetSlot; COUNTED_SLOTS],
     /// Number of the newest slot, counted from the box's start.
     newest: u64,
     /// By the other box's name, with when it was reports.
@@ -175,11 +175,11 @@
     /// The slot of `now`; those that it follows by more than a window are emptied.
     fn slot(&mut self, bounds: BudgetBounds, now: BoxTime) -> &mut BudgetSlot {
         let current = now.as_millis() * SLOTS / bounds.window_ms.max(SLOTS);
-        let passed = current.saturating_sub(self.newest).min(COUNTED as u64);
+        let passed = current.saturating_sub(self.newest).min(COUNTED_SLOTS as u64);
         for back in 0..passed {
-            self.slots[((current - back) % COUNTED as u64) as usize] = BudgetSlot::default();
+            self.slots[((current - back) % COUNTED_SLOTS as u64) as usize] = BudgetSlot::default();
         }
         self.newest = self.newest.max(current);
-        &mut self.slots[(self.newest % COUNTED as u64) as usize]
+        &mut self.slots[(self.newest % COUNTED_SLOTS as u64) as usize]
     }
 }
