--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -39,10 +39,10 @@
 pub const OWN_SHARE_LIMIT: f64 = 2.0;
 
 /// Slots of a window.
-const SLOTS: u64 = 10;
+const WINDOW_SLOTS: u64 = 10;
 
 /// Slots that are counted: one more, since the first and the last are not whole.
-const COUNTED_SLOTS: usize = SLOTS as usize + 1;
+const COUNTED_SLOTS: usize = WINDOW_SLOTS as usize + 1;
 
 /// Bounds from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -58,7 +58,7 @@
 impl BudgetBounds {
     /// Further sends that boxes allow themselves for so many requests in the counted slots.
     fn limit(&self, requests: f64, slack: f64) -> f64 {
-        let part = SLOTS as f64 / COUNTED_SLOTS as f64;
+        let part = WINDOW_SLOTS as f64 / COUNTED_SLOTS as f64;
         self.ratio * RATIO_USED * part * requests + slack
     }
 }
@@ -174,7 +174,7 @@
 
     /// The slot of `now`; those that it follows by more than a window are emptied.
     fn slot(&mut self, bounds: BudgetBounds, now: BoxTime) -> &mut BudgetSlot {
-        let current = now.as_millis() * SLOTS / bounds.window_ms.max(SLOTS);
+        let current = now.as_millis() * WINDOW_SLOTS / bounds.window_ms.max(WINDOW_SLOTS);
         let passed = current.saturating_sub(self.newest).min(COUNTED_SLOTS as u64);
         for back in 0..passed {
             self.slots[((current - back) % COUNTED_SLOTS as u64) as usize] = BudgetSlot::default();
