--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -29,7 +29,7 @@
 }
 
 /// Replica `a` turns a request away and asks for rest.
-fn let_a_rest(subject: &mut TestBox, rest_ms: u64) {
+fn back_off_a(subject: &mut TestBox, rest_ms: u64) {
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
         if order.replica_id == "a" {
@@ -48,7 +48,7 @@
 #[test]
 fn a_replica_that_asked_for_rest_gets_nothing_until_it_is_over() {
     let mut subject = ready_box();
-    let_a_rest(&mut subject, REST_MS);
+    back_off_a(&mut subject, REST_MS);
     subject.now += REST_MS - 1;
     assert!(!uses_a(&mut subject));
     subject.now += 1;
