--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -24,7 +24,7 @@
     subject
 }
 
-fn turning_away(rest_ms: u64) -> AnswerHead {
+fn refusing_head(rest_ms: u64) -> AnswerHead {
     AnswerHead { rest_ms: Some(rest_ms), not_run: true, proven: false, ..head(503) }
 }
 
@@ -33,7 +33,7 @@
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
         if order.replica_id == "a" {
-            subject.feed(RouteEvent::HeadReceived(ticket, turning_away(rest_ms)));
+            subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(rest_ms)));
             return;
         }
     }
@@ -61,7 +61,7 @@
     let (ticket, _) = subject.sent(ask("/read/x"));
     let (other, _) = subject.sent(ask("/read/x"));
     for (ticket, rest_ms) in [(ticket, u64::MAX), (other, 1)] {
-        subject.feed(RouteEvent::HeadReceived(ticket, turning_away(rest_ms)));
+        subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(rest_ms)));
     }
     subject.now += BACKOFF_LIMIT_MS - 1;
     subject.read_plan(Some(plan(1)));
@@ -76,7 +76,7 @@
 fn with_all_replicas_at_rest_callers_are_told_at_once_when_to_come_back() {
     let mut subject = box_with(&["a"]);
     let (ticket, _) = subject.sent(ask("/file/x"));
-    let effects = subject.feed(RouteEvent::HeadReceived(ticket, turning_away(700)));
+    let effects = subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(700)));
     let first = refusal_in(&effects).expect("the request that was turned away is refused");
     assert!(is_refused(first, 503, RefusalReason::ReplicasLimited));
     subject.now += 200;
@@ -91,7 +91,7 @@
     let (first, _) = subject.sent(ask("/read/x"));
     let (second, _) = subject.sent(ask("/read/x"));
     subject.put(entry("b", "v1"));
-    subject.feed(RouteEvent::HeadReceived(first, turning_away(REST_MS)));
+    subject.feed(RouteEvent::HeadReceived(first, refusing_head(REST_MS)));
     assert!(!subject.state.may_write(second, BoxTime::from_millis(subject.now)));
     let effects = subject.feed(RouteEvent::AttemptFailed(second, AttemptFailure::Withdrawn));
     assert_eq!(order_in(&effects).expect("it goes elsewhere").replica_id, "b");
