--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -9,7 +9,7 @@
 };
 
 /// Rest that a replica asks for, in milliseconds.
-const REST_MS: u64 = 3_000;
+const BACKOFF_MS: u64 = 3_000;
 
 /// Requests of which some would go to a replica of two, by chance.
 const REQUESTS: usize = 40;
@@ -48,8 +48,8 @@
 #[test]
 fn a_replica_that_asked_for_rest_gets_nothing_until_it_is_over() {
     let mut subject = ready_box();
-    back_off_a(&mut subject, REST_MS);
-    subject.now += REST_MS - 1;
+    back_off_a(&mut subject, BACKOFF_MS);
+    subject.now += BACKOFF_MS - 1;
     assert!(!uses_a(&mut subject));
     subject.now += 1;
     assert!(uses_a(&mut subject));
@@ -91,7 +91,7 @@
     let (first, _) = subject.sent(ask("/read/x"));
     let (second, _) = subject.sent(ask("/read/x"));
     subject.put(entry("b", "v1"));
-    subject.feed(RouteEvent::HeadReceived(first, refusing_head(REST_MS)));
+    subject.feed(RouteEvent::HeadReceived(first, refusing_head(BACKOFF_MS)));
     assert!(!subject.state.may_write(second, BoxTime::from_millis(subject.now)));
     let effects = subject.feed(RouteEvent::AttemptFailed(second, AttemptFailure::Withdrawn));
     assert_eq!(order_in(&effects).expect("it goes elsewhere").replica_id, "b");
