--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -40,7 +40,7 @@
 const WAY_MS: u64 = 1;
 
 /// A moment, in milliseconds.
-type Moment = u64;
+type SimTime = u64;
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -58,7 +58,7 @@
     number: usize,
     ticket: u64,
     replica: usize,
-    began: Moment,
+    began: SimTime,
 }
 
 #[derive(Default)]
@@ -79,9 +79,9 @@
     boxes: Vec<RouteState>,
     replicas: Vec<CallReplica>,
     keys: HashMap<(usize, ReplicaKey), usize>,
-    steps: BinaryHeap<Reverse<(Moment, u64, usize)>>,
+    steps: BinaryHeap<Reverse<(SimTime, u64, usize)>>,
     planned: Vec<Option<Step>>,
-    now: Moment,
+    now: SimTime,
     random: u64,
     next_arrival: f64,
     count: CallCount,
@@ -155,7 +155,7 @@
         (self.draw() * limit as f64) as u64
     }
 
-    fn plan_step(&mut self, at: Moment, step: Step) {
+    fn plan_step(&mut self, at: SimTime, step: Step) {
         self.planned.push(Some(step));
         let row = self.planned.len() - 1;
         self.steps.push(Reverse((at, row as u64, row)));
@@ -194,7 +194,7 @@
         }
     }
 
-    fn run(&mut self, length: Moment) -> CallCount {
+    fn run(&mut self, length: SimTime) -> CallCount {
         self.count = CallCount::default();
         let until = self.now + length;
         while self.steps.peek().is_some_and(|row| row.0 .0 < until) {
