--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -37,7 +37,7 @@
 const TARGET_MS: u64 = 300;
 
 /// One way between a box and a replica, or another box, in milliseconds.
-const WAY_MS: u64 = 1;
+const NETWORK_DELAY_MS: u64 = 1;
 
 /// A moment, in milliseconds.
 type SimTime = u64;
@@ -171,7 +171,7 @@
     }
 
     fn act(&mut self, number: usize, effect: RouteEffect) {
-        let later = self.now + WAY_MS;
+        let later = self.now + NETWORK_DELAY_MS;
         match effect {
             RouteEffect::SendGossip(targets, note) => {
                 for target in targets {
@@ -264,7 +264,10 @@
         let replica = &self.replicas[place.replica];
         let (running, waiting) = (replica.running as u32, replica.waiting.len() as u32);
         let load = Some(BackendLoad { running, waiting, slots: SLOTS as u32 });
-        self.plan_step(self.now + WAY_MS, Step::Head(place, AnswerHead { load, ..answer }));
+        self.plan_step(
+            self.now + NETWORK_DELAY_MS,
+            Step::Head(place, AnswerHead { load, ..answer }),
+        );
     }
 }
 
