--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Tick(usize),
-    Hear(usize, Box<RouteEvent>),
+    Deliver(usize, Box<RouteEvent>),
     Arrive,
     Reach(CallPlace),
     Done(CallPlace),
@@ -179,7 +179,7 @@
                     let to = name.parse().expect("a number");
                     self.plan_step(
                         later,
-                        Step::Hear(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
+                        Step::Deliver(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
                     );
                 }
             }
@@ -216,7 +216,7 @@
                 self.feed(number, RouteEvent::Tick);
                 self.plan_step(self.now + 200, Step::Tick(number));
             }
-            Step::Hear(number, event) => self.feed(number, *event),
+            Step::Deliver(number, event) => self.feed(number, *event),
             Step::Arrive => {
                 self.next_arrival += -self.draw().ln() / RATE * 1_000.0;
                 self.plan_step(self.next_arrival as u64, Step::Arrive);
