--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -109,7 +109,7 @@
         let addresses: Vec<String> = (0..boxes).map(|number| format!("box-{number}:90")).collect();
         for number in 0..boxes {
             fleet.feed(number, RouteEvent::PeersDiscovered(addresses.clone()));
-            fleet.put(number);
+            fleet.set_up(number);
             let first = fleet.now + fleet.below(200);
             fleet.plan_step(first, Step::Tick(number));
         }
@@ -118,7 +118,7 @@
     }
 
     /// A box knows the plan and the replicas.
-    fn put(&mut self, number: usize) {
+    fn set_up(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let mut calls = plan(1);
         calls.routes[1].attempts = 1;
