--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -138,7 +138,7 @@
     }
 
     /// A replica is gone, and all boxes know it.
-    fn lose(&mut self, replica: usize) {
+    fn remove_replica(&mut self, replica: usize) {
         for number in 0..self.boxes.len() {
             let id = format!("c{replica}");
             let change = BackendChange { id, at: at(100 + replica as u64), entry: None };
@@ -280,7 +280,7 @@
     for boxes in [9, 84, 300] {
         let mut fleet = CallFleet::start(boxes);
         fleet.run(4_000);
-        [0, 1, 5].into_iter().for_each(|replica| fleet.lose(replica));
+        [0, 1, 5].into_iter().for_each(|replica| fleet.remove_replica(replica));
         let count = fleet.run(12_000);
         println!("{boxes} boxes: {count:?}");
         let bad = count.late + count.refused;
