--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -111,9 +111,9 @@
             fleet.feed(number, RouteEvent::PeersDiscovered(addresses.clone()));
             fleet.set_up(number);
             let first = fleet.now + fleet.below(200);
-            fleet.plan_step(first, Step::Tick(number));
+            fleet.schedule(first, Step::Tick(number));
         }
-        fleet.plan_step(1_000, Step::Arrive);
+        fleet.schedule(1_000, Step::Arrive);
         fleet
     }
 
@@ -155,7 +155,7 @@
         (self.draw() * limit as f64) as u64
     }
 
-    fn plan_step(&mut self, at: SimTime, step: Step) {
+    fn schedule(&mut self, at: SimTime, step: Step) {
         self.planned.push(Some(step));
         let row = self.planned.len() - 1;
         self.steps.push(Reverse((at, row as u64, row)));
@@ -177,7 +177,7 @@
                 for target in targets {
                     let name = target.trim_end_matches(":90").trim_start_matches("box-");
                     let to = name.parse().expect("a number");
-                    self.plan_step(
+                    self.schedule(
                         later,
                         Step::Deliver(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
                     );
@@ -187,7 +187,7 @@
                 let replica = self.keys[&(number, order.replica)];
                 let began = self.now;
                 let place = CallPlace { number, ticket: ticket.0, replica, began };
-                self.plan_step(later, Step::Reach(place));
+                self.schedule(later, Step::Reach(place));
             }
             RouteEffect::Refuse(..) => self.count.refused += 1,
             _ => {}
@@ -214,12 +214,12 @@
                 let same = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
                 self.feed(number, same);
                 self.feed(number, RouteEvent::Tick);
-                self.plan_step(self.now + 200, Step::Tick(number));
+                self.schedule(self.now + 200, Step::Tick(number));
             }
             Step::Deliver(number, event) => self.feed(number, *event),
             Step::Arrive => {
                 self.next_arrival += -self.draw().ln() / RATE * 1_000.0;
-                self.plan_step(self.next_arrival as u64, Step::Arrive);
+                self.schedule(self.next_arrival as u64, Step::Arrive);
                 self.count.asked += 1;
                 let number = self.below(self.boxes.len() as u64) as usize;
                 let ticket = RequestTicket(self.planned.len() as u64);
@@ -257,14 +257,14 @@
     fn work(&mut self, place: CallPlace) {
         self.replicas[place.replica].running += 1;
         let work_ms = WORK_MS * (0.5 + self.draw());
-        self.plan_step(self.now + work_ms as u64, Step::Done(place));
+        self.schedule(self.now + work_ms as u64, Step::Done(place));
     }
 
     fn answer(&mut self, place: CallPlace, answer: AnswerHead) {
         let replica = &self.replicas[place.replica];
         let (running, waiting) = (replica.running as u32, replica.waiting.len() as u32);
         let load = Some(BackendLoad { running, waiting, slots: SLOTS as u32 });
-        self.plan_step(
+        self.schedule(
             self.now + NETWORK_DELAY_MS,
             Step::Head(place, AnswerHead { load, ..answer }),
         );
