--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -166,11 +166,11 @@
         let now = BoxTime::from_millis(self.now);
         let stamp = EventStamp { now, wall: WallTime(0), random };
         for effect in self.boxes[number].apply(stamp, event) {
-            self.act(number, effect);
+            self.perform(number, effect);
         }
     }
 
-    fn act(&mut self, number: usize, effect: RouteEffect) {
+    fn perform(&mut self, number: usize, effect: RouteEffect) {
         let later = self.now + NETWORK_DELAY_MS;
         match effect {
             RouteEffect::SendGossip(targets, note) => {
