--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -201,13 +201,13 @@
             let Reverse((at, _, row)) = self.steps.pop().expect("a step");
             self.now = at;
             let step = self.planned[row].take().expect("each step is taken once");
-            self.take(step);
+            self.handle(step);
         }
         self.now = until;
         self.count
     }
 
-    fn take(&mut self, step: Step) {
+    fn handle(&mut self, step: Step) {
         match step {
             Step::Tick(number) => {
                 let asked_at = BoxTime::from_millis(self.now);
