--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -18,7 +18,7 @@
 
 /// Of so many requests one may be refused while all replicas are cold and bear twice what is asked: a box that has drawn none
 /// of them for half a second sends its callers back, since no other box is asked for its part.
-const REFUSED_PART: usize = 10;
+const MIN_ASKED_PER_REFUSED: usize = 10;
 
 /// Boxes before replicas of a service that bounds cold ones.
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
@@ -73,7 +73,7 @@
         let asked = fleet.refused + fleet.got.iter().map(Vec::len).sum::<usize>();
         println!("{boxes} boxes, all cold: {fullest}, refused {} of {asked}", fleet.refused);
         assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
-        assert!(fleet.refused * REFUSED_PART <= asked, "{} of {asked}", fleet.refused);
+        assert!(fleet.refused * MIN_ASKED_PER_REFUSED <= asked, "{} of {asked}", fleet.refused);
     }
 }
 
