--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -140,7 +140,7 @@
 }
 
 /// The most that a cold replica gets in a second of a burst after a quiet time.
-fn fullest_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
+fn peak_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
     for replica in 0..replicas {
@@ -156,7 +156,7 @@
 #[test]
 fn a_burst_after_a_quiet_time_brings_a_cold_replica_no_more_than_any_other() {
     for (boxes, replicas) in SIZES {
-        let fullest = fullest_after_quiet(boxes, replicas, false);
+        let fullest = peak_after_quiet(boxes, replicas, false);
         assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
     }
 }
@@ -164,6 +164,6 @@
 #[test]
 fn with_other_luck_a_burst_brings_a_cold_replica_no_more_than_any_other() {
     let (boxes, replicas) = SIZES[2];
-    let fullest = fullest_after_quiet(boxes, replicas, true);
+    let fullest = peak_after_quiet(boxes, replicas, true);
     assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
 }
