--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -18,7 +18,7 @@
     order.replica_id
 }
 
-fn note_of_loads(loads: Vec<LoadUpdate>) -> RouteEvent {
+fn load_gossip(loads: Vec<LoadUpdate>) -> RouteEvent {
     RouteEvent::GossipReceived(Box::new(GossipMessage {
         name: "box-9".to_owned(),
         number: 1,
@@ -32,7 +32,7 @@
     let mut subject = ready_box();
     let full = designated_replica(&mut subject, 9);
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
-    subject.feed(note_of_loads(vec![load]));
+    subject.feed(load_gossip(vec![load]));
     let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     assert_ne!(order.replica_id, full);
 }
@@ -47,7 +47,7 @@
     subject.feed(RouteEvent::ResponseFinished(ticket));
     subject.now += 100;
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 200 };
-    subject.feed(note_of_loads(vec![load]));
+    subject.feed(load_gossip(vec![load]));
     let (_, order) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
     assert_eq!(order.replica_id, full);
 }
@@ -56,7 +56,7 @@
 fn a_busy_replicas_load_is_told_and_told_on_with_its_age_and_an_idle_ones_is_not() {
     let mut subject = ready_box();
     let load = LoadUpdate { replica: backend_hash("a"), load: 30, waiting: 5, age_ms: 300 };
-    subject.feed(note_of_loads(vec![load]));
+    subject.feed(load_gossip(vec![load]));
     let (ticket, order) = subject.sent(ask("/chat/x"));
     assert_eq!(order.replica_id, "b");
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
