--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -72,12 +72,12 @@
 /// A crash takes many replicas away at the same moment. They look idle, so each box would give each of them a request.
 #[test]
 fn a_replica_that_one_box_can_not_reach_is_passed_over_by_others_unless_it_has_answered_since() {
-    let mut teller = ready_box();
-    teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let (ticket, order) = teller.sent(ask("/read/x"));
-    teller.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
-    teller.now += UNREACHABLE_DELAY_MS;
-    let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note, before the next is due");
+    let mut sender = ready_box();
+    sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
+    let (ticket, order) = sender.sent(ask("/read/x"));
+    sender.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
+    sender.now += UNREACHABLE_DELAY_MS;
+    let note = note_in(&sender.feed(RouteEvent::Tick)).expect("a note, before the next is due");
     let note = GossipMessage { name: "box-9".to_owned(), ..note };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
