--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -92,19 +92,19 @@
     subject.feed(RouteEvent::GossipReceived(Box::new(note.clone())));
     assert!(!chosen(&mut subject).contains(&order.replica_id));
 
-    let mut witness = ready_box();
-    while witness
+    let mut informed = ready_box();
+    while informed
         .state
         .backends()
         .rows()
         .any(|(_, row)| row.entry.id == order.replica_id && row.reported_at == BoxTime::default())
     {
-        let (ticket, _) = witness.sent(ask("/read/x"));
+        let (ticket, _) = informed.sent(ask("/read/x"));
         let load = BackendLoad { running: 1, waiting: 0, slots: 4 };
-        witness
+        informed
             .feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(load), ..head(200) }));
-        witness.feed(RouteEvent::ResponseFinished(ticket));
+        informed.feed(RouteEvent::ResponseFinished(ticket));
     }
-    witness.feed(RouteEvent::GossipReceived(Box::new(note)));
-    assert!(chosen(&mut witness).contains(&order.replica_id), "it has told its load since");
+    informed.feed(RouteEvent::GossipReceived(Box::new(note)));
+    assert!(chosen(&mut informed).contains(&order.replica_id), "it has told its load since");
 }
