--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -25,7 +25,7 @@
 }
 
 /// A request whose small model was unsure, sent to the large one: its second of three attempts.
-fn asked_of_the_large_model(subject: &mut TestBox) -> RequestTicket {
+fn escalated_request(subject: &mut TestBox) -> RequestTicket {
     let (ticket, _) = subject.sent(CallerRequest { any_model: true, ..ask("/chat/x") });
     let unsure = AnswerHead { confidence: Some(3), ..head(200) };
     let order = order_in(&subject.feed(RouteEvent::HeadReceived(ticket, unsure)));
@@ -37,7 +37,7 @@
 fn the_last_attempt_goes_to_the_small_model_where_the_large_one_is_silent_or_fails() {
     for broken in [true, false] {
         let mut subject = box_with_models(20);
-        let ticket = asked_of_the_large_model(&mut subject);
+        let ticket = escalated_request(&mut subject);
         let event = match broken {
             true => RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken),
             false => RouteEvent::AttemptStalled(ticket),
@@ -53,7 +53,7 @@
 #[test]
 fn a_stream_that_the_caller_has_a_part_of_stays_with_its_model() {
     let mut subject = box_with_models(20);
-    let ticket = asked_of_the_large_model(&mut subject);
+    let ticket = escalated_request(&mut subject);
     let confident = AnswerHead { confidence: Some(90), ..head(200) };
     subject.feed(RouteEvent::HeadReceived(ticket, confident));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
