--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -65,7 +65,7 @@
 
 /// Arrivals whose small model is unsure, one every `gap_ms` for a while, each with a long prompt of its own:
 /// how many of them were asked of the large model, and what came last.
-fn asked_again_in_a_burst(gap_ms: u64) -> (usize, usize) {
+fn escalated_in_burst(gap_ms: u64) -> (usize, usize) {
     let mut subject = box_with_models(3);
     let (mut asked, count) = (0, 40);
     for number in 0..count {
@@ -90,10 +90,10 @@
 
 #[test]
 fn in_a_burst_of_unsure_answers_only_those_are_asked_again_that_begin_within_the_target() {
-    let (asked, count) = asked_again_in_a_burst(10);
+    let (asked, count) = escalated_in_burst(10);
     // Three replicas begin 28 of 150 ms each within the target of 1,000 ms and the 400 ms of the burst.
     assert!((15..34).contains(&asked), "{asked} of {count}");
-    let (asked, count) = asked_again_in_a_burst(700);
+    let (asked, count) = escalated_in_burst(700);
     assert_eq!(asked, count, "with time enough all are");
 }
 
