--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -136,7 +136,7 @@
 }
 
 /// A note of another box with word of replica `a`'s limit.
-fn note(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
+fn limit_gossip(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let limits = vec![LimitUpdate { replica, per_s, age_ms }];
@@ -164,9 +164,9 @@
 #[test]
 fn a_box_heeds_a_limit_that_another_box_heard() {
     let mut subject = ready_box();
-    subject.feed(note(1, Some(1.0), 200));
+    subject.feed(limit_gossip(1, Some(1.0), 200));
     assert!(sent_to_a(&mut subject) <= 1, "one at a time");
-    subject.feed(note(2, None, 100));
+    subject.feed(limit_gossip(2, None, 100));
     assert!(sent_to_a(&mut subject) > 1, "it names none any more");
 }
 
@@ -175,9 +175,9 @@
     let mut subject = ready_box();
     subject.now += LIMIT_GOSSIP_MS;
     name_limit(&mut subject, Some(1.0));
-    subject.feed(note(1, None, 500));
+    subject.feed(limit_gossip(1, None, 500));
     assert!(sent_to_a(&mut subject) <= 1, "what the replica said itself is later");
-    subject.feed(note(2, None, LIMIT_GOSSIP_MS));
+    subject.feed(limit_gossip(2, None, LIMIT_GOSSIP_MS));
     assert!(sent_to_a(&mut subject) <= 1, "word that is too old says nothing");
 }
 
