--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -173,13 +173,13 @@
     fn perform(&mut self, number: usize, effect: RouteEffect) {
         let later = self.now + NETWORK_DELAY_MS;
         match effect {
-            RouteEffect::SendGossip(targets, note) => {
+            RouteEffect::SendGossip(targets, message) => {
                 for target in targets {
                     let name = target.trim_end_matches(":90").trim_start_matches("box-");
                     let to = name.parse().expect("a number");
                     self.schedule(
                         later,
-                        Step::Deliver(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
+                        Step::Deliver(to, Box::new(RouteEvent::GossipReceived(message.clone()))),
                     );
                 }
             }
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -62,11 +62,11 @@
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
-    assert_eq!(note.loads, [LoadUpdate { age_ms: 800, ..load }]);
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
+    assert_eq!(message.loads, [LoadUpdate { age_ms: 800, ..load }]);
     subject.now += 500;
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
-    assert_eq!(note.loads, [], "it is too old to help");
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
+    assert_eq!(message.loads, [], "it is too old to help");
 }
 
 /// A crash takes many replicas away at the same moment. They look idle, so each box would give each of them a request.
@@ -77,8 +77,8 @@
     let (ticket, order) = sender.sent(ask("/read/x"));
     sender.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     sender.now += UNREACHABLE_DELAY_MS;
-    let note = note_in(&sender.feed(RouteEvent::Tick)).expect("a note, before the next is due");
-    let note = GossipMessage { name: "box-9".to_owned(), ..note };
+    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a note, before the next is due");
+    let message = GossipMessage { name: "box-9".to_owned(), ..message };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
         let mut one = || {
@@ -89,7 +89,7 @@
         (0..12).map(|_| one()).collect()
     };
     let mut subject = ready_box();
-    subject.feed(RouteEvent::GossipReceived(Box::new(note.clone())));
+    subject.feed(RouteEvent::GossipReceived(Box::new(message.clone())));
     assert!(!chosen(&mut subject).contains(&order.replica_id));
 
     let mut informed = ready_box();
@@ -105,6 +105,6 @@
             .feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(load), ..head(200) }));
         informed.feed(RouteEvent::ResponseFinished(ticket));
     }
-    informed.feed(RouteEvent::GossipReceived(Box::new(note)));
+    informed.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(chosen(&mut informed).contains(&order.replica_id), "it has told its load since");
 }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -231,14 +231,14 @@
 fn told_content(number: u64, update: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         card,
         contents,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
 #[test]
@@ -262,9 +262,9 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(told(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
     let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
-    assert_eq!(note.contents, vec![update]);
+    assert_eq!(message.contents, vec![update]);
 }
 
 #[test]
@@ -283,14 +283,14 @@
 
 fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
         card,
         ends,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
 #[test]
@@ -314,11 +314,11 @@
     let mut subject = box_of_six();
     let order = end_under(&mut subject, "one");
     subject.now += 500;
-    let note = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
+    let message = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
         subject.now += 500;
         note_in(&subject.feed(RouteEvent::Tick))
     });
-    let ends = note.expect("a note").ends;
+    let ends = message.expect("a note").ends;
     assert_eq!(ends.len(), 1);
     assert_eq!((ends[0].content, ends[0].replica), (CONTENT, backend_hash(&order.replica_id)));
 }
