--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -18,7 +18,7 @@
 const LIMIT_PER_S: f64 = 1.8;
 
 /// A limit binds this long after it was first named, in milliseconds: the shortest of the platform's bounds.
-const TAKES_MS: u64 = 3_000;
+const EFFECT_DELAY_MS: u64 = 3_000;
 
 /// The bound is on every span of this length, in milliseconds.
 const SPAN_MS: u64 = 4_000;
@@ -39,7 +39,7 @@
 /// Requests that the fullest of the replicas that named a limit got in its fullest span since that binds.
 fn fullest_limited(fleet: &ReplicaFleet) -> usize {
     let rows = fleet.named_at.iter().enumerate();
-    let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + TAKES_MS)));
+    let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + EFFECT_DELAY_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
 }
 
@@ -75,8 +75,8 @@
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
     fleet.limits.fill(Some(LIMIT_PER_S));
-    let bound_from = fleet.now + TAKES_MS;
-    fleet.play(1.0, TAKES_MS + 3 * SPAN_MS);
+    let bound_from = fleet.now + EFFECT_DELAY_MS;
+    fleet.play(1.0, EFFECT_DELAY_MS + 3 * SPAN_MS);
 
     let most = fullest_limited(&fleet);
     let got: usize = (0..replicas).map(|replica| fleet.got_since(replica, bound_from)).sum();
@@ -226,7 +226,7 @@
         let mut fleet = start(boxes, replicas);
         let limited = replicas / 6;
         fleet.limits[..limited].fill(Some(LIMIT_PER_S));
-        fleet.play(1.0, TAKES_MS);
+        fleet.play(1.0, EFFECT_DELAY_MS);
         fleet.play(0.01, 8_000);
         fleet.play(BURST, 2 * SPAN_MS);
 
