--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -25,7 +25,7 @@
 
 /// Part of what all limits allow that is used while twice as much is asked for, at least: a box that may send to none of
 /// its replicas for a moment sends its callers back, since no other box is asked for its part.
-const USED_PART: f64 = 2.0 / 3.0;
+const MIN_USED_SHARE: f64 = 2.0 / 3.0;
 
 /// All boxes know that a replica names its limit no more after this, in milliseconds: a sender asks it, its answer comes,
 /// and word of it goes from box to box.
@@ -90,7 +90,7 @@
     for (boxes, replicas) in SIZES {
         let (most, used) = all_limited(boxes, replicas, false);
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-        assert!(used >= USED_PART, "{boxes} boxes: {used}");
+        assert!(used >= MIN_USED_SHARE, "{boxes} boxes: {used}");
     }
 }
 
@@ -99,7 +99,7 @@
     let (boxes, replicas) = SIZES[2];
     let (most, used) = all_limited(boxes, replicas, true);
     assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-    assert!(used >= USED_PART, "{boxes} boxes: {used}");
+    assert!(used >= MIN_USED_SHARE, "{boxes} boxes: {used}");
 }
 
 #[test]
