--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -29,7 +29,7 @@
 
 /// All boxes know that a replica names its limit no more after this, in milliseconds: a sender asks it, its answer comes,
 /// and word of it goes from box to box.
-const LIFTED_MS: u64 = PROBE_AFTER_MS + 3_000;
+const CLEARED_MS: u64 = PROBE_AFTER_MS + 3_000;
 
 /// Requests that a replica may get in a span: one and a half times what its limit allows, and five.
 fn allowed(limit_per_s: f64) -> usize {
@@ -116,7 +116,7 @@
         };
         assert_eq!(limited_on(&fleet), boxes, "all know it");
         fleet.limits[0] = None;
-        fleet.play(1.0, LIFTED_MS);
+        fleet.play(1.0, CLEARED_MS);
         assert_eq!(limited_on(&fleet), 0, "{boxes} boxes");
     }
 }
