--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -37,7 +37,7 @@
 }
 
 /// Requests that the fullest of the replicas that named a limit got in its fullest span since that binds.
-fn fullest_limited(fleet: &ReplicaFleet) -> usize {
+fn peak_limited(fleet: &ReplicaFleet) -> usize {
     let rows = fleet.named_at.iter().enumerate();
     let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + EFFECT_DELAY_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
@@ -59,7 +59,7 @@
         fleet.limits[..limited].fill(Some(LIMIT_PER_S));
         fleet.play(BURST, 12_000);
 
-        let most = fullest_limited(&fleet);
+        let most = peak_limited(&fleet);
         println!(
             "{boxes} boxes: {most} requests in the fullest span, {} allowed",
             allowed(LIMIT_PER_S)
@@ -78,7 +78,7 @@
     let bound_from = fleet.now + EFFECT_DELAY_MS;
     fleet.play(1.0, EFFECT_DELAY_MS + 3 * SPAN_MS);
 
-    let most = fullest_limited(&fleet);
+    let most = peak_limited(&fleet);
     let got: usize = (0..replicas).map(|replica| fleet.got_since(replica, bound_from)).sum();
     let named = LIMIT_PER_S * (3 * SPAN_MS) as f64 / 1_000.0 * replicas as f64;
     println!("{boxes} boxes, all limited: {most} in the fullest span, {got} of {named:.0} used");
@@ -230,7 +230,7 @@
         fleet.play(0.01, 8_000);
         fleet.play(BURST, 2 * SPAN_MS);
 
-        let most = fullest_limited(&fleet);
+        let most = peak_limited(&fleet);
         println!("{boxes} boxes, burst after a quiet time: {most} in the fullest span");
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
     }
