--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -9,7 +9,7 @@
 const BOXES: usize = 100;
 
 /// Each tells its counts this often, in milliseconds, to [`TOLD_TO`] others.
-const NOTE_MS: u64 = 500;
+const GOSSIP_MS: u64 = 500;
 const TOLD_TO: usize = 12;
 
 /// Requests of a box and second.
@@ -60,7 +60,7 @@
                     sums.made += made;
                 }
             }
-            if tells && now_ms % NOTE_MS == number as u64 * STEP_MS % NOTE_MS {
+            if tells && now_ms % GOSSIP_MS == number as u64 * STEP_MS % GOSSIP_MS {
                 let count = boxes[number].count(BOUNDS, now);
                 for _ in 0..TOLD_TO {
                     let to = draw(&mut seed, BOXES as u64) as usize;
