--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -8,9 +8,9 @@
 /// Boxes of the fleet.
 const BOXES: usize = 100;
 
-/// Each tells its counts this often, in milliseconds, to [`TOLD_TO`] others.
+/// Each tells its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
 const GOSSIP_MS: u64 = 500;
-const TOLD_TO: usize = 12;
+const GOSSIP_TARGETS: usize = 12;
 
 /// Requests of a box and second.
 const RATE: u64 = 2;
@@ -62,7 +62,7 @@
             }
             if tells && now_ms % GOSSIP_MS == number as u64 * STEP_MS % GOSSIP_MS {
                 let count = boxes[number].count(BOUNDS, now);
-                for _ in 0..TOLD_TO {
+                for _ in 0..GOSSIP_TARGETS {
                     let to = draw(&mut seed, BOXES as u64) as usize;
                     boxes[to].merge(&format!("box-{number}"), count, now);
                 }
