--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -38,7 +38,7 @@
 
 /// Plays a fleet. `wishes` gives, for a moment and a drawn number below 100, how many further sends a request wants
 /// and for what. With `tells`, boxes tell each other their counts.
-fn play(tells: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
+fn simulate(tells: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
     let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
@@ -93,8 +93,8 @@
 
 #[test]
 fn what_some_boxes_leave_of_the_budget_serves_others() {
-    let alone = play(false, larger_models);
-    let together = play(true, larger_models);
+    let alone = simulate(false, larger_models);
+    let together = simulate(true, larger_models);
 
     let denied = |sends: &FleetSends| 1.0 - f64::from(sends.made) / f64::from(sends.wanted);
     assert!(denied(&alone) > 0.05, "{} of the sends were denied", denied(&alone));
@@ -108,14 +108,14 @@
 
 #[test]
 fn a_storm_that_comes_while_nothing_was_spent_stays_within_what_the_operator_allows() {
-    let sends = play(true, late_storm);
+    let sends = simulate(true, late_storm);
 
     assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
 }
 
 #[test]
 fn a_storm_of_failures_stays_within_what_the_operator_allows() {
-    let sends = play(true, storm);
+    let sends = simulate(true, storm);
 
     assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
     assert!(sends.made > sends.wanted / 3, "{} of {}", sends.made, sends.wanted);
