--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -8,7 +8,7 @@
 /// Boxes of the fleet.
 const BOXES: usize = 100;
 
-/// Each tells its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
+/// Each gossips its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
 const GOSSIP_MS: u64 = 500;
 const GOSSIP_TARGETS: usize = 12;
 
@@ -37,8 +37,8 @@
 }
 
 /// Plays a fleet. `wishes` gives, for a moment and a drawn number below 100, how many further sends a request wants
-/// and for what. With `tells`, boxes tell each other their counts.
-fn simulate(tells: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
+/// and for what. With `gossips`, boxes tell each other their counts.
+fn simulate(gossips: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
     let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
@@ -60,7 +60,7 @@
                     sums.made += made;
                 }
             }
-            if tells && now_ms % GOSSIP_MS == number as u64 * STEP_MS % GOSSIP_MS {
+            if gossips && now_ms % GOSSIP_MS == number as u64 * STEP_MS % GOSSIP_MS {
                 let count = boxes[number].count(BOUNDS, now);
                 for _ in 0..GOSSIP_TARGETS {
                     let to = draw(&mut seed, BOXES as u64) as usize;
