--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -36,9 +36,9 @@
     (*state >> 33) % below
 }
 
-/// Plays a fleet. `wishes` gives, for a moment and a drawn number below 100, how many further sends a request wants
+/// Plays a fleet. `demand` gives, for a moment and a drawn number below 100, how many further sends a request wants
 /// and for what. With `gossips`, boxes tell each other their counts.
-fn simulate(gossips: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
+fn simulate(gossips: bool, demand: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
     let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
@@ -51,7 +51,7 @@
             if draw(&mut seed, 1_000 / STEP_MS) < RATE {
                 boxes[number].earn(BOUNDS, now);
                 step.0 += 1;
-                let (wanted, cause) = wishes(now_ms, draw(&mut seed, 100));
+                let (wanted, cause) = demand(now_ms, draw(&mut seed, 100));
                 let may = |_: &u32| boxes[number].spend(BOUNDS, BOXES, cause, now);
                 let made = (0..wanted).take_while(may).count() as u32;
                 step.1 += made;
