--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -122,7 +122,7 @@
 }
 
 /// A box with 20 requests that has sent all that its own part allows; another one told `count` just now.
-fn box_that_spent_its_part(count: SendCount) -> (SendBudget, BoxTime) {
+fn box_with_spent_share(count: SendCount) -> (SendBudget, BoxTime) {
     let mut budget = SendBudget::default();
     let now = BoxTime::from_millis(5_000);
     for _ in 0..20 {
@@ -138,7 +138,7 @@
     let idle = SendCount { requests: 200, sends: 0 };
     let spent = SendCount { requests: 200, sends: 200 };
     for (count, allowed) in [(idle, true), (spent, false)] {
-        let (mut budget, now) = box_that_spent_its_part(count);
+        let (mut budget, now) = box_with_spent_share(count);
         assert_eq!(budget.spend(BOUNDS, BOXES, SendCause::Failure, now), allowed, "{count:?}");
     }
 }
@@ -146,21 +146,21 @@
 #[test]
 fn counts_that_no_box_can_have_are_borne() {
     let most = SendCount { requests: u32::MAX, sends: u32::MAX };
-    let (mut budget, now) = box_that_spent_its_part(most);
+    let (mut budget, now) = box_with_spent_share(most);
     budget.merge("box-3", most, now);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "nothing is left");
 }
 
 #[test]
 fn what_was_heard_long_ago_leaves_nothing() {
-    let (mut budget, now) = box_that_spent_its_part(SendCount { requests: 200, sends: 0 });
+    let (mut budget, now) = box_with_spent_share(SendCount { requests: 200, sends: 0 });
     let later = now.plus_millis(REPORT_KEPT_MS);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, later));
 }
 
 #[test]
 fn a_box_never_sends_more_than_twice_its_part() {
-    let (mut budget, now) = box_that_spent_its_part(SendCount { requests: 9_000, sends: 0 });
+    let (mut budget, now) = box_with_spent_share(SendCount { requests: 9_000, sends: 0 });
     let part = budget.count(BOUNDS, now).sends;
     while budget.spend(BOUNDS, BOXES, SendCause::Failure, now) {}
     assert!(budget.count(BOUNDS, now).sends <= 2 * (part + 1));
