--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -41,7 +41,7 @@
     CallerRequest { affinity, prompt: size, body_bytes: (shared + own) as usize, ..ask("/chat/x") }
 }
 
-fn told_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
+fn update_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendPlacement(_, update) => Some(*update),
         _ => None,
@@ -119,13 +119,13 @@
     let mut subject = taught_box(3, 0.1);
     let (_, effects) = subject.arrive(prompt(9, 0, 10_000));
     let order = order_in(&effects).expect("it is sent");
-    let update = told_in(&effects).expect("it is told");
+    let update = update_in(&effects).expect("it is told");
     assert_eq!(update.replica, backend_hash(&order.replica_id));
     let about = |ms: u32| (800..1_200).contains(&ms);
     assert!(about(update.work_ms), "{update:?}");
     let short = (PLACEMENT_GOSSIP_WORK_MS / 0.1 / 2.0) as u32;
     let (_, effects) = subject.arrive(prompt(10, 0, short));
-    assert_eq!(told_in(&effects), None);
+    assert_eq!(update_in(&effects), None);
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let mut other = taught_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
     let usual = order_in(&effects).expect("it is sent").replica_id;
-    let update = told_in(&effects).expect("it is told");
+    let update = update_in(&effects).expect("it is told");
     // The other box had a reason to have them read elsewhere.
     let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
     let update = PlacementUpdate { replica: backend_hash(&placed), ..update };
