--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -61,7 +61,7 @@
 }
 
 /// A box that learnt that its engines read a token in `token_ms`.
-fn taught_box(count: usize, token_ms: f64) -> TestBox {
+fn trained_box(count: usize, token_ms: f64) -> TestBox {
     let mut subject = box_with_engines(count);
     for number in 0..80 {
         let (ticket, _) = subject.sent(prompt(1_000 + number, 0, 4_000));
@@ -76,7 +76,7 @@
 
 #[test]
 fn long_prompts_in_a_burst_are_not_put_behind_each_other_while_a_replica_is_free() {
-    let mut subject = taught_box(6, 0.1);
+    let mut subject = trained_box(6, 0.1);
     let sent = (0..6).map(|number| subject.sent(prompt(50 + number, 0, 10_000)).1.replica_id);
     let used: BTreeSet<String> = sent.collect();
     assert_eq!(used.len(), 6, "{used:?}");
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_short_prompt_is_not_put_behind_a_long_one() {
-    let mut subject = taught_box(2, 0.1);
+    let mut subject = trained_box(2, 0.1);
     let (_, long) = subject.sent(prompt(7, 0, 20_000));
     // Ten of them take half a second, the long one two: the fuller replica by count is the freer one.
     for affinity in 100..110 {
@@ -95,7 +95,7 @@
 
 #[test]
 fn the_holder_of_shared_parts_is_waited_for_as_long_as_they_take_to_read() {
-    let mut subject = taught_box(4, 0.1);
+    let mut subject = trained_box(4, 0.1);
     let (ticket, first) = subject.sent(prompt(9, 10_000, 500));
     answer(&mut subject, ticket, 1_050);
     // 300 ms of work there are less than the second that the parts take.
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_long_prompt_is_told_to_other_boxes_as_it_is_placed_and_a_short_one_is_not() {
-    let mut subject = taught_box(3, 0.1);
+    let mut subject = trained_box(3, 0.1);
     let (_, effects) = subject.arrive(prompt(9, 0, 10_000));
     let order = order_in(&effects).expect("it is sent");
     let update = update_in(&effects).expect("it is told");
@@ -130,8 +130,8 @@
 
 #[test]
 fn what_another_box_had_read_is_taken_to_be_held_there() {
-    let mut subject = taught_box(8, 0.1);
-    let mut other = taught_box(8, 0.1);
+    let mut subject = trained_box(8, 0.1);
+    let mut other = trained_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
     let usual = order_in(&effects).expect("it is sent").replica_id;
     let update = update_in(&effects).expect("it is told");
@@ -149,7 +149,7 @@
 fn all_boxes_have_shared_parts_read_at_the_same_replica() {
     let mut placed: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for number in 0..3 {
-        let mut subject = taught_box(12, 0.1);
+        let mut subject = trained_box(12, 0.1);
         // Each box has had other requests, and draws other lots.
         for _ in 0..number {
             let (ticket, _) = subject.sent(ask("/read/x"));
@@ -168,7 +168,7 @@
 
 #[test]
 fn a_replica_that_answers_late_without_a_word_is_given_less() {
-    let mut subject = taught_box(2, 0.1);
+    let mut subject = trained_box(2, 0.1);
     let (late, slow) = subject.sent(prompt(5, 0, 1_000));
     subject.now += 1_500;
     subject.read_plan(None);
@@ -182,7 +182,7 @@
 
 /// Zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of work in its own zone.
 fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
-    let mut subject = taught_box(1, 0.1);
+    let mut subject = trained_box(1, 0.1);
     subject.put(engine("i-west", "west"));
     subject.feed(RouteEvent::PlacementReceived(update_for("i-0", waiting_ms)));
     subject.sent(prompt).1.replica_id
@@ -281,7 +281,7 @@
 
 #[test]
 fn what_would_not_begin_before_its_deadline_is_turned_away_at_once_and_spread() {
-    let mut subject = taught_box(2, 0.1);
+    let mut subject = trained_box(2, 0.1);
     let mut after = Vec::new();
     // Prompts of a second each, a hundred at once, before two replicas: what is left of four seconds cached
     // eight of them.
