--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -128,7 +128,7 @@
 }
 
 /// A request whose replica ends, after which nothing is heard of that for a while.
-fn end_under(subject: &mut TestBox, id: &str) -> SendOrder {
+fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
     let (ticket, order) = subject.sent(asking(id));
     break_and_leave(subject, ticket);
     hear_nothing(subject);
@@ -150,8 +150,8 @@
 #[test]
 fn two_ends_under_different_requests_end_it_with_a_final_answer() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    end_under(&mut subject, "two");
+    crash_under(&mut subject, "one");
+    crash_under(&mut subject, "two");
     let refusal = subject.refused(asking("three"));
     assert!(is_refused(refusal, 502, RefusalReason::CrashesReplicas));
     assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
@@ -171,11 +171,11 @@
 #[test]
 fn what_was_answered_meanwhile_crashes_nothing() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
+    crash_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    end_under(&mut subject, "three");
+    crash_under(&mut subject, "three");
     subject.sent(asking("four"));
 }
 
@@ -257,7 +257,7 @@
 #[test]
 fn a_box_tells_others_that_what_replicas_ended_under_was_answered() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
+    crash_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(told(Vec::new()));
@@ -270,8 +270,8 @@
 #[test]
 fn what_crashed_replicas_is_tried_again_by_one_attempt_and_its_end_alone_counts() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    end_under(&mut subject, "two");
+    crash_under(&mut subject, "one");
+    crash_under(&mut subject, "two");
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     let (ticket, _) = subject.sent(asking("three"));
@@ -312,7 +312,7 @@
 #[test]
 fn a_box_tells_others_of_ends() {
     let mut subject = box_of_six();
-    let order = end_under(&mut subject, "one");
+    let order = crash_under(&mut subject, "one");
     subject.now += 500;
     let message = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
         subject.now += 500;
@@ -326,7 +326,7 @@
 #[test]
 fn an_end_under_requests_of_several_callers_counts_for_each_of_them() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
+    crash_under(&mut subject, "one");
     let (first, order) = subject.sent(asking("one"));
     let (second, _) = sent_to(&mut subject, "two", &order.replica_id);
     for ticket in [first, second] {
