--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -122,7 +122,7 @@
 }
 
 /// The attempt under way breaks; gives the next one, if there is one.
-fn break_off(subject: &mut TestBox, ticket: RequestTicket) -> Option<SendOrder> {
+fn break_attempt(subject: &mut TestBox, ticket: RequestTicket) -> Option<SendOrder> {
     let broken = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     crate::fixture::order_in(&subject.feed(broken))
 }
@@ -137,7 +137,7 @@
 
 /// The attempt under way breaks, and its caller leaves.
 fn break_and_leave(subject: &mut TestBox, ticket: RequestTicket) {
-    break_off(subject, ticket);
+    break_attempt(subject, ticket);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
 }
 
@@ -163,9 +163,9 @@
 fn one_request_that_was_there_twice_is_sent_on() {
     let mut subject = box_of_six();
     let (ticket, _) = subject.sent(asking("one"));
-    break_off(&mut subject, ticket).expect("sent on");
+    break_attempt(&mut subject, ticket).expect("sent on");
     hear_nothing(&mut subject);
-    assert!(break_off(&mut subject, ticket).is_some(), "it may be a bystander");
+    assert!(break_attempt(&mut subject, ticket).is_some(), "it may be a bystander");
 }
 
 #[test]
@@ -275,7 +275,7 @@
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     let (ticket, _) = subject.sent(asking("three"));
-    assert!(break_off(&mut subject, ticket).is_none(), "no second replica for it");
+    assert!(break_attempt(&mut subject, ticket).is_none(), "no second replica for it");
     assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::CrashesReplicas));
     hear_nothing(&mut subject);
     assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
