--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -130,13 +130,13 @@
 /// A request whose replica ends, after which nothing is heard of that for a while.
 fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
     let (ticket, order) = subject.sent(asking(id));
-    break_and_leave(subject, ticket);
+    break_and_disconnect(subject, ticket);
     hear_nothing(subject);
     order
 }
 
 /// The attempt under way breaks, and its caller leaves.
-fn break_and_leave(subject: &mut TestBox, ticket: RequestTicket) {
+fn break_and_disconnect(subject: &mut TestBox, ticket: RequestTicket) {
     break_attempt(subject, ticket);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
 }
@@ -183,7 +183,7 @@
 fn replicas_that_end_at_the_same_moment_count_once() {
     let mut subject = box_of_six();
     let tickets = ["one", "two", "three"].map(|id| subject.sent(asking(id)).0);
-    tickets.into_iter().for_each(|ticket| break_and_leave(&mut subject, ticket));
+    tickets.into_iter().for_each(|ticket| break_and_disconnect(&mut subject, ticket));
     hear_nothing(&mut subject);
     subject.sent(asking("four"));
 }
@@ -194,7 +194,7 @@
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(asking(id));
         subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
         hear_nothing(&mut subject);
     }
     subject.sent(asking("four"));
@@ -205,7 +205,7 @@
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(asking(id));
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 10;
         answer_elsewhere(&mut subject, &order);
         hear_nothing(&mut subject);
@@ -330,7 +330,7 @@
     let (first, order) = subject.sent(asking("one"));
     let (second, _) = sent_to(&mut subject, "two", &order.replica_id);
     for ticket in [first, second] {
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
     }
     hear_nothing(&mut subject);
     assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
@@ -353,7 +353,7 @@
     let mut subject = ready_box();
     for id in ["one", "two"] {
         let (ticket, _) = sent_to(&mut subject, id, "a");
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 3_000;
         subject.feed(RouteEvent::Tick);
     }
@@ -366,7 +366,7 @@
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(asking(id));
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 200;
         answer_elsewhere(&mut subject, &order);
         subject.feed(RouteEvent::Tick);
