--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -131,7 +131,7 @@
 fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
     let (ticket, order) = subject.sent(asking(id));
     break_and_disconnect(subject, ticket);
-    hear_nothing(subject);
+    pass_silence(subject);
     order
 }
 
@@ -142,7 +142,7 @@
 }
 
 /// Nothing is heard of any replica for a while.
-fn hear_nothing(subject: &mut TestBox) {
+fn pass_silence(subject: &mut TestBox) {
     subject.now += CRASH_SILENCE_MS;
     subject.feed(RouteEvent::Tick);
 }
@@ -164,7 +164,7 @@
     let mut subject = box_of_six();
     let (ticket, _) = subject.sent(asking("one"));
     break_attempt(&mut subject, ticket).expect("sent on");
-    hear_nothing(&mut subject);
+    pass_silence(&mut subject);
     assert!(break_attempt(&mut subject, ticket).is_some(), "it may be a bystander");
 }
 
@@ -184,7 +184,7 @@
     let mut subject = box_of_six();
     let tickets = ["one", "two", "three"].map(|id| subject.sent(asking(id)).0);
     tickets.into_iter().for_each(|ticket| break_and_disconnect(&mut subject, ticket));
-    hear_nothing(&mut subject);
+    pass_silence(&mut subject);
     subject.sent(asking("four"));
 }
 
@@ -195,7 +195,7 @@
         let (ticket, order) = subject.sent(asking(id));
         subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
         break_and_disconnect(&mut subject, ticket);
-        hear_nothing(&mut subject);
+        pass_silence(&mut subject);
     }
     subject.sent(asking("four"));
 }
@@ -208,7 +208,7 @@
         break_and_disconnect(&mut subject, ticket);
         subject.now += 10;
         answer_elsewhere(&mut subject, &order);
-        hear_nothing(&mut subject);
+        pass_silence(&mut subject);
     }
     subject.sent(asking("four"));
 }
@@ -277,7 +277,7 @@
     let (ticket, _) = subject.sent(asking("three"));
     assert!(break_attempt(&mut subject, ticket).is_none(), "no second replica for it");
     assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::CrashesReplicas));
-    hear_nothing(&mut subject);
+    pass_silence(&mut subject);
     assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
 }
 
@@ -332,7 +332,7 @@
     for ticket in [first, second] {
         break_and_disconnect(&mut subject, ticket);
     }
-    hear_nothing(&mut subject);
+    pass_silence(&mut subject);
     assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
 }
 
