--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -228,7 +228,7 @@
 }
 
 /// Another box's update of [`CONTENT`].
-fn told_content(number: u64, update: PoisonUpdate) -> RouteEvent {
+fn poison_gossip(number: u64, update: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
     let message = GossipMessage {
@@ -245,12 +245,12 @@
 fn what_another_box_knows_to_crash_replicas_is_sent_on_once_it_was_answered_there() {
     let mut subject = box_of_six();
     let poison = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
-    subject.feed(told_content(1, poison));
+    subject.feed(poison_gossip(1, poison));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
-    subject.feed(told_content(2, answered));
+    subject.feed(poison_gossip(2, answered));
     subject.sent(asking("two"));
-    subject.feed(told_content(3, poison));
+    subject.feed(poison_gossip(3, poison));
     subject.sent(asking("three"));
 }
 
