--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -260,7 +260,7 @@
     crash_under(&mut subject, "one");
     let (ticket, _) = subject.sent(asking("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-    subject.feed(told(Vec::new()));
+    subject.feed(crash_gossip(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
     let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
     let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
@@ -281,7 +281,7 @@
     assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
 }
 
-fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
+fn crash_gossip(ends: Vec<CrashUpdate>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let message = GossipMessage {
         name: "box-2".to_owned(),
@@ -302,7 +302,7 @@
         replica: backend_hash(&format!("gone-{number}")),
         age_ms: 500 * number,
     };
-    subject.feed(told((0..POISON_CRASHES as u64).map(end).collect()));
+    subject.feed(crash_gossip((0..POISON_CRASHES as u64).map(end).collect()));
     assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
@@ -314,7 +314,7 @@
     let mut subject = box_of_six();
     let order = crash_under(&mut subject, "one");
     subject.now += 500;
-    let message = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
+    let message = note_in(&subject.feed(crash_gossip(Vec::new()))).or_else(|| {
         subject.now += 500;
         note_in(&subject.feed(RouteEvent::Tick))
     });
