--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -207,14 +207,14 @@
         let (ticket, order) = subject.sent(asking(id));
         break_and_disconnect(&mut subject, ticket);
         subject.now += 10;
-        answer_elsewhere(&mut subject, &order);
+        answer_other_request(&mut subject, &order);
         pass_silence(&mut subject);
     }
     subject.sent(asking("four"));
 }
 
 /// Another request gets an answer, with its load, from the replica of `order`.
-fn answer_elsewhere(subject: &mut TestBox, order: &SendOrder) {
+fn answer_other_request(subject: &mut TestBox, order: &SendOrder) {
     let load = ravenspoke_core::route::loads::BackendLoad { running: 1, waiting: 0, slots: 4 };
     loop {
         let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
@@ -368,7 +368,7 @@
         let (ticket, order) = subject.sent(asking(id));
         break_and_disconnect(&mut subject, ticket);
         subject.now += 200;
-        answer_elsewhere(&mut subject, &order);
+        answer_other_request(&mut subject, &order);
         subject.feed(RouteEvent::Tick);
         subject.now += 1_000;
         let gone = subject.offset + 1;
