--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -117,7 +117,7 @@
     subject
 }
 
-fn asking(id: &str) -> CallerRequest {
+fn poison_request(id: &str) -> CallerRequest {
     CallerRequest { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
 }
 
@@ -129,7 +129,7 @@
 
 /// A request whose replica ends, after which nothing is heard of that for a while.
 fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
-    let (ticket, order) = subject.sent(asking(id));
+    let (ticket, order) = subject.sent(poison_request(id));
     break_and_disconnect(subject, ticket);
     pass_silence(subject);
     order
@@ -152,17 +152,17 @@
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     crash_under(&mut subject, "two");
-    let refusal = subject.refused(asking("three"));
+    let refusal = subject.refused(poison_request("three"));
     assert!(is_refused(refusal, 502, RefusalReason::CrashesReplicas));
     assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
-    let other = CallerRequest { content: CONTENT + 1, ..asking("four") };
+    let other = CallerRequest { content: CONTENT + 1, ..poison_request("four") };
     subject.sent(other);
 }
 
 #[test]
 fn one_request_that_was_there_twice_is_sent_on() {
     let mut subject = box_of_six();
-    let (ticket, _) = subject.sent(asking("one"));
+    let (ticket, _) = subject.sent(poison_request("one"));
     break_attempt(&mut subject, ticket).expect("sent on");
     pass_silence(&mut subject);
     assert!(break_attempt(&mut subject, ticket).is_some(), "it may be a bystander");
@@ -172,52 +172,52 @@
 fn what_was_answered_meanwhile_crashes_nothing() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
-    let (ticket, _) = subject.sent(asking("two"));
+    let (ticket, _) = subject.sent(poison_request("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::ResponseFinished(ticket));
     crash_under(&mut subject, "three");
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
 #[test]
 fn replicas_that_end_at_the_same_moment_count_once() {
     let mut subject = box_of_six();
-    let tickets = ["one", "two", "three"].map(|id| subject.sent(asking(id)).0);
+    let tickets = ["one", "two", "three"].map(|id| subject.sent(poison_request(id)).0);
     tickets.into_iter().for_each(|ticket| break_and_disconnect(&mut subject, ticket));
     pass_silence(&mut subject);
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
 #[test]
 fn the_end_of_a_replica_that_leaves_does_not_count() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
+        let (ticket, order) = subject.sent(poison_request(id));
         subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
         break_and_disconnect(&mut subject, ticket);
         pass_silence(&mut subject);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
 #[test]
 fn a_replica_that_answers_others_has_not_ended() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
+        let (ticket, order) = subject.sent(poison_request(id));
         break_and_disconnect(&mut subject, ticket);
         subject.now += 10;
         answer_other_request(&mut subject, &order);
         pass_silence(&mut subject);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
 /// Another request gets an answer, with its load, from the replica of `order`.
 fn answer_other_request(subject: &mut TestBox, order: &SendOrder) {
     let load = ravenspoke_core::route::loads::BackendLoad { running: 1, waiting: 0, slots: 4 };
     loop {
-        let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
+        let (ticket, other) = subject.sent(CallerRequest { content: 0, ..poison_request("other") });
         let answer = ravenspoke_core::route::event::AnswerHead { load: Some(load), ..head(200) };
         subject.feed(RouteEvent::HeadReceived(ticket, answer));
         subject.feed(RouteEvent::ResponseFinished(ticket));
@@ -246,19 +246,23 @@
     let mut subject = box_of_six();
     let poison = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
     subject.feed(poison_gossip(1, poison));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("one")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
     let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
     subject.feed(poison_gossip(2, answered));
-    subject.sent(asking("two"));
+    subject.sent(poison_request("two"));
     subject.feed(poison_gossip(3, poison));
-    subject.sent(asking("three"));
+    subject.sent(poison_request("three"));
 }
 
 #[test]
 fn a_box_tells_others_that_what_replicas_ended_under_was_answered() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
-    let (ticket, _) = subject.sent(asking("two"));
+    let (ticket, _) = subject.sent(poison_request("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(crash_gossip(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
@@ -274,11 +278,19 @@
     crash_under(&mut subject, "two");
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    let (ticket, _) = subject.sent(asking("three"));
+    let (ticket, _) = subject.sent(poison_request("three"));
     assert!(break_attempt(&mut subject, ticket).is_none(), "no second replica for it");
-    assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("four")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
     pass_silence(&mut subject);
-    assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("five")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
 fn crash_gossip(ends: Vec<CrashUpdate>) -> RouteEvent {
@@ -303,10 +315,14 @@
         age_ms: 500 * number,
     };
     subject.feed(crash_gossip((0..POISON_CRASHES as u64).map(end).collect()));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("one")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    subject.sent(asking("two"));
+    subject.sent(poison_request("two"));
 }
 
 #[test]
@@ -327,20 +343,24 @@
 fn an_end_under_requests_of_several_callers_counts_for_each_of_them() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
-    let (first, order) = subject.sent(asking("one"));
+    let (first, order) = subject.sent(poison_request("one"));
     let (second, _) = sent_to(&mut subject, "two", &order.replica_id);
     for ticket in [first, second] {
         break_and_disconnect(&mut subject, ticket);
     }
     pass_silence(&mut subject);
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("three")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
 /// A request that is given to a certain replica; those before it stay in hand elsewhere.
 fn sent_to(subject: &mut TestBox, id: &str, replica: &str) -> (RequestTicket, SendOrder) {
     let mut tries = (0..100).map(|number| {
         let content = if number % 2 == 0 { CONTENT } else { 0 };
-        subject.sent(CallerRequest { content, ..asking(id) })
+        subject.sent(CallerRequest { content, ..poison_request(id) })
     });
     let hit = |(_, order): &(RequestTicket, SendOrder)| {
         order.replica_id == replica && order.content == CONTENT
@@ -358,14 +378,18 @@
         subject.feed(RouteEvent::Tick);
     }
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("three")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
 #[test]
 fn a_replica_that_answered_others_after_a_break_and_ends_later_did_not_end_under_it() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
+        let (ticket, order) = subject.sent(poison_request(id));
         break_and_disconnect(&mut subject, ticket);
         subject.now += 200;
         answer_other_request(&mut subject, &order);
@@ -377,5 +401,5 @@
         subject.feed(RouteEvent::BackendsChanged(vec![change]));
         subject.feed(RouteEvent::Tick);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
