--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end: who is sent on, and who no further.
+//! Requests under which replicas crash: who is sent on, and who no further.
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::backend::{backend_hash, BackendChange, BackendEntry};
@@ -308,13 +308,13 @@
 #[test]
 fn ends_that_other_boxes_saw_count_and_lapse() {
     let mut subject = box_of_six();
-    let end = |number: u64| CrashUpdate {
+    let crash = |number: u64| CrashUpdate {
         content: CONTENT,
         request: number,
         replica: backend_hash(&format!("gone-{number}")),
         age_ms: 500 * number,
     };
-    subject.feed(crash_gossip((0..POISON_CRASHES as u64).map(end).collect()));
+    subject.feed(crash_gossip((0..POISON_CRASHES as u64).map(crash).collect()));
     assert!(is_refused(
         subject.refused(poison_request("one")),
         502,
