--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -478,7 +478,7 @@
 
 /// Further sends that a box makes for sixty failures within its part of a slack of 60, where it was told of
 /// `others` other boxes and has heard none of them yet.
-fn sends_again(others: usize) -> usize {
+fn extra_attempts(others: usize) -> usize {
     let budget = BudgetBounds { ratio: 0.0, slack: 60.0, window_ms: 10_000 };
     let mut subject = new_box("box-1");
     subject.state = RouteState::new(RouteSettings { budget, ..settings("box-1") });
@@ -499,7 +499,7 @@
 
 #[test]
 fn a_box_takes_its_part_of_the_fleets_budget_also_where_it_hears_few_of_the_boxes() {
-    let (alone, of_twenty) = (sends_again(0), sends_again(19));
+    let (alone, of_twenty) = (extra_attempts(0), extra_attempts(19));
     assert!(alone >= 20, "{alone} further sends");
     assert!(of_twenty <= 2, "{of_twenty} further sends of each of twenty boxes");
 }
