--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_replica_that_asked_for_rest_gets_nothing_until_it_is_over() {
+fn a_replica_that_asked_to_back_off_gets_no_requests_until_it_ends() {
     let mut subject = ready_box();
     back_off_a(&mut subject, BACKOFF_MS);
     subject.now += BACKOFF_MS - 1;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_shorter_word_does_not_end_a_rest_and_none_lasts_for_good() {
+fn a_shorter_backoff_does_not_end_a_longer_one_and_each_is_bounded() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     let (other, _) = subject.sent(ask("/read/x"));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn with_all_replicas_at_rest_callers_are_told_at_once_when_to_come_back() {
+fn with_all_replicas_backing_off_callers_get_a_retry_time_at_once() {
     let mut subject = box_with(&["a"]);
     let (ticket, _) = subject.sent(ask("/file/x"));
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(700)));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_request_whose_replica_asks_for_rest_before_it_is_written_goes_elsewhere() {
+fn an_unwritten_request_moves_on_when_its_replica_backs_off() {
     let mut subject = box_with(&["a"]);
     let (first, _) = subject.sent(ask("/read/x"));
     let (second, _) = subject.sent(ask("/read/x"));
