--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -276,7 +276,7 @@
 const BAD_LIMIT: usize = 1;
 
 #[test]
-fn calls_spread_over_what_is_left_when_half_of_the_replicas_are_lost() {
+fn calls_spread_over_the_remaining_replicas_when_half_are_lost() {
     for boxes in [9, 84, 300] {
         let mut fleet = CallFleet::start(boxes);
         fleet.run(4_000);
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn calls_are_in_time_while_all_replicas_are_there() {
+fn calls_meet_the_target_while_no_replica_is_lost() {
     for boxes in [9, 84, 300] {
         let mut fleet = CallFleet::start(boxes);
         fleet.run(2_000);
