--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_zone_that_comes_back_cold_in_a_burst_gets_no_more_than_it_bears() {
+fn a_zone_that_restarts_in_a_burst_stays_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(1.0, 3_000);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn new_replicas_that_come_one_by_one_get_no_more_than_they_bear() {
+fn replicas_started_one_by_one_stay_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(BURST, 3_000);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn with_none_but_cold_replicas_requests_are_served_as_far_as_they_bear() {
+fn cold_replicas_alone_serve_requests_up_to_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         for replica in 0..replicas {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_zone_that_is_given_back_counts_as_cold_before_its_replicas_say_so() {
+fn a_zone_whose_evacuation_ends_counts_as_cold_at_once() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let order = |evacuated| ZoneOrder { zone: "zone-1".to_owned(), evacuated };
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn replicas_that_come_back_from_a_crash_count_as_cold_before_their_entries_say_so() {
+fn replicas_that_restart_after_a_crash_count_as_cold_before_their_entries_say_so() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(1.0, 2_000);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_replica_that_turns_cold_again_is_cold_for_as_long_as_it_said() {
+fn a_replica_that_turns_cold_again_stays_cold_for_its_reported_time() {
     let mut subject = ready_box();
     let cold = |subject: &crate::fixture::TestBox| {
         let now = BoxTime::from_millis(subject.now);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_burst_after_a_quiet_time_brings_a_cold_replica_no_more_than_any_other() {
+fn a_burst_after_low_load_keeps_cold_replicas_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let fullest = peak_after_quiet(boxes, replicas, false);
         assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn with_other_luck_a_burst_brings_a_cold_replica_no_more_than_any_other() {
+fn with_another_seed_a_burst_keeps_cold_replicas_within_the_warm_up_limit() {
     let (boxes, replicas) = SIZES[2];
     let fullest = peak_after_quiet(boxes, replicas, true);
     assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
