--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_replica_that_another_box_found_full_is_passed_over_for_its_parts() {
+fn a_replica_that_another_box_reports_full_is_skipped_despite_its_affinity() {
     let mut subject = ready_box();
     let full = designated_replica(&mut subject, 9);
     let load = LoadUpdate { replica: backend_hash(&full), load: 40, waiting: 9, age_ms: 100 };
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_older_word_on_a_load_changes_nothing() {
+fn an_older_load_update_changes_nothing() {
     let mut subject = ready_box();
     let full = designated_replica(&mut subject, 9);
     let (ticket, _) = subject.sent(CallerRequest { affinity: 9, ..ask("/chat/x") });
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_busy_replicas_load_is_told_and_told_on_with_its_age_and_an_idle_ones_is_not() {
+fn a_busy_replicas_load_is_forwarded_with_its_age_and_an_idle_ones_is_not() {
     let mut subject = ready_box();
     let load = LoadUpdate { replica: backend_hash("a"), load: 30, waiting: 5, age_ms: 300 };
     subject.feed(load_gossip(vec![load]));
@@ -71,7 +71,7 @@
 
 /// A crash takes many replicas away at the same moment. They look idle, so each box would give each of them a request.
 #[test]
-fn a_replica_that_one_box_can_not_reach_is_passed_over_by_others_unless_it_has_answered_since() {
+fn an_unreachable_replica_is_ejected_by_other_boxes_unless_it_answered_since() {
     let mut sender = ready_box();
     sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let (ticket, order) = sender.sent(ask("/read/x"));
