--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_last_attempt_goes_to_the_small_model_where_the_large_one_is_silent_or_fails() {
+fn the_last_attempt_falls_back_to_the_small_model() {
     for broken in [true, false] {
         let mut subject = box_with_models(20);
         let ticket = escalated_request(&mut subject);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_stream_that_the_caller_has_a_part_of_stays_with_its_model() {
+fn a_partly_relayed_stream_keeps_its_model() {
     let mut subject = box_with_models(20);
     let ticket = escalated_request(&mut subject);
     let confident = AnswerHead { confidence: Some(90), ..head(200) };
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn in_a_burst_of_unsure_answers_only_those_are_asked_again_that_begin_within_the_target() {
+fn a_burst_escalates_only_requests_that_begin_within_the_target() {
     let (asked, count) = escalated_in_burst(10);
     // Three replicas begin 28 of 150 ms each within the target of 1,000 ms and the 400 ms of the burst.
     assert!((15..34).contains(&asked), "{asked} of {count}");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn how_sure_an_answer_must_be_follows_the_time_of_the_larger_models() {
+fn the_required_confidence_falls_with_the_larger_models_delay() {
     assert_eq!(required_confidence(0.0), NEUTRAL_CONFIDENCE);
     assert_eq!(required_confidence(ESCALATE_ALL_SHARE), NEUTRAL_CONFIDENCE);
     assert!((0.0..NEUTRAL_CONFIDENCE).contains(&required_confidence(0.6)));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_middle_model_is_asked_where_the_largest_is_far_off_and_it_is_expected_to_do() {
+fn a_middle_model_is_asked_where_the_largest_is_slow_and_it_suffices() {
     let mut gains = ConfidenceGains::default();
     for _ in 0..200 {
         gains.learn(confidence(0, 30), confidence(1, 45));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn opinions_at_the_ends_of_the_scale_teach_nothing() {
+fn confidences_at_the_ends_of_the_scale_are_ignored() {
     let mut gains = ConfidenceGains::default();
     let before = gains.expected(1, 10);
     for _ in 0..100 {
