--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn long_prompts_in_a_burst_are_not_put_behind_each_other_while_a_replica_is_free() {
+fn long_prompts_in_a_burst_do_not_queue_while_a_replica_is_free() {
     let mut subject = trained_box(6, 0.1);
     let sent = (0..6).map(|number| subject.sent(prompt(50 + number, 0, 10_000)).1.replica_id);
     let used: BTreeSet<String> = sent.collect();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_short_prompt_is_not_put_behind_a_long_one() {
+fn a_short_prompt_does_not_queue_behind_a_long_one() {
     let mut subject = trained_box(2, 0.1);
     let (_, long) = subject.sent(prompt(7, 0, 20_000));
     // Ten of them take half a second, the long one two: the fuller replica by count is the freer one.
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_holder_of_shared_parts_is_waited_for_as_long_as_they_take_to_read() {
+fn a_cached_prefix_is_worth_waiting_as_long_as_reading_it() {
     let mut subject = trained_box(4, 0.1);
     let (ticket, first) = subject.sent(prompt(9, 10_000, 500));
     answer(&mut subject, ticket, 1_050);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_long_prompt_is_told_to_other_boxes_as_it_is_placed_and_a_short_one_is_not() {
+fn a_long_prompt_is_announced_when_placed_and_a_short_one_is_not() {
     let mut subject = trained_box(3, 0.1);
     let (_, effects) = subject.arrive(prompt(9, 0, 10_000));
     let order = order_in(&effects).expect("it is sent");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn what_another_box_had_read_is_taken_to_be_held_there() {
+fn a_prefix_placed_by_another_box_counts_as_cached() {
     let mut subject = trained_box(8, 0.1);
     let mut other = trained_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn all_boxes_have_shared_parts_read_at_the_same_replica() {
+fn all_boxes_place_a_prefix_on_the_same_replica() {
     let mut placed: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for number in 0..3 {
         let mut subject = trained_box(12, 0.1);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_replica_that_answers_late_without_a_word_is_given_less() {
+fn a_replica_with_an_overdue_answer_gets_fewer_requests() {
     let mut subject = trained_box(2, 0.1);
     let (late, slow) = subject.sent(prompt(5, 0, 1_000));
     subject.now += 1_500;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_prompt_leaves_its_zone_where_that_saves_more_than_its_bytes_are_worth() {
+fn a_prompt_crosses_zones_only_where_that_saves_more_than_its_bytes_cost() {
     let ask = prompt(0, 0, 10_000);
     let worth_ms = (10.0 * ZONE_KB_MS) as u32;
     assert_eq!(zone_chosen(worth_ms / 2, ask.clone()), "i-0");
@@ -197,14 +197,14 @@
 }
 
 #[test]
-fn cheap_shared_parts_are_held_in_each_zone_and_dear_ones_once() {
+fn cheap_prefixes_are_cached_in_each_zone_and_expensive_ones_once() {
     let work = PromptWork { shared: 1, shared_ms: 50.0, own_ms: 10.0, kilobytes: 10.0 };
     assert!(work.cached_per_zone());
     assert!(!PromptWork { shared_ms: 2_000.0, ..work }.cached_per_zone());
 }
 
 #[test]
-fn a_large_models_prompt_waits_behind_small_ones_at_a_replica() {
+fn a_large_models_prompt_queues_behind_small_ones() {
     let mut subject = box_with_engines(2);
     let (ticket, small) = subject.sent(CallerRequest { any_model: true, ..prompt(9, 100, 100) });
     let unsure = AnswerHead { confidence: Some(3), ..quiet_head() };
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_backlog_drains_but_not_below_what_has_not_begun() {
+fn a_backlog_drains_only_down_to_pending_work() {
     let at = BoxTime::from_millis;
     let mut backlog = ReplicaBacklog::default();
     backlog.add_remote(400.0, at(1_000));
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn the_replicas_word_on_its_queue_goes_before_the_estimate() {
+fn a_reported_queue_replaces_the_estimate() {
     let at = BoxTime::from_millis;
     let mut backlog = ReplicaBacklog::default();
     backlog.add_remote(5_000.0, at(1_000));
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn the_pace_of_each_model_is_learnt_whatever_a_few_answers_say() {
+fn latency_estimates_are_robust_to_outliers() {
     let mut latency = ServiceLatency::default();
     for round in 0..400 {
         // One answer in five was held up for two seconds.
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn held_parts_are_forgotten_after_a_while() {
+fn cached_prefixes_expire() {
     let mut cache = PrefixCache::default();
     cache.insert(7, BoxTime::from_millis(1_000));
     assert!(cache.contains(7, BoxTime::from_millis(1_000 + PREFIX_KEPT_MS - 1)));
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_view_costs_what_waits_what_is_read_and_what_crosses() {
+fn placement_cost_sums_wait_read_and_zone_crossing() {
     let work = PromptWork { shared: 1, shared_ms: 100.0, own_ms: 20.0, kilobytes: 5.0 };
     let view =
         ReplicaView { slowness: 1.0, same_zone: true, cached: true, ..ReplicaView::default() };
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn what_would_not_begin_before_its_deadline_is_turned_away_at_once_and_spread() {
+fn requests_that_would_miss_their_deadline_are_refused_with_spread_retries() {
     let mut subject = trained_box(2, 0.1);
     let mut after = Vec::new();
     // Prompts of a second each, a hundred at once, before two replicas: what is left of four seconds cached
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn nobody_is_turned_away_while_there_is_time() {
+fn no_request_is_refused_while_there_is_time() {
     assert_eq!(overload_retry_ms(3_999.0, 4_000, 1_000, 7), None);
     let after = overload_retry_ms(4_000.0, 4_000, 1_000, 7).expect("it is turned away");
     assert!((500..=1_333).contains(&after), "{after}");
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_box_that_has_seen_no_answer_takes_the_pace_that_others_have_learnt() {
+fn a_box_without_answers_takes_over_latency_estimates() {
     let known = learnt(0.2, 100);
     let mut started = ServiceLatency::default();
 
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn a_box_that_knows_the_pace_is_not_led_astray_by_one_that_has_seen_one_answer() {
+fn one_answer_of_another_box_hardly_moves_a_known_latency() {
     let (mut known, other) = (learnt(0.2, 100), learnt(0.02, 1));
     let before = known.read_ms(0, 10_000.0);
 
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn boxes_that_hear_each_other_follow_a_model_that_turns_slow() {
+fn boxes_that_gossip_follow_a_model_that_slows_down() {
     let mut boxes = vec![learnt(0.02, 100); 10];
     for round in 0..400 {
         for number in 0..boxes.len() {
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn word_of_a_pace_that_makes_no_sense_is_passed_over() {
+fn invalid_latency_updates_are_ignored() {
     let mut known = learnt(0.2, 100);
     let before = known.read_ms(0, 10_000.0);
     for ms in [0.0, -1.0, f64::NAN, f64::INFINITY] {
