--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -24,7 +24,7 @@
 const CONTENT: u64 = 5;
 
 #[test]
-fn what_crashes_replicas_is_sent_no_further_once_boxes_know_it() {
+fn poison_requests_stop_once_boxes_know_them() {
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
@@ -56,7 +56,7 @@
 const RESTARTS: usize = 30;
 
 #[test]
-fn boxes_that_start_again_in_turn_send_on_nothing_that_the_others_know_to_crash_replicas() {
+fn restarted_boxes_do_not_send_known_poison_requests() {
     for (boxes, replicas) in SIZES {
         let mut fleet = fleet_that_knows(boxes, replicas);
         let known = fleet.crashes;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn boxes_that_stood_still_send_on_nothing_that_the_others_know_to_crash_replicas() {
+fn resumed_boxes_do_not_send_known_poison_requests() {
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_finds_it_out_anew_and_sends_it_no_further() {
+fn a_fleet_that_restarts_at_once_detects_poison_requests_again() {
     for (boxes, replicas) in SIZES {
         let mut fleet = fleet_that_knows(boxes, replicas);
         let before = fleet.crashes;
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn two_ends_under_different_requests_end_it_with_a_final_answer() {
+fn two_crashes_under_different_requests_refuse_the_content_for_good() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     crash_under(&mut subject, "two");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn one_request_that_was_there_twice_is_sent_on() {
+fn one_request_at_two_crashes_is_still_sent() {
     let mut subject = box_of_six();
     let (ticket, _) = subject.sent(poison_request("one"));
     break_attempt(&mut subject, ticket).expect("sent on");
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn what_was_answered_meanwhile_crashes_nothing() {
+fn content_that_was_answered_meanwhile_is_no_poison() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     let (ticket, _) = subject.sent(poison_request("two"));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn replicas_that_end_at_the_same_moment_count_once() {
+fn simultaneous_crashes_count_once() {
     let mut subject = box_of_six();
     let tickets = ["one", "two", "three"].map(|id| subject.sent(poison_request(id)).0);
     tickets.into_iter().for_each(|ticket| break_and_disconnect(&mut subject, ticket));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn the_end_of_a_replica_that_leaves_does_not_count() {
+fn the_exit_of_a_leaving_replica_is_no_crash() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(poison_request(id));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_replica_that_answers_others_has_not_ended() {
+fn a_replica_that_answers_others_has_not_crashed() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(poison_request(id));
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn what_another_box_knows_to_crash_replicas_is_sent_on_once_it_was_answered_there() {
+fn poison_received_from_another_box_is_cleared_once_answered_there() {
     let mut subject = box_of_six();
     let poison = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
     subject.feed(poison_gossip(1, poison));
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_box_tells_others_that_what_replicas_ended_under_was_answered() {
+fn an_answer_to_suspected_poison_is_announced() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     let (ticket, _) = subject.sent(poison_request("two"));
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn what_crashed_replicas_is_tried_again_by_one_attempt_and_its_end_alone_counts() {
+fn poison_is_retried_by_one_attempt_and_one_crash_refuses_it_again() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     crash_under(&mut subject, "two");
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn ends_that_other_boxes_saw_count_and_lapse() {
+fn crashes_received_from_other_boxes_count_and_expire() {
     let mut subject = box_of_six();
     let crash = |number: u64| CrashUpdate {
         content: CONTENT,
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn a_box_tells_others_of_ends() {
+fn crashes_are_announced() {
     let mut subject = box_of_six();
     let order = crash_under(&mut subject, "one");
     subject.now += 500;
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn an_end_under_requests_of_several_callers_counts_for_each_of_them() {
+fn a_crash_under_several_requests_counts_for_each() {
     let mut subject = box_of_six();
     crash_under(&mut subject, "one");
     let (first, order) = subject.sent(poison_request("one"));
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn a_replica_that_ends_twice_under_the_same_content_ended_twice() {
+fn two_crashes_of_one_replica_count_twice() {
     let mut subject = ready_box();
     for id in ["one", "two"] {
         let (ticket, _) = sent_to(&mut subject, id, "a");
@@ -386,7 +386,7 @@
 }
 
 #[test]
-fn a_replica_that_answered_others_after_a_break_and_ends_later_did_not_end_under_it() {
+fn a_later_exit_of_a_replica_that_answered_others_is_no_crash() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
         let (ticket, order) = subject.sent(poison_request(id));
