--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn replicas_that_name_a_limit_get_no_more_than_it_allows() {
+fn replicas_with_a_limit_get_no_more_than_it_allows() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let limited = replicas / 6;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn with_none_but_limited_replicas_requests_are_served_as_far_as_limits_allow() {
+fn limited_replicas_alone_serve_requests_up_to_their_limits() {
     for (boxes, replicas) in SIZES {
         let (most, used) = all_limited(boxes, replicas, false);
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn with_other_luck_limited_replicas_are_used_as_far() {
+fn with_another_seed_limited_replicas_serve_requests_up_to_their_limits() {
     let (boxes, replicas) = SIZES[2];
     let (most, used) = all_limited(boxes, replicas, true);
     assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn that_a_replica_names_no_limit_any_more_is_known_to_all_boxes() {
+fn the_end_of_a_limit_reaches_all_boxes() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.limits[0] = Some(LIMIT_PER_S);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_box_heeds_a_limit_that_another_box_heard() {
+fn a_limit_received_from_another_box_applies() {
     let mut subject = ready_box();
     subject.feed(limit_gossip(1, Some(1.0), 200));
     assert!(sent_to_a(&mut subject) <= 1, "one at a time");
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn older_word_of_a_limit_does_not_replace_later_word() {
+fn an_older_limit_update_does_not_replace_a_later_one() {
     let mut subject = ready_box();
     subject.now += LIMIT_GOSSIP_MS;
     name_limit(&mut subject, Some(1.0));
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn an_answer_that_ran_nothing_lifts_no_limit() {
+fn an_answer_that_ran_nothing_does_not_clear_a_limit() {
     let mut subject = ready_box();
     name_limit(&mut subject, Some(1.0));
     subject.now += 2_000;
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_limit_without_word_for_long_counts_no_more() {
+fn a_limit_without_updates_expires() {
     let mut subject = ready_box();
     name_limit(&mut subject, Some(0.0));
     assert!(sent_to_a(&mut subject) <= 1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn with_all_replicas_limited_callers_are_told_at_once_when_to_come_back() {
+fn with_all_replicas_limited_callers_get_a_retry_time_at_once() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_burst_after_a_quiet_time_brings_a_limited_replica_no_more_than_it_allows() {
+fn a_burst_after_low_load_stays_within_a_replicas_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let limited = replicas / 6;
