--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -15,7 +15,7 @@
 };
 
 #[test]
-fn a_call_that_may_have_run_is_never_sent_again_and_never_called_not_run() {
+fn a_call_that_may_have_run_is_never_resent_nor_reported_as_not_run() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn full_replicas_everywhere_are_a_truthful_refusal_with_a_time() {
+fn full_replicas_refuse_with_a_retry_time() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let full = AnswerHead { not_run: true, ..head(503) };
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn one_send_that_may_have_run_forbids_not_run_for_good() {
+fn one_attempt_that_may_have_run_rules_out_not_run_for_good() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn no_more_replicas_are_asked_than_the_route_allows() {
+fn attempts_stay_within_the_routes_limit() {
     let mut subject = ready_box();
     for id in ["c", "d", "e"] {
         subject.put(entry(id, "v1"));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_connection_that_never_came_about_costs_no_attempt() {
+fn a_failed_connection_costs_no_attempt() {
     let mut subject = new_box("box-1");
     let mut single = plan(1);
     single.routes[1].attempts = 1;
@@ -95,7 +95,7 @@
 /// 140 crashed, 257 requests were refused after a single connection that did not come about: what other requests had
 /// sent again had used the retry budget up, though nothing of these had arrived anywhere.
 #[test]
-fn a_connection_that_never_came_about_costs_nothing_of_the_retry_budget() {
+fn a_failed_connection_costs_no_retry_budget() {
     for failure in [AttemptFailure::NeverSent, AttemptFailure::Withdrawn] {
         let mut subject = ready_box();
         for _ in 0..60 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_failed_answer_is_asked_again_where_that_is_allowed_and_else_passed_on() {
+fn a_failed_answer_is_retried_where_allowed_and_else_relayed() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     assert!(order_in(&subject.feed(RouteEvent::HeadReceived(ticket, head(500)))).is_some());
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_answer_without_the_replicas_proof_is_never_passed_on() {
+fn an_unproven_answer_is_never_relayed() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let unproven = AnswerHead { proven: false, ..head(200) };
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn silence_alone_ends_no_request() {
+fn a_stall_alone_ends_no_request() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_stream_is_given_to_the_last_replica_only_after_a_long_silence() {
+fn a_stream_moves_to_the_last_replica_only_after_a_long_stall() {
     let mut subject = ready_box();
     subject.put(entry("c", "v1"));
     // Silence has a twentieth of the traffic: two sends need forty requests.
@@ -168,14 +168,14 @@
 }
 
 #[test]
-fn silence_sends_no_call_again_that_may_run_once() {
+fn a_stalled_call_that_may_run_only_once_is_not_resent() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     assert_eq!(subject.feed(RouteEvent::AttemptStalled(ticket)), []);
 }
 
 #[test]
-fn a_broken_stream_is_taken_up_elsewhere_and_a_failure_is_never_joined_to_it() {
+fn a_broken_stream_resumes_elsewhere_and_no_error_is_appended() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/chat/x"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_taken_up_is_broken_off() {
+fn a_stream_that_cannot_resume_is_aborted() {
     let mut subject = new_box("box-1");
     let mut spec = plan(1);
     spec.routes = vec![route("chat", RouteKind::Stream { resumable: false })];
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn the_time_is_the_callers_or_the_routes_whichever_is_less() {
+fn the_deadline_is_the_lesser_of_the_callers_and_the_routes() {
     let mut subject = ready_box();
     let (_, short) = subject.sent(ask("/read/x"));
     assert_eq!(short.deadline.as_millis(), subject.now + 4_000);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn time_that_is_up_is_not_called_not_run_once_a_replica_has_the_request() {
+fn a_passed_deadline_is_not_reported_as_not_run_once_a_replica_has_the_request() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
     let refusal = refusal_in(&subject.feed(RouteEvent::DeadlinePassed(ticket))).expect("given up");
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_vanished_entry_counts_at_once_while_the_store_is_sound() {
+fn a_removed_entry_takes_effect_at_once_while_the_store_works() {
     let mut subject = ready_box();
     subject.drop_entry("a");
     for _ in 0..20 {
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn entries_that_lapse_with_the_store_are_used_until_they_must_be_back() {
+fn entries_that_expire_in_a_store_outage_are_used_for_the_grace_period() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::StoreFailed);
     subject.drop_entry("a");
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn the_lighter_replica_is_taken() {
+fn the_less_loaded_replica_is_picked() {
     let mut subject = ready_box();
     let (ticket, first) = subject.sent(ask("/read/x"));
     let load = Some(BackendLoad { running: 4, waiting: 2, slots: 4 });
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn requests_with_the_same_shared_parts_go_to_the_same_replica_from_every_box() {
+fn requests_with_the_same_prefix_go_to_the_same_replica_from_every_box() {
     let mut first = ready_box();
     let mut second = new_box("box-2");
     second.read_plan(Some(plan(1)));
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_replica_that_can_not_be_reached_is_passed_over_for_a_while() {
+fn an_unreachable_replica_is_ejected_for_a_while() {
     let mut subject = ready_box();
     let (ticket, first) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn an_unsure_answer_is_asked_of_the_largest_model_and_a_sure_one_is_kept() {
+fn an_unsure_answer_escalates_to_the_largest_model_and_a_confident_one_is_kept() {
     let mut subject = new_box("box-1");
     let mut spec = plan(1);
     spec.routes[2].sizes = ["small", "middle", "large"].map(str::to_owned).to_vec();
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_less_sure_answer_is_kept_where_answers_are_slow_to_begin() {
+fn a_less_confident_answer_is_kept_where_larger_models_are_slow() {
     let mut subject = new_box("box-1");
     let mut spec = plan(1);
     spec.routes[2].sizes = ["small", "large"].map(str::to_owned).to_vec();
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn a_stopping_box_takes_requests_only_while_it_can_still_serve_them() {
+fn a_stopping_box_accepts_requests_only_while_it_can_still_serve_them() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::StopRequested);
     assert!(!subject.state.ready(ravenspoke_core::time::BoxTime::from_millis(subject.now)));
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_caller_that_left_leaves_nothing_behind() {
+fn a_disconnected_caller_leaves_no_state() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     subject.feed(RouteEvent::CallerDisconnected(ticket));
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn a_box_that_has_just_started_may_send_again() {
+fn a_box_that_just_started_may_retry() {
     let mut subject = ready_box();
     for _ in 0..5 {
         let (ticket, _) = subject.sent(ask("/read/x"));
@@ -410,7 +410,7 @@
 }
 
 #[test]
-fn further_sends_stop_when_the_budget_is_spent() {
+fn extra_attempts_stop_when_the_budget_is_spent() {
     let mut subject = ready_box();
     // 0.9 for each request, 0.85 of it used on ten of eleven slots, and half of the slack of 60.
     let sent_again = fail_once(&mut subject, 200);
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn what_was_not_spent_in_the_window_serves_a_crowd_of_failures_at_once() {
+fn unspent_budget_covers_a_burst_of_failures() {
     let mut subject = ready_box();
     for _ in 0..100 {
         let (ticket, _) = subject.sent(ask("/read/x"));
@@ -431,7 +431,7 @@
 }
 
 #[test]
-fn silence_sends_few_requests_again_however_many_are_slow() {
+fn stalls_cause_few_extra_attempts_however_many_requests_are_slow() {
     let mut subject = ready_box();
     let mut sent_again = 0;
     for _ in 0..200 {
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn the_budget_of_a_window_is_gone_with_it() {
+fn the_budget_is_renewed_with_each_window() {
     let mut subject = ready_box();
     fail_once(&mut subject, 200);
     subject.now += 11_100;
@@ -454,7 +454,7 @@
 }
 
 #[test]
-fn a_replica_that_a_listing_lacked_is_used_again_from_the_very_next_record_on() {
+fn a_replica_missing_from_a_listing_is_used_again_after_the_next_record() {
     let mut subject = ready_box();
     let end = subject.offset + 5;
     subject.feed(RouteEvent::BackendsListed { end: at(end), listed: Vec::new() });
@@ -466,7 +466,7 @@
 }
 
 #[test]
-fn a_replica_taken_for_the_prompts_parts_is_called_so_also_where_it_is_the_lightest() {
+fn a_replica_picked_for_affinity_is_reported_so_even_if_least_loaded() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn a_box_takes_its_part_of_the_fleets_budget_also_where_it_hears_few_of_the_boxes() {
+fn a_box_keeps_to_its_share_of_the_budget_before_it_hears_from_others() {
     let (alone, of_twenty) = (extra_attempts(0), extra_attempts(19));
     assert!(alone >= 20, "{alone} further sends");
     assert!(of_twenty <= 2, "{of_twenty} further sends of each of twenty boxes");
