--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_some_boxes_leave_of_the_budget_serves_others() {
+fn budget_that_some_boxes_leave_serves_others() {
     let alone = simulate(false, larger_models);
     let together = simulate(true, larger_models);
 
@@ -107,14 +107,14 @@
 }
 
 #[test]
-fn a_storm_that_comes_while_nothing_was_spent_stays_within_what_the_operator_allows() {
+fn a_failure_storm_on_an_unspent_budget_stays_within_the_bound() {
     let sends = simulate(true, late_storm);
 
     assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
 }
 
 #[test]
-fn a_storm_of_failures_stays_within_what_the_operator_allows() {
+fn a_failure_storm_stays_within_the_bound() {
     let sends = simulate(true, storm);
 
     assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_box_goes_beyond_its_part_only_while_others_leave_theirs() {
+fn a_box_exceeds_its_share_only_while_others_leave_theirs() {
     let idle = SendCount { requests: 200, sends: 0 };
     let spent = SendCount { requests: 200, sends: 200 };
     for (count, allowed) in [(idle, true), (spent, false)] {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn counts_that_no_box_can_have_are_borne() {
+fn impossible_counts_do_not_overflow() {
     let most = SendCount { requests: u32::MAX, sends: u32::MAX };
     let (mut budget, now) = box_with_spent_share(most);
     budget.merge("box-3", most, now);
@@ -152,14 +152,14 @@
 }
 
 #[test]
-fn what_was_heard_long_ago_leaves_nothing() {
+fn outdated_counts_leave_no_budget() {
     let (mut budget, now) = box_with_spent_share(SendCount { requests: 200, sends: 0 });
     let later = now.plus_millis(REPORT_KEPT_MS);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, later));
 }
 
 #[test]
-fn a_box_never_sends_more_than_twice_its_part() {
+fn a_box_never_exceeds_twice_its_share() {
     let (mut budget, now) = box_with_spent_share(SendCount { requests: 9_000, sends: 0 });
     let part = budget.count(BOUNDS, now).sends;
     while budget.spend(BOUNDS, BOXES, SendCause::Failure, now) {}
