--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -1,4 +1,5 @@
-//! The head of an answer came: it is passed on, or another replica or a larger model is asked.
+//! Handles the head of an answer: the answer is relayed, or another replica or a larger model gets
+//! the request.
 
 use super::backend_health::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
@@ -9,7 +10,8 @@
 use crate::event::{EventStamp, RequestTicket};
 
 impl RouteState {
-    /// Decides on the head of an answer: passed on, asked of another replica or model, or refused.
+    /// Decides on the head of an answer: relay it, try another replica or model, or refuse the
+    /// request.
     pub(super) fn on_head(
         &mut self,
         stamp: EventStamp,
@@ -41,7 +43,8 @@
         self.handle_head(stamp, ticket, head, took_ms, out);
     }
 
-    /// Decides on the head of an answer that began after `took_ms`, of a replica that ran the request.
+    /// Decides on the head of an answer that began after `took_ms`, from a replica that ran the
+    /// request.
     fn handle_head(
         &mut self,
         stamp: EventStamp,
@@ -78,7 +81,7 @@
         out.push(RouteEffect::Relay(ticket));
     }
 
-    /// Asks a larger model in place of an unsure one, if one may be asked.
+    /// Sends the request to a larger model in place of one with low confidence, if that is allowed.
     fn escalate(
         &mut self,
         stamp: EventStamp,
@@ -89,7 +92,7 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(size) = request.size.filter(|_| !request.relayed) else { return false };
         let Some(score) = head.confidence else { return false };
-        // The replica did nothing wrong, and it may hold the prompt's shared parts.
+        // The replica did nothing wrong, and its prefix cache may hold the prompt's prefix.
         let tried = request.tried.pop();
         let next = self.next_size(stamp, ticket, ModelConfidence { size, score });
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
@@ -108,7 +111,7 @@
         false
     }
 
-    /// The model to ask next in place of an answer that its model thinks so of.
+    /// Returns the model to ask next, given the confidence of the last one in its answer.
     fn next_size(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: the route that takes it, whether its key is known, and its first attempt.
+//! Handles the arrival of a request: finds its route, checks its key and starts the first attempt.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The route that takes a request, and the holder of its key if it shows one that is known.
+    /// Finds the route of a request, and the holder of its key if it presents a known one.
     fn find_route(
         &self,
         stamp: EventStamp,
@@ -111,11 +111,11 @@
     }
 }
 
-/// Tokens of a prompt whose size the caller doesn't tell: a short one, of which the pace learnt is a guess
-/// that serves others like it.
+/// Tokens assumed for a prompt whose size the caller does not state. It is a short prompt, and the
+/// latency learnt with it fits others like it.
 const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
 
-/// The size of a request's prompt, if it has one.
+/// Returns the size of a request's prompt, if it has one.
 fn prompt_size(caller: &CallerRequest) -> Option<PromptSize> {
     if caller.prompt != PromptSize::default() {
         return Some(caller.prompt);
@@ -128,7 +128,7 @@
     (caller.affinity != 0 || caller.any_model).then_some(assumed)
 }
 
-/// A service of the route, by the weights of its targets.
+/// Picks a service of the route, by the weights of its targets.
 fn pick_target(route: &RouteSpec, random: u64) -> Option<String> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut left = mix(random ^ 0x7370) % total.max(1);
