--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -1,5 +1,5 @@
-//! The attempts of a request: a replica gets it, how long it is waited for, and whether there may be
-//! another attempt when one keeps silent, fails or ends.
+//! The attempts of a request: which replica gets it, how long the router waits for it, and whether
+//! another attempt is allowed when one stalls, fails or breaks.
 
 use super::admission::{latest_retry_ms, overload_retry_ms};
 use super::backend_health::{BackendOutcome, UNREACHABLE_DELAY_MS};
@@ -14,28 +14,29 @@
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
-/// A head that comes later than this many times the target is not waited for, where another replica
-/// may be asked.
+/// Time limit of a response head where another replica may be tried, as a multiple of the latency
+/// target.
 pub const HEAD_TARGETS: f64 = 1.0;
 
-/// For an answer that is no stream: its work takes a fraction of the target.
+/// The same for an answer that is no stream: its work takes a fraction of the target.
 pub const UNARY_HEAD_TARGETS: f64 = 2.0;
 
-/// A pause between events is not waited out beyond this part of the longest that counts in full.
+/// Time limit of a pause between events, as a share of the longest pause that counts in full.
 pub const PAUSE_SHARE: f64 = 0.8;
 
-/// Work up to which a replica counts as idle when its pace is learnt, in milliseconds: a few steps.
+/// Queued work up to which a replica counts as idle when its latency is learnt, in milliseconds: a
+/// few steps of the engine.
 const IDLE_WORK_MS: f64 = 20.0;
 
-/// Connections that did not come about and cost a request none of its attempts, at most.
+/// Failed connections that do not count as attempts of a request, at most.
 pub const FREE_CONNECT_FAILURES: u32 = 3;
 
-/// A stream of which the caller has a part is given to the last replica that may be asked only after
-/// this many pauses in a row: should that one fail, the answer is lost, and the first may only be slow.
+/// Consecutive pauses after which a partly relayed stream is moved to the last replica that may be
+/// tried. If that one fails, the answer is lost, while the first may only be slow.
 pub const LAST_REPLICA_PAUSES: u32 = 3;
 
 impl RouteState {
-    /// Sends a request to a replica, or gives it up for `otherwise` if there is none.
+    /// Sends a request to a replica, or refuses it for `otherwise` if there is none.
     pub(super) fn send(
         &mut self,
         stamp: EventStamp,
@@ -68,14 +69,15 @@
         self.assign(stamp, ticket, choice, out);
     }
 
-    /// A request's caller is to come back as late as it honours: sooner nothing will have changed.
+    /// Sets the retry time to the latest that the caller accepts: nothing changes sooner.
     fn set_latest_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let left_ms = request.deadline.millis_since(stamp.now);
         request.retry_after_ms = Some(latest_retry_ms(left_ms, stamp.random));
     }
 
-    /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
+    /// Sets the retry time to when this box may again send to a replica that backs off or is rate
+    /// limited, if the caller accepts that.
     fn set_backoff_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.set_latest_retry(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
@@ -85,7 +87,7 @@
         request.retry_after_ms = request.retry_after_ms.map(|late| late.min(after_ms));
     }
 
-    /// Why no replica may get a request, where that is known.
+    /// Returns why no replica may get a request, where that is known.
     fn no_replica_reason(&self, stamp: EventStamp, ticket: RequestTicket) -> Option<RefusalReason> {
         let request = self.requests.get(&ticket)?;
         let service = &request.service;
@@ -100,7 +102,8 @@
         throttled.map(|_| RefusalReason::ReplicasLimited)
     }
 
-    /// Whether a request that was not sent yet has no time left for what waits where it would begin soonest.
+    /// Returns whether a request that was not sent yet would miss its deadline even at the replica
+    /// where it would begin soonest.
     fn rejects_overload(
         &mut self,
         stamp: EventStamp,
@@ -118,8 +121,9 @@
         after.is_some()
     }
 
-    /// Takes what is known by now into the trial of a request's service. A bad version's verdict doesn't
-    /// wait for the next tick: each request until it stands may meet the version.
+    /// Applies all evidence so far to the trial of a request's service. The verdict on a bad
+    /// version does not wait for the next tick, since each request until then may reach that
+    /// version.
     fn advance_trial(
         &mut self,
         stamp: EventStamp,
@@ -134,8 +138,8 @@
         }
     }
 
-    /// The model for a request's next attempt. The last one that is allowed goes to the smallest: where a
-    /// larger one failed or kept silent, an answer that may do is worth more than none.
+    /// Sets the model of a request's next attempt. The last attempt allowed goes to the smallest
+    /// model: where a larger one failed or stalled, an answer of lower quality is better than none.
     fn fall_back_to_small(&mut self, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let last = request.sends + 1 >= request.route.attempts;
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Gives a request to a replica.
+    /// Assigns a request to a replica.
     fn assign(
         &mut self,
         stamp: EventStamp,
@@ -167,7 +171,7 @@
         self.place(stamp, ticket, &pick, out);
         let Some(row) = self.backends.get(pick.key) else { return };
         let Some(request) = self.requests.get_mut(&ticket) else { return };
-        // What runs is told by the replica, also where no replica of the version wished for was left.
+        // The version is that of the replica, even if no replica of the preferred version was left.
         let trial = self.trials.get(&request.service);
         let on_trial = trial.is_some_and(|trial| trial.is_on_trial(&row.entry.version));
         request.attempt = Some(RunningAttempt {
@@ -204,8 +208,8 @@
         out.push(RouteEffect::Send(ticket, order));
     }
 
-    /// Ends the attempt under way and gives the request to another replica, if there is one and
-    /// attempts, time and budget allow it. Else nothing changes.
+    /// Ends the current attempt and assigns the request to another replica, if there is one and
+    /// attempts, time and budget allow it. Otherwise nothing changes and `false` is returned.
     pub(super) fn reassign(
         &mut self,
         stamp: EventStamp,
@@ -236,8 +240,8 @@
         true
     }
 
-    /// Sends a request again that may be sent again, or gives it up for `otherwise` if attempts, time or
-    /// budget forbid it.
+    /// Sends a request again, or refuses it for `otherwise` if attempts, time or budget forbid
+    /// that.
     pub(super) fn resend(
         &mut self,
         stamp: EventStamp,
@@ -253,9 +257,9 @@
         }
     }
 
-    /// Sends a request in place of an attempt of which nothing was written. The retry budget bounds what arrives at replicas,
-    /// so it has no part in this: with it, 257 requests of a day on which a quarter of 140 replicas crashed were refused
-    /// after one connection that did not come about.
+    /// Sends a request again whose last attempt wrote nothing to a replica. The retry budget bounds
+    /// what arrives at replicas, so it does not apply here: with it, 257 requests of a day on which
+    /// a quarter of 140 replicas crashed were refused after one failed connection.
     fn resend_unwritten(
         &mut self,
         stamp: EventStamp,
@@ -271,7 +275,8 @@
         }
     }
 
-    /// Whether attempts, time and the fleet's budget allow another send; takes it from the budget.
+    /// Returns whether attempts, time and the fleet's retry budget allow another attempt, and
+    /// spends it from the budget.
     fn may_send_again(
         &mut self,
         stamp: EventStamp,
@@ -306,7 +311,8 @@
         }
     }
 
-    /// Goes elsewhere if there is where to go and the budget allows it; else the attempt goes on.
+    /// Reassigns a stalled request if there is another replica and the budget allows it. Otherwise
+    /// the attempt continues.
     pub(super) fn on_attempt_stalled(
         &mut self,
         stamp: EventStamp,
@@ -398,13 +404,13 @@
     }
 }
 
-/// How long a head is waited for where another replica may be asked, in milliseconds.
+/// Returns the time limit of a response head where another replica may be tried, in milliseconds.
 fn head_ms(route: &RouteSpec) -> u64 {
     let targets = if route.kind.is_stream() { HEAD_TARGETS } else { UNARY_HEAD_TARGETS };
     (route.target_ms as f64 * targets) as u64
 }
 
-/// How long an event is waited for there, in milliseconds.
+/// Returns the time limit of a pause between events there, in milliseconds.
 fn pause_ms(route: &RouteSpec) -> u64 {
     match route.kind {
         RouteKind::Stream { .. } if route.pause_ms > 0 => {
