--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -1,74 +1,76 @@
-//! What replicas do on requests, and how one that does badly is passed over.
+//! Health of replicas by the outcome of requests, and outlier ejection.
 //!
-//! A replica that refuses connections, breaks answers or fails them is passed over for a while;
-//! [`super::pick`] sees to it that this is at most half of a service at a time.
+//! A replica that refuses connections, breaks answers or fails requests is ejected for a while.
+//! [`super::pick`] limits this to half of a service's replicas at a time.
 
 use super::backend::{BackendState, BackendTable};
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// Failures in a row after which a replica is passed over. Two: one may be the request's own fault.
+/// Consecutive failures after which a replica is ejected. A single failure may be the fault of the
+/// request.
 pub const EJECTION_FAILURES: u32 = 2;
 
-/// First span for which a replica is passed over, in milliseconds; doubled by each further one.
+/// Length of a replica's first ejection, in milliseconds. It doubles with each further one.
 pub const EJECTION_FIRST_MS: u64 = 700;
 
-/// Longest span for which a replica is passed over, in milliseconds.
+/// Longest ejection of a replica, in milliseconds.
 pub const EJECTION_LIMIT_MS: u64 = 5_000;
 
-/// Answers that a replica left out are held against its version after this, in milliseconds, where it has
-/// not answered since: the entry of one that crashed is gone by then, after three heartbeats of silence.
+/// Grace period after which a lost answer counts against the replica's version if the replica has
+/// not answered since, in milliseconds. The entry of a crashed replica is gone by then, after three
+/// missed heartbeats.
 pub const LOST_GRACE_MS: u64 = 5_000;
 
-/// Answers left out that are kept for each replica, at most: a version is found bad by fewer.
+/// Lost answers kept for each replica, at most. Fewer suffice to find a version bad.
 const LOST_LIMIT: usize = 64;
 
-/// Word that a replica could not be reached is update to other boxes for this long, in milliseconds: two updates.
+/// How long boxes gossip that a replica was unreachable, in milliseconds: two gossip messages.
 pub const UNREACHABLE_GOSSIP_MS: u64 = 1_200;
 
-/// Such words in one update, at most, the newest first: some 670 bytes, worked out.
+/// Unreachable replicas in one gossip message, at most, the newest first: some 670 bytes.
 const UNREACHABLE_PER_MESSAGE: usize = 48;
 
-/// A box that could not reach a replica tells others after this at the latest, in milliseconds: each request until then may
-/// be given to it.
+/// Longest delay until a box gossips that a replica is unreachable, in milliseconds. Until then
+/// each request on other boxes may be sent to it.
 pub const UNREACHABLE_DELAY_MS: u64 = 50;
 
-/// Word of a replica to which no connection came about.
+/// A replica to which a connection failed, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnreachableUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
-    /// How long ago that was, in milliseconds.
+    /// How long ago the connection failed, in milliseconds.
     pub age_ms: u64,
 }
 
-/// An answer that a replica left out: it broke off, or said nothing in time. Whether the replica is lost or
-/// its version bad shows later.
+/// An answer that broke off or timed out. Whether the replica crashed or its version is bad shows
+/// later.
 #[derive(Clone, Debug)]
 pub struct LostAnswer {
     /// Route of the request.
     pub route: String,
     /// Whether the replica's version was on trial.
     pub on_trial: bool,
-    /// When it was given up.
+    /// When the attempt was given up.
     pub at: BoxTime,
 }
 
-/// How well a replica did on a request.
+/// Outcome of a request for the replica's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendOutcome {
-    /// It answered.
+    /// The replica answered.
     Served,
-    /// It failed, or broke off.
+    /// The replica failed the request, or its answer broke off.
     Failed,
-    /// No connection came about.
+    /// No connection could be made.
     Unreachable,
-    /// The end says nothing of it: the caller left, or it said that it is full.
+    /// Nothing is known: the caller disconnected, or the replica said that it is full.
     Inconclusive,
 }
 
 impl BackendState {
-    /// Passes it over for a span, longer each time in a row.
+    /// Ejects the replica, for longer each consecutive time.
     fn eject(&mut self, now: BoxTime) {
         let span = (EJECTION_FIRST_MS << self.ejections.min(8)).min(EJECTION_LIMIT_MS);
         self.ejected_until = now.plus_millis(span);
@@ -78,11 +80,11 @@
 }
 
 impl BackendTable {
-    /// Notes that a request has ended, and how well the replica did.
+    /// Records that a request has ended, and its outcome for the replica.
     pub fn ended(&mut self, key: ReplicaKey, outcome: BackendOutcome, now: BoxTime) {
         let Some(row) = self.rows.get_mut(key) else { return };
         row.outstanding = row.outstanding.saturating_sub(1);
-        // It is part of what the replica reported, or was sent since; some replicas never report.
+        // The request is part of the reported load, or was sent since. Some replicas never report.
         if row.reported > 0 {
             row.reported -= 1;
         } else {
@@ -105,9 +107,9 @@
         }
     }
 
-    /// Takes word of another box that could not reach a replica, unless it has update its load since. A crash takes many
-    /// replicas away at once, which then look idle; each box would find each of them out by a request of its own.
-    /// Gives the replica if the word counts.
+    /// Applies an update of a box that could not reach a replica, unless the replica has reported
+    /// its load since. A crash takes down many replicas at once, which then look idle, and each box
+    /// would otherwise lose a request to each of them. Returns the replica if the update applies.
     pub(super) fn apply_unreachable(
         &mut self,
         update: &UnreachableUpdate,
@@ -124,7 +126,7 @@
         None
     }
 
-    /// Replicas that could not be reached lately, as other boxes are update of them.
+    /// Returns the replicas that were unreachable recently, for gossip.
     pub(super) fn unreachable_updates(&self, now: BoxTime) -> Vec<UnreachableUpdate> {
         let update = |row: &BackendState| {
             let age_ms = now.millis_since(row.unreachable_at?);
@@ -137,7 +139,7 @@
         updates
     }
 
-    /// Keeps an answer that a replica left out until it shows what that means.
+    /// Keeps a lost answer until its cause is known.
     pub(super) fn add_lost(&mut self, key: ReplicaKey, lost: LostAnswer) {
         let Some(row) = self.rows.get_mut(key) else { return };
         if row.lost.len() < LOST_LIMIT {
@@ -145,12 +147,12 @@
         }
     }
 
-    /// Answers left out by a replica that answers again.
+    /// Removes and returns the lost answers of a replica.
     pub(super) fn drain_lost(&mut self, key: ReplicaKey) -> Vec<LostAnswer> {
         self.rows.get_mut(key).map(|row| std::mem::take(&mut row.lost)).unwrap_or_default()
     }
 
-    /// Replicas whose entry still stands [`LOST_GRACE_MS`] after they left out an answer.
+    /// Returns the replicas whose entry still exists [`LOST_GRACE_MS`] after a lost answer.
     pub(super) fn silent_replicas(&self, now: BoxTime) -> Vec<ReplicaKey> {
         let first = |lost: &[LostAnswer]| lost.first().map(|lost| lost.at);
         let over = |at: BoxTime| now.millis_since(at) >= LOST_GRACE_MS;
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -1,7 +1,9 @@
-//! Replicas that ask for rest: as one turns a request away it may say for how long it wants nothing from this box.
+//! Replicas that ask a box to back off: as a replica refuses a request, it may state for how long
+//! it wants no more from this box.
 //!
-//! Load pattern: a replica that is full or in need turns away all that comes, and each try there costs a request one of its
-//! attempts. The word is for the box that got it alone, so it is not told on; other boxes get their own.
+//! Load pattern: a full or overloaded replica refuses all requests, and each costs one of the
+//! request's attempts. The backoff applies to the box that received it alone, so it is not
+//! gossiped. Other boxes receive their own.
 
 use super::backend::{BackendState, BackendTable};
 use super::event::AnswerHead;
@@ -10,21 +12,21 @@
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// A rest lasts no longer than this, in milliseconds: a replica that wants nothing for good leaves.
+/// Longest backoff, in milliseconds. A replica that wants no more requests at all leaves instead.
 pub const BACKOFF_LIMIT_MS: u64 = 3_600_000;
 
 impl BackendState {
-    /// Whether it wants nothing from this box for now.
+    /// Returns whether the replica asked this box to back off.
     pub(super) fn backs_off(&self, now: BoxTime) -> bool {
         now < self.backoff_until
     }
 
-    /// Whether this box may send it a request now, by its rest and its limit.
+    /// Returns whether this box may send a request now, by backoff and rate limit.
     pub(super) fn accepts_requests(&self, now: BoxTime) -> bool {
         !self.backs_off(now) && self.limit.allows(now)
     }
 
-    /// From when on this box may send it a request; `None` if it may send it none while its limit stands.
+    /// Returns when this box may next send a request, or `None` if its rate limit allows none.
     fn next_at(&self, now: BoxTime) -> Option<BoxTime> {
         if self.limit.allows(now) {
             return Some(self.backoff_until);
@@ -33,21 +35,21 @@
     }
 }
 
-/// Replicas of a service of which none takes more for now, for their rests and limits.
+/// A service of which every replica refuses requests for now, by backoff or rate limit.
 pub(super) struct ThrottledService {
-    /// From when on this box may send to one of them; `None` if that is not known.
+    /// When this box may next send to one of the replicas; `None` if that is not known.
     pub(super) next_at: Option<BoxTime>,
 }
 
 impl BackendTable {
-    /// Takes a replica's word that it wants nothing until `until`.
+    /// Applies a replica's request to back off until `until`.
     fn back_off(&mut self, key: ReplicaKey, until: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.backoff_until = row.backoff_until.max(until);
         }
     }
 
-    /// Whether all replicas of a service that may be used at all take no more for now.
+    /// Returns the throttled service if all its usable replicas refuse requests for now.
     pub(super) fn all_throttled(&self, service: &str, now: BoxTime) -> Option<ThrottledService> {
         let keys = self.by_service.get(service)?;
         let rows = || keys.iter().map(|key| &self.rows[*key]).filter(|row| row.usable(now));
@@ -58,7 +60,7 @@
 }
 
 impl RouteState {
-    /// Takes what the head of a replica's answer says of its rest.
+    /// Applies the backoff that the head of a replica's answer asks for.
     pub(super) fn learn_backoff(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
         let rest_ms = head.rest_ms.filter(|_| !head.other_replica);
         if let Some(rest_ms) = rest_ms {
