--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -1,39 +1,44 @@
-//! Loads of replicas: what they report, how that fades, and what boxes tell each other of it.
+//! Loads of replicas: what they report, how reports decay, and what boxes gossip of them.
 //!
-//! A replica's load comes with its answers; between two reports a box adds what it sent itself.
+//! A replica's load comes with its answers. Between two reports a box adds the requests that it
+//! sent itself.
 
 use super::backend::{BackendState, BackendTable};
 use super::placement::{PlacementUpdate, PromptWork, ReplicaView};
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// A load report fades to the usual load with this half-life, in milliseconds: streams last seconds.
+/// Half-life with which a load report decays to the typical load, in milliseconds: streams last
+/// seconds.
 pub const REPORT_HALF_LIFE_MS: f64 = 1_500.0;
 
-/// The usual load of a replica follows its reports with this half-life, in milliseconds: some answers of each box. What is
-/// known of a replica fades to it, not to nothing: one of which no box has heard for long would else look idle to all.
+/// Half-life with which the typical load follows reports, in milliseconds: a few answers of each
+/// box. Reports decay to it rather than to zero, since a replica without recent reports would
+/// otherwise look idle to all boxes.
 pub const TYPICAL_HALF_LIFE_MS: f64 = 1_000.0;
 
-/// Part of the usual load that stays with a report, at most, however soon it follows the last one.
+/// Largest share of the typical load that is kept after a report, however soon it follows the last
+/// one.
 const TYPICAL_KEPT_SHARE: f64 = 0.9;
 
-/// A waiting request weighs as much as this many running ones in a replica's load. From the bench: late
-/// first events came from replicas with a queue.
+/// Weight of a waiting request in a replica's load, in running requests. Late first events came
+/// from replicas with a queue.
 pub const WAITING_WEIGHT: u32 = 4;
 
-/// A replica that is still slow from its start counts with this many times its load.
+/// Factor on the load of a replica that is still slow after its start.
 pub const COLD_WEIGHT: f64 = 2.0;
 
-/// A replica's load is update to other boxes from this share of its slots on: below it nothing waits.
+/// Share of its slots from which a replica's load is gossiped. Below it nothing is queued.
 pub const GOSSIP_LOAD_SHARE: f64 = 0.4;
 
-/// A load is update for this long after its report, in milliseconds: two notes pass it on to all.
+/// How long a load is gossiped after its report, in milliseconds: two gossip messages reach all
+/// boxes.
 pub const LOAD_GOSSIP_MS: u64 = 1_200;
 
-/// Loads in one note, at most, the highest first: what keeps a note within a datagram.
+/// Loads in one gossip message, at most, the highest first, to keep it within a datagram.
 pub const LOADS_PER_MESSAGE: usize = 24;
 
-/// Load that came with an answer.
+/// Load reported with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendLoad {
     /// Requests running.
@@ -44,22 +49,22 @@
     pub slots: u32,
 }
 
-/// A busy replica's load, as one box is_due it to another: a replica serves many boxes, and each of
-/// them hears from it but now and then.
+/// The load of a busy replica, as boxes gossip it. A replica serves many boxes, and each receives
+/// its reports only now and then.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
-    /// Running requests, and waiting ones by [`WAITING_WEIGHT`].
+    /// Running requests plus waiting ones times [`WAITING_WEIGHT`].
     pub load: u32,
-    /// Waiting requests alone.
+    /// Waiting requests.
     pub waiting: u32,
     /// How long ago the replica reported it, in milliseconds.
     pub age_ms: u64,
 }
 
 impl BackendState {
-    /// The replica as a placement of any prompt sees it.
+    /// Returns the replica's placement inputs that are the same for all prompts.
     pub(super) fn view(&self, now: BoxTime) -> ReplicaView {
         let cold = if self.cold_until > now { COLD_WEIGHT } else { 1.0 };
         ReplicaView {
@@ -70,7 +75,7 @@
         }
     }
 
-    /// Estimated load as a share of its slots.
+    /// Returns the estimated load as a share of its slots.
     pub fn load(&self, now: BoxTime) -> f64 {
         let age = now.millis_since(self.reported_at) as f64;
         let left = (-age / REPORT_HALF_LIFE_MS).exp2();
@@ -80,17 +85,17 @@
         estimate * cold / self.slots()
     }
 
-    /// Its slots, one at the least, to share loads by.
+    /// Returns its slots, at least one, as the divisor of loads.
     fn slots(&self) -> f64 {
         f64::from(self.entry.slots.max(1))
     }
 
-    /// Reported load as a share of its slots.
+    /// Returns the reported load as a share of its slots.
     fn reported_share(&self) -> f64 {
         f64::from(self.reported) / self.slots()
     }
 
-    /// Takes a report of its load, as of `at`.
+    /// Applies a load report as of `at`.
     fn apply_report(&mut self, load: u32, waiting: u32, at: BoxTime) {
         let age_ms = at.millis_since(self.reported_at) as f64;
         let left = (-age_ms / TYPICAL_HALF_LIFE_MS).exp2().min(TYPICAL_KEPT_SHARE);
@@ -101,7 +106,7 @@
         self.since_report = 0;
     }
 
-    /// Its reported load, as other boxes are update of it.
+    /// Returns its reported load, for gossip.
     fn load_update(&self, now: BoxTime) -> LoadUpdate {
         LoadUpdate {
             replica: self.id_hash,
@@ -113,8 +118,8 @@
 }
 
 impl BackendTable {
-    /// Notes a prompt that was given to a replica, which takes `work_ms` to read and is expected to begin to
-    /// be answered after `expected_ms`.
+    /// Records a prompt given to a replica that takes `work_ms` to read and whose answer is
+    /// expected to begin after `expected_ms`.
     pub(super) fn placed(
         &mut self,
         key: ReplicaKey,
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Takes word of a prompt that another box placed.
+    /// Applies another box's placement of a prompt.
     pub(super) fn apply_placement(&mut self, update: &PlacementUpdate, now: BoxTime) {
         let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
@@ -137,14 +142,15 @@
         row.backlog.add_remote(f64::from(update.work_ms), now);
     }
 
-    /// Notes that what was sent to a replica at `sent_at` has begun to be answered, or is no longer there.
+    /// Removes what was sent to a replica at `sent_at` from its backlog, since its answer has begun
+    /// or it is no longer there.
     pub(super) fn remove_pending(&mut self, key: ReplicaKey, sent_at: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.backlog.remove_pending(sent_at);
         }
     }
 
-    /// Notes that a request was given to a replica.
+    /// Records that a request was sent to a replica.
     pub fn sent(&mut self, key: ReplicaKey, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.warm_up.record_sent(now);
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Takes the load that came with an answer; a request that waits has `mean_ms` of work.
+    /// Applies the load reported with an answer. A queued request counts with `mean_ms` of work.
     pub fn reported(&mut self, key: ReplicaKey, load: BackendLoad, mean_ms: f64, now: BoxTime) {
         if let Some(row) = self.rows.get_mut(key) {
             row.apply_report(load.running + WAITING_WEIGHT * load.waiting, load.waiting, now);
@@ -162,7 +168,7 @@
         }
     }
 
-    /// Takes the load that another box heard of, unless this one knows a later report.
+    /// Applies a load received from another box, unless this box has a later report.
     pub fn apply_load(&mut self, update: &LoadUpdate, mean_ms: &dyn Fn(&str) -> f64, now: BoxTime) {
         let Some(key) = self.hashes.get(&update.replica) else { return };
         let row = &mut self.rows[*key];
@@ -173,7 +179,7 @@
         }
     }
 
-    /// Loads that other boxes should know of.
+    /// Returns the loads that other boxes should know.
     pub fn load_updates(&self, now: BoxTime) -> Vec<LoadUpdate> {
         let is_due = |row: &&BackendState| {
             now.millis_since(row.reported_at) < LOAD_GOSSIP_MS
