--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,4 +1,5 @@
-//! Which replica a request's next attempt would go to: the version of its trial, and what its prompt takes.
+//! Chooses the replica of a request's next attempt, by the version that its trial assigns and the
+//! work of its prompt.
 
 use super::event::TrialInputs;
 use super::model_latency::ServiceLatency;
@@ -10,7 +11,7 @@
 use crate::event::{EventStamp, RequestTicket};
 use crate::replica::mix;
 
-/// A replica for an attempt, with what a trial of its service had to do with it.
+/// The replica chosen for an attempt, with the part that a trial of its service had in it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptChoice {
     pub(super) pick: BackendPick,
@@ -18,7 +19,7 @@
 }
 
 impl RouteState {
-    /// The replica for a request's next attempt, with the model in row `size`.
+    /// Chooses the replica of a request's next attempt with the model in row `size`.
     pub(super) fn choose(
         &self,
         stamp: EventStamp,
@@ -30,7 +31,8 @@
         let store_away = self.store_away(stamp.now);
         let share = trial.map_or(0.0, |trial| trial.share(stamp.now, store_away));
         let version = trial.map_or(VersionFilter::Any, |trial| {
-            // While it is open which version stays, an answer goes on with the one that began it.
+            // While the trial is undecided, a partly relayed answer continues on the version that
+            // began it.
             let open =
                 trial.state == TrialState::Running && !trial.is_ejected(stamp.now, store_away);
             let on_trial = if request.relayed && open {
@@ -53,7 +55,8 @@
             now: stamp.now,
         };
         let preferred = self.backends.pick(&query);
-        // A wish that nobody fits gives way, but never to a version that is bad.
+        // If no replica of the preferred version is usable, any version serves except one found
+        // bad.
         let fallback =
             || self.backends.pick(&BackendQuery { version: fallback_filter(trial), ..query });
         let pick = preferred.or_else(fallback)?;
@@ -65,7 +68,8 @@
         Some(AttemptChoice { pick, trial })
     }
 
-    /// What reading a request's prompt takes with its model, if it has one.
+    /// Returns the work of reading a request's prompt with the model in row `size`, if it has a
+    /// prompt.
     pub(super) fn prompt_work(
         &self,
         request: &RouteRequest,
@@ -85,7 +89,7 @@
     }
 }
 
-/// Which versions a new attempt is to go to: the one on trial, or the others.
+/// Returns the filter for the version on trial, or for the others.
 fn version_filter(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
     let version = trial.order.version.as_str();
     if on_trial {
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -1,4 +1,5 @@
-//! What sends and answers teach: work that waits at replicas, the latency of models, the evidence in a trial.
+//! Learns from attempts and answers: queued work of replicas, latency of models and evidence for
+//! trials.
 
 use super::backend_health::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
@@ -10,7 +11,8 @@
 use crate::ids::ReplicaKey;
 
 impl RouteState {
-    /// Notes what an attempt that is sent to `pick` adds to the replica's work.
+    /// Adds the work of an attempt that is sent to `pick` to the replica's backlog, and announces a
+    /// long prompt to other boxes.
     pub(super) fn place(
         &mut self,
         stamp: EventStamp,
@@ -36,7 +38,7 @@
         }
     }
 
-    /// Learns from the head of an answer, where nothing else waited, how fast its model reads.
+    /// Learns a model's latency from the head of an answer, if nothing else was queued.
     pub(super) fn learn_placement(
         &mut self,
         stamp: EventStamp,
@@ -59,8 +61,8 @@
         }
     }
 
-    /// Adds the attempt's answer to its service's trial, if there is one, and with it what the replica left
-    /// out before: it lives, so that was not for a crash.
+    /// Adds the attempt's answer to the trial of its service, if there is one, together with the
+    /// replica's earlier lost answers: the replica is alive, so these were not due to a crash.
     pub(super) fn count_answer(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
@@ -74,8 +76,7 @@
         }
     }
 
-    /// Notes that the attempt's replica left its answer out: it is held against the version unless the
-    /// replica is lost.
+    /// Records a lost answer. It counts against the version unless the replica is gone.
     pub(super) fn count_lost_answer(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
@@ -86,7 +87,7 @@
         self.backends.add_lost(attempt.replica, LostAnswer { route, on_trial, at: stamp.now });
     }
 
-    /// Counts what replicas left out that are still there and have not answered since.
+    /// Counts the lost answers of replicas that still exist and have not answered since.
     pub(super) fn count_silent_replicas(&mut self, stamp: EventStamp) {
         for replica in self.backends.silent_replicas(stamp.now) {
             let Some(row) = self.backends.get(replica) else { continue };
