--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -1,59 +1,61 @@
-//! Which of a route's models answers: the smallest that can be trusted with it, as far as time allows.
+//! Model cascade: which of a route's models answers. It is the smallest one with enough confidence,
+//! as far as time allows.
 //!
-//! A model's own confidence of its answer, 0 to 100, comes with the head. Where it is low, the answer is
-//! dropped before the caller has any of it, and a larger model is asked.
+//! A model's confidence in its own answer, 0 to 100, comes with the response head. If it is low,
+//! the answer is dropped before the caller receives any of it, and a larger model is asked.
 //!
-//! The load pattern: a large model takes ten times a small one's time, and while replicas are down or a
-//! burst lasts, the second answers alone fill all of them. So what a larger model must be worth follows the
-//! time after which its answer would begin, on the replica where that is soonest: with a quarter of the
-//! target any unsure answer is asked again, and none that would be late for it. Where the largest is far off
-//! a model between is asked instead, if it is expected to be score enough: how much surer each model is than
-//! the smaller ones is learnt from the answers themselves.
+//! Load pattern: a large model takes ten times as long as a small one, and while replicas are down
+//! or a burst lasts, the second answers alone fill all replicas. The required confidence therefore
+//! depends on when the larger model's answer would begin, on the replica where that is soonest. Up
+//! to a quarter of the latency target every unsure answer is escalated, and none if the new answer
+//! would miss the target. If the largest model would be slow, a middle one is asked instead if its
+//! expected confidence suffices. How much more confident each model is than the smaller ones is
+//! learnt from the answers.
 
 use serde::Serialize;
 
-/// A model that is less score than this is more likely wrong than right: the middle of the scale on which
-/// models give their confidence.
+/// Confidence below which an answer is more likely wrong than right: the middle of the scale.
 pub const NEUTRAL_CONFIDENCE: f64 = 50.0;
 
-/// Part of the target after which the largest model's answer may begin so that every unsure answer is
-/// asked of it. On ten deployments drawn at random, payoff earned of that owed, means over five kinds of
-/// trouble at half and full load: 0.925 and 0.879 at 0.12, 0.937 and 0.864 at 0.25, 0.945 and 0.811 at 0.5.
+/// Share of the target up to which the largest model's answer may begin for every unsure answer to
+/// be escalated. Payoff earned as a share of that owed, as means over ten random deployments and
+/// five kinds of failure, at half and full load: 0.925 and 0.879 with a share of 0.12, 0.937 and
+/// 0.864 with 0.25, 0.945 and 0.811 with 0.5.
 pub const ESCALATE_ALL_SHARE: f64 = 0.25;
 
-/// How much surer a model is taken to be than a smaller one before it was asked.
+/// Confidence gain assumed for a larger model before its first answer.
 const INITIAL_GAIN: f64 = 25.0;
 
 /// Weight of one answer in a gain.
 const GAIN_WEIGHT: f64 = 0.05;
 
-/// How score an answer must be to be kept where the largest model's would begin after this part of the
-/// target.
+/// Returns the confidence with which an answer is kept, if the largest model's answer would begin
+/// after this share of the target.
 pub fn required_confidence(part: f64) -> f64 {
     NEUTRAL_CONFIDENCE * ((1.0 - part) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
 }
 
-/// The model to begin with.
+/// Returns the model to begin with.
 pub fn first_size(sizes: &[String]) -> Option<usize> {
     (!sizes.is_empty()).then_some(0)
 }
 
-/// An confidence of the model in row `size` of its own answer.
+/// Confidence of the model in row `size` in its own answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelConfidence {
     /// Row among the route's models.
     pub size: usize,
-    /// How score it is, 0 to 100.
+    /// The confidence, 0 to 100.
     pub score: u8,
 }
 
-/// How much surer each model is than the smallest of its answers to the same requests.
+/// How much more confident each model is than smaller ones in answers to the same requests.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ConfidenceGains(Vec<f64>);
 
 impl ConfidenceGains {
-    /// Learns from two opinions of answers to one request. Opinions at the ends of the scale are cut off
-    /// there and say nothing of the distance.
+    /// Learns from the confidences of two answers to one request. Values at the ends of the scale
+    /// are clipped there and say nothing about the distance.
     pub fn learn(&mut self, smaller: ModelConfidence, larger: ModelConfidence) {
         let cut = |confidence: ModelConfidence| confidence.score == 0 || confidence.score >= 100;
         if smaller.size >= larger.size || cut(smaller) || cut(larger) {
@@ -66,14 +68,15 @@
         *gain += (f64::from(larger.score) - f64::from(smaller.score) - *gain) * GAIN_WEIGHT;
     }
 
-    /// How score the model in row `size` is expected to be, of 100, where a smaller one was `score`.
+    /// Returns the expected confidence, of 100, of the model in row `size` where a smaller one had
+    /// `score`.
     pub fn expected(&self, size: usize, score: u8) -> f64 {
         f64::from(score) + self.0.get(size).copied().unwrap_or(INITIAL_GAIN)
     }
 }
 
-/// The model to go on with of `count`, `None` to keep the answer. `target_share` gives the part of the target
-/// after which an answer of a model would begin.
+/// Returns the model to continue with, of `count`, or `None` to keep the answer. `target_share`
+/// returns the share of the target after which an answer of a model would begin.
 pub fn next_size(
     count: usize,
     confidence: ModelConfidence,
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -1,58 +1,64 @@
-//! How long engines take to read prompts, learnt from answers, and what a request is expected to cost them.
+//! Latency of models: how long engines take to read prompts, learnt from answers, and the expected
+//! work of a request.
 //!
-//! The load pattern: models that differ in latency by ten times and prompts that differ in length by a
-//! hundred run on the same replicas. What a token of each model takes is not told anywhere, so it is learnt:
-//! a running median, which a wrong guess of what a replica holds or a full queue does not drag along. Where hundreds of
-//! boxes see two requests a second each, one alone would need half a minute to know the latency of the largest model, and
-//! ask it for whatever it is unsure of until then: so boxes tell each other what they have learnt.
+//! Load pattern: models whose latency differs tenfold and prompts whose length differs a
+//! hundredfold run on the same replicas. No replica reports the time that a model takes per token,
+//! so it is learnt as a running median, which wrong guesses about cached prefixes or full queues
+//! hardly move. Where hundreds of boxes handle two requests a second each, a single box would need
+//! half a minute to learn the latency of the largest model, and would escalate every unsure answer
+//! to it until then. Boxes therefore gossip their estimates.
 
 use serde::Serialize;
 
-/// Time to read a token before any answer came, in milliseconds. Any will do: some thirty answers later
-/// it is forgotten.
+/// Initial time to read a token, in milliseconds. Any value serves: after some thirty answers it
+/// has no effect.
 const INITIAL_TOKEN_MS: f64 = 0.03;
 
-/// Time to begin an answer without its prompt, before any answer came, in milliseconds.
+/// Initial time to begin an answer to an empty prompt, in milliseconds.
 const INITIAL_BEGIN_MS: f64 = 20.0;
 
-/// Least step of a running median, as a part of it: it follows a change by a half within 14 answers.
+/// Smallest step of a running quantile, relative to its value. It follows a change by half within
+/// 14 answers.
 const MIN_STEP: f64 = 0.05;
 
-/// First step, as a part: the first answers find the order of magnitude.
+/// First step, relative to the value. The first answers find the order of magnitude.
 const INITIAL_STEP: f64 = 0.7;
 
-/// Answers that take the step down by a half.
+/// Answers that halve the step.
 const STEP_HALVING_ANSWERS: f64 = 3.0;
 
-/// Part of the answers that begin sooner than the time to begin: it is that of the quickest.
+/// Quantile of the time to first token that counts as the time to begin: that of the fastest
+/// answers.
 const BEGIN_QUANTILE: f64 = 0.1;
 
-/// Prompts with fewer tokens to be read say nothing of the time for a token.
+/// Fewest tokens of a prompt from which the time per token is learnt. Shorter ones carry no
+/// information on it.
 const MIN_LEARN_TOKENS: f64 = 500.0;
 
-/// Weight of one send in the mean work.
+/// Weight of one request in the mean work.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// Answers after which a latency is known: what more were seen adds nothing to its weight.
+/// Answers after which an estimate has its full weight.
 const FULL_WEIGHT_ANSWERS: f64 = 30.0;
 
-/// Weight of another box's word against what this one has learnt, where it has seen nothing to speak of: boxes hear some
-/// words a second, and one that is far off is soon outweighed.
+/// Weight of another box's estimate against an established one of this box. Boxes receive a few a
+/// second, so a wrong one is soon outweighed.
 const REMOTE_WEIGHT: f64 = 0.5;
 
-/// Models of a service of which word is taken, at most: what a wrong note may cost in memory.
+/// Models of a service accepted from another box, at most. It bounds the memory that an invalid
+/// message can use.
 const REMOTE_MODEL_LIMIT: usize = 64;
 
-/// What a box tells of a quantile that it learnt.
+/// A quantile that a box has learnt, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencyEstimate {
     /// The time, in milliseconds.
     pub ms: f64,
-    /// Answers behind it, up to those after which it is known.
+    /// Answers behind it, up to the number for full weight.
     pub answers: f64,
 }
 
-/// What a box tells of the latency of one model.
+/// Latency of one model, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelLatency {
     /// Time to read a token.
@@ -61,7 +67,7 @@
     pub begin: LatencyEstimate,
 }
 
-/// What a box tells of the paces of a service's models.
+/// Latencies of a service's models, as boxes gossip them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LatencyUpdate {
     /// Service.
@@ -70,7 +76,7 @@
     pub models: Vec<ModelLatency>,
 }
 
-/// A running quantile, by steps towards each value.
+/// A running quantile that steps towards each sample.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct RunningQuantile {
     value: f64,
@@ -94,7 +100,7 @@
         LatencyEstimate { ms: self.value, answers: self.seen.min(FULL_WEIGHT_ANSWERS) }
     }
 
-    /// Comes nearer to what another box has learnt, by how much each of them has seen.
+    /// Moves towards the estimate of another box, by how many answers each has seen.
     fn merge(&mut self, other: LatencyEstimate) {
         let sound = other.ms.is_finite() && other.ms > 0.0 && other.answers.is_finite();
         if !sound || other.answers < 1.0 {
@@ -111,7 +117,7 @@
     }
 }
 
-/// Pace of one model on a service's replicas.
+/// Latency estimates of one model on a service's replicas.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct ModelEstimates {
     token_ms: RunningQuantile,
@@ -127,38 +133,39 @@
     }
 }
 
-/// Paces of a service's models.
+/// Latency estimates of a service's models.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ServiceLatency {
-    /// By row among the route's models; the first also where callers name their own.
+    /// By row among the route's models. The first row also serves callers that name a model.
     models: Vec<ModelEstimates>,
     mean_ms: f64,
 }
 
 impl ServiceLatency {
-    /// Time to read `tokens` with the model in row `size`, in milliseconds.
+    /// Returns the time to read `tokens` with the model in row `size`, in milliseconds.
     pub fn read_ms(&self, size: usize, tokens: f64) -> f64 {
         self.model(size).token_ms.value * tokens
     }
 
-    /// Time to begin an answer without its prompt, in milliseconds.
+    /// Returns the time to begin an answer to an empty prompt, in milliseconds.
     pub fn begin_ms(&self, size: usize) -> f64 {
         self.model(size).begin_ms.value
     }
 
-    /// Mean time that a request's prompt takes to be read, in milliseconds.
+    /// Returns the mean time to read a request's prompt, in milliseconds.
     pub fn mean_ms(&self) -> f64 {
         self.mean_ms
     }
 
-    /// The latency of a model; one that was not asked yet is taken for no faster than the one before it.
+    /// Returns the estimates of a model. One without answers is assumed to be no faster than the
+    /// next smaller one with answers.
     fn model(&self, size: usize) -> ModelEstimates {
         let known = self.models.get(size).filter(|latency| latency.begin_ms.seen > 0.0);
         let before = || self.models.iter().take(size).rfind(|latency| latency.begin_ms.seen > 0.0);
         known.or_else(before).copied().unwrap_or_default()
     }
 
-    /// What is told to other boxes.
+    /// Returns the estimates of all models, for gossip.
     pub fn estimates(&self) -> Vec<ModelLatency> {
         let estimates = |latency: &ModelEstimates| ModelLatency {
             token: latency.token_ms.estimate(),
@@ -167,7 +174,7 @@
         self.models.iter().map(estimates).collect()
     }
 
-    /// Takes what another box has learnt of models that this one knows of.
+    /// Merges the estimates of another box.
     pub fn merge(&mut self, models: &[ModelLatency]) {
         let count = models.len().min(REMOTE_MODEL_LIMIT);
         if self.models.len() < count {
@@ -179,13 +186,13 @@
         }
     }
 
-    /// Notes that a prompt that takes `work_ms` to read was sent.
+    /// Records a request whose prompt takes `work_ms` to read.
     pub fn sent(&mut self, work_ms: f64) {
         self.mean_ms += (work_ms - self.mean_ms) * MEAN_WEIGHT;
     }
 
-    /// Learns from an answer that nothing was waiting before: it began after `took_ms`, with `tokens` of
-    /// its prompt to be read.
+    /// Learns from an answer with no queue before it, which began after `took_ms` and had `tokens`
+    /// of its prompt to read.
     pub fn learn(&mut self, size: usize, tokens: f64, took_ms: f64) {
         if self.models.len() <= size {
             self.models.resize(size + 1, ModelEstimates::default());
