--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -1,5 +1,5 @@
-//! Which replica answers a request: for a prompt the one where placing it costs least, by
-//! [`super::placement`], else the lightest.
+//! Picks the replica for a request. A prompt goes to the replica with the lowest placement cost, by
+//! [`super::placement`], and other requests to the least loaded of a random sample.
 
 use super::backend::BackendTable;
 use super::evacuation::EvacuatedZones;
@@ -8,48 +8,50 @@
 use crate::replica::mix;
 use crate::time::BoxTime;
 
-/// Share of slots that another availability zone's replica must be lighter to be worth its bytes.
+/// Load difference, as a share of slots, from which a replica of another availability zone is worth
+/// the traffic between zones.
 pub const ZONE_MARGIN: f64 = 0.25;
 
-/// Replicas of which a plain call takes the lightest. Each box hears of a replica's load now and then, and those that heard the
-/// same choose the same: where three of six replicas of six slots were left at a load of two thirds, 205 of 2,494 calls of
-/// 300 boxes were late or refused with the lightest of all; with two sample, and loads that fade to the usual one, none of
-/// 2,458 (virtual time).
+/// Replicas of which a request without a prompt gets the least loaded. Each box receives a
+/// replica's load only now and then, and boxes with the same reports would choose the same replica.
+/// With three of six replicas of six slots left at a load of two thirds, 205 of 2,494 calls of 300
+/// boxes were late or refused when the least loaded of all was chosen. With a sample of two, and
+/// loads that decay to the typical load, none of 2,458 were (simulated).
 const SAMPLE_SIZE: usize = 2;
 
-/// Which replicas a pick may take.
+/// What a request needs, and which replicas may serve it.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendQuery<'a> {
     /// Service.
     pub service: &'a str,
-    /// Version wanted, if one is.
+    /// Versions allowed.
     pub version: VersionFilter<'a>,
-    /// What reading its prompt takes, for a request with one.
+    /// Work of reading its prompt, if it has one.
     pub work: Option<PromptWork>,
     /// Availability zone of the box.
     pub zone: &'a str,
-    /// Availability zones whose replicas get nothing.
+    /// Availability zones under evacuation, whose replicas get nothing.
     pub evacuated: &'a EvacuatedZones,
     /// Availability zones in which the request may be served; `None` for all.
     pub zones: Option<&'a [String]>,
-    /// Whether the operator bounds what cold replicas get.
+    /// Whether the operator limits the requests to cold replicas.
     pub bounds_cold: bool,
-    /// Replicas that this request has been sent to.
+    /// Replicas already tried by this request.
     pub tried: &'a [ReplicaKey],
     /// A random number.
     pub random: u64,
-    /// The time.
+    /// The current time.
     pub now: BoxTime,
 }
 
-/// Versions that a pick may take.
+/// A filter on versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionFilter<'a> {
     /// Any.
     Any,
-    /// This one alone.
+    /// This version only.
     Only(&'a str),
-    /// Any but this one.
+    /// Any version but this one.
     Not(&'a str),
 }
 
@@ -63,30 +65,31 @@
     }
 }
 
-/// A pick, with what decided it.
+/// A picked replica, with the inputs of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendPick {
     /// The replica.
     pub key: ReplicaKey,
-    /// Its estimated load.
+    /// Estimated load, as a share of slots.
     pub load: f64,
-    /// Replicas that could have been taken.
+    /// Number of replicas to choose from.
     pub candidates: usize,
-    /// Whether it is known to hold the prompt's shared parts, or is to hold them for all.
+    /// Whether the replica is known to have the prompt's prefix cached, or is designated to cache
+    /// it for all boxes.
     pub affine: bool,
-    /// Whether it is known to hold them.
+    /// Whether it is known to have the prefix cached.
     pub cached: bool,
-    /// Until the answer is expected to begin, beside what an idle replica takes for an empty prompt, in
-    /// milliseconds; 0 without a prompt.
+    /// Expected time until the answer begins, beyond that of an idle replica with an empty prompt,
+    /// in milliseconds; 0 without a prompt.
     pub expected_ms: f64,
-    /// Work that waits there, in milliseconds.
+    /// Work queued at the replica, in milliseconds.
     pub wait_ms: f64,
-    /// Work of the prompt itself there, in milliseconds.
+    /// Work of the prompt itself at the replica, in milliseconds.
     pub work_ms: f64,
 }
 
 impl BackendTable {
-    /// Picks a replica; `None` if there is none that may be used.
+    /// Picks a replica, or returns `None` if none is usable.
     pub fn pick(&self, query: &BackendQuery) -> Option<BackendPick> {
         let keys = self.by_service.get(query.service)?;
         let fits = |key: &&ReplicaKey| {
@@ -105,7 +108,7 @@
             .copied()
             .filter(|key| self.rows[*key].ejected_until <= query.now)
             .collect();
-        // With more than half passed over the cause is not the replicas.
+        // With more than half ejected, the cause is not the replicas.
         let mut pool = if healthy.len() * 2 < usable.len() { usable } else { healthy };
         let probe = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
         if let Some(probe) = probe {
@@ -129,14 +132,14 @@
         })
     }
 
-    /// Whether a service has replicas, and none of them in these availability zones.
+    /// Returns whether a service has usable replicas, but none in these availability zones.
     pub(super) fn none_in(&self, service: &str, zones: &[String], now: BoxTime) -> bool {
         let keys = self.by_service.get(service).into_iter().flatten();
         let mut usable = keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)).peekable();
         usable.peek().is_some() && usable.all(|row| !zones.contains(&row.entry.zone))
     }
 
-    /// Whether a service has replicas, and all of them are in zones under evacuation.
+    /// Returns whether a service has usable replicas, but all are in zones under evacuation.
     pub(super) fn all_evacuated(
         &self,
         service: &str,
@@ -148,7 +151,7 @@
         usable.peek().is_some() && usable.all(|row| evacuated.contains(&row.entry.zone))
     }
 
-    /// The lightest of some replicas sample by chance; the box's own zone counts for something.
+    /// Returns the least loaded replica of a random sample, with a bonus for the box's own zone.
     fn lightest(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
@@ -162,7 +165,7 @@
         sample.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
     }
 
-    /// The replica where placing a prompt costs least; ties go by chance.
+    /// Returns the replica with the lowest placement cost. Ties are broken at random.
     fn cheapest(
         &self,
         pool: &[ReplicaKey],
@@ -187,8 +190,9 @@
         least.map(|(_, _, key, view)| (key, view))
     }
 
-    /// The replica that is taken to hold a prompt's shared parts where this box knows of none: the same
-    /// from every box, or from every box of a zone, by the hashes of its id and the parts alone.
+    /// Returns the replica designated to cache a prompt's prefix, for boxes that know of no cached
+    /// copy. It is the same for all boxes, or for all boxes of a zone, by rendezvous hashing of
+    /// replica id and prefix.
     fn designated(
         &self,
         pool: &[ReplicaKey],
--- a/crates/core/src/route/prefix_cache.rs
+++ b/crates/core/src/route/prefix_cache.rs
@@ -1,27 +1,28 @@
-//! Which prompts' shared parts a replica holds, as far as this box had them read there.
+//! Which prompt prefixes a replica has cached, as far as this box knows.
 
 use std::collections::HashMap;
 
 use crate::time::BoxTime;
 
-/// Parts that were last read longer ago are taken to have given way to others, in milliseconds. An engine's
-/// memory holds some half a million tokens, and a busy one reads them within about half a minute.
+/// How long a prefix counts as cached after it was last read, in milliseconds. The cache of an
+/// engine holds some half a million tokens, and a busy engine reads as many within about half a
+/// minute.
 pub const PREFIX_KEPT_MS: u64 = 30_000;
 
-/// Prompts remembered for each replica, at most.
+/// Prefixes remembered for each replica, at most.
 const PREFIX_LIMIT: usize = 512;
 
-/// Shared parts held by one replica, by [`super::placement::PromptWork::shared`].
+/// Prefixes cached by one replica, by [`super::placement::PromptWork::shared`].
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache(HashMap<u64, BoxTime>);
 
 impl PrefixCache {
-    /// Whether they are held.
+    /// Returns whether the prefix is cached.
     pub fn contains(&self, shared: u64, now: BoxTime) -> bool {
         self.0.get(&shared).is_some_and(|at| now.millis_since(*at) < PREFIX_KEPT_MS)
     }
 
-    /// Notes that they are read.
+    /// Records that the prefix is read.
     pub fn insert(&mut self, shared: u64, now: BoxTime) {
         if shared == 0 {
             return;
