--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -1,15 +1,18 @@
-//! Requests under which replicas crash: one that crashes each replica that runs it is sent no further.
+//! Poison requests (queries of death): a request that crashes the replicas that run it is not sent
+//! any more.
 //!
-//! Load pattern: many callers ask the same thing, and each replica that begins to work on it crashes, with all that runs there.
-//! Each try of each caller is another request to another box, so what they have in common is what they ask for: its
-//! *content*, by a hash. Whoever else ran there ended as well, and is sent on, often to the replica that crashes next. What
-//! tells it apart: it is there at each crash, under several requests, and is never answered.
+//! Load pattern: many callers send the same request, and each replica that starts it crashes with
+//! everything that runs there. Each retry of each caller is another request to another box, so what
+//! they share is their *content*, identified by a hash. Other requests on a crashed replica fail as
+//! well and are sent again, often to the replica that crashes next. Poison differs from such
+//! bystanders in that it is present at each crash, under several requests, and never answered.
 //!
-//! An attempt that breaks counts as an crash once its replica can't be reached, or says nothing to anybody for a while.
-//! Ends under different requests at about the same moment count once, since a loss of power takes many replicas, and an
-//! answer clears a content, on all boxes. Boxes tell crashes on while they are new. What is known to crash replicas is update
-//! on for as long as it is kept, and whole to a box that asks: boxes start again, stand still and lose their links while
-//! callers go on. [`record`] keeps one content.
+//! A broken attempt counts as a crash once its replica is unreachable or silent for a while.
+//! Crashes under different requests at about the same time count once, since a power failure takes
+//! down many replicas. An answer clears a content on all boxes. Boxes gossip crashes while they are
+//! new. Known poison is gossiped for as long as it is kept, and sent in full to a box that syncs,
+//! since boxes restart, stall and lose their connections while callers continue. [`record`] keeps
+//! the state of one content.
 
 mod record;
 
@@ -25,99 +28,105 @@
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// Ends under one content after which it is sent no further, whatever its requests.
+/// Crashes after which a content is refused, whatever the requests.
 pub const POISON_CRASHES: usize = 3;
 
-/// The same where the crashes were under different requests: a bystander is mostly one request that is sent on.
+/// The same where the crashes were under different requests. A bystander is mostly a single request
+/// that is sent again.
 pub const POISON_CRASHES_DISTINCT: usize = 2;
 
-/// Ends of replicas under different requests within this count once, in milliseconds: what takes many at once is no request.
+/// Crashes under different requests within this time count once, in milliseconds: an event that
+/// takes down many replicas at once is not due to a request.
 pub const SIMULTANEOUS_MS: u64 = 100;
 
-/// A replica that this box has heard nothing of for so long after an attempt broke is taken to have ended, in milliseconds:
-/// another that only broke a connection answers somebody meanwhile.
+/// Silence of a replica after a broken attempt that counts as a crash, in milliseconds. A replica
+/// that only broke a connection answers some other request in this time.
 pub const CRASH_SILENCE_MS: u64 = 300;
 
-/// A replica that tells its load so long after an attempt broke has not ended, in milliseconds: what it said before that was
-/// under way.
+/// A replica that reports its load this long after a broken attempt has not crashed, in
+/// milliseconds. Earlier reports may have been under way.
 pub const SURVIVED_MS: u64 = 100;
 
-/// Sights of a replica's crash within this are of the same one, in milliseconds: it takes seconds to start again.
+/// Observations of a replica's crash within this time are of the same one, in milliseconds: a
+/// restart takes seconds.
 pub const SAME_CRASH_MS: u64 = 1_000;
 
-/// Requests in hand at one crash that are kept, at most.
+/// Requests kept for each crash, at most.
 const CRASH_REQUEST_LIMIT: usize = 4;
 
-/// An crash is kept for this long, in milliseconds: callers repeat themselves for about as long.
+/// How long a crash is kept, in milliseconds: callers retry for about as long.
 pub const CRASH_KEPT_MS: u64 = 60_000;
 
-/// An crash is update on for this long, in milliseconds: several updates pass it on to all boxes of hundreds.
+/// How long a crash is gossiped, in milliseconds: several gossip messages reach all of hundreds of
+/// boxes.
 pub const CRASH_GOSSIP_MS: u64 = 3_000;
 
-/// That a content crashes replicas binds for this long after the last crash, in milliseconds: callers go on for minutes, and
-/// each try crashes all that a replica has in hand.
+/// How long poison is refused after the last crash, in milliseconds. Callers continue for minutes,
+/// and each attempt crashes a replica with all its requests.
 pub const POISON_REFUSED_MS: u64 = 300_000;
 
-/// It is kept for this long, in milliseconds: after [`POISON_REFUSED_MS`] the next crash alone makes it bind again.
+/// How long poison is kept, in milliseconds. After [`POISON_REFUSED_MS`] a single crash makes it
+/// refused again.
 pub const POISON_KEPT_MS: u64 = 600_000;
 
-/// Words of contents in one update, at most, by turns: some 120 bytes.
+/// Contents in one gossip message, at most, in turns: some 120 bytes.
 pub const POISON_PER_MESSAGE: usize = 8;
 
-/// The same in an answer to an ask: what is known in all, in most cases; some 900 bytes.
+/// Contents in one sync response, at most: mostly all that are known; some 900 bytes.
 pub const POISON_PER_RESPONSE: usize = 64;
 
-/// Ends in one update, at most; those of contents with most crashes first: some 900 bytes.
+/// Crashes in one gossip message, at most, those of contents with most crashes first: some 900
+/// bytes.
 const CRASHES_PER_MESSAGE: usize = 24;
 
-/// Contents that are kept, at most; the one whose last crash is the oldest gives way.
+/// Contents kept, at most. The one with the oldest last crash is evicted.
 const CONTENT_LIMIT: usize = 1_024;
 
-/// A replica's crash while it worked on a request, as one box tells it to another.
+/// A replica's crash while it ran a request, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CrashUpdate {
-    /// Hash of what the request asked for.
+    /// Hash of the request's content.
     pub content: u64,
     /// Hash of the request's id.
     pub request: u64,
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
-    /// How long ago that was, in milliseconds.
+    /// How long ago the crash was, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What one box tells another of a content.
+/// The state of a content, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoisonUpdate {
-    /// Hash of what requests ask for.
+    /// Hash of the content.
     pub content: u64,
-    /// How long ago the last replica ended under it, or it was answered, in milliseconds.
+    /// How long ago the last crash or answer was, in milliseconds.
     pub age_ms: u64,
-    /// Whether it was answered: replicas that ended before did so for another reason.
+    /// Whether it was answered. Earlier crashes had another cause.
     pub answered: bool,
 }
 
-/// A content under which replicas ended, as operators see it.
+/// A content with crashes, as operators see it.
 #[derive(Debug, Serialize)]
 pub struct PoisonDump {
-    /// Hash of what requests ask for, as in logs.
+    /// Hash of the content, as in logs.
     pub content: String,
-    /// Ends known here.
+    /// Crashes known to this box.
     #[serde(rename = "ends")]
     pub crashes: usize,
-    /// How long ago the last crash was, in milliseconds, if it is known to crash replicas.
+    /// How long ago the last crash was, in milliseconds, if the content is poison.
     #[serde(rename = "fatal_age_ms")]
     pub poison_age_ms: Option<u64>,
 }
 
-/// Contents under which replicas ended lately, by their hashes.
+/// Contents with recent crashes, by hash.
 #[derive(Debug, Default)]
 pub(super) struct PoisonContents {
     rows: HashMap<u64, ContentRecord>,
 }
 
 impl PoisonContents {
-    /// The record of a content, where there may have to be room for it.
+    /// Returns the record of a content, and evicts the oldest one if there is no room for it.
     fn row(&mut self, content: u64) -> &mut ContentRecord {
         if self.rows.len() >= CONTENT_LIMIT && !self.rows.contains_key(&content) {
             let oldest = self.rows.iter().min_by_key(|(_, row)| row.last_at()).map(|(key, _)| *key);
@@ -131,7 +140,7 @@
     }
 
     fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
-        // What was answered is no news of a content of which nothing bad is known.
+        // An answer does not matter for a content without crashes.
         if !update.answered || self.rows.contains_key(&update.content) {
             self.row(update.content).merge(update, now);
         }
@@ -141,19 +150,21 @@
         self.rows.get(&content).is_some_and(|row| row.is_poison(now))
     }
 
-    /// The record of a content, if it was not logged yet that it is sent no further.
+    /// Returns the record of a content if its refusal was not logged yet.
     fn first_refusal(&mut self, content: u64) -> Option<&ContentRecord> {
         let row = self.rows.get_mut(&content).filter(|row| !row.logged)?;
         row.logged = true;
         Some(row)
     }
 
-    /// Takes update that a content was answered. Returns whether replicas had ended under it.
+    /// Records an answer to a content. Returns whether crashes are recorded for it and the answer
+    /// is new.
     fn clear(&mut self, content: u64, now: BoxTime) -> bool {
         self.rows.get_mut(&content).is_some_and(|row| row.clear(now))
     }
 
-    /// Settles crashes by what became of their replicas. Returns whether there were any.
+    /// Resolves unconfirmed crashes by the fate of their replicas. Returns whether any was
+    /// confirmed.
     fn settle(&mut self, fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate, now: BoxTime) -> bool {
         let mut settled = false;
         for row in self.rows.values_mut() {
@@ -178,7 +189,7 @@
         updates.into_iter().map(|(_, update)| update).collect()
     }
 
-    /// At most `limit` updates of contents, from another one on with each `turn`.
+    /// Returns at most `limit` contents, beginning further on with each `turn`.
     fn poison_updates(&self, turn: u64, limit: usize, now: BoxTime) -> Vec<PoisonUpdate> {
         let updates =
             self.rows.iter().filter_map(|(content, row)| row.poison_update(*content, now));
@@ -203,7 +214,7 @@
 }
 
 impl BackendState {
-    /// What became of a replica after an attempt broke at `at`.
+    /// Returns the fate of a replica after an attempt broke at `at`.
     fn fate_since(&self, at: BoxTime, now: BoxTime) -> ReplicaFate {
         let unreachable_at = self.unreachable_at.filter(|unreachable_at| *unreachable_at >= at);
         let survived = self.reported_at.millis_since(at) >= SURVIVED_MS;
@@ -221,8 +232,8 @@
 }
 
 impl RouteState {
-    /// Notes that an attempt broke: if its replica turns out to have ended, it did so under this request. One that leaves
-    /// crashes for that.
+    /// Records a broken attempt: if its replica turns out to have crashed, it did so under this
+    /// request. A leaving replica is ignored, since it exits for that reason.
     pub(super) fn record_broken(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket).filter(|row| row.content != 0) else {
             return;
@@ -241,13 +252,13 @@
         self.poison.add_crash(request.content, crash, stamp.now);
     }
 
-    /// Whether a request asks for what crashes replicas.
+    /// Returns whether a request's content is poison.
     pub(super) fn is_poison(&self, stamp: EventStamp, ticket: RequestTicket) -> bool {
         let content = self.requests.get(&ticket).map_or(0, |request| request.content);
         self.poison.is_poison(content, stamp.now)
     }
 
-    /// A request was answered whole.
+    /// Records that a request was answered completely.
     pub(super) fn clear_content(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if self.poison.clear(request.content, stamp.now) {
@@ -255,7 +266,7 @@
         }
     }
 
-    /// Takes what other boxes tell of crashes, and of contents.
+    /// Applies crashes and contents received from other boxes.
     pub(super) fn apply_crashes(
         &mut self,
         stamp: EventStamp,
@@ -273,7 +284,7 @@
         }
     }
 
-    /// Finds out which replicas ended while they worked.
+    /// Finds out which replicas crashed under their requests.
     pub(super) fn settle_crashes(&mut self, now: BoxTime) {
         let backends = &self.backends;
         let fate = |key: ReplicaKey, at: BoxTime| {
@@ -282,32 +293,32 @@
         let settled = self.poison.settle(&fate, now);
         self.poison.forget(now);
         if settled {
-            // Each request until others know may crash one more replica.
+            // Until other boxes know, each request may crash one more replica.
             self.rounds.next_note = BoxTime::default();
         }
     }
 
-    /// Ends that other boxes are update of.
+    /// Returns the crashes to gossip.
     pub(super) fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         self.poison.crash_updates(now)
     }
 
-    /// What other boxes are update of contents with the update of this number.
+    /// Returns the contents for the gossip message with this number.
     pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.poison.poison_updates(number, POISON_PER_MESSAGE, now)
     }
 
-    /// What a box that asks is update of contents.
+    /// Returns the contents for a sync response.
     pub(super) fn poison_response(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
         self.poison.poison_updates(number, POISON_PER_RESPONSE, now)
     }
 
-    /// Contents under which replicas ended, as operators see them.
+    /// Returns the contents with crashes, as operators see them.
     pub(super) fn poison_dump(&self, now: BoxTime) -> Vec<PoisonDump> {
         self.poison.dump(now)
     }
 
-    /// Ends a request that asks for what crashes replicas. Returns whether it does.
+    /// Refuses a request whose content is poison. Returns whether it is.
     pub(super) fn refuse_poison(
         &mut self,
         stamp: EventStamp,
@@ -322,7 +333,7 @@
         poison
     }
 
-    /// Logs a content that is sent no further, once, with a client account that asks for it.
+    /// Logs the refusal of a content once, with a client account that sent it.
     fn log_poison(&mut self, stamp: EventStamp, ticket: RequestTicket, out: &mut Vec<RouteEffect>) {
         let Some(request) = self.requests.get(&ticket) else { return };
         let content = request.content;
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one content: the crashes of replicas under it, and whether it crashes replicas.
+//! The state of one content: its crashes, and whether it is poison.
 
 use std::collections::BTreeSet;
 
@@ -9,26 +9,26 @@
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// A replica's crash while it worked on requests that ask for the same.
+/// A replica's crash while it ran requests with the same content.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaCrash {
     /// Hashes of the requests' ids.
     pub(super) requests: Vec<u64>,
     /// The replica, by a hash of its id.
     pub(super) replica: u64,
-    /// Its row, while it is not known that the replica itself ended.
+    /// Key of the replica while the crash is unconfirmed.
     pub(super) unconfirmed: Option<ReplicaKey>,
     pub(super) at: BoxTime,
 }
 
 impl ReplicaCrash {
-    /// Whether two boxes, or two requests, saw this same crash.
+    /// Returns whether two boxes, or two requests, observed the same crash.
     fn is_same(&self, other: &ReplicaCrash) -> bool {
         let apart_ms = self.at.millis_since(other.at).max(other.at.millis_since(self.at));
         self.replica == other.replica && apart_ms < SAME_CRASH_MS
     }
 
-    /// Takes what another sight of this crash adds.
+    /// Merges another observation of this crash.
     fn merge(&mut self, other: ReplicaCrash) {
         for request in other.requests {
             if !self.requests.contains(&request) && self.requests.len() < CRASH_REQUEST_LIMIT {
@@ -38,51 +38,51 @@
         self.unconfirmed = self.unconfirmed.and(other.unconfirmed);
     }
 
-    /// Whether this crash and an earlier one are of one moment, under different requests. One request's crashes follow
-    /// each other.
+    /// Returns whether this crash and an earlier one were simultaneous under different requests.
+    /// Crashes under one request follow each other.
     fn is_simultaneous(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
         !shared && self.at.millis_since(first.at) < SIMULTANEOUS_MS
     }
 }
 
-/// What became of a replica after an attempt broke.
+/// The fate of a replica after an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReplicaFate {
-    /// It ended.
+    /// It crashed.
     Crashed,
-    /// It answered others afterwards.
+    /// It answered other requests afterwards.
     Survived,
-    /// That is not known yet.
+    /// Not known yet.
     Unknown,
 }
 
-/// What is known of a content.
+/// The state of a content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ContentRecord {
     crashes: Vec<ReplicaCrash>,
-    /// When it was last answered; crashes before that say nothing.
+    /// When it was last answered. Earlier crashes do not count.
     answered_at: Option<BoxTime>,
-    /// The last crash under it, once it is known to crash replicas.
+    /// The last crash, once the content is known as poison.
     poison_at: Option<BoxTime>,
-    /// Whether it was logged that it is sent no further.
+    /// Whether its refusal was logged.
     pub(super) logged: bool,
 }
 
 impl ContentRecord {
-    /// The last thing known of it.
+    /// Returns the time of the last crash or answer.
     pub(super) fn last_at(&self) -> BoxTime {
         let last = self.crashes.iter().map(|crash| crash.at).max();
         last.max(self.answered_at).max(self.poison_at).unwrap_or_default()
     }
 
-    /// Whether it is kept.
+    /// Returns whether the record is kept.
     pub(super) fn is_kept(&self, now: BoxTime) -> bool {
         let kept_ms = if self.poison_at.is_some() { POISON_KEPT_MS } else { CRASH_KEPT_MS };
         now.millis_since(self.last_at()) < kept_ms
     }
 
-    /// Takes update of an crash.
+    /// Records a crash.
     pub(super) fn add_crash(&mut self, crash: ReplicaCrash, now: BoxTime) {
         if self.answered_at.is_some_and(|at| at >= crash.at) {
             return;
@@ -94,7 +94,7 @@
         self.judge(now);
     }
 
-    /// Takes update that it was answered whole at `at`. Returns whether that is news.
+    /// Records a complete answer at `at`. Returns whether that is new.
     pub(super) fn clear(&mut self, at: BoxTime) -> bool {
         if self.answered_at.is_some_and(|known| known >= at) {
             return false;
@@ -106,7 +106,7 @@
         true
     }
 
-    /// Takes another box's update.
+    /// Merges the state received from another box.
     pub(super) fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
         let at = now.minus_millis(update.age_ms);
         if update.answered {
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Settles crashes by what became of their replicas. Returns whether there were any.
+    /// Resolves unconfirmed crashes by the fate of their replicas. Returns whether any was
+    /// confirmed.
     pub(super) fn settle(
         &mut self,
         fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate,
@@ -138,7 +139,7 @@
         settled
     }
 
-    /// Finds out whether it crashes replicas. Once that is known, each further crash shows that it still does.
+    /// Decides whether the content is poison. Once it is, each further crash confirms it.
     fn judge(&mut self, now: BoxTime) {
         let crashes = self.counted(now);
         let requests: BTreeSet<u64> =
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Sure crashes, without those at the moment of another request's.
+    /// Returns the confirmed crashes, without those simultaneous with one of another request.
     fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
         let kept = |crash: &&ReplicaCrash| {
             crash.unconfirmed.is_none() && now.millis_since(crash.at) < CRASH_KEPT_MS
@@ -166,24 +167,24 @@
         counted
     }
 
-    /// Ends known here.
+    /// Returns the number of crashes known to this box.
     pub(super) fn count(&self, now: BoxTime) -> usize {
         self.counted(now).len()
     }
 
-    /// How long ago the last crash under it was, in milliseconds, if it is known to crash replicas.
+    /// Returns how long ago the last crash was, in milliseconds, if the content is poison.
     pub(super) fn poison_age_ms(&self, now: BoxTime) -> Option<u64> {
         self.poison_at.map(|at| now.millis_since(at))
     }
 
-    /// Whether it is sent no further. A while after the last crash it is tried again, by one attempt at a time: until it is
-    /// known what became of that one's replica there is no other.
+    /// Returns whether the content is refused. Some time after the last crash it is allowed again,
+    /// one attempt at a time: no other is sent until the fate of that one's replica is known.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
         let pending = || self.crashes.iter().any(|crash| crash.unconfirmed.is_some());
         self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
-    /// Ends that other boxes are told of, one update for each request.
+    /// Returns the crashes to gossip, one update for each request.
     pub(super) fn crash_updates(
         &self,
         content: u64,
@@ -202,7 +203,8 @@
         updates.filter(|update| update.age_ms < CRASH_GOSSIP_MS)
     }
 
-    /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as crashes are told.
+    /// Returns the state to gossip: poison for as long as it is kept, and an answer for as long as
+    /// crashes are gossiped.
     pub(super) fn poison_update(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
         let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
