--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -1,9 +1,12 @@
-//! Limits that replicas name: the requests a second that one in need takes from all boxes together.
+//! Rate limits of replicas: the requests a second that an overloaded replica accepts from all boxes
+//! together.
 //!
-//! Load pattern: a replica in need has little in hand, so it looks idle, and each of hundreds of boxes has a request for it
-//! now and then. Few of them send there; see [`super::rate_share`].
+//! Load pattern: an overloaded replica has few requests in flight, so it looks idle, and each of
+//! hundreds of boxes has a request for it now and then. Only a few boxes send to it; see
+//! [`super::rate_share`].
 //!
-//! Word of a limit comes with answers, and boxes tell it on: most never ask that replica again. The latest word counts.
+//! Limits come with answers, and boxes gossip them, since most boxes never send to that replica
+//! again. The latest report counts.
 
 use serde::Serialize;
 
@@ -15,52 +18,54 @@
 use crate::route::event::{AnswerHead, RouteEffect};
 use crate::time::BoxTime;
 
-/// Without word of a limit for this long, in milliseconds, a sender's next request goes to that replica, wherever else it
-/// would be read sooner: where hundreds of boxes share many replicas, the few senders may have no request that
-/// belongs there, and nobody would learn that it is in need no more.
+/// Time without a report of a limit after which a sender's next request goes to that replica as a
+/// probe, in milliseconds, even if another replica is faster. Where hundreds of boxes share many
+/// replicas, the few senders may have no request for it, and no box would learn that it has
+/// recovered.
 pub const PROBE_AFTER_MS: u64 = 3_000;
 
-/// A replica is taken to bear at least this, in requests a second: without any request nobody would learn that it
-/// is in need no more.
+/// Lowest rate assumed for a replica, in requests a second. Without any request no box would learn
+/// that it has recovered.
 pub const MIN_PER_S: f64 = 0.25;
 
-/// Word of a limit is update on for this long after the replica said it, in milliseconds: several updates pass it on to all
-/// boxes of hundreds.
+/// How long a limit is gossiped after the replica reported it, in milliseconds: several gossip
+/// messages reach all of hundreds of boxes.
 pub const LIMIT_GOSSIP_MS: u64 = 3_000;
 
-/// Limits in one update, at most, the latest word first: some 600 bytes.
+/// Limits in one gossip message, at most, the latest first: some 600 bytes.
 const LIMITS_PER_MESSAGE: usize = 40;
 
-/// Without word for this long, in milliseconds, a limit no longer counts: its senders' answers bring some every few seconds.
+/// Time without a report after which a limit expires, in milliseconds. The answers to its senders
+/// bring a report every few seconds.
 pub const LIMIT_KEPT_MS: u64 = 30_000;
 
-/// Word of a replica's limit, as one box tells it to another.
+/// A replica's limit, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LimitUpdate {
     /// The replica, by [`super::backend::backend_hash`] of its id.
     pub replica: u64,
-    /// Requests a second; `None` if it names a limit no more.
+    /// Requests a second; `None` if the limit has ended.
     pub per_s: Option<f64>,
-    /// How long ago the replica said so, in milliseconds.
+    /// How long ago the replica reported it, in milliseconds.
     pub age_ms: u64,
 }
 
-/// What a replica named, and this box's part in it.
+/// A replica's limit, and this box's share of it.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ReplicaLimit {
     /// Requests a second from all boxes together; `None` without a limit.
     pub per_s: Option<f64>,
-    /// When the replica said so.
+    /// When the replica reported it.
     #[serde(rename = "said_at")]
     reported_at: Option<BoxTime>,
-    /// This box's part.
+    /// This box's share.
     #[serde(rename = "part")]
     share: SenderShare,
 }
 
 impl ReplicaLimit {
-    /// Takes what the replica said at `at`, unless it is known to have said something later. Returns whether it named a limit
-    /// that it had not, or names one no more.
+    /// Applies the replica's report of `at`, unless a later one is known. Returns whether a limit
+    /// began or ended.
     fn apply(&mut self, per_s: Option<f64>, at: BoxTime) -> bool {
         if self.reported_at.is_some_and(|known| known > at) {
             return false;
@@ -73,40 +78,40 @@
         changed
     }
 
-    /// Whether a limit is in force.
+    /// Returns whether a limit is in force.
     fn in_force(&self, now: BoxTime) -> bool {
         let kept = |at: BoxTime| now.millis_since(at) < LIMIT_KEPT_MS;
         self.per_s.is_some() && self.reported_at.is_some_and(kept)
     }
 
-    /// From when on this box may send the next request; `None` if it is none of the senders.
+    /// Returns when this box may send the next request, or `None` if it is no sender.
     pub(super) fn next_at(&self) -> Option<BoxTime> {
         self.share.next_at()
     }
 
-    /// Whether this box may send a request now.
+    /// Returns whether this box may send a request now.
     pub(super) fn allows(&self, now: BoxTime) -> bool {
         !self.in_force(now) || self.share.allows(now)
     }
 
-    /// Notes that this box sent a request.
+    /// Records that this box sent a request.
     pub(super) fn record_sent(&mut self, now: BoxTime) {
         self.share.record_sent(now);
     }
 
-    /// Takes this box's part in the limit of the replica of hash `replica`.
+    /// Sets this box's share of the limit of the replica with hash `replica`.
     fn set_share(&mut self, replica: u64, fleet: &FleetNames) {
         let per_s = self.per_s.unwrap_or(0.0).max(MIN_PER_S);
         self.share.set_share(per_s, replica, fleet);
     }
 
-    /// Whether this box is to find out how the replica is.
+    /// Returns whether this box should probe the replica.
     pub(super) fn needs_probe(&self, now: BoxTime) -> bool {
         let silent = |at: BoxTime| now.millis_since(at) >= PROBE_AFTER_MS;
         self.in_force(now) && self.reported_at.is_some_and(silent) && self.allows(now)
     }
 
-    /// What other boxes are update, if there is anything that they may not know.
+    /// Returns the update to gossip while other boxes may not know it.
     fn update(&self, replica: u64, now: BoxTime) -> Option<LimitUpdate> {
         let age_ms = now.millis_since(self.reported_at?);
         (age_ms < LIMIT_GOSSIP_MS).then_some(LimitUpdate { replica, per_s: self.per_s, age_ms })
@@ -114,36 +119,36 @@
 }
 
 impl BackendTable {
-    /// Takes what a replica said of its limit. Returns whether that is news.
+    /// Applies a replica's report of its limit. Returns whether a limit began or ended.
     fn apply_limit(&mut self, key: ReplicaKey, per_s: Option<f64>, at: BoxTime) -> bool {
         self.rows.get_mut(key).is_some_and(|row| row.limit.apply(per_s, at))
     }
 
-    /// Works this box's part in one limit out.
+    /// Sets this box's share of one limit.
     fn share_limit(&mut self, key: ReplicaKey, fleet: &FleetNames) {
         if let Some(row) = self.rows.get_mut(key) {
             row.limit.set_share(row.id_hash, fleet);
         }
     }
 
-    /// The replica that a update names.
+    /// Returns the replica that an update refers to.
     fn replica_key(&self, update: &LimitUpdate) -> Option<ReplicaKey> {
         self.hashes.get(&update.replica).copied()
     }
 
-    /// Works this box's parts out anew: boxes come and go, and limits change.
+    /// Sets this box's shares again, as boxes join and leave and limits change.
     fn share_limits(&mut self, fleet: &FleetNames) {
         for row in self.rows.values_mut().filter(|row| row.limit.per_s.is_some()) {
             row.limit.set_share(row.id_hash, fleet);
         }
     }
 
-    /// Whether any replica names a limit.
+    /// Returns whether any replica has a limit.
     fn any_limit(&self) -> bool {
         self.rows.values().any(|row| row.limit.per_s.is_some())
     }
 
-    /// Limits that other boxes are update of.
+    /// Returns the limits to gossip.
     pub(super) fn limit_updates(&self, now: BoxTime) -> Vec<LimitUpdate> {
         let update = |row: &BackendState| row.limit.update(row.id_hash, now);
         let mut updates: Vec<LimitUpdate> = self.rows.values().filter_map(update).collect();
@@ -154,7 +159,8 @@
 }
 
 impl RouteState {
-    /// Takes what the head of a replica's answer says of its limit. One that ran nothing may lack word of it.
+    /// Applies the limit in the head of a replica's answer. An answer that ran nothing may lack the
+    /// limit.
     pub(super) fn learn_limit(
         &mut self,
         stamp: EventStamp,
@@ -168,7 +174,7 @@
         }
     }
 
-    /// Takes what other boxes heard of limits.
+    /// Applies limits received from other boxes.
     pub(super) fn apply_limits(
         &mut self,
         stamp: EventStamp,
@@ -199,7 +205,7 @@
         out.push(RouteEffect::LimitChanged { replica, per_s, own_per_s });
     }
 
-    /// Works this box's parts in limits out anew.
+    /// Sets this box's shares of all limits again.
     pub(super) fn share_limits(&mut self, now: BoxTime) {
         if self.backends.any_limit() {
             let fleet = self.fleet_names(now);
--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -1,10 +1,12 @@
-//! Few senders: how a bound on what all boxes together may send to one replica is kept without a word between them.
+//! Shares of a rate limit: how a limit on what all boxes together send to one replica is kept
+//! without communication between them.
 //!
-//! A box that kept to all of the bound alone would let the sum be many times that; equal parts of hundreds of boxes are far
-//! below a request a second, so that they can be drawn by chance only, and chance has no bound. So few boxes send to such a
-//! replica, its *senders*: the first by a hash of their names and the replica's, which is the same on every box. Each keeps
-//! even distances, so that in any span they send no more than their parts and one request each. Other boxes' requests go to
-//! other replicas.
+//! If each box kept the whole limit by itself, the sum would be many times the limit. Equal shares
+//! of hundreds of boxes are far below a request a second and could only be kept by random choice,
+//! which has no upper bound. So only a few boxes, its *senders*, send to such a replica: the first
+//! by a hash of the names of box and replica, which all boxes compute alike. Each sender spaces its
+//! requests evenly, so that in any period they send no more than their shares plus one request
+//! each. Requests of other boxes go to other replicas.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -14,26 +16,27 @@
 use crate::replica::mix;
 use crate::time::BoxTime;
 
-/// Senders to a replica beyond the requests a second that it takes. With as many more, some of them have a request
-/// for it at any time, and one stays when others are lost; what each may send at once stays small beside the bound.
+/// Senders to a replica beyond the requests a second that it accepts. With this many more, some
+/// sender has a request for it at any time, and one remains when others fail, while what they may
+/// send at once stays small beside the limit.
 pub const EXTRA_SENDERS: usize = 4;
 
-/// This box's part in a bound on what a replica gets from all boxes.
+/// This box's share of a limit on what a replica gets from all boxes.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct SenderShare {
-    /// Requests a second that this box may send; 0 if it is none of the senders.
+    /// Requests a second that this box may send; 0 if it is no sender.
     own_per_s: f64,
-    /// When it last sent a request there.
+    /// When it last sent a request to the replica.
     sent_at: Option<BoxTime>,
 }
 
 impl SenderShare {
-    /// Requests a second that this box may send.
+    /// Returns the requests a second that this box may send.
     pub(super) fn own_per_s(&self) -> f64 {
         self.own_per_s
     }
 
-    /// From when on this box may send the next request; `None` if it is none of the senders.
+    /// Returns when this box may send the next request, or `None` if it is no sender.
     pub(super) fn next_at(&self) -> Option<BoxTime> {
         if self.own_per_s <= 0.0 {
             return None;
@@ -42,17 +45,17 @@
         Some(self.sent_at.map_or(BoxTime::default(), |at| at.plus_millis(interval_ms)))
     }
 
-    /// Whether this box may send a request now.
+    /// Returns whether this box may send a request now.
     pub(super) fn allows(&self, now: BoxTime) -> bool {
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// Notes that this box sent a request.
+    /// Records that this box sent a request.
     pub(super) fn record_sent(&mut self, now: BoxTime) {
         self.sent_at = Some(now);
     }
 
-    /// Takes this box's part in `per_s` requests a second to the replica of hash `replica`.
+    /// Sets this box's share of `per_s` requests a second to the replica with hash `replica`.
     pub(super) fn set_share(&mut self, per_s: f64, replica: u64, fleet: &FleetNames) {
         let senders = (per_s as usize + EXTRA_SENDERS).min(fleet.others.len() + 1);
         let weight = |name: u64| mix(name ^ replica);
@@ -62,7 +65,7 @@
     }
 }
 
-/// The boxes that share bounds, by hashes of their names.
+/// The boxes that share limits, by hashes of their names.
 pub(super) struct FleetNames {
     own: u64,
     others: Vec<u64>,
@@ -76,7 +79,7 @@
 }
 
 impl RouteState {
-    /// The boxes that share bounds, as this one knows them.
+    /// Returns the boxes that share limits, as far as this box knows them.
     pub(super) fn fleet_names(&self, now: BoxTime) -> FleetNames {
         FleetNames::new(&self.settings.name, &self.peers, now)
     }
--- a/crates/core/src/route/warm_up.rs
+++ b/crates/core/src/route/warm_up.rs
@@ -1,8 +1,10 @@
-//! Replicas that are cold: for some seconds after a start they bear few requests a second, from all boxes together.
+//! Warm-up of cold replicas: for some seconds after a start they accept only few requests a second
+//! from all boxes together.
 //!
-//! Load pattern: a zone's replicas come back at the same moment, or all are started anew, and each of hundreds of boxes
-//! chooses among them before any answer tells of the others' requests. So few boxes send to a cold replica; see
-//! [`super::rate_share`]. What it may not get goes to warm ones.
+//! Load pattern: the replicas of a zone return at the same time, or all restart, and each of
+//! hundreds of boxes chooses among them before any answer reports the others' requests. So only a
+//! few boxes send to a cold replica; see [`super::rate_share`]. Requests beyond its limit go to
+//! warm replicas.
 
 use serde::Serialize;
 
@@ -11,21 +13,22 @@
 use super::RouteState;
 use crate::time::BoxTime;
 
-/// What the operator says of a service's cold replicas.
+/// The operator's settings for cold replicas of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct WarmUpPlan {
-    /// A replica is cold for this long after a start, in milliseconds.
+    /// How long a replica is cold after a start, in milliseconds.
     pub lasts_ms: u64,
-    /// Requests that a cold one bears a second, from all boxes together.
+    /// Requests a second that a cold replica accepts from all boxes together.
     pub per_s: f64,
 }
 
-/// A replica that could not be reached is taken to be down for this long afterwards, in milliseconds, and for cold from then
-/// on: nobody may try it meanwhile, and its entry tells of its new start some two seconds after that.
+/// How long an unreachable replica is assumed to be down, in milliseconds. From then on it counts
+/// as cold: no box may try it meanwhile, and its entry shows the restart only some two seconds
+/// later.
 pub(super) const ASSUMED_DOWN_MS: u64 = 4_000;
 
 impl BackendTable {
-    /// Works this box's parts in cold replicas out anew: boxes come and go.
+    /// Sets this box's shares of cold replicas again, as boxes join and leave.
     fn share_cold(
         &mut self,
         warm_up: &dyn Fn(&str) -> Option<WarmUpPlan>,
@@ -39,14 +42,14 @@
         }
     }
 
-    /// Whether any replica is cold.
+    /// Returns whether any replica is cold.
     fn any_cold(&self, now: BoxTime) -> bool {
         self.rows.values().any(|row| row.cold_until > now)
     }
 }
 
 impl RouteState {
-    /// Works this box's parts in cold replicas out anew.
+    /// Sets this box's shares of cold replicas again.
     pub(super) fn share_cold(&mut self, now: BoxTime) {
         self.backends.newly_cold = false;
         if !self.backends.any_cold(now) {
@@ -58,14 +61,14 @@
         self.backends.share_cold(&warm_up, &fleet, now);
     }
 
-    /// Works them out where a replica is cold that was not when that was done last.
+    /// The same, but only if a replica has become cold since the last time.
     pub(super) fn share_newly_cold(&mut self, now: BoxTime) {
         if self.backends.newly_cold {
             self.share_cold(now);
         }
     }
 
-    /// Whether the operator bounds what cold replicas of a service get.
+    /// Returns whether the operator limits the requests to cold replicas of a service.
     pub(super) fn bounds_cold(&self, service: &str) -> bool {
         let plan = self.table.plan().services.get(service);
         plan.is_some_and(|plan| plan.warm_up.is_some())
