--- a/crates/core/src/route/refuse.rs
+++ b/crates/core/src/route/refuse.rs
@@ -1,19 +1,20 @@
-//! A request ends without a replica's answer. Here alone it is decided whether "has not run" may be said.
+//! Ends requests without a replica's answer. Only this module decides whether a refusal may state
+//! that the request has not run.
 
 use super::event::{DecisionInputs, RefusalReason, RouteEffect, RouteRefusal};
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
-/// Callers are told to come back after this, in milliseconds, when replicas are full: about what a
-/// short answer takes.
+/// Retry time in refusals when replicas are full, in milliseconds: about the length of a short
+/// answer.
 pub const FULL_RETRY_MS: u64 = 300;
 
-/// Callers are told to come back after this, in milliseconds, when this box can't serve: by then
-/// they have another address.
+/// Retry time in refusals when this box cannot serve, in milliseconds: by then callers have another
+/// address.
 pub const ELSEWHERE_RETRY_MS: u64 = 100;
 
 impl RouteState {
-    /// Ends a request without a replica's answer. The only place that decides what may be said.
+    /// Ends a request without a replica's answer: refuses it, or aborts a response that has begun.
     pub(super) fn give_up(
         &mut self,
         stamp: EventStamp,
@@ -33,7 +34,7 @@
         out.push(RouteEffect::Refuse(ticket, refusal, self.inputs(stamp)));
     }
 
-    /// What a decision rests on, but for the replica.
+    /// Returns the inputs of a decision except for the replica.
     pub(super) fn inputs(&self, stamp: EventStamp) -> DecisionInputs {
         DecisionInputs {
             plan_version: self.table.plan().version,
@@ -43,13 +44,13 @@
     }
 }
 
-/// What a caller is told, by why and whether the request may have run.
+/// Returns the refusal for a reason, depending on whether the request may have run.
 pub(super) fn refusal(reason: RefusalReason, may_have_run: bool) -> RouteRefusal {
     let (status, retry_after_ms) = match reason {
         RefusalReason::NoRoute => (404, None),
         RefusalReason::UnknownKey => (401, None),
         RefusalReason::DeadlinePassed if may_have_run => (504, None),
-        // What it asks for has run, if under other requests, and coming back does not help.
+        // Its content has run, if under other requests, and a retry does not help.
         RefusalReason::CrashesReplicas => (502, None),
         _ if may_have_run => (502, None),
         RefusalReason::Full
@@ -57,7 +58,8 @@
         | RefusalReason::DeadlinePassed
         | RefusalReason::Failed => (503, Some(FULL_RETRY_MS)),
         RefusalReason::NoReplica => (503, Some(FULL_RETRY_MS)),
-        // These last for seconds at least; the request's own time says how long its caller may wait.
+        // These last for seconds at least. The request's remaining time determines how long its
+        // caller may wait.
         RefusalReason::Evacuated | RefusalReason::ReplicasLimited | RefusalReason::NoRegion => {
             (503, Some(FULL_RETRY_MS))
         }
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -1,114 +1,119 @@
-//! The fleet's retry budget: how many further sends the boxes make together.
+//! The fleet's retry budget: how many extra attempts the boxes make together.
 //!
-//! The operator bounds further sends in every span of the window's length by a ratio of the requests in
-//! it and a slack for the whole fleet. A box counts both in slots of a tenth of the window, and tells the others
-//! its counts with its notes. What its own traffic's part allows it may always send. Beyond that it goes on while
-//! the boxes reports lately have together not spent theirs.
+//! In every window the operator allows extra attempts up to a ratio of the requests in it plus a
+//! slack for the whole fleet. A box counts both in slots of a tenth of the window and gossips its
+//! counts. It may always use the share of its own traffic. Beyond that it continues while the boxes
+//! with recent reports have together not spent their shares.
 //!
-//! Load pattern: hundreds of boxes with some twenty requests a window each, half of which want one more send. By
-//! chance some want more than their part while others leave theirs. Where 100 boxes kept to their own parts, 5 of 100
-//! wanted sends were denied, though the fleet's budget had room for all; now none is (virtual time).
-//! The limits below are for the other pattern, where all boxes want more at once, as when every request fails: what
-//! is reports lags behind, so it counts for [`REPORT_KEPT_MS`] alone, and each box stops at [`OWN_SHARE_LIMIT`] of its own part.
+//! Load pattern: hundreds of boxes with some twenty requests a window each, half of which want one
+//! extra attempt. By chance some boxes want more than their share while others use less. Where 100
+//! boxes kept to their own shares, 5 of 100 extra attempts were denied although the fleet's budget
+//! had room for all; with shared counts none is (simulated). The limits below are for the other
+//! pattern, where all boxes want more at once, as when every request fails. Since reports lag
+//! behind, they count for [`REPORT_KEPT_MS`] only, and each box stops at [`OWN_SHARE_LIMIT`] times
+//! its own share.
 
 use std::collections::HashMap;
 
 use crate::time::BoxTime;
 
-/// Part of the operator's ratio that boxes use: the boundaries of their slots lie differently.
+/// Share of the operator's ratio that boxes use, since the boundaries of their slots differ.
 pub const RATIO_USED: f64 = 0.85;
 
-/// Part of the operator's slack that boxes use.
+/// Share of the operator's slack that boxes use.
 pub const SLACK_USED: f64 = 0.5;
 
-/// Part of the budget that is kept for requests that failed: asking a larger model may wait. Since boxes use what
-/// others leave, a tenth does: with a quarter and a tenth 187 and 188 of some 18,600 requests failed (eight days).
+/// Share of the budget reserved for failed requests: an escalation to a larger model may wait.
+/// Since boxes use what others leave, a tenth suffices: with a quarter and with a tenth, 187 and
+/// 188 of some 18,600 requests failed (eight days).
 pub const FAILURE_RESERVE: f64 = 0.1;
 
-/// Further sends for silence alone, for each request: where replicas are slow because all of them are
-/// busy, asking others as well makes it worse.
+/// Extra attempts for stalls, for each request. Where replicas are slow because all are busy,
+/// asking others as well makes it worse.
 pub const SILENCE_RATIO: f64 = 0.05;
 
-/// What another box told of its further sends counts for this long, in milliseconds: two notes, in which a box hears
-/// some twenty others. A storm of failures that nobody has reports of yet goes on for as long: with 2,000 ms one that came
-/// while nothing was spent went 10 sends beyond what the operator allows, of 2,000 (100 boxes, virtual time).
+/// How long another box's counts are used, in milliseconds: two gossip messages, in which a box
+/// hears from some twenty others. A failure storm that no report shows yet continues for as long.
+/// With 2,000 ms, one on an unspent budget made 10 attempts more than the operator's 2,000 (100
+/// boxes, simulated).
 pub const REPORT_KEPT_MS: u64 = 1_000;
 
-/// A box sends at most this many times its own part, however much the others have left: what a storm that nobody
-/// has reports of yet may take.
+/// Extra attempts of a box, at most, as a multiple of its own share, however much others have left.
+/// It bounds a failure storm that no report shows yet.
 pub const OWN_SHARE_LIMIT: f64 = 2.0;
 
 /// Slots of a window.
 const WINDOW_SLOTS: u64 = 10;
 
-/// Slots that are counted: one more, since the first and the last are not whole.
+/// Slots counted: one more, since the first and the last are incomplete.
 const COUNTED_SLOTS: usize = WINDOW_SLOTS as usize + 1;
 
 /// Bounds from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetBounds {
-    /// Further sends allowed for each request.
+    /// Extra attempts allowed for each request.
     pub ratio: f64,
-    /// Further sends that the whole fleet may make beyond the ratio in a window.
+    /// Extra attempts allowed to the whole fleet beyond the ratio in a window.
     pub slack: f64,
     /// Length of the window, in milliseconds.
     pub window_ms: u64,
 }
 
 impl BudgetBounds {
-    /// Further sends that boxes allow themselves for so many requests in the counted slots.
+    /// Returns the extra attempts that boxes allow themselves for this many requests in the counted
+    /// slots.
     fn limit(&self, requests: f64, slack: f64) -> f64 {
         let part = WINDOW_SLOTS as f64 / COUNTED_SLOTS as f64;
         self.ratio * RATIO_USED * part * requests + slack
     }
 }
 
-/// Why a request is sent again.
+/// Why a request gets an extra attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendCause {
     /// An attempt failed.
     Failure,
-    /// Nothing came for long.
+    /// An attempt stalled.
     Silence,
     /// A larger model is asked.
     LargerModel,
 }
 
-/// Requests and further sends in one slot.
+/// Requests and extra attempts in one slot.
 #[derive(Clone, Copy, Debug, Default)]
 struct BudgetSlot {
     requests: u32,
     sends: u32,
-    /// Those of the sends that were for silence.
+    /// Extra attempts for stalls.
     silences: u32,
 }
 
-/// Requests and further sends in a window.
+/// Requests and extra attempts in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendCount {
     /// Requests.
     pub requests: u32,
-    /// Further sends.
+    /// Extra attempts.
     pub sends: u32,
 }
 
-/// Requests and further sends to one service: of this box, and of others as they told them.
+/// Requests and extra attempts to one service, of this box and as reported by others.
 #[derive(Clone, Debug, Default)]
 pub struct SendBudget {
     slots: [BudgetSlot; COUNTED_SLOTS],
     /// Number of the newest slot, counted from the box's start.
     newest: u64,
-    /// By the other box's name, with when it was reports.
+    /// Counts of other boxes by name, with the time of their receipt.
     reports: HashMap<String, (BoxTime, SendCount)>,
 }
 
 impl SendBudget {
-    /// Notes a request.
+    /// Records a request.
     pub fn earn(&mut self, bounds: BudgetBounds, now: BoxTime) {
         self.slot(bounds, now).requests += 1;
     }
 
-    /// This box's counts, as it tells them.
+    /// Returns this box's counts, for gossip.
     pub fn count(&mut self, bounds: BudgetBounds, now: BoxTime) -> SendCount {
         self.slot(bounds, now);
         let requests = self.slots.iter().map(|slot| slot.requests).sum();
@@ -116,13 +121,13 @@
         SendCount { requests, sends }
     }
 
-    /// Takes another box's counts.
+    /// Merges the counts of another box.
     pub fn merge(&mut self, name: &str, count: SendCount, now: BoxTime) {
         self.reports.retain(|_, (at, _)| now.millis_since(*at) < REPORT_KEPT_MS);
         self.reports.insert(name.to_owned(), (now, count));
     }
 
-    /// Takes one further send, if there is one; `boxes` share the slack.
+    /// Spends one extra attempt if the budget allows it. The slack is shared by `boxes`.
     pub fn spend(
         &mut self,
         bounds: BudgetBounds,
@@ -149,7 +154,7 @@
         allowed
     }
 
-    /// Whether this box and those reports lately have together not spent their parts of the budget.
+    /// Returns whether this box and those with recent reports have together not spent their shares.
     fn fleet_has_room(
         &mut self,
         bounds: BudgetBounds,
@@ -166,13 +171,13 @@
         sends + 1.0 <= part * bounds.limit(requests, slack)
     }
 
-    /// Whether one more send for silence alone would be too many.
+    /// Returns whether another extra attempt for a stall would exceed [`SILENCE_RATIO`].
     fn silence_exhausted(&self, requests: u32) -> bool {
         let silences: u32 = self.slots.iter().map(|slot| slot.silences).sum();
         f64::from(silences) + 1.0 > (SILENCE_RATIO * f64::from(requests)).max(1.0)
     }
 
-    /// The slot of `now`; those that it follows by more than a window are emptied.
+    /// Returns the slot of `now`, and clears those that are older than a window.
     fn slot(&mut self, bounds: BudgetBounds, now: BoxTime) -> &mut BudgetSlot {
         let current = now.as_millis() * WINDOW_SLOTS / bounds.window_ms.max(WINDOW_SLOTS);
         let passed = current.saturating_sub(self.newest).min(COUNTED_SLOTS as u64);
