--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -1,4 +1,4 @@
-//! Replicas that turn requests away and ask for rest.
+//! Replicas that refuse requests and ask the box to back off.
 
 use ravenspoke_core::route::backoff::BACKOFF_LIMIT_MS;
 use ravenspoke_core::route::event::{AnswerHead, AttemptFailure, RefusalReason, RouteEvent};
@@ -8,10 +8,10 @@
     ask, entry, head, is_refused, new_box, order_in, plan, ready_box, refusal_in, TestBox,
 };
 
-/// Rest that a replica asks for, in milliseconds.
+/// Backoff that a replica asks for, in milliseconds.
 const BACKOFF_MS: u64 = 3_000;
 
-/// Requests of which some would go to a replica of two, by chance.
+/// Requests enough that each of two replicas gets some of them.
 const REQUESTS: usize = 40;
 
 /// A box with the replicas of these ids.
@@ -28,7 +28,7 @@
     AnswerHead { rest_ms: Some(rest_ms), not_run: true, proven: false, ..head(503) }
 }
 
-/// Replica `a` turns a request away and asks for rest.
+/// Replica `a` refuses a request and asks for backoff.
 fn back_off_a(subject: &mut TestBox, rest_ms: u64) {
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
@@ -67,7 +67,7 @@
     subject.read_plan(Some(plan(1)));
     let used = (0..REQUESTS).map(|_| subject.sent(ask("/read/x")).1.replica_id);
     let used: std::collections::BTreeSet<String> = used.collect();
-    assert_eq!(used.len(), 1, "one rests: {used:?}");
+    assert_eq!(used.len(), 1, "one backs off: {used:?}");
     subject.now += 1;
     assert!(uses_a(&mut subject));
 }
@@ -77,7 +77,7 @@
     let mut subject = box_with(&["a"]);
     let (ticket, _) = subject.sent(ask("/file/x"));
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(700)));
-    let first = refusal_in(&effects).expect("the request that was turned away is refused");
+    let first = refusal_in(&effects).expect("the request is refused");
     assert!(is_refused(first, 503, RefusalReason::ReplicasLimited));
     subject.now += 200;
     let refusal = subject.refused(ask("/file/x"));
@@ -94,5 +94,5 @@
     subject.feed(RouteEvent::HeadReceived(first, refusing_head(BACKOFF_MS)));
     assert!(!subject.state.may_write(second, BoxTime::from_millis(subject.now)));
     let effects = subject.feed(RouteEvent::AttemptFailed(second, AttemptFailure::Withdrawn));
-    assert_eq!(order_in(&effects).expect("it goes elsewhere").replica_id, "b");
+    assert_eq!(order_in(&effects).expect("another replica gets it").replica_id, "b");
 }
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -1,8 +1,10 @@
-//! Plain calls before a few replicas: many boxes, each of which hears from any replica but now and then.
+//! Calls without prompts to a few replicas: many boxes, each of which rarely receives a report from
+//! any one replica.
 //!
-//! The load pattern: 84 boxes share six replicas of six slots, an answer takes 60 ms of work, and a zone with two of the
-//! replicas is lost, or half of them. What is left would serve all calls at two thirds of its slots, but boxes that each choose the
-//! replica of which they heard the lowest load choose the same one, until others' answers say otherwise.
+//! Load pattern: 84 boxes share six replicas of six slots, an answer takes 60 ms of work, and a
+//! zone with two of the replicas, or half of all replicas, is lost. The rest could serve all calls
+//! at two thirds of their slots. But boxes that each choose the replica with the lowest reported
+//! load all choose the same one, until answers to others show otherwise.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -17,13 +19,13 @@
 
 use crate::fixture::{ask, at, entry, head, plan, session, settings};
 
-/// Zones of the replicas, in the order of their numbers.
+/// Zones of the replicas, by number.
 const REPLICA_ZONES: [usize; 6] = [0, 0, 1, 1, 2, 3];
 
 /// Availability zones.
 const ZONES: usize = 4;
 
-/// Calls that a replica works on at once, and that wait there at most.
+/// Calls that a replica runs at once, and calls that it queues at most.
 const SLOTS: usize = 6;
 const QUEUE: usize = 24;
 
@@ -36,10 +38,10 @@
 /// An answer is late after this, in milliseconds.
 const TARGET_MS: u64 = 300;
 
-/// One way between a box and a replica, or another box, in milliseconds.
+/// One-way delay between a box and a replica, or another box, in milliseconds.
 const NETWORK_DELAY_MS: u64 = 1;
 
-/// A moment, in milliseconds.
+/// Time in the simulation, in milliseconds.
 type SimTime = u64;
 
 #[derive(Clone, Debug)]
@@ -52,7 +54,7 @@
     Head(CallPlace, AnswerHead),
 }
 
-/// A call, and where it went.
+/// A call, and the replica that it was sent to.
 #[derive(Clone, Copy, Debug)]
 struct CallPlace {
     number: usize,
@@ -67,7 +69,7 @@
     waiting: VecDeque<CallPlace>,
 }
 
-/// How calls ended.
+/// Outcomes of calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallCount {
     asked: usize,
@@ -117,7 +119,7 @@
         fleet
     }
 
-    /// A box knows the plan and the replicas.
+    /// Gives a box the plan and the replicas.
     fn set_up(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let mut calls = plan(1);
@@ -137,7 +139,7 @@
         self.keys.extend(keys.into_iter().map(|(key, replica)| ((number, key), replica)));
     }
 
-    /// A replica is gone, and all boxes know it.
+    /// Removes a replica on all boxes.
     fn remove_replica(&mut self, replica: usize) {
         for number in 0..self.boxes.len() {
             let id = format!("c{replica}");
@@ -271,8 +273,8 @@
     }
 }
 
-/// Calls of a hundred that may be late or refused: slots are two thirds taken, so that hardly any need wait for as long as the
-/// target.
+/// Calls that may be late or refused, of a hundred. Two thirds of the slots are in use, so hardly
+/// any call waits as long as the target.
 const BAD_LIMIT: usize = 1;
 
 #[test]
--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -1,4 +1,4 @@
-//! Cold replicas: what they get in their fullest second, from all boxes together.
+//! Cold replicas: the requests that they get in their busiest second, from all boxes together.
 
 use ravenspoke_core::route::backend::BackendEntry;
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
@@ -10,17 +10,18 @@
 use crate::fixture::{at, entry, ready_box};
 use crate::replica_fleet::{ReplicaFleet, BURST, SIZES, ZONES};
 
-/// Requests that a cold replica bears a second, and for how long it is cold, in milliseconds.
+/// Requests a second that a cold replica accepts, and for how long it is cold, in milliseconds.
 const WARM_UP: WarmUpPlan = WarmUpPlan { lasts_ms: 3_000, per_s: 8.0 };
 
-/// Requests that a cold replica may get in any second: one and a half times what it bears, and five.
+/// Requests that a cold replica may get in any second: one and a half times its limit, plus five.
 const COLD_BOUND: usize = 17;
 
-/// Of so many requests one may be refused while all replicas are cold and bear twice what is asked: a box that has drawn none
-/// of them for half a second sends its callers back, since no other box is asked for its part.
+/// Requests for each one that may be refused while all replicas are cold and accept twice the
+/// demand. A box whose random choice meets none of its replicas for half a second refuses requests,
+/// since no other box uses its share.
 const MIN_ASKED_PER_REFUSED: usize = 10;
 
-/// Boxes before replicas of a service that bounds cold ones.
+/// Starts boxes with replicas of a service that limits requests to cold ones.
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let service = ServicePlan { warm_up: Some(WARM_UP), ..ServicePlan::default() };
     ReplicaFleet::start(boxes, replicas, service)
@@ -134,12 +135,12 @@
     assert_eq!(cold(&subject), ["a"]);
     subject.now += 1_000;
     subject.put(entry("a", "v1"));
-    assert_eq!(cold(&subject), ["a"], "that word may be older than what made it cold");
+    assert_eq!(cold(&subject), ["a"], "the entry may be older than the one that made it cold");
     subject.now += 2_000;
     assert_eq!(cold(&subject), none);
 }
 
-/// The most that a cold replica gets in a second of a burst after a quiet time.
+/// Returns the most requests that a cold replica gets in a second of a burst after a quiet time.
 fn peak_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other of replicas' loads.
+//! Loads of replicas, as boxes gossip them.
 
 use ravenspoke_core::route::backend::backend_hash;
 use ravenspoke_core::route::backend_health::UNREACHABLE_DELAY_MS;
@@ -9,7 +9,7 @@
 
 use crate::fixture::{ask, head, note_in, ready_box, TestBox};
 
-/// The replica that holds the parts of `affinity`, as this box sends a first request for them.
+/// Returns the replica designated for `affinity`, as this box sends a first request with it.
 fn designated_replica(subject: &mut TestBox, affinity: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { affinity, ..ask("/chat/x") });
     subject.feed(RouteEvent::CallerDisconnected(ticket));
@@ -62,14 +62,15 @@
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
     assert_eq!(message.loads, [LoadUpdate { age_ms: 800, ..load }]);
     subject.now += 500;
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
-    assert_eq!(message.loads, [], "it is too old to help");
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
+    assert_eq!(message.loads, [], "the report is too old");
 }
 
-/// A crash takes many replicas away at the same moment. They look idle, so each box would give each of them a request.
+/// A crash takes down many replicas at once. They look idle, so each box would send a request to
+/// each of them.
 #[test]
 fn an_unreachable_replica_is_ejected_by_other_boxes_unless_it_answered_since() {
     let mut sender = ready_box();
@@ -77,7 +78,8 @@
     let (ticket, order) = sender.sent(ask("/read/x"));
     sender.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     sender.now += UNREACHABLE_DELAY_MS;
-    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a note, before the next is due");
+    let message =
+        note_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message before the next is due");
     let message = GossipMessage { name: "box-9".to_owned(), ..message };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
@@ -106,5 +108,5 @@
         informed.feed(RouteEvent::ResponseFinished(ticket));
     }
     informed.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert!(chosen(&mut informed).contains(&order.replica_id), "it has told its load since");
+    assert!(chosen(&mut informed).contains(&order.replica_id), "it has reported its load since");
 }
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -1,4 +1,4 @@
-//! Models of a route: which of them answers.
+//! The models of a route: which of them answers.
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::event::{
@@ -12,7 +12,7 @@
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
 
-/// A box with `count` replicas before a route that leaves the model to the router.
+/// A box with `count` replicas and a route on which the router chooses the model.
 fn box_with_models(count: usize) -> TestBox {
     let mut subject = new_box("box-1");
     let mut sized = plan(1);
@@ -24,7 +24,7 @@
     subject
 }
 
-/// A request whose small model was unsure, sent to the large one: its second of three attempts.
+/// A request whose small model was unsure, sent to the large one as its second of three attempts.
 fn escalated_request(subject: &mut TestBox) -> RequestTicket {
     let (ticket, _) = subject.sent(CallerRequest { any_model: true, ..ask("/chat/x") });
     let unsure = AnswerHead { confidence: Some(3), ..head(200) };
@@ -46,7 +46,7 @@
         assert_eq!((last.number, last.model.as_deref()), (3, Some("small")));
         let unsure = AnswerHead { confidence: Some(3), ..head(200) };
         let effects = subject.feed(RouteEvent::HeadReceived(ticket, unsure));
-        assert_eq!(effects, [RouteEffect::Relay(ticket)], "there is nothing better");
+        assert_eq!(effects, [RouteEffect::Relay(ticket)], "no attempt is left");
     }
 }
 
@@ -60,11 +60,11 @@
     assert_eq!(order_in(&effects).expect("a last attempt").model.as_deref(), Some("large"));
 }
 
-/// By then the large model's answer has begun in these tests.
+/// Time after which the large model's answer begins in these tests, in milliseconds.
 const LARGE_MODEL_MS: u64 = 150;
 
-/// Arrivals whose small model is unsure, one every `gap_ms` for a while, each with a long prompt of its own:
-/// how many of them were asked of the large model, and what came last.
+/// Sends requests whose small model is unsure, one every `gap_ms`, each with a long prompt of its
+/// own. Returns how many were escalated to the large model, and how many were sent.
 fn escalated_in_burst(gap_ms: u64) -> (usize, usize) {
     let mut subject = box_with_models(3);
     let (mut asked, count) = (0, 40);
@@ -91,10 +91,11 @@
 #[test]
 fn a_burst_escalates_only_requests_that_begin_within_the_target() {
     let (asked, count) = escalated_in_burst(10);
-    // Three replicas begin 28 of 150 ms each within the target of 1,000 ms and the 400 ms of the burst.
+    // Three replicas begin 28 answers of 150 ms each within the target of 1,000 ms and the 400 ms
+    // of the burst.
     assert!((15..34).contains(&asked), "{asked} of {count}");
     let (asked, count) = escalated_in_burst(700);
-    assert_eq!(asked, count, "with time enough all are");
+    assert_eq!(asked, count, "with enough time all are escalated");
 }
 
 #[test]
@@ -117,13 +118,13 @@
         gains.learn(confidence(0, 30), confidence(1, 45));
     }
     let next = |score, part: f64| next_size(3, confidence(0, score), &gains, |_| part);
-    assert_eq!(next(45, 0.6), None, "the answer does well enough for that time");
+    assert_eq!(next(45, 0.6), None, "the confidence suffices at that delay");
     let far = |score| next_size(3, confidence(0, score), &gains, |size| [0.0, 0.2, 0.9][size]);
     assert_eq!(far(45), Some(1));
-    assert_eq!(far(20), None, "the middle one would not do, and the largest would be late");
+    assert_eq!(far(20), None, "the middle one would not suffice, and the largest would be late");
     assert_eq!(next(45, 0.1), Some(2));
     assert_eq!(next(51, 0.1), None);
-    assert_eq!(next_size(3, confidence(2, 3), &gains, |_| 0.0), None, "there is none larger");
+    assert_eq!(next_size(3, confidence(2, 3), &gains, |_| 0.0), None, "there is no larger model");
 }
 
 #[test]
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -1,4 +1,4 @@
-//! Where prompts are read: load patterns replayed on the reducer, and the estimates behind the choice.
+//! Placement of prompts: load patterns on the route state, and the estimates behind the choice.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,7 +19,7 @@
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, refusal_in, TestBox};
 
-/// A box before `count` replicas of its own zone, and a route that leaves the model to the router.
+/// A box with `count` replicas in its own zone, and a route on which the router chooses the model.
 fn box_with_engines(count: usize) -> TestBox {
     let mut subject = new_box("box-1");
     let mut sized = plan(1);
@@ -60,7 +60,7 @@
     subject.feed(RouteEvent::ResponseFinished(ticket));
 }
 
-/// A box that learnt that its engines read a token in `token_ms`.
+/// A box that has learnt that its engines read a token in `token_ms`.
 fn trained_box(count: usize, token_ms: f64) -> TestBox {
     let mut subject = box_with_engines(count);
     for number in 0..80 {
@@ -86,7 +86,8 @@
 fn a_short_prompt_does_not_queue_behind_a_long_one() {
     let mut subject = trained_box(2, 0.1);
     let (_, long) = subject.sent(prompt(7, 0, 20_000));
-    // Ten of them take half a second, the long one two: the fuller replica by count is the freer one.
+    // Ten of them take half a second, the long one two seconds. The replica with more requests has
+    // less work.
     for affinity in 100..110 {
         let (_, short) = subject.sent(prompt(affinity, 0, 500));
         assert_ne!(short.replica_id, long.replica_id);
@@ -98,7 +99,7 @@
     let mut subject = trained_box(4, 0.1);
     let (ticket, first) = subject.sent(prompt(9, 10_000, 500));
     answer(&mut subject, ticket, 1_050);
-    // 300 ms of work there are less than the second that the parts take.
+    // 300 ms of work there are less than the second that the prefix takes.
     subject.feed(RouteEvent::PlacementReceived(update_for(&first.replica_id, 300)));
     let (ticket, held) = subject.sent(prompt(9, 10_000, 500));
     assert_eq!(held.replica_id, first.replica_id);
@@ -119,7 +120,7 @@
     let mut subject = trained_box(3, 0.1);
     let (_, effects) = subject.arrive(prompt(9, 0, 10_000));
     let order = order_in(&effects).expect("it is sent");
-    let update = update_in(&effects).expect("it is told");
+    let update = update_in(&effects).expect("it is announced");
     assert_eq!(update.replica, backend_hash(&order.replica_id));
     let about = |ms: u32| (800..1_200).contains(&ms);
     assert!(about(update.work_ms), "{update:?}");
@@ -134,8 +135,8 @@
     let mut other = trained_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
     let usual = order_in(&effects).expect("it is sent").replica_id;
-    let update = update_in(&effects).expect("it is told");
-    // The other box had a reason to have them read elsewhere.
+    let update = update_in(&effects).expect("it is announced");
+    // The other box had a reason to place it elsewhere.
     let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
     let update = PlacementUpdate { replica: backend_hash(&placed), ..update };
     subject.feed(RouteEvent::PlacementReceived(update));
@@ -150,7 +151,7 @@
     let mut placed: BTreeMap<u64, BTreeSet<String>> = BTreeMap::new();
     for number in 0..3 {
         let mut subject = trained_box(12, 0.1);
-        // Each box has had other requests, and draws other lots.
+        // Each box has had other requests, and other random numbers.
         for _ in 0..number {
             let (ticket, _) = subject.sent(ask("/read/x"));
             subject.feed(RouteEvent::CallerDisconnected(ticket));
@@ -172,7 +173,7 @@
     let (late, slow) = subject.sent(prompt(5, 0, 1_000));
     subject.now += 1_500;
     subject.read_plan(None);
-    // It should have begun after 120 ms: something waits there that nobody update of.
+    // It should have begun after 120 ms, so work is queued there that nobody reported.
     for affinity in 200..203 {
         let (_, order) = subject.sent(prompt(affinity, 0, 3_000));
         assert_ne!(order.replica_id, slow.replica_id);
@@ -180,7 +181,8 @@
     subject.feed(RouteEvent::CallerDisconnected(late));
 }
 
-/// Zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of work in its own zone.
+/// Returns the zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of
+/// work in its own zone.
 fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
     let mut subject = trained_box(1, 0.1);
     subject.put(engine("i-west", "west"));
@@ -222,8 +224,8 @@
     backlog.add_remote(400.0, at(1_000));
     assert_eq!(backlog.wait_ms(at(1_100)), 300.0);
     backlog.sent(200.0, 600.0, at(1_100));
-    assert_eq!(backlog.wait_ms(at(1_600)), 200.0, "its own request has not begun");
-    assert_eq!(backlog.wait_ms(at(1_900)), 400.0, "and is overdue");
+    assert_eq!(backlog.wait_ms(at(1_600)), 200.0, "this box's request has not begun");
+    assert_eq!(backlog.wait_ms(at(1_900)), 400.0, "this box's request is overdue");
     backlog.remove_pending(at(1_100));
     assert_eq!(backlog.wait_ms(at(1_900)), 0.0);
 }
@@ -243,7 +245,7 @@
 fn latency_estimates_are_robust_to_outliers() {
     let mut latency = ServiceLatency::default();
     for round in 0..400 {
-        // One answer in five was held up for two seconds.
+        // One answer in five is delayed by two seconds.
         let held_up = if round % 5 == 0 { 2_000.0 } else { 0.0 };
         for (size, token_ms) in [(0, 0.008), (2, 0.08)] {
             for tokens in [1_000.0, 4_000.0, 16_000.0] {
@@ -283,8 +285,8 @@
 fn requests_that_would_miss_their_deadline_are_refused_with_spread_retries() {
     let mut subject = trained_box(2, 0.1);
     let mut after = Vec::new();
-    // Prompts of a second each, a hundred at once, before two replicas: what is left of four seconds cached
-    // eight of them.
+    // A hundred prompts of a second each at once, for two replicas: eight of them fit into the
+    // remaining four seconds.
     for number in 0..100 {
         let (_, effects) = subject.arrive(prompt(300 + number, 0, 10_000));
         after.extend(refusal_in(&effects));
@@ -292,10 +294,10 @@
     assert!((85..95).contains(&after.len()), "{}", after.len());
     assert!(after.iter().all(|refusal| refusal.status == 503), "it has not run");
     let times: BTreeSet<u64> = after.iter().filter_map(|refusal| refusal.retry_after_ms).collect();
-    assert!(times.len() > 20, "returns are spread: {times:?}");
+    assert!(times.len() > 20, "retry times are spread: {times:?}");
     let honoured = 4_000 / 3;
     assert!(times.iter().all(|after| (300..=honoured).contains(after)), "{times:?}");
-    // Those that come back when the work has drained are taken.
+    // Requests that return when the work has drained are admitted.
     subject.now += 4_000;
     subject.read_plan(None);
 }
@@ -303,11 +305,11 @@
 #[test]
 fn no_request_is_refused_while_there_is_time() {
     assert_eq!(overload_retry_ms(3_999.0, 4_000, 1_000, 7), None);
-    let after = overload_retry_ms(4_000.0, 4_000, 1_000, 7).expect("it is turned away");
+    let after = overload_retry_ms(4_000.0, 4_000, 1_000, 7).expect("it is refused");
     assert!((500..=1_333).contains(&after), "{after}");
 }
 
-/// A latency of which `answers` answers have update that a token takes `token_ms`.
+/// The latency learnt from `answers` answers at `token_ms` a token.
 fn learnt(token_ms: f64, answers: usize) -> ServiceLatency {
     let mut latency = ServiceLatency::default();
     for _ in 0..answers {
@@ -343,7 +345,7 @@
     let mut boxes = vec![learnt(0.02, 100); 10];
     for round in 0..400 {
         for number in 0..boxes.len() {
-            // Each sees an answer in ten rounds.
+            // Each box sees an answer in one round of ten.
             if round % 10 == number {
                 boxes[number].learn(0, 10_000.0, 20.0 + 10_000.0 * 0.06);
             }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas crash: who is sent on, and who no further.
+//! Poison requests: which requests are refused, and which are still sent.
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::backend::{backend_hash, BackendChange, BackendEntry};
@@ -14,13 +14,13 @@
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, RATE};
 
-/// Boxes, and replicas before them.
+/// Numbers of boxes and replicas.
 const SIZES: [(usize, usize); 3] = [(9, 16), (84, 60), (300, 120)];
 
-/// Requests a second that crash replicas.
+/// Poison requests a second.
 const POISON_PER_S: f64 = 5.0;
 
-/// What the requests of a test ask for.
+/// The content of a test's requests.
 const CONTENT: u64 = 5;
 
 #[test]
@@ -36,12 +36,12 @@
         fleet.play(0.5, 6_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}; {} others refused", fleet.refused);
-        assert!(known > 0, "{boxes} boxes: some replica ends");
+        assert!(known > 0, "{boxes} boxes: some replica crashes");
         assert_eq!(fleet.crashes - known, 0, "{boxes} boxes: all know it after three seconds");
     }
 }
 
-/// Boxes that know what crashes replicas, and have known it for longer than replicas' ends are told.
+/// Boxes that have known the poison for longer than crashes are gossiped.
 fn fleet_that_knows(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
@@ -52,7 +52,7 @@
     fleet
 }
 
-/// Boxes that start again, at most.
+/// Boxes that restart, at most.
 const RESTARTS: usize = 30;
 
 #[test]
@@ -67,7 +67,7 @@
         }
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
-        assert_eq!(later, 0, "{boxes} boxes: those that start learn it from the others");
+        assert_eq!(later, 0, "{boxes} boxes: restarted boxes learn it from the others");
     }
 }
 
@@ -89,7 +89,7 @@
         fleet.play(0.5, 3_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
-        assert_eq!(later, 0, "{boxes} boxes: those that wake learn it within a round of notes");
+        assert_eq!(later, 0, "{boxes} boxes: resumed boxes learn it within a round of gossip");
     }
 }
 
@@ -121,13 +121,13 @@
     CallerRequest { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
 }
 
-/// The attempt under way breaks; gives the next one, if there is one.
+/// Breaks the current attempt. Returns the next one, if there is one.
 fn break_attempt(subject: &mut TestBox, ticket: RequestTicket) -> Option<SendOrder> {
     let broken = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     crate::fixture::order_in(&subject.feed(broken))
 }
 
-/// A request whose replica ends, after which nothing is heard of that for a while.
+/// Sends a request whose replica crashes and then stays silent.
 fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
     let (ticket, order) = subject.sent(poison_request(id));
     break_and_disconnect(subject, ticket);
@@ -135,13 +135,13 @@
     order
 }
 
-/// The attempt under way breaks, and its caller leaves.
+/// Breaks the current attempt, and its caller disconnects.
 fn break_and_disconnect(subject: &mut TestBox, ticket: RequestTicket) {
     break_attempt(subject, ticket);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
 }
 
-/// Nothing is heard of any replica for a while.
+/// Lets the time pass after which a silent replica counts as crashed.
 fn pass_silence(subject: &mut TestBox) {
     subject.now += CRASH_SILENCE_MS;
     subject.feed(RouteEvent::Tick);
@@ -154,7 +154,7 @@
     crash_under(&mut subject, "two");
     let refusal = subject.refused(poison_request("three"));
     assert!(is_refused(refusal, 502, RefusalReason::CrashesReplicas));
-    assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
+    assert_eq!(refusal.retry_after_ms, None, "a retry does not help");
     let other = CallerRequest { content: CONTENT + 1, ..poison_request("four") };
     subject.sent(other);
 }
@@ -163,7 +163,7 @@
 fn one_request_at_two_crashes_is_still_sent() {
     let mut subject = box_of_six();
     let (ticket, _) = subject.sent(poison_request("one"));
-    break_attempt(&mut subject, ticket).expect("sent on");
+    break_attempt(&mut subject, ticket).expect("sent again");
     pass_silence(&mut subject);
     assert!(break_attempt(&mut subject, ticket).is_some(), "it may be a bystander");
 }
@@ -213,7 +213,7 @@
     subject.sent(poison_request("four"));
 }
 
-/// Another request gets an answer, with its load, from the replica of `order`.
+/// Answers another request, with its load, on the replica of `order`.
 fn answer_other_request(subject: &mut TestBox, order: &SendOrder) {
     let load = ravenspoke_core::route::loads::BackendLoad { running: 1, waiting: 0, slots: 4 };
     loop {
@@ -227,7 +227,7 @@
     }
 }
 
-/// Another box's update of [`CONTENT`].
+/// A gossip message of another box about [`CONTENT`].
 fn poison_gossip(number: u64, update: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
@@ -266,7 +266,7 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(crash_gossip(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message at once");
     let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
     assert_eq!(message.contents, vec![update]);
 }
@@ -279,7 +279,7 @@
     subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
     let (ticket, _) = subject.sent(poison_request("three"));
-    assert!(break_attempt(&mut subject, ticket).is_none(), "no second replica for it");
+    assert!(break_attempt(&mut subject, ticket).is_none(), "it gets no second replica");
     assert!(is_refused(
         subject.refused(poison_request("four")),
         502,
@@ -334,7 +334,7 @@
         subject.now += 500;
         note_in(&subject.feed(RouteEvent::Tick))
     });
-    let ends = message.expect("a note").ends;
+    let ends = message.expect("a gossip message").ends;
     assert_eq!(ends.len(), 1);
     assert_eq!((ends[0].content, ends[0].replica), (CONTENT, backend_hash(&order.replica_id)));
 }
@@ -356,7 +356,7 @@
     ));
 }
 
-/// A request that is given to a certain replica; those before it stay in hand elsewhere.
+/// A request that is sent to the given replica. The ones before it stay in flight elsewhere.
 fn sent_to(subject: &mut TestBox, id: &str, replica: &str) -> (RequestTicket, SendOrder) {
     let mut tries = (0..100).map(|number| {
         let content = if number % 2 == 0 { CONTENT } else { 0 };
@@ -365,7 +365,7 @@
     let hit = |(_, order): &(RequestTicket, SendOrder)| {
         order.replica_id == replica && order.content == CONTENT
     };
-    tries.find(hit).expect("the replica gets one")
+    tries.find(hit).expect("the replica gets a request")
 }
 
 #[test]
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Replicas that name a limit: what they get in four seconds, from all boxes together.
+//! Replicas with a rate limit: the requests that they get in four seconds, from all boxes together.
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
@@ -11,39 +11,41 @@
 use crate::fixture::{ask, entry, head, is_refused, new_box, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, BURST};
 
-/// Boxes, and replicas before them.
+/// Numbers of boxes and replicas.
 const SIZES: [(usize, usize); 3] = [(9, 16), (84, 60), (300, 120)];
 
-/// Requests a second that a replica in need names.
+/// Limit of an overloaded replica, in requests a second.
 const LIMIT_PER_S: f64 = 1.8;
 
-/// A limit binds this long after it was first named, in milliseconds: the shortest of the platform's bounds.
+/// Time until a limit takes effect after its first report, in milliseconds: the shortest of the
+/// platform's bounds.
 const EFFECT_DELAY_MS: u64 = 3_000;
 
-/// The bound is on every span of this length, in milliseconds.
+/// Length of the periods to which the bound applies, in milliseconds.
 const SPAN_MS: u64 = 4_000;
 
-/// Part of what all limits allow that is used while twice as much is asked for, at least: a box that may send to none of
-/// its replicas for a moment sends its callers back, since no other box is asked for its part.
+/// Smallest share of all limits that is used while the demand is twice as high. A box that may send
+/// to none of its replicas for a moment refuses requests, since no other box uses its share.
 const MIN_USED_SHARE: f64 = 2.0 / 3.0;
 
-/// All boxes know that a replica names its limit no more after this, in milliseconds: a sender asks it, its answer comes,
-/// and word of it goes from box to box.
+/// Time until all boxes know that a limit has ended, in milliseconds: a sender probes the replica,
+/// receives its answer, and the boxes gossip it.
 const CLEARED_MS: u64 = PROBE_AFTER_MS + 3_000;
 
-/// Requests that a replica may get in a span: one and a half times what its limit allows, and five.
+/// Returns the requests that a replica may get in a period: one and a half times what its limit
+/// allows, plus five.
 fn allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * SPAN_MS as f64 / 1_000.0 + 5.0).round() as usize
 }
 
-/// Requests that the fullest of the replicas that named a limit got in its fullest span since that binds.
+/// Returns the most requests that a limited replica got in a period since its limit took effect.
 fn peak_limited(fleet: &ReplicaFleet) -> usize {
     let rows = fleet.named_at.iter().enumerate();
     let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + EFFECT_DELAY_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
 }
 
-/// Boxes that have met, before replicas.
+/// Boxes that know each other, with replicas.
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
@@ -65,12 +67,12 @@
             allowed(LIMIT_PER_S)
         );
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-        assert_eq!(fleet.refused, 0, "the others take the rest");
+        assert_eq!(fleet.refused, 0, "the other replicas take the rest");
     }
 }
 
-/// With none but limited replicas: what the fullest got in its fullest span, and the part of what all limits allow that
-/// was used.
+/// With limited replicas only: the most requests to one replica in a period, and the share of all
+/// limits that was used.
 fn all_limited(boxes: usize, replicas: usize, other_luck: bool) -> (usize, f64) {
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
@@ -114,14 +116,14 @@
             };
             fleet.boxes.iter().filter(|state| limits(state)).count()
         };
-        assert_eq!(limited_on(&fleet), boxes, "all know it");
+        assert_eq!(limited_on(&fleet), boxes, "all boxes know it");
         fleet.limits[0] = None;
         fleet.play(1.0, CLEARED_MS);
         assert_eq!(limited_on(&fleet), 0, "{boxes} boxes");
     }
 }
 
-/// Feeds the head of an answer from replica `a` that names a limit.
+/// Feeds the head of an answer from replica `a` with a limit.
 fn name_limit(subject: &mut TestBox, limit_per_s: Option<f64>) {
     loop {
         let (ticket, order) = subject.sent(ask("/read/x"));
@@ -135,7 +137,7 @@
     }
 }
 
-/// A message of another box with word of replica `a`'s limit.
+/// A gossip message of another box with the limit of replica `a`.
 fn limit_gossip(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
@@ -150,7 +152,7 @@
     RouteEvent::GossipReceived(Box::new(message))
 }
 
-/// Requests of twenty that go to replica `a`.
+/// Returns how many of twenty requests go to replica `a`.
 fn sent_to_a(subject: &mut TestBox) -> usize {
     let mut sent = 0;
     for _ in 0..20 {
@@ -167,7 +169,7 @@
     subject.feed(limit_gossip(1, Some(1.0), 200));
     assert!(sent_to_a(&mut subject) <= 1, "one at a time");
     subject.feed(limit_gossip(2, None, 100));
-    assert!(sent_to_a(&mut subject) > 1, "it names none any more");
+    assert!(sent_to_a(&mut subject) > 1, "its limit has ended");
 }
 
 #[test]
@@ -176,9 +178,9 @@
     subject.now += LIMIT_GOSSIP_MS;
     name_limit(&mut subject, Some(1.0));
     subject.feed(limit_gossip(1, None, 500));
-    assert!(sent_to_a(&mut subject) <= 1, "what the replica said itself is later");
+    assert!(sent_to_a(&mut subject) <= 1, "the report of the replica itself is later");
     subject.feed(limit_gossip(2, None, LIMIT_GOSSIP_MS));
-    assert!(sent_to_a(&mut subject) <= 1, "word that is too old says nothing");
+    assert!(sent_to_a(&mut subject) <= 1, "an update that is too old does not count");
 }
 
 #[test]
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -1,4 +1,4 @@
-//! Attempts, what may be repeated, and what a refusal may say.
+//! Attempts of a request: what may be repeated, and what a refusal may state.
 
 use ravenspoke_core::route::event::{
     AnswerHead, AttemptFailure, CallerRequest, RefusalReason, RouteEffect, RouteEvent,
@@ -20,7 +20,7 @@
     let (ticket, _) = subject.sent(ask("/file/x"));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(order_in(&effects), None);
-    let refusal = refusal_in(&effects).expect("it is given up");
+    let refusal = refusal_in(&effects).expect("it is refused");
     assert!(is_refused(refusal, 502, RefusalReason::Failed));
     assert_eq!(refusal.retry_after_ms, None);
 }
@@ -91,9 +91,9 @@
     assert_eq!(second.number, 1);
 }
 
-/// Replicas that a crash takes away are known to a box only once it could not connect to them. On a day on which a quarter of
-/// 140 crashed, 257 requests were refused after a single connection that did not come about: what other requests had
-/// sent again had used the retry budget up, though nothing of these had arrived anywhere.
+/// Boxes learn of crashed replicas only by failed connections. On a day on which a quarter of 140
+/// replicas crashed, 257 requests were refused after a single failed connection: extra attempts of
+/// other requests had spent the retry budget, although nothing of these 257 had reached a replica.
 #[test]
 fn a_failed_connection_costs_no_retry_budget() {
     for failure in [AttemptFailure::NeverSent, AttemptFailure::Withdrawn] {
@@ -113,7 +113,11 @@
 
         let (ticket, _) = subject.sent(ask("/read/x"));
         let effects = subject.feed(RouteEvent::HeadReceived(ticket, head(500)));
-        assert_eq!(effects, [RouteEffect::Relay(ticket)], "what arrived is not sent again");
+        assert_eq!(
+            effects,
+            [RouteEffect::Relay(ticket)],
+            "a request that arrived is not sent again"
+        );
     }
 }
 
@@ -136,7 +140,7 @@
     let (ticket, _) = subject.sent(ask("/file/x"));
     let unproven = AnswerHead { proven: false, ..head(200) };
     let effects = subject.feed(RouteEvent::HeadReceived(ticket, unproven));
-    assert_eq!(refusal_in(&effects).expect("given up").status, 502);
+    assert_eq!(refusal_in(&effects).expect("it is refused").status, 502);
 }
 
 #[test]
@@ -154,7 +158,7 @@
 fn a_stream_moves_to_the_last_replica_only_after_a_long_stall() {
     let mut subject = ready_box();
     subject.put(entry("c", "v1"));
-    // Silence has a twentieth of the traffic: two sends need forty requests.
+    // Stalls may use a twentieth of the traffic, so two extra attempts need forty requests.
     for _ in 0..40 {
         let (ticket, _) = subject.sent(ask("/read/x"));
         subject.feed(RouteEvent::ResponseFinished(ticket));
@@ -213,7 +217,8 @@
 fn a_passed_deadline_is_not_reported_as_not_run_once_a_replica_has_the_request() {
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/file/x"));
-    let refusal = refusal_in(&subject.feed(RouteEvent::DeadlinePassed(ticket))).expect("given up");
+    let refusal =
+        refusal_in(&subject.feed(RouteEvent::DeadlinePassed(ticket))).expect("it is refused");
     assert!(is_refused(refusal, 504, RefusalReason::DeadlinePassed));
 }
 
@@ -251,7 +256,7 @@
     subject.sent(ask("/read/x"));
     subject.now += 200;
     let effects = subject.feed(RouteEvent::Tick);
-    assert!(effects.contains(&RouteEffect::BackendLeaving("a".to_owned())), "others are told");
+    assert!(effects.contains(&RouteEffect::BackendLeaving("a".to_owned())), "the driver is told");
     let refusal = subject.refused(ask("/read/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoReplica));
 }
@@ -397,7 +402,7 @@
     }
 }
 
-/// Requests that each fail once; gives how many were sent again.
+/// Sends requests that each fail once. Returns how many were sent again.
 fn fail_once(subject: &mut crate::fixture::TestBox, requests: usize) -> usize {
     let mut sent_again = 0;
     for _ in 0..requests {
@@ -412,7 +417,7 @@
 #[test]
 fn extra_attempts_stop_when_the_budget_is_spent() {
     let mut subject = ready_box();
-    // 0.9 for each request, 0.85 of it used on ten of eleven slots, and half of the slack of 60.
+    // 0.9 for each request, 0.85 of it used over ten of eleven slots, and half of the slack of 60.
     let sent_again = fail_once(&mut subject, 200);
     assert!((160..=170).contains(&sent_again), "{sent_again}");
 }
@@ -450,7 +455,7 @@
     subject.now += 11_100;
     subject.read_plan(None);
     let sent_again = fail_once(&mut subject, 10);
-    assert_eq!(sent_again, 10, "the slack is whole again");
+    assert_eq!(sent_again, 10, "the slack is renewed");
 }
 
 #[test]
@@ -476,8 +481,8 @@
     assert!(!order.inputs.affine);
 }
 
-/// Further sends that a box makes for sixty failures within its part of a slack of 60, where it was told of
-/// `others` other boxes and has heard none of them yet.
+/// Extra attempts that a box makes for sixty failures within its share of a slack of 60, where it
+/// knows the addresses of `others` other boxes and has received nothing from them yet.
 fn extra_attempts(others: usize) -> usize {
     let budget = BudgetBounds { ratio: 0.0, slack: 60.0, window_ms: 10_000 };
     let mut subject = new_box("box-1");
@@ -500,6 +505,6 @@
 #[test]
 fn a_box_keeps_to_its_share_of_the_budget_before_it_hears_from_others() {
     let (alone, of_twenty) = (extra_attempts(0), extra_attempts(19));
-    assert!(alone >= 20, "{alone} further sends");
-    assert!(of_twenty <= 2, "{of_twenty} further sends of each of twenty boxes");
+    assert!(alone >= 20, "{alone} extra attempts");
+    assert!(of_twenty <= 2, "{of_twenty} extra attempts of each of twenty boxes");
 }
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget of a fleet: boxes that see few requests each, and what they make of the whole.
+//! The retry budget of a fleet whose boxes see few requests each.
 
 use ravenspoke_core::route::retry_budget::{
     BudgetBounds, SendBudget, SendCause, SendCount, REPORT_KEPT_MS,
@@ -8,41 +8,41 @@
 /// Boxes of the fleet.
 const BOXES: usize = 100;
 
-/// Each gossips its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
+/// Each box gossips its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
 const GOSSIP_MS: u64 = 500;
 const GOSSIP_TARGETS: usize = 12;
 
-/// Requests of a box and second.
+/// Requests a second to each box.
 const RATE: u64 = 2;
 
-/// Time of a test, in milliseconds, and of one step.
+/// Length of a simulation and of one step, in milliseconds.
 const LENGTH_MS: u64 = 60_000;
 const STEP_MS: u64 = 10;
 
 const BOUNDS: BudgetBounds = BudgetBounds { ratio: 0.9, slack: 200.0, window_ms: 10_000 };
 
-/// What a fleet asked for and got.
+/// The extra attempts of a fleet.
 struct FleetSends {
-    /// Further sends that were wanted, and that were made, from the tenth second on.
+    /// Extra attempts wanted, and made, from the tenth second on.
     wanted: u32,
     made: u32,
-    /// The most that were made in any window beyond what the operator allows.
+    /// The most that were made in any window beyond the operator's bound.
     beyond: f64,
 }
 
-/// A random number below `below`.
+/// Returns a random number below `below`.
 fn draw(state: &mut u64, below: u64) -> u64 {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
     (*state >> 33) % below
 }
 
-/// Plays a fleet. `demand` gives, for a moment and a drawn number below 100, how many further sends a request wants
-/// and for what. With `gossips`, boxes tell each other their counts.
+/// Simulates a fleet. `demand` returns, for a time and a random number below 100, how many extra
+/// attempts a request wants and why. With `gossips`, boxes exchange their counts.
 fn simulate(gossips: bool, demand: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
     let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
-    // Requests and further sends of each step.
+    // Requests and extra attempts of each step.
     let mut steps: Vec<(u32, u32)> = Vec::new();
     for now_ms in (0..LENGTH_MS).step_by(STEP_MS as usize) {
         let now = BoxTime::from_millis(now_ms);
@@ -78,7 +78,7 @@
     sums
 }
 
-/// More than half of the requests want a larger model's answer.
+/// More than half of the requests want an escalation to a larger model.
 fn larger_models(_: u64, drawn: u64) -> (u32, SendCause) {
     (u32::from(drawn < 56), SendCause::LargerModel)
 }
@@ -97,11 +97,12 @@
     let together = simulate(true, larger_models);
 
     let denied = |sends: &FleetSends| 1.0 - f64::from(sends.made) / f64::from(sends.wanted);
-    assert!(denied(&alone) > 0.05, "{} of the sends were denied", denied(&alone));
-    assert!(denied(&together) < 0.02, "{} of the sends are denied", denied(&together));
+    assert!(denied(&alone) > 0.05, "{} of the extra attempts were denied", denied(&alone));
+    assert!(denied(&together) < 0.02, "{} of the extra attempts are denied", denied(&together));
 }
 
-/// Nothing fails for forty seconds; then, where the boxes have left all their parts, each request does.
+/// Nothing fails for forty seconds, so the boxes have not spent their shares. Then each request
+/// fails.
 fn late_storm(now_ms: u64, _: u64) -> (u32, SendCause) {
     (if now_ms >= 40_000 { 2 } else { 0 }, SendCause::Failure)
 }
@@ -110,18 +111,19 @@
 fn a_failure_storm_on_an_unspent_budget_stays_within_the_bound() {
     let sends = simulate(true, late_storm);
 
-    assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
+    assert!(sends.beyond <= 0.0, "{} extra attempts beyond the budget", sends.beyond);
 }
 
 #[test]
 fn a_failure_storm_stays_within_the_bound() {
     let sends = simulate(true, storm);
 
-    assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
+    assert!(sends.beyond <= 0.0, "{} extra attempts beyond the budget", sends.beyond);
     assert!(sends.made > sends.wanted / 3, "{} of {}", sends.made, sends.wanted);
 }
 
-/// A box with 20 requests that has sent all that its own part allows; another one told `count` just now.
+/// A box with 20 requests that has spent its own share, and that has just received `count` from
+/// another box.
 fn box_with_spent_share(count: SendCount) -> (SendBudget, BoxTime) {
     let mut budget = SendBudget::default();
     let now = BoxTime::from_millis(5_000);
@@ -148,7 +150,7 @@
     let most = SendCount { requests: u32::MAX, sends: u32::MAX };
     let (mut budget, now) = box_with_spent_share(most);
     budget.merge("box-3", most, now);
-    assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "nothing is left");
+    assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "no budget is left");
 }
 
 #[test]
