--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -90,8 +90,8 @@
     ) -> Result<(&RouteSpec, Option<&KeyHolder>), RefusalReason> {
         let bounds = self.settings.fresh;
         let deny = |reason| {
-            let sure = self.fresh.may_deny(stamp.now, bounds);
-            if sure {
+            let may_deny = self.fresh.may_deny(stamp.now, bounds);
+            if may_deny {
                 reason
             } else {
                 RefusalReason::PlanStale
