--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -40,8 +40,9 @@
         caller: &CallerRequest,
     ) -> Result<RouteRequest, RefusalReason> {
         let since = self.stopping_since;
-        let late = |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
-        if since.is_some_and(late) {
+        let too_late =
+            |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
+        if since.is_some_and(too_late) {
             return Err(RefusalReason::BoxStopping);
         }
         if !self.has_plan() {
