--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -53,8 +53,8 @@
         let left = allowed.saturating_sub(caller.waited_ms);
         let service = pick_target(route, stamp.random).ok_or(RefusalReason::NoReplica)?;
         let chooses = caller.any_model && !route.sizes.is_empty();
-        let of_account = holder.map_or(&[][..], |holder| &holder.regions);
-        let zones = allowed_zones(&self.settings.regions, &[&route.regions, of_account]);
+        let account_regions = holder.map_or(&[][..], |holder| &holder.regions);
+        let zones = allowed_zones(&self.settings.regions, &[&route.regions, account_regions]);
         Ok(RouteRequest {
             service,
             account: holder.map(|holder| holder.name.clone()),
