--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -31,8 +31,8 @@
 
 /// Returns the confidence with which an answer is kept, if the largest model's answer would begin
 /// after this share of the target.
-pub fn required_confidence(part: f64) -> f64 {
-    NEUTRAL_CONFIDENCE * ((1.0 - part) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
+pub fn required_confidence(share: f64) -> f64 {
+    NEUTRAL_CONFIDENCE * ((1.0 - share) / (1.0 - ESCALATE_ALL_SHARE)).clamp(0.0, 1.0)
 }
 
 /// Returns the model to begin with.
@@ -88,9 +88,9 @@
     if score >= NEUTRAL_CONFIDENCE {
         return None;
     }
-    let part = target_share(last);
+    let share = target_share(last);
     let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL_CONFIDENCE;
-    let between = (confidence.size + 1..last).find(does).filter(|_| part > ESCALATE_ALL_SHARE);
+    let between = (confidence.size + 1..last).find(does).filter(|_| share > ESCALATE_ALL_SHARE);
     let between = between.filter(|size| score < required_confidence(target_share(*size)));
-    between.or_else(|| (score < required_confidence(part)).then_some(last))
+    between.or_else(|| (score < required_confidence(share)).then_some(last))
 }
