--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -89,8 +89,8 @@
         return None;
     }
     let share = target_share(last);
-    let does = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL_CONFIDENCE;
-    let between = (confidence.size + 1..last).find(does).filter(|_| share > ESCALATE_ALL_SHARE);
+    let suffices = |size: &usize| gains.expected(*size, confidence.score) >= NEUTRAL_CONFIDENCE;
+    let between = (confidence.size + 1..last).find(suffices).filter(|_| share > ESCALATE_ALL_SHARE);
     let between = between.filter(|size| score < required_confidence(target_share(*size)));
     between.or_else(|| (score < required_confidence(share)).then_some(last))
 }
