--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -57,8 +57,9 @@
     /// Learns from the confidences of two answers to one request. Values at the ends of the scale
     /// are clipped there and say nothing about the distance.
     pub fn learn(&mut self, smaller: ModelConfidence, larger: ModelConfidence) {
-        let cut = |confidence: ModelConfidence| confidence.score == 0 || confidence.score >= 100;
-        if smaller.size >= larger.size || cut(smaller) || cut(larger) {
+        let clipped =
+            |confidence: ModelConfidence| confidence.score == 0 || confidence.score >= 100;
+        if smaller.size >= larger.size || clipped(smaller) || clipped(larger) {
             return;
         }
         if self.0.len() <= larger.size {
