--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -111,8 +111,8 @@
             (self.value, self.seen) = (other.ms, answers);
             return;
         }
-        let part = REMOTE_WEIGHT * answers / (answers + self.seen.min(FULL_WEIGHT_ANSWERS));
-        self.value *= (other.ms / self.value).powf(part);
+        let weight = REMOTE_WEIGHT * answers / (answers + self.seen.min(FULL_WEIGHT_ANSWERS));
+        self.value *= (other.ms / self.value).powf(weight);
         self.seen = self.seen.max(answers);
     }
 }
