--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -80,19 +80,21 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 struct RunningQuantile {
     value: f64,
-    part: f64,
+    #[serde(rename = "part")]
+    quantile: f64,
     seen: f64,
 }
 
 impl RunningQuantile {
-    fn new(value: f64, part: f64) -> Self {
-        Self { value, part, seen: 0.0 }
+    fn new(value: f64, quantile: f64) -> Self {
+        Self { value, quantile, seen: 0.0 }
     }
 
     fn add(&mut self, sample: f64) {
         self.seen += 1.0;
         let step = MIN_STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_HALVING_ANSWERS));
-        let step = if sample > self.value { step * self.part } else { step * (self.part - 1.0) };
+        let step =
+            if sample > self.value { step * self.quantile } else { step * (self.quantile - 1.0) };
         self.value *= (2.0 * step).exp();
     }
 
