--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -63,8 +63,8 @@
     /// Returns the extra attempts that boxes allow themselves for this many requests in the counted
     /// slots.
     fn limit(&self, requests: f64, slack: f64) -> f64 {
-        let part = WINDOW_SLOTS as f64 / COUNTED_SLOTS as f64;
-        self.ratio * RATIO_USED * part * requests + slack
+        let share = WINDOW_SLOTS as f64 / COUNTED_SLOTS as f64;
+        self.ratio * RATIO_USED * share * requests + slack
     }
 }
 
@@ -136,16 +136,16 @@
         now: BoxTime,
     ) -> bool {
         let own = self.count(bounds, now);
-        let part = match cause {
+        let share = match cause {
             SendCause::Failure => 1.0,
             SendCause::Silence | SendCause::LargerModel => 1.0 - FAILURE_RESERVE,
         };
         let slack = bounds.slack * SLACK_USED / boxes.max(1) as f64;
-        let limit = (part * bounds.limit(f64::from(own.requests), slack)).max(1.0);
+        let limit = (share * bounds.limit(f64::from(own.requests), slack)).max(1.0);
         let next = f64::from(own.sends) + 1.0;
         let room = next <= limit
             || (next <= OWN_SHARE_LIMIT * limit
-                && self.fleet_has_room(bounds, slack, part, own, now));
+                && self.fleet_has_room(bounds, slack, share, own, now));
         let allowed =
             room && !(cause == SendCause::Silence && self.silence_exhausted(own.requests));
         let slot = self.slot(bounds, now);
@@ -159,7 +159,7 @@
         &mut self,
         bounds: BudgetBounds,
         slack: f64,
-        part: f64,
+        share: f64,
         own: SendCount,
         now: BoxTime,
     ) -> bool {
@@ -168,7 +168,7 @@
         let requests = counts().map(|count| f64::from(count.requests)).sum();
         let sends: f64 = counts().map(|count| f64::from(count.sends)).sum();
         let slack = slack * counts().count() as f64;
-        sends + 1.0 <= part * bounds.limit(requests, slack)
+        sends + 1.0 <= share * bounds.limit(requests, slack)
     }
 
     /// Returns whether another extra attempt for a stall would exceed [`SILENCE_RATIO`].
