--- a/crates/core/src/route/backend_health.rs
+++ b/crates/core/src/route/backend_health.rs
@@ -155,8 +155,8 @@
     /// Returns the replicas whose entry still exists [`LOST_GRACE_MS`] after a lost answer.
     pub(super) fn silent_replicas(&self, now: BoxTime) -> Vec<ReplicaKey> {
         let first = |lost: &[LostAnswer]| lost.first().map(|lost| lost.at);
-        let over = |at: BoxTime| now.millis_since(at) >= LOST_GRACE_MS;
-        let silent = self.rows.iter().filter(|(_, row)| first(&row.lost).is_some_and(over));
+        let overdue = |at: BoxTime| now.millis_since(at) >= LOST_GRACE_MS;
+        let silent = self.rows.iter().filter(|(_, row)| first(&row.lost).is_some_and(overdue));
         silent.map(|(key, _)| key).collect()
     }
 }
