--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -155,8 +155,8 @@
     fn lightest(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
-            let far = if row.entry.zone == query.zone { 0.0 } else { ZONE_MARGIN };
-            row.load(query.now) + far
+            let penalty = if row.entry.zone == query.zone { 0.0 } else { ZONE_MARGIN };
+            row.load(query.now) + penalty
         };
         let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ query.random);
         let mut sample = pool.to_vec();
