--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -111,9 +111,9 @@
 
     /// Returns the cost of placing the request there, in milliseconds.
     pub fn cost_ms(&self, work: &PromptWork) -> f64 {
-        let again =
+        let reread_ms =
             if self.cached || self.designated { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
         let crossing = if self.same_zone { 0.0 } else { work.crossing_ms() };
-        self.expected_ms(work) + again + crossing
+        self.expected_ms(work) + reread_ms + crossing
     }
 }
