--- a/crates/core/src/route/placement.rs
+++ b/crates/core/src/route/placement.rs
@@ -113,7 +113,7 @@
     pub fn cost_ms(&self, work: &PromptWork) -> f64 {
         let reread_ms =
             if self.cached || self.designated { 0.0 } else { READ_AGAIN_WEIGHT * work.shared_ms };
-        let crossing = if self.same_zone { 0.0 } else { work.crossing_ms() };
-        self.expected_ms(work) + reread_ms + crossing
+        let crossing_cost_ms = if self.same_zone { 0.0 } else { work.crossing_ms() };
+        self.expected_ms(work) + reread_ms + crossing_cost_ms
     }
 }
