--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -233,7 +233,7 @@
         };
         let outcome = match cause {
             SendCause::LargerModel => BackendOutcome::Served,
-            SendCause::Failure | SendCause::Silence => BackendOutcome::Failed,
+            SendCause::Failure | SendCause::Stall => BackendOutcome::Failed,
         };
         self.end_attempt(stamp, ticket, outcome);
         self.assign(stamp, ticket, choice, out);
@@ -328,7 +328,7 @@
             return;
         }
         self.count_lost_answer(stamp, ticket);
-        if self.reassign(stamp, ticket, SendCause::Silence, out) {
+        if self.reassign(stamp, ticket, SendCause::Stall, out) {
             if let Some(request) = self.requests.get_mut(&ticket) {
                 request.may_have_run = true;
             }
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -74,7 +74,7 @@
     /// An attempt failed.
     Failure,
     /// An attempt stalled.
-    Silence,
+    Stall,
     /// A larger model is asked.
     LargerModel,
 }
@@ -138,7 +138,7 @@
         let own = self.count(bounds, now);
         let share = match cause {
             SendCause::Failure => 1.0,
-            SendCause::Silence | SendCause::LargerModel => 1.0 - FAILURE_RESERVE,
+            SendCause::Stall | SendCause::LargerModel => 1.0 - FAILURE_RESERVE,
         };
         let slack = bounds.slack * SLACK_USED / boxes.max(1) as f64;
         let limit = (share * bounds.limit(f64::from(own.requests), slack)).max(1.0);
@@ -146,11 +146,10 @@
         let room = next <= limit
             || (next <= OWN_SHARE_LIMIT * limit
                 && self.fleet_has_room(bounds, slack, share, own, now));
-        let allowed =
-            room && !(cause == SendCause::Silence && self.silence_exhausted(own.requests));
+        let allowed = room && !(cause == SendCause::Stall && self.silence_exhausted(own.requests));
         let slot = self.slot(bounds, now);
         slot.sends += u32::from(allowed);
-        slot.silences += u32::from(allowed && cause == SendCause::Silence);
+        slot.silences += u32::from(allowed && cause == SendCause::Stall);
         allowed
     }
 
