--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -85,7 +85,7 @@
     requests: u32,
     sends: u32,
     /// Extra attempts for stalls.
-    silences: u32,
+    stalls: u32,
 }
 
 /// Requests and extra attempts in a window.
@@ -149,7 +149,7 @@
         let allowed = room && !(cause == SendCause::Stall && self.silence_exhausted(own.requests));
         let slot = self.slot(bounds, now);
         slot.sends += u32::from(allowed);
-        slot.silences += u32::from(allowed && cause == SendCause::Stall);
+        slot.stalls += u32::from(allowed && cause == SendCause::Stall);
         allowed
     }
 
@@ -172,8 +172,8 @@
 
     /// Returns whether another extra attempt for a stall would exceed [`SILENCE_RATIO`].
     fn silence_exhausted(&self, requests: u32) -> bool {
-        let silences: u32 = self.slots.iter().map(|slot| slot.silences).sum();
-        f64::from(silences) + 1.0 > (SILENCE_RATIO * f64::from(requests)).max(1.0)
+        let stalls: u32 = self.slots.iter().map(|slot| slot.stalls).sum();
+        f64::from(stalls) + 1.0 > (SILENCE_RATIO * f64::from(requests)).max(1.0)
     }
 
     /// Returns the slot of `now`, and clears those that are older than a window.
