--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -30,7 +30,7 @@
 
 /// Extra attempts for stalls, for each request. Where replicas are slow because all are busy,
 /// asking others as well makes it worse.
-pub const SILENCE_RATIO: f64 = 0.05;
+pub const STALL_RATIO: f64 = 0.05;
 
 /// How long another box's counts are used, in milliseconds: two gossip messages, in which a box
 /// hears from some twenty others. A failure storm that no report shows yet continues for as long.
@@ -170,10 +170,10 @@
         sends + 1.0 <= share * bounds.limit(requests, slack)
     }
 
-    /// Returns whether another extra attempt for a stall would exceed [`SILENCE_RATIO`].
+    /// Returns whether another extra attempt for a stall would exceed [`STALL_RATIO`].
     fn silence_exhausted(&self, requests: u32) -> bool {
         let stalls: u32 = self.slots.iter().map(|slot| slot.stalls).sum();
-        f64::from(stalls) + 1.0 > (SILENCE_RATIO * f64::from(requests)).max(1.0)
+        f64::from(stalls) + 1.0 > (STALL_RATIO * f64::from(requests)).max(1.0)
     }
 
     /// Returns the slot of `now`, and clears those that are older than a window.
