--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -146,7 +146,7 @@
         let room = next <= limit
             || (next <= OWN_SHARE_LIMIT * limit
                 && self.fleet_has_room(bounds, slack, share, own, now));
-        let allowed = room && !(cause == SendCause::Stall && self.silence_exhausted(own.requests));
+        let allowed = room && !(cause == SendCause::Stall && self.stalls_exhausted(own.requests));
         let slot = self.slot(bounds, now);
         slot.sends += u32::from(allowed);
         slot.stalls += u32::from(allowed && cause == SendCause::Stall);
@@ -171,7 +171,7 @@
     }
 
     /// Returns whether another extra attempt for a stall would exceed [`STALL_RATIO`].
-    fn silence_exhausted(&self, requests: u32) -> bool {
+    fn stalls_exhausted(&self, requests: u32) -> bool {
         let stalls: u32 = self.slots.iter().map(|slot| slot.stalls).sum();
         f64::from(stalls) + 1.0 > (STALL_RATIO * f64::from(requests)).max(1.0)
     }
