--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -134,10 +134,10 @@
     let mut subject = trained_box(8, 0.1);
     let mut other = trained_box(8, 0.1);
     let (_, effects) = other.arrive(prompt(9, 10_000, 500));
-    let usual = order_in(&effects).expect("it is sent").replica_id;
+    let designated = order_in(&effects).expect("it is sent").replica_id;
     let update = update_in(&effects).expect("it is announced");
     // The other box had a reason to place it elsewhere.
-    let placed = if usual == "i-1" { "i-2" } else { "i-1" }.to_owned();
+    let placed = if designated == "i-1" { "i-2" } else { "i-1" }.to_owned();
     let update = PlacementUpdate { replica: backend_hash(&placed), ..update };
     subject.feed(RouteEvent::PlacementReceived(update));
     subject.now += 2_000;
