--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -101,9 +101,9 @@
     answer(&mut subject, ticket, 1_050);
     // 300 ms of work there are less than the second that the prefix takes.
     subject.feed(RouteEvent::PlacementReceived(update_for(&first.replica_id, 300)));
-    let (ticket, held) = subject.sent(prompt(9, 10_000, 500));
-    assert_eq!(held.replica_id, first.replica_id);
-    assert!(held.inputs.affine);
+    let (ticket, cached) = subject.sent(prompt(9, 10_000, 500));
+    assert_eq!(cached.replica_id, first.replica_id);
+    assert!(cached.inputs.affine);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
     // Four seconds of work are more.
     subject.feed(RouteEvent::PlacementReceived(update_for(&first.replica_id, 4_000)));
