--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -246,10 +246,10 @@
     let mut latency = ServiceLatency::default();
     for round in 0..400 {
         // One answer in five is delayed by two seconds.
-        let held_up = if round % 5 == 0 { 2_000.0 } else { 0.0 };
+        let delay_ms = if round % 5 == 0 { 2_000.0 } else { 0.0 };
         for (size, token_ms) in [(0, 0.008), (2, 0.08)] {
             for tokens in [1_000.0, 4_000.0, 16_000.0] {
-                latency.learn(size, tokens, 20.0 + tokens * token_ms + held_up);
+                latency.learn(size, tokens, 20.0 + tokens * token_ms + delay_ms);
             }
         }
     }
