--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -27,7 +27,7 @@
     wanted: u32,
     made: u32,
     /// The most that were made in any window beyond the operator's bound.
-    beyond: f64,
+    excess: f64,
 }
 
 /// Returns a random number below `below`.
@@ -41,7 +41,7 @@
 fn simulate(gossips: bool, demand: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
-    let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
+    let mut sums = FleetSends { wanted: 0, made: 0, excess: f64::MIN };
     // Requests and extra attempts of each step.
     let mut steps: Vec<(u32, u32)> = Vec::new();
     for now_ms in (0..LENGTH_MS).step_by(STEP_MS as usize) {
@@ -73,7 +73,7 @@
         let requests: u32 = window.iter().map(|step| step.0).sum();
         let sends: u32 = window.iter().map(|step| step.1).sum();
         let allowed = BOUNDS.ratio * f64::from(requests) + BOUNDS.slack;
-        sums.beyond = sums.beyond.max(f64::from(sends) - allowed);
+        sums.excess = sums.excess.max(f64::from(sends) - allowed);
     }
     sums
 }
@@ -111,14 +111,14 @@
 fn a_failure_storm_on_an_unspent_budget_stays_within_the_bound() {
     let sends = simulate(true, late_storm);
 
-    assert!(sends.beyond <= 0.0, "{} extra attempts beyond the budget", sends.beyond);
+    assert!(sends.excess <= 0.0, "{} extra attempts beyond the budget", sends.excess);
 }
 
 #[test]
 fn a_failure_storm_stays_within_the_bound() {
     let sends = simulate(true, storm);
 
-    assert!(sends.beyond <= 0.0, "{} extra attempts beyond the budget", sends.beyond);
+    assert!(sends.excess <= 0.0, "{} extra attempts beyond the budget", sends.excess);
     assert!(sends.made > sends.wanted / 3, "{} of {}", sends.made, sends.wanted);
 }
 
