--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -117,7 +117,7 @@
         let placed = query.work.and_then(|work| self.cheapest(&pool, query, &work));
         let (key, view) = match placed {
             Some((key, view)) => (key, Some(view)),
-            None => (self.lightest(&pool, query)?, None),
+            None => (self.least_loaded(&pool, query)?, None),
         };
         let expected = view.zip(query.work).map_or(0.0, |(view, work)| view.expected_ms(&work));
         Some(BackendPick {
@@ -152,7 +152,7 @@
     }
 
     /// Returns the least loaded replica of a random sample, with a bonus for the box's own zone.
-    fn lightest(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
+    fn least_loaded(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let penalty = if row.entry.zone == query.zone { 0.0 } else { ZONE_MARGIN };
