--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -19,7 +19,7 @@
         head: AnswerHead,
         out: &mut Vec<RouteEffect>,
     ) {
-        self.learn_placement(stamp, ticket, head);
+        self.learn_latency(stamp, ticket, head);
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(attempt) = request.attempt else { return };
         if let Some(load) = head.load {
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -39,7 +39,7 @@
     }
 
     /// Learns a model's latency from the head of an answer, if nothing else was queued.
-    pub(super) fn learn_placement(
+    pub(super) fn learn_latency(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
