--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -168,7 +168,7 @@
             ..self.inputs(stamp)
         };
         self.backends.sent(pick.key, stamp.now);
-        self.place(stamp, ticket, &pick, out);
+        self.record_placement(stamp, ticket, &pick, out);
         let Some(row) = self.backends.get(pick.key) else { return };
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         // The version is that of the replica, even if no replica of the preferred version was left.
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -13,7 +13,7 @@
 impl RouteState {
     /// Adds the work of an attempt that is sent to `pick` to the replica's backlog, and announces a
     /// long prompt to other boxes.
-    pub(super) fn place(
+    pub(super) fn record_placement(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
