--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -128,8 +128,8 @@
     loop {
         let (ticket, order) = subject.sent(ask("/read/x"));
         let answer = AnswerHead { limit_per_s, ..head(200) };
-        let came = if order.replica_id == "a" { answer } else { head(200) };
-        subject.feed(RouteEvent::HeadReceived(ticket, came));
+        let response = if order.replica_id == "a" { answer } else { head(200) };
+        subject.feed(RouteEvent::HeadReceived(ticket, response));
         subject.feed(RouteEvent::ResponseFinished(ticket));
         if order.replica_id == "a" {
             return;
