--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -14,6 +14,7 @@
 use crate::replica::mix;
 
 impl RouteState {
+    /// Admits a request and starts its first attempt, or refuses it.
     pub(super) fn on_request_arrived(
         &mut self,
         stamp: EventStamp,
@@ -34,6 +35,7 @@
         self.send(stamp, ticket, RefusalReason::NoReplica, out);
     }
 
+    /// Returns the state of a request that is admitted, or why it is refused.
     fn admit(
         &self,
         stamp: EventStamp,
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -292,6 +292,8 @@
         budget.spend(self.settings.budget, boxes, cause, stamp.now)
     }
 
+    /// Ends the current attempt, and records its outcome for the replica. An unreachable replica is
+    /// gossiped within [`UNREACHABLE_DELAY_MS`].
     pub(super) fn end_attempt(
         &mut self,
         stamp: EventStamp,
@@ -335,6 +337,8 @@
         }
     }
 
+    /// Handles a failed attempt: the request is sent again if it may be repeated, and refused
+    /// otherwise.
     pub(super) fn on_failed(
         &mut self,
         stamp: EventStamp,
@@ -371,6 +375,7 @@
         }
     }
 
+    /// Ends a request whose response was relayed completely.
     pub(super) fn on_response_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let outcome = self
             .requests
@@ -383,11 +388,13 @@
         self.requests.remove(&ticket);
     }
 
+    /// Ends a request whose caller disconnected.
     pub(super) fn on_caller_disconnected(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         self.end_attempt(stamp, ticket, BackendOutcome::Inconclusive);
         self.requests.remove(&ticket);
     }
 
+    /// Ends a request whose deadline has passed.
     pub(super) fn on_deadline_passed(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -99,6 +99,7 @@
     }
 }
 
+/// Returns the filter if no replica of the preferred version is usable.
 fn fallback_filter(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
     match trial {
         Some(trial) if trial.finds_bad() => VersionFilter::Not(&trial.order.version),
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -96,12 +96,14 @@
         }
     }
 
+    /// Adds a replica's lost answers to the trial of its service.
     fn apply_lost_answers(&mut self, service: &str, replica: ReplicaKey) {
         for lost in self.backends.drain_lost(replica) {
             self.add_answer(service, &lost.route, lost.on_trial, true, None);
         }
     }
 
+    /// Adds an answer to the running trial of a service, if there is one. A bad answer has no time.
     fn add_answer(
         &mut self,
         service: &str,
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -90,6 +90,7 @@
         Self { value, quantile, seen: 0.0 }
     }
 
+    /// Steps towards a sample.
     fn add(&mut self, sample: f64) {
         self.seen += 1.0;
         let step = MIN_STEP.max(INITIAL_STEP / (1.0 + self.seen / STEP_HALVING_ANSWERS));
@@ -98,6 +99,7 @@
         self.value *= (2.0 * step).exp();
     }
 
+    /// Returns the estimate to gossip.
     fn estimate(&self) -> LatencyEstimate {
         LatencyEstimate { ms: self.value, answers: self.seen.min(FULL_WEIGHT_ANSWERS) }
     }
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -139,6 +139,7 @@
         self.row(content).add_crash(crash, now);
     }
 
+    /// Merges the state received from another box.
     fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
         // An answer does not matter for a content without crashes.
         if !update.answered || self.rows.contains_key(&update.content) {
@@ -173,10 +174,12 @@
         settled
     }
 
+    /// Removes the records that have expired.
     fn forget(&mut self, now: BoxTime) {
         self.rows.retain(|_, row| row.is_kept(now));
     }
 
+    /// Returns the crashes to gossip, those of contents with most crashes first.
     fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
         let updates = |(content, row): (&u64, &ContentRecord)| {
             let crashes: Vec<CrashUpdate> = row.crash_updates(*content, now).collect();
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -187,6 +187,7 @@
         }
     }
 
+    /// Applies a report of a limit. If a limit began or ended, sets this box's share and logs it.
     fn apply_limit(
         &mut self,
         stamp: EventStamp,
