--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -1,8 +1,8 @@
 //! Replicas that ask a box to back off: as a replica refuses a request, it may state for how long
 //! it wants no more from this box.
 //!
-//! Load pattern: a full or overloaded replica refuses all requests, and each costs one of the
-//! request's attempts. The backoff applies to the box that received it alone, so it is not
+//! Load pattern: a full or overloaded replica refuses all requests, and each try there costs a
+//! request one of its attempts. The backoff applies to the box that received it alone, so it is not
 //! gossiped. Other boxes receive their own.
 
 use super::backend::{BackendState, BackendTable};
--- a/crates/core/src/route/rate_share.rs
+++ b/crates/core/src/route/rate_share.rs
@@ -3,7 +3,7 @@
 //!
 //! If each box kept the whole limit by itself, the sum would be many times the limit. Equal shares
 //! of hundreds of boxes are far below a request a second and could only be kept by random choice,
-//! which has no upper bound. So only a few boxes, its *senders*, send to such a replica: the first
+//! which has no upper bound. So only a few boxes send to such a replica, its *senders*: the first
 //! by a hash of the names of box and replica, which all boxes compute alike. Each sender spaces its
 //! requests evenly, so that in any period they send no more than their shares plus one request
 //! each. Requests of other boxes go to other replicas.
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -2,8 +2,8 @@
 //!
 //! In every window the operator allows extra attempts up to a ratio of the requests in it plus a
 //! slack for the whole fleet. A box counts both in slots of a tenth of the window and gossips its
-//! counts. It may always use the share of its own traffic. Beyond that it continues while the boxes
-//! with recent reports have together not spent their shares.
+//! counts. It may always use the share that its own traffic earns. Beyond that it continues while
+//! the boxes with recent reports have together not spent their shares.
 //!
 //! Load pattern: hundreds of boxes with some twenty requests a window each, half of which want one
 //! extra attempt. By chance some boxes want more than their share while others use less. Where 100
