--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -24,6 +24,7 @@
     subject
 }
 
+/// The head of a refusal that asks for backoff.
 fn refusing_head(rest_ms: u64) -> AnswerHead {
     AnswerHead { rest_ms: Some(rest_ms), not_run: true, proven: false, ..head(503) }
 }
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -18,6 +18,7 @@
     order.replica_id
 }
 
+/// A gossip message of another box with loads.
 fn load_gossip(loads: Vec<LoadUpdate>) -> RouteEvent {
     RouteEvent::GossipReceived(Box::new(GossipMessage {
         name: "box-9".to_owned(),
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -41,6 +41,7 @@
     CallerRequest { affinity, prompt: size, body_bytes: (shared + own) as usize, ..ask("/chat/x") }
 }
 
+/// The placement that the effects announce, if there is one.
 fn update_in(effects: &[RouteEffect]) -> Option<PlacementUpdate> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendPlacement(_, update) => Some(*update),
@@ -111,6 +112,7 @@
     assert_ne!(spilled.replica_id, first.replica_id);
 }
 
+/// A prompt with `work_ms` of work that another box placed at `replica`.
 fn update_for(replica: &str, work_ms: u32) -> PlacementUpdate {
     PlacementUpdate { replica: backend_hash(replica), shared: 0, work_ms }
 }
@@ -181,8 +183,8 @@
     subject.feed(RouteEvent::CallerDisconnected(late));
 }
 
-/// Returns the zone of the replica that a box of `east` sends a prompt to, with `waiting_ms` of
-/// work in its own zone.
+/// Returns the replica that a box of `east` sends a prompt to, with `waiting_ms` of work queued in
+/// its own zone.
 fn zone_chosen(waiting_ms: u32, prompt: CallerRequest) -> String {
     let mut subject = trained_box(1, 0.1);
     subject.put(engine("i-west", "west"));
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -117,6 +117,7 @@
     subject
 }
 
+/// A request with [`CONTENT`].
 fn poison_request(id: &str) -> CallerRequest {
     CallerRequest { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
 }
@@ -293,6 +294,7 @@
     ));
 }
 
+/// A gossip message of another box with crashes.
 fn crash_gossip(ends: Vec<CrashUpdate>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let message = GossipMessage {
