--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -1,4 +1,5 @@
-//! The head of an answer came: it is passed on, or another replica or a larger model is asked.
+//! Handles the head of an answer: the answer is relayed, or another replica or a larger model gets
+//! the request.
 
 use super::backend_health::BackendOutcome;
 use super::event::{AnswerHead, RefusalReason, RouteEffect};
@@ -9,7 +10,8 @@
 use crate::event::{EventStamp, RequestTicket};
 
 impl RouteState {
-    /// Decides on the head of an answer: passed on, asked of another replica or model, or refused.
+    /// Decides on the head of an answer: relay it, try another replica or model, or refuse the
+    /// request.
     pub(super) fn on_head(
         &mut self,
         stamp: EventStamp,
@@ -17,7 +19,7 @@
         head: AnswerHead,
         out: &mut Vec<RouteEffect>,
     ) {
-        self.learn_placement(stamp, ticket, head);
+        self.learn_latency(stamp, ticket, head);
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(attempt) = request.attempt else { return };
         if let Some(load) = head.load {
@@ -25,24 +27,25 @@
             self.backends.reported(attempt.replica, load, mean_ms, stamp.now);
         }
         self.learn_limit(stamp, attempt.replica, head, out);
-        self.learn_rest(stamp, attempt.replica, head);
+        self.learn_backoff(stamp, attempt.replica, head);
         self.learn_leaving(stamp, attempt.replica, head, out);
         if head.not_run || head.other_replica {
-            let deed = if head.other_replica {
+            let outcome = if head.other_replica {
                 BackendOutcome::Unreachable
             } else {
-                BackendOutcome::Neither
+                BackendOutcome::Inconclusive
             };
-            self.end_attempt(stamp, ticket, deed);
-            self.try_again(stamp, ticket, RefusalReason::Full, out);
+            self.end_attempt(stamp, ticket, outcome);
+            self.resend(stamp, ticket, RefusalReason::Full, out);
             return;
         }
         let took_ms = stamp.now.millis_since(attempt.began) as f64;
-        self.judge_head(stamp, ticket, head, took_ms, out);
+        self.handle_head(stamp, ticket, head, took_ms, out);
     }
 
-    /// Decides on the head of an answer that began after `took_ms`, of a replica that ran the request.
-    fn judge_head(
+    /// Decides on the head of an answer that began after `took_ms`, from a replica that ran the
+    /// request.
+    fn handle_head(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -54,11 +57,10 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         request.may_have_run = true;
         let failed = head.status >= 500 || !head.proven;
-        self.tally(ticket, failed, took_ms);
+        self.count_answer(ticket, failed, took_ms);
         let Some(request) = self.requests.get(&ticket) else { return };
         let (kind, relayed) = (request.route.kind, request.relayed);
-        if failed && kind.repeatable() && self.go_elsewhere(stamp, ticket, SendCause::Failure, out)
-        {
+        if failed && kind.repeatable() && self.reassign(stamp, ticket, SendCause::Failure, out) {
             return;
         }
         if !head.proven || (failed && relayed) {
@@ -66,7 +68,7 @@
             self.give_up(stamp, ticket, RefusalReason::Failed, out);
             return;
         }
-        if !failed && self.ask_larger(stamp, ticket, head, out) {
+        if !failed && self.escalate(stamp, ticket, head, out) {
             return;
         }
         if let Some(request) = self.requests.get_mut(&ticket) {
@@ -74,13 +76,13 @@
                 request.relayed_on_trial = request.attempt.is_some_and(|attempt| attempt.on_trial);
             }
             request.relayed = true;
-            request.deed = if failed { BackendOutcome::Failed } else { BackendOutcome::Served };
+            request.outcome = if failed { BackendOutcome::Failed } else { BackendOutcome::Served };
         }
         out.push(RouteEffect::Relay(ticket));
     }
 
-    /// Asks a larger model in place of an unsure one, if one may be asked.
-    fn ask_larger(
+    /// Sends the request to a larger model in place of one with low confidence, if that is allowed.
+    fn escalate(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -89,17 +91,17 @@
     ) -> bool {
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(size) = request.size.filter(|_| !request.relayed) else { return false };
-        let Some(sure) = head.confidence else { return false };
-        // The replica did nothing wrong, and it may hold the prompt's shared parts.
+        let Some(score) = head.confidence else { return false };
+        // The replica did nothing wrong, and its prefix cache may hold the prompt's prefix.
         let tried = request.tried.pop();
-        let next = self.next_size(stamp, ticket, ModelConfidence { size, sure });
+        let next = self.next_size(stamp, ticket, ModelConfidence { size, score });
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         let Some(next) = next else {
             request.tried.extend(tried);
             return false;
         };
         request.size = Some(next);
-        if self.go_elsewhere(stamp, ticket, SendCause::LargerModel, out) {
+        if self.reassign(stamp, ticket, SendCause::LargerModel, out) {
             return true;
         }
         if let Some(request) = self.requests.get_mut(&ticket) {
@@ -109,26 +111,26 @@
         false
     }
 
-    /// The model to ask next in place of an answer that its model thinks so of.
+    /// Returns the model to ask next, given the confidence of the last one in its answer.
     fn next_size(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        opinion: ModelConfidence,
+        confidence: ModelConfidence,
     ) -> Option<usize> {
         let request = self.requests.get_mut(&ticket)?;
-        let lifts = self.lifts.entry(request.service.clone()).or_default();
-        if let Some(before) = request.opinion.replace(opinion) {
-            lifts.learn(before, opinion);
+        let gains = self.gains.entry(request.service.clone()).or_default();
+        if let Some(before) = request.confidence.replace(confidence) {
+            gains.learn(before, confidence);
         }
         let request = self.requests.get(&ticket)?;
-        let lifts = self.lifts.get(&request.service)?;
+        let gains = self.gains.get(&request.service)?;
         let spent_ms = stamp.now.millis_since(request.arrived) as f64;
         let target_ms = request.route.target_ms.max(1) as f64;
-        let part_of = |size: usize| {
+        let target_share = |size: usize| {
             let choice = self.choose(stamp, ticket, Some(size));
             (spent_ms + choice.map_or(0.0, |choice| choice.pick.expected_ms)) / target_ms
         };
-        model_cascade::next_size(request.route.sizes.len(), opinion, lifts, part_of)
+        model_cascade::next_size(request.route.sizes.len(), confidence, gains, target_share)
     }
 }
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: the route that takes it, whether its key is known, and its first attempt.
+//! Handles the arrival of a request: finds its route, checks its key and starts the first attempt.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -14,14 +14,15 @@
 use crate::replica::mix;
 
 impl RouteState {
+    /// Admits a request and starts its first attempt, or refuses it.
     pub(super) fn on_request_arrived(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        ask: CallerRequest,
+        caller: CallerRequest,
         out: &mut Vec<RouteEffect>,
     ) {
-        let request = match self.admit(stamp, &ask) {
+        let request = match self.admit(stamp, &caller) {
             Ok(request) => request,
             Err(reason) => {
                 out.push(RouteEffect::Refuse(ticket, refusal(reason, false), self.inputs(stamp)));
@@ -34,72 +35,78 @@
         self.send(stamp, ticket, RefusalReason::NoReplica, out);
     }
 
-    fn admit(&self, stamp: EventStamp, ask: &CallerRequest) -> Result<RouteRequest, RefusalReason> {
+    /// Returns the state of a request that is admitted, or why it is refused.
+    fn admit(
+        &self,
+        stamp: EventStamp,
+        caller: &CallerRequest,
+    ) -> Result<RouteRequest, RefusalReason> {
         let since = self.stopping_since;
-        let late = |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
-        if since.is_some_and(late) {
+        let too_late =
+            |since| stamp.now.millis_since(since) >= STOP_ACCEPT_MS || !self.entry_opened();
+        if since.is_some_and(too_late) {
             return Err(RefusalReason::BoxStopping);
         }
         if !self.has_plan() {
             return Err(RefusalReason::NoPlan);
         }
-        let (route, holder) = self.find_route(stamp, ask)?;
-        let allowed = ask.deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
-        let left = allowed.saturating_sub(ask.waited_ms);
+        let (route, holder) = self.find_route(stamp, caller)?;
+        let allowed = caller.deadline_ms.unwrap_or(route.timeout_ms).min(route.timeout_ms);
+        let left = allowed.saturating_sub(caller.waited_ms);
         let service = pick_target(route, stamp.random).ok_or(RefusalReason::NoReplica)?;
-        let chooses = ask.any_model && !route.sizes.is_empty();
-        let of_account = holder.map_or(&[][..], |holder| &holder.regions);
-        let zones = allowed_zones(&self.settings.regions, &[&route.regions, of_account]);
+        let chooses = caller.any_model && !route.sizes.is_empty();
+        let account_regions = holder.map_or(&[][..], |holder| &holder.regions);
+        let zones = allowed_zones(&self.settings.regions, &[&route.regions, account_regions]);
         Ok(RouteRequest {
             service,
             account: holder.map(|holder| holder.name.clone()),
             zones,
-            affinity: ask.affinity,
-            prompt: prompt_size(ask),
-            body_bytes: ask.body_bytes,
-            session: ask.session,
-            content: ask.content,
-            id_hash: xxh3_64(ask.id.as_bytes()),
+            affinity: caller.affinity,
+            prompt: prompt_size(caller),
+            body_bytes: caller.body_bytes,
+            session: caller.session,
+            content: caller.content,
+            id_hash: xxh3_64(caller.id.as_bytes()),
             size: if chooses { model_cascade::first_size(&route.sizes) } else { None },
-            opinion: None,
+            confidence: None,
             arrived: stamp.now,
             deadline: stamp.now.plus_millis(left),
             tried: Vec::new(),
             sends: 0,
-            free_connects: 0,
+            connect_failures: 0,
             counted: false,
             may_have_run: false,
             relayed: false,
             relayed_on_trial: false,
-            deed: BackendOutcome::Served,
+            outcome: BackendOutcome::Served,
             attempt: None,
             retry_after_ms: None,
             route: route.clone(),
         })
     }
 
-    /// The route that takes a request, and the holder of its key if it shows one that is known.
+    /// Finds the route of a request, and the holder of its key if it presents a known one.
     fn find_route(
         &self,
         stamp: EventStamp,
-        ask: &CallerRequest,
+        caller: &CallerRequest,
     ) -> Result<(&RouteSpec, Option<&KeyHolder>), RefusalReason> {
         let bounds = self.settings.fresh;
         let deny = |reason| {
-            let sure = self.fresh.may_deny(stamp.now, bounds);
-            if sure {
+            let may_deny = self.fresh.may_deny(stamp.now, bounds);
+            if may_deny {
                 reason
             } else {
                 RefusalReason::PlanStale
             }
         };
-        let route = self.table.find(&ask.host, &ask.path);
+        let route = self.table.find(&caller.host, &caller.path);
         let route = route.ok_or_else(|| deny(RefusalReason::NoRoute))?;
         let keyed = self.table.asks_for_keys() && !route.anonymous;
         if keyed && !self.fresh.honours_keys(stamp.now, bounds) {
             return Err(RefusalReason::PlanStale);
         }
-        let holder = ask.key.as_deref().and_then(|key| self.table.holder(key));
+        let holder = caller.key.as_deref().and_then(|key| self.table.holder(key));
         if keyed && holder.is_none() {
             return Err(deny(RefusalReason::UnknownKey));
         }
@@ -107,24 +114,24 @@
     }
 }
 
-/// Tokens of a prompt whose size the caller doesn't tell: a short one, of which the pace learnt is a guess
-/// that serves others like it.
-const UNTOLD_TOKENS: u32 = 1_000;
+/// Tokens assumed for a prompt whose size the caller does not state. It is a short prompt, and the
+/// latency learnt with it fits others like it.
+const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
 
-/// The size of a request's prompt, if it has one.
-fn prompt_size(ask: &CallerRequest) -> Option<PromptSize> {
-    if ask.prompt != PromptSize::default() {
-        return Some(ask.prompt);
+/// Returns the size of a request's prompt, if it has one.
+fn prompt_size(caller: &CallerRequest) -> Option<PromptSize> {
+    if caller.prompt != PromptSize::default() {
+        return Some(caller.prompt);
     }
-    let untold = if ask.affinity == 0 {
-        PromptSize { shared: 0, own: UNTOLD_TOKENS }
+    let assumed = if caller.affinity == 0 {
+        PromptSize { shared: 0, own: DEFAULT_PROMPT_TOKENS }
     } else {
-        PromptSize { shared: UNTOLD_TOKENS, own: 0 }
+        PromptSize { shared: DEFAULT_PROMPT_TOKENS, own: 0 }
     };
-    (ask.affinity != 0 || ask.any_model).then_some(untold)
+    (caller.affinity != 0 || caller.any_model).then_some(assumed)
 }
 
-/// A service of the route, by the weights of its targets.
+/// Picks a service of the route, by the weights of its targets.
 fn pick_target(route: &RouteSpec, random: u64) -> Option<String> {
     let total: u64 = route.targets.iter().map(|target| u64::from(target.weight)).sum();
     let mut left = mix(random ^ 0x7370) % total.max(1);
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -1,7 +1,7 @@
-//! The attempts of a request: a replica gets it, how long it is waited for, and whether there may be
-//! another attempt when one keeps silent, fails or ends.
+//! The attempts of a request: which replica gets it, how long the router waits for it, and whether
+//! another attempt is allowed when one stalls, fails or breaks.
 
-use super::admission::{latest_return, turned_away};
+use super::admission::{latest_retry_ms, overload_retry_ms};
 use super::backend_health::{BackendOutcome, UNREACHABLE_DELAY_MS};
 use super::choice::AttemptChoice;
 use super::event::{AttemptFailure, DecisionInputs, RefusalReason, RouteEffect, SendOrder};
@@ -14,28 +14,29 @@
 use super::RouteState;
 use crate::event::{EventStamp, RequestTicket};
 
-/// A head that comes later than this many times the target is not waited for, where another replica
-/// may be asked.
+/// Time limit of a response head where another replica may be tried, as a multiple of the latency
+/// target.
 pub const HEAD_TARGETS: f64 = 1.0;
 
-/// For an answer that is no stream: its work takes a fraction of the target.
-pub const PLAIN_HEAD_TARGETS: f64 = 2.0;
+/// The same for an answer that is no stream: its work takes a fraction of the target.
+pub const UNARY_HEAD_TARGETS: f64 = 2.0;
 
-/// A pause between events is not waited out beyond this part of the longest that counts in full.
-pub const PAUSE_PART: f64 = 0.8;
+/// Time limit of a pause between events, as a share of the longest pause that counts in full.
+pub const PAUSE_SHARE: f64 = 0.8;
 
-/// Work up to which a replica counts as idle when its pace is learnt, in milliseconds: a few steps.
-const QUIET_MS: f64 = 20.0;
+/// Queued work up to which a replica counts as idle when its latency is learnt, in milliseconds: a
+/// few steps of the engine.
+const IDLE_WORK_MS: f64 = 20.0;
 
-/// Connections that did not come about and cost a request none of its attempts, at most.
-pub const FREE_CONNECTS: u32 = 3;
+/// Failed connections that do not count as attempts of a request, at most.
+pub const FREE_CONNECT_FAILURES: u32 = 3;
 
-/// A stream of which the caller has a part is given to the last replica that may be asked only after
-/// this many pauses in a row: should that one fail, the answer is lost, and the first may only be slow.
-pub const LAST_PAUSES: u32 = 3;
+/// Consecutive pauses after which a partly relayed stream is moved to the last replica that may be
+/// tried. If that one fails, the answer is lost, while the first may only be slow.
+pub const LAST_REPLICA_PAUSES: u32 = 3;
 
 impl RouteState {
-    /// Sends a request to a replica, or gives it up for `otherwise` if there is none.
+    /// Sends a request to a replica, or refuses it for `otherwise` if there is none.
     pub(super) fn send(
         &mut self,
         stamp: EventStamp,
@@ -50,43 +51,44 @@
         self.share_newly_cold(stamp.now);
         let size = self.requests.get(&ticket).and_then(|request| request.size);
         let Some(choice) = self.choose(stamp, ticket, size) else {
-            let reason = self.why_none(stamp, ticket).unwrap_or(otherwise);
+            let reason = self.no_replica_reason(stamp, ticket).unwrap_or(otherwise);
             match reason {
                 RefusalReason::Evacuated | RefusalReason::NoRegion => {
-                    self.return_late(stamp, ticket);
+                    self.set_latest_retry(stamp, ticket);
                 }
-                RefusalReason::ReplicasLimited => self.return_in_turn(stamp, ticket),
+                RefusalReason::ReplicasLimited => self.set_backoff_retry(stamp, ticket),
                 _ => {}
             }
             self.give_up(stamp, ticket, reason, out);
             return;
         };
-        if self.turns_away(stamp, ticket, &choice.pick) {
+        if self.rejects_overload(stamp, ticket, &choice.pick) {
             self.give_up(stamp, ticket, RefusalReason::DeadlineTooShort, out);
             return;
         }
         self.assign(stamp, ticket, choice, out);
     }
 
-    /// A request's caller is to come back as late as it honours: sooner nothing will have changed.
-    fn return_late(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    /// Sets the retry time to the latest that the caller accepts: nothing changes sooner.
+    fn set_latest_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let left_ms = request.deadline.millis_since(stamp.now);
-        request.retry_after_ms = Some(latest_return(left_ms, stamp.random));
+        request.retry_after_ms = Some(latest_retry_ms(left_ms, stamp.random));
     }
 
-    /// A request's caller is to come back when this box may send to a replica again that rests or is limited, if it honours that.
-    fn return_in_turn(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        self.return_late(stamp, ticket);
+    /// Sets the retry time to when this box may again send to a replica that backs off or is rate
+    /// limited, if the caller accepts that.
+    fn set_backoff_retry(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+        self.set_latest_retry(stamp, ticket);
         let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let held_back = self.backends.all_throttled(&request.service, stamp.now);
-        let Some(next_at) = held_back.and_then(|service| service.next_at) else { return };
+        let throttled = self.backends.all_throttled(&request.service, stamp.now);
+        let Some(next_at) = throttled.and_then(|service| service.next_at) else { return };
         let after_ms = next_at.millis_since(stamp.now);
         request.retry_after_ms = request.retry_after_ms.map(|late| late.min(after_ms));
     }
 
-    /// Why no replica may get a request, where that is known.
-    fn why_none(&self, stamp: EventStamp, ticket: RequestTicket) -> Option<RefusalReason> {
+    /// Returns why no replica may get a request, where that is known.
+    fn no_replica_reason(&self, stamp: EventStamp, ticket: RequestTicket) -> Option<RefusalReason> {
         let request = self.requests.get(&ticket)?;
         let service = &request.service;
         let zones = request.zones.as_deref();
@@ -96,25 +98,32 @@
         if self.backends.all_evacuated(service, &self.evacuated, stamp.now) {
             return Some(RefusalReason::Evacuated);
         }
-        let held_back = self.backends.all_throttled(service, stamp.now);
-        held_back.map(|_| RefusalReason::ReplicasLimited)
+        let throttled = self.backends.all_throttled(service, stamp.now);
+        throttled.map(|_| RefusalReason::ReplicasLimited)
     }
 
-    /// Whether a request that was not sent yet has no time left for what waits where it would begin soonest.
-    fn turns_away(&mut self, stamp: EventStamp, ticket: RequestTicket, pick: &BackendPick) -> bool {
+    /// Returns whether a request that was not sent yet would miss its deadline even at the replica
+    /// where it would begin soonest.
+    fn rejects_overload(
+        &mut self,
+        stamp: EventStamp,
+        ticket: RequestTicket,
+        pick: &BackendPick,
+    ) -> bool {
         let Some(request) = self.requests.get_mut(&ticket) else { return false };
         if request.sends > 0 || request.prompt.is_none() {
             return false;
         }
         let left_ms = request.deadline.millis_since(stamp.now);
         let target_ms = request.route.target_ms;
-        let after = turned_away(pick.expected_ms, left_ms, target_ms, stamp.random);
+        let after = overload_retry_ms(pick.expected_ms, left_ms, target_ms, stamp.random);
         request.retry_after_ms = after;
         after.is_some()
     }
 
-    /// Takes what is known by now into the trial of a request's service. A bad version's verdict doesn't
-    /// wait for the next tick: each request until it stands may meet the version.
+    /// Applies all evidence so far to the trial of a request's service. The verdict on a bad
+    /// version does not wait for the next tick, since each request until then may reach that
+    /// version.
     fn advance_trial(
         &mut self,
         stamp: EventStamp,
@@ -129,9 +138,9 @@
         }
     }
 
-    /// The model for a request's next attempt. The last one that is allowed goes to the smallest: where a
-    /// larger one failed or kept silent, an answer that may do is worth more than none.
-    fn settle_size(&mut self, ticket: RequestTicket) {
+    /// Sets the model of a request's next attempt. The last attempt allowed goes to the smallest
+    /// model: where a larger one failed or stalled, an answer of lower quality is better than none.
+    fn fall_back_to_small(&mut self, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let last = request.sends + 1 >= request.route.attempts;
         if last && !request.relayed {
@@ -139,7 +148,7 @@
         }
     }
 
-    /// Gives a request to a replica.
+    /// Assigns a request to a replica.
     fn assign(
         &mut self,
         stamp: EventStamp,
@@ -159,10 +168,10 @@
             ..self.inputs(stamp)
         };
         self.backends.sent(pick.key, stamp.now);
-        self.place(stamp, ticket, &pick, out);
+        self.record_placement(stamp, ticket, &pick, out);
         let Some(row) = self.backends.get(pick.key) else { return };
         let Some(request) = self.requests.get_mut(&ticket) else { return };
-        // What runs is told by the replica, also where no replica of the version wished for was left.
+        // The version is that of the replica, even if no replica of the preferred version was left.
         let trial = self.trials.get(&request.service);
         let on_trial = trial.is_some_and(|trial| trial.is_on_trial(&row.entry.version));
         request.attempt = Some(RunningAttempt {
@@ -170,13 +179,13 @@
             began: stamp.now,
             on_trial,
             pauses: 0,
-            blamed: false,
-            held: pick.holds,
-            quiet: pick.wait_ms <= QUIET_MS,
+            counted_bad: false,
+            cached: pick.cached,
+            was_idle: pick.wait_ms <= IDLE_WORK_MS,
         });
         request.tried.push(pick.key);
         request.sends += 1;
-        let spare = request.route.kind.repeatable() && request.sends < request.route.attempts;
+        let retryable = request.route.kind.repeatable() && request.sends < request.route.attempts;
         let left = request.deadline.millis_since(stamp.now);
         let order = SendOrder {
             number: request.sends,
@@ -192,16 +201,16 @@
             content: request.content,
             urgency: request.size.map(urgency),
             deadline: request.deadline,
-            head_ms: if spare { head_ms(&request.route).min(left) } else { left },
-            pause_ms: if spare { pause_ms(&request.route).min(left) } else { left },
+            head_ms: if retryable { head_ms(&request.route).min(left) } else { left },
+            pause_ms: if retryable { pause_ms(&request.route).min(left) } else { left },
             inputs,
         };
         out.push(RouteEffect::Send(ticket, order));
     }
 
-    /// Ends the attempt under way and gives the request to another replica, if there is one and
-    /// attempts, time and budget allow it. Else nothing changes.
-    pub(super) fn go_elsewhere(
+    /// Ends the current attempt and assigns the request to another replica, if there is one and
+    /// attempts, time and budget allow it. Otherwise nothing changes and `false` is returned.
+    pub(super) fn reassign(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -210,7 +219,7 @@
     ) -> bool {
         let size = self.requests.get(&ticket).and_then(|request| request.size);
         if cause != SendCause::LargerModel {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
         }
         self.advance_trial(stamp, ticket, out);
         self.share_newly_cold(stamp.now);
@@ -222,18 +231,18 @@
             }
             return false;
         };
-        let deed = match cause {
+        let outcome = match cause {
             SendCause::LargerModel => BackendOutcome::Served,
-            SendCause::Failure | SendCause::Silence => BackendOutcome::Failed,
+            SendCause::Failure | SendCause::Stall => BackendOutcome::Failed,
         };
-        self.end_attempt(stamp, ticket, deed);
+        self.end_attempt(stamp, ticket, outcome);
         self.assign(stamp, ticket, choice, out);
         true
     }
 
-    /// Sends a request again that may be sent again, or gives it up for `otherwise` if attempts, time or
-    /// budget forbid it.
-    pub(super) fn try_again(
+    /// Sends a request again, or refuses it for `otherwise` if attempts, time or budget forbid
+    /// that.
+    pub(super) fn resend(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -241,17 +250,17 @@
         out: &mut Vec<RouteEffect>,
     ) {
         if self.may_send_again(stamp, ticket, SendCause::Failure) {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
             self.send(stamp, ticket, otherwise, out);
         } else {
             self.give_up(stamp, ticket, otherwise, out);
         }
     }
 
-    /// Sends a request in place of an attempt of which nothing was written. The retry budget bounds what arrives at replicas,
-    /// so it has no part in this: with it, 257 requests of a day on which a quarter of 140 replicas crashed were refused
-    /// after one connection that did not come about.
-    fn try_in_place(
+    /// Sends a request again whose last attempt wrote nothing to a replica. The retry budget bounds
+    /// what arrives at replicas, so it does not apply here: with it, 257 requests of a day on which
+    /// a quarter of 140 replicas crashed were refused after one failed connection.
+    fn resend_unwritten(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -259,14 +268,15 @@
     ) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.may_be_sent(stamp.now) {
-            self.settle_size(ticket);
+            self.fall_back_to_small(ticket);
             self.send(stamp, ticket, RefusalReason::NoReplica, out);
         } else {
             self.give_up(stamp, ticket, RefusalReason::NoReplica, out);
         }
     }
 
-    /// Whether attempts, time and the fleet's budget allow another send; takes it from the budget.
+    /// Returns whether attempts, time and the fleet's retry budget allow another attempt, and
+    /// spends it from the budget.
     fn may_send_again(
         &mut self,
         stamp: EventStamp,
@@ -282,17 +292,19 @@
         budget.spend(self.settings.budget, boxes, cause, stamp.now)
     }
 
+    /// Ends the current attempt, and records its outcome for the replica. An unreachable replica is
+    /// gossiped within [`UNREACHABLE_DELAY_MS`].
     pub(super) fn end_attempt(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
-        deed: BackendOutcome,
+        outcome: BackendOutcome,
     ) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         if let Some(attempt) = request.attempt.take() {
-            self.backends.left(attempt.replica, attempt.began);
-            self.backends.ended(attempt.replica, deed, stamp.now);
-            if deed == BackendOutcome::Unreachable {
+            self.backends.remove_pending(attempt.replica, attempt.began);
+            self.backends.ended(attempt.replica, outcome, stamp.now);
+            if outcome == BackendOutcome::Unreachable {
                 self.settle_crashes(stamp.now);
                 self.mark_unreachable_cold(attempt.replica);
                 self.rounds.next_note =
@@ -301,7 +313,8 @@
         }
     }
 
-    /// Goes elsewhere if there is where to go and the budget allows it; else the attempt goes on.
+    /// Reassigns a stalled request if there is another replica and the budget allows it. Otherwise
+    /// the attempt continues.
     pub(super) fn on_attempt_stalled(
         &mut self,
         stamp: EventStamp,
@@ -312,18 +325,20 @@
         let Some(attempt) = &mut request.attempt else { return };
         attempt.pauses += 1;
         let last = request.sends + 1 >= request.route.attempts;
-        let too_early = request.relayed && last && attempt.pauses < LAST_PAUSES;
+        let too_early = request.relayed && last && attempt.pauses < LAST_REPLICA_PAUSES;
         if !request.route.kind.repeatable() || too_early {
             return;
         }
-        self.tally_lost(stamp, ticket);
-        if self.go_elsewhere(stamp, ticket, SendCause::Silence, out) {
+        self.count_lost_answer(stamp, ticket);
+        if self.reassign(stamp, ticket, SendCause::Stall, out) {
             if let Some(request) = self.requests.get_mut(&ticket) {
                 request.may_have_run = true;
             }
         }
     }
 
+    /// Handles a failed attempt: the request is sent again if it may be repeated, and refused
+    /// otherwise.
     pub(super) fn on_failed(
         &mut self,
         stamp: EventStamp,
@@ -334,47 +349,52 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let unwritten = match failure {
             AttemptFailure::NeverSent => Some(BackendOutcome::Unreachable),
-            AttemptFailure::Withdrawn => Some(BackendOutcome::Neither),
+            AttemptFailure::Withdrawn => Some(BackendOutcome::Inconclusive),
             AttemptFailure::Broken | AttemptFailure::Silent => None,
         };
-        if let Some(deed) = unwritten {
-            request.free_connects += 1;
-            if request.free_connects <= FREE_CONNECTS {
+        if let Some(outcome) = unwritten {
+            request.connect_failures += 1;
+            if request.connect_failures <= FREE_CONNECT_FAILURES {
                 request.sends -= 1;
             }
-            self.end_attempt(stamp, ticket, deed);
-            self.try_in_place(stamp, ticket, out);
+            self.end_attempt(stamp, ticket, outcome);
+            self.resend_unwritten(stamp, ticket, out);
             return;
         }
         request.may_have_run = true;
         if failure == AttemptFailure::Broken {
-            self.note_broken(stamp, ticket);
+            self.record_broken(stamp, ticket);
         }
-        self.tally_lost(stamp, ticket);
+        self.count_lost_answer(stamp, ticket);
         self.end_attempt(stamp, ticket, BackendOutcome::Failed);
         let Some(request) = self.requests.get(&ticket) else { return };
         if request.route.kind.repeatable() {
-            self.try_again(stamp, ticket, RefusalReason::Failed, out);
+            self.resend(stamp, ticket, RefusalReason::Failed, out);
         } else {
             self.give_up(stamp, ticket, RefusalReason::Failed, out);
         }
     }
 
+    /// Ends a request whose response was relayed completely.
     pub(super) fn on_response_finished(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        let deed =
-            self.requests.get(&ticket).map_or(BackendOutcome::Neither, |request| request.deed);
-        if deed == BackendOutcome::Served {
+        let outcome = self
+            .requests
+            .get(&ticket)
+            .map_or(BackendOutcome::Inconclusive, |request| request.outcome);
+        if outcome == BackendOutcome::Served {
             self.clear_content(stamp, ticket);
         }
-        self.end_attempt(stamp, ticket, deed);
+        self.end_attempt(stamp, ticket, outcome);
         self.requests.remove(&ticket);
     }
 
+    /// Ends a request whose caller disconnected.
     pub(super) fn on_caller_disconnected(&mut self, stamp: EventStamp, ticket: RequestTicket) {
-        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Inconclusive);
         self.requests.remove(&ticket);
     }
 
+    /// Ends a request whose deadline has passed.
     pub(super) fn on_deadline_passed(
         &mut self,
         stamp: EventStamp,
@@ -384,24 +404,24 @@
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         request.may_have_run |= request.attempt.is_some();
         if !request.relayed {
-            self.tally_lost(stamp, ticket);
+            self.count_lost_answer(stamp, ticket);
         }
-        self.end_attempt(stamp, ticket, BackendOutcome::Neither);
+        self.end_attempt(stamp, ticket, BackendOutcome::Inconclusive);
         self.give_up(stamp, ticket, RefusalReason::DeadlinePassed, out);
     }
 }
 
-/// How long a head is waited for where another replica may be asked, in milliseconds.
+/// Returns the time limit of a response head where another replica may be tried, in milliseconds.
 fn head_ms(route: &RouteSpec) -> u64 {
-    let targets = if route.kind.is_stream() { HEAD_TARGETS } else { PLAIN_HEAD_TARGETS };
+    let targets = if route.kind.is_stream() { HEAD_TARGETS } else { UNARY_HEAD_TARGETS };
     (route.target_ms as f64 * targets) as u64
 }
 
-/// How long an event is waited for there, in milliseconds.
+/// Returns the time limit of a pause between events there, in milliseconds.
 fn pause_ms(route: &RouteSpec) -> u64 {
     match route.kind {
         RouteKind::Stream { .. } if route.pause_ms > 0 => {
-            (route.pause_ms as f64 * PAUSE_PART) as u64
+            (route.pause_ms as f64 * PAUSE_SHARE) as u64
         }
         _ => route.timeout_ms,
     }
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -1,4 +1,5 @@
-//! Which replica a request's next attempt would go to: the version of its trial, and what its prompt takes.
+//! Chooses the replica of a request's next attempt, by the version that its trial assigns and the
+//! work of its prompt.
 
 use super::event::TrialInputs;
 use super::model_latency::ServiceLatency;
@@ -10,7 +11,7 @@
 use crate::event::{EventStamp, RequestTicket};
 use crate::replica::mix;
 
-/// A replica for an attempt, with what a trial of its service had to do with it.
+/// The replica chosen for an attempt, with the part that a trial of its service had in it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptChoice {
     pub(super) pick: BackendPick,
@@ -18,7 +19,7 @@
 }
 
 impl RouteState {
-    /// The replica for a request's next attempt, with the model in row `size`.
+    /// Chooses the replica of a request's next attempt with the model in row `size`.
     pub(super) fn choose(
         &self,
         stamp: EventStamp,
@@ -30,7 +31,8 @@
         let store_away = self.store_away(stamp.now);
         let share = trial.map_or(0.0, |trial| trial.share(stamp.now, store_away));
         let version = trial.map_or(VersionFilter::Any, |trial| {
-            // While it is open which version stays, an answer goes on with the one that began it.
+            // While the trial is undecided, a partly relayed answer continues on the version that
+            // began it.
             let open =
                 trial.state == TrialState::Running && !trial.is_ejected(stamp.now, store_away);
             let on_trial = if request.relayed && open {
@@ -38,9 +40,9 @@
             } else {
                 trial.session_draw(request.session, stamp.random) < share
             };
-            version_wish(trial, on_trial)
+            version_filter(trial, on_trial)
         });
-        let ask = BackendQuery {
+        let query = BackendQuery {
             service: &request.service,
             version,
             work: self.prompt_work(request, size),
@@ -52,20 +54,22 @@
             random: stamp.random,
             now: stamp.now,
         };
-        let wished = self.backends.pick(&ask);
-        // A wish that nobody fits gives way, but never to a version that is bad.
+        let preferred = self.backends.pick(&query);
+        // If no replica of the preferred version is usable, any version serves except one found
+        // bad.
         let fallback =
-            || self.backends.pick(&BackendQuery { version: fallback_wish(trial), ..ask });
-        let pick = wished.or_else(fallback)?;
+            || self.backends.pick(&BackendQuery { version: fallback_filter(trial), ..query });
+        let pick = preferred.or_else(fallback)?;
         let trial = trial.map(|trial| TrialInputs {
             age_ms: trial.age_ms(stamp.now),
             share,
-            fell_back: wished.is_none(),
+            fell_back: preferred.is_none(),
         });
         Some(AttemptChoice { pick, trial })
     }
 
-    /// What reading a request's prompt takes with its model, if it has one.
+    /// Returns the work of reading a request's prompt with the model in row `size`, if it has a
+    /// prompt.
     pub(super) fn prompt_work(
         &self,
         request: &RouteRequest,
@@ -73,20 +77,20 @@
     ) -> Option<PromptWork> {
         let prompt = request.prompt?;
         let unknown = ServiceLatency::default();
-        let pace = self.paces.get(&request.service).unwrap_or(&unknown);
+        let latency = self.paces.get(&request.service).unwrap_or(&unknown);
         let size = size.unwrap_or(0);
         let shared = if request.affinity == 0 { 0 } else { mix(request.affinity ^ size as u64) };
         Some(PromptWork {
             shared,
-            shared_ms: pace.read_ms(size, f64::from(prompt.shared)),
-            own_ms: pace.read_ms(size, f64::from(prompt.own)),
+            shared_ms: latency.read_ms(size, f64::from(prompt.shared)),
+            own_ms: latency.read_ms(size, f64::from(prompt.own)),
             kilobytes: request.body_bytes as f64 / 1_000.0,
         })
     }
 }
 
-/// Which versions a new attempt is to go to: the one on trial, or the others.
-fn version_wish(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
+/// Returns the filter for the version on trial, or for the others.
+fn version_filter(trial: &VersionTrial, on_trial: bool) -> VersionFilter<'_> {
     let version = trial.order.version.as_str();
     if on_trial {
         VersionFilter::Only(version)
@@ -95,7 +99,8 @@
     }
 }
 
-fn fallback_wish(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
+/// Returns the filter if no replica of the preferred version is usable.
+fn fallback_filter(trial: Option<&VersionTrial>) -> VersionFilter<'_> {
     match trial {
         Some(trial) if trial.is_rejected() => VersionFilter::Not(&trial.order.version),
         _ => VersionFilter::Any,
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -1,4 +1,5 @@
-//! What sends and answers teach: work that waits at replicas, the pace of models, the evidence in a trial.
+//! Learns from attempts and answers: queued work of replicas, latency of models and evidence for
+//! trials.
 
 use super::backend_health::LostAnswer;
 use super::event::{AnswerHead, RouteEffect};
@@ -10,8 +11,9 @@
 use crate::ids::ReplicaKey;
 
 impl RouteState {
-    /// Notes what an attempt that is sent to `pick` adds to the replica's work.
-    pub(super) fn place(
+    /// Adds the work of an attempt that is sent to `pick` to the replica's backlog, and announces a
+    /// long prompt to other boxes.
+    pub(super) fn record_placement(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -21,23 +23,23 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(work) = self.prompt_work(request, request.size) else { return };
         let work_ms = pick.work_ms;
-        let pace = self.paces.entry(request.service.clone()).or_default();
-        pace.sent(work_ms);
-        let expected_ms = pick.expected_ms + pace.begin_ms(request.size.unwrap_or(0));
+        let latency = self.paces.entry(request.service.clone()).or_default();
+        latency.sent(work_ms);
+        let expected_ms = pick.expected_ms + latency.begin_ms(request.size.unwrap_or(0));
         self.backends.placed(pick.key, &work, work_ms, expected_ms, stamp.now);
         if work_ms >= PLACEMENT_GOSSIP_WORK_MS {
             let Some(row) = self.backends.get(pick.key) else { return };
             let replica = row.id_hash;
-            let note = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
+            let update = PlacementUpdate { replica, shared: work.shared, work_ms: work_ms as u32 };
             out.push(RouteEffect::SendPlacement(
                 self.peers.gossip_targets(&self.settings.zone, stamp.random),
-                note,
+                update,
             ));
         }
     }
 
-    /// Learns from the head of an answer, where nothing else waited, how fast its model reads.
-    pub(super) fn learn_placement(
+    /// Learns a model's latency from the head of an answer, if nothing else was queued.
+    pub(super) fn learn_latency(
         &mut self,
         stamp: EventStamp,
         ticket: RequestTicket,
@@ -45,61 +47,63 @@
     ) {
         let Some(request) = self.requests.get(&ticket) else { return };
         let (Some(attempt), Some(prompt)) = (request.attempt, request.prompt) else { return };
-        let quiet = head.load.is_none_or(|load| load.waiting == 0) && attempt.quiet;
+        let was_idle = head.load.is_none_or(|load| load.waiting == 0) && attempt.was_idle;
         if head.not_run || head.other_replica {
             return;
         }
-        self.backends.left(attempt.replica, attempt.began);
-        if quiet && head.status < 300 {
-            let shared = if attempt.held { 0 } else { prompt.shared };
+        self.backends.remove_pending(attempt.replica, attempt.began);
+        if was_idle && head.status < 300 {
+            let shared = if attempt.cached { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
-            let pace = self.paces.entry(request.service.clone()).or_default();
-            pace.learn(request.size.unwrap_or(0), tokens, took_ms);
+            let latency = self.paces.entry(request.service.clone()).or_default();
+            latency.learn(request.size.unwrap_or(0), tokens, took_ms);
         }
     }
 
-    /// Adds the attempt's answer to its service's trial, if there is one, and with it what the replica left
-    /// out before: it lives, so that was not for a crash.
-    pub(super) fn tally(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
+    /// Adds the attempt's answer to the trial of its service, if there is one, together with the
+    /// replica's earlier lost answers: the replica is alive, so these were not due to a crash.
+    pub(super) fn count_answer(&mut self, ticket: RequestTicket, bad: bool, took_ms: f64) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
-        let (replica, on_trial, blamed) = (attempt.replica, attempt.on_trial, attempt.blamed);
-        attempt.blamed |= bad;
+        let (replica, on_trial, counted_bad) =
+            (attempt.replica, attempt.on_trial, attempt.counted_bad);
+        attempt.counted_bad |= bad;
         let (service, route) = (request.service.clone(), request.route.name.clone());
-        self.hold_to_account(&service, replica);
-        if !blamed {
+        self.apply_lost_answers(&service, replica);
+        if !counted_bad {
             self.add_answer(&service, &route, on_trial, bad, (!bad).then_some(took_ms));
         }
     }
 
-    /// Notes that the attempt's replica left its answer out: it is held against the version unless the
-    /// replica is lost.
-    pub(super) fn tally_lost(&mut self, stamp: EventStamp, ticket: RequestTicket) {
+    /// Records a lost answer. It counts against the version unless the replica is gone.
+    pub(super) fn count_lost_answer(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let Some(attempt) = &mut request.attempt else { return };
-        if std::mem::replace(&mut attempt.blamed, true) {
+        if std::mem::replace(&mut attempt.counted_bad, true) {
             return;
         }
         let (route, on_trial) = (request.route.name.clone(), attempt.on_trial);
-        self.backends.note_lost(attempt.replica, LostAnswer { route, on_trial, at: stamp.now });
+        self.backends.add_lost(attempt.replica, LostAnswer { route, on_trial, at: stamp.now });
     }
 
-    /// Counts what replicas left out that are still there and have not answered since.
-    pub(super) fn tally_silent(&mut self, stamp: EventStamp) {
-        for replica in self.backends.silent_since(stamp.now) {
+    /// Counts the lost answers of replicas that still exist and have not answered since.
+    pub(super) fn count_silent_replicas(&mut self, stamp: EventStamp) {
+        for replica in self.backends.silent_replicas(stamp.now) {
             let Some(row) = self.backends.get(replica) else { continue };
             let service = row.entry.service.clone();
-            self.hold_to_account(&service, replica);
+            self.apply_lost_answers(&service, replica);
         }
     }
 
-    fn hold_to_account(&mut self, service: &str, replica: ReplicaKey) {
+    /// Adds a replica's lost answers to the trial of its service.
+    fn apply_lost_answers(&mut self, service: &str, replica: ReplicaKey) {
         for lost in self.backends.drain_lost(replica) {
             self.add_answer(service, &lost.route, lost.on_trial, true, None);
         }
     }
 
+    /// Adds an answer to the running trial of a service, if there is one. A bad answer has no time.
     fn add_answer(
         &mut self,
         service: &str,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -150,7 +150,7 @@
     /// Availability zones whose replicas get nothing.
     evacuated: EvacuatedZones,
     /// What replicas ended under.
-    fatal: PoisonContents,
+    poison: PoisonContents,
     peers: PeerTable,
     trials: BTreeMap<String, VersionTrial>,
     /// When a verdict became due or was last sent to the store, by service.
@@ -159,7 +159,7 @@
     checkpoint_at: BTreeMap<String, BoxTime>,
     budgets: HashMap<String, SendBudget>,
     /// How much surer larger models are, by service.
-    lifts: HashMap<String, ConfidenceGains>,
+    gains: HashMap<String, ConfidenceGains>,
     /// Paces of the models, by service.
     paces: HashMap<String, ServiceLatency>,
     requests: HashMap<RequestTicket, RouteRequest>,
@@ -196,13 +196,13 @@
             table: RouteTable::default(),
             fresh: PlanFreshness::default(),
             evacuated: EvacuatedZones::default(),
-            fatal: PoisonContents::default(),
+            poison: PoisonContents::default(),
             peers: PeerTable::default(),
             trials: BTreeMap::new(),
             verdict_at: BTreeMap::new(),
             checkpoint_at: BTreeMap::new(),
             budgets: HashMap::new(),
-            lifts: HashMap::new(),
+            gains: HashMap::new(),
             paces: HashMap::new(),
             requests: HashMap::new(),
             grace_until: None,
@@ -338,7 +338,7 @@
         self.tell_open(stamp.now);
         self.settle_reader(stamp.now);
         self.note_reader(stamp.now, out);
-        self.tally_silent(stamp);
+        self.count_silent_replicas(stamp);
         self.advance_trials(stamp, out);
         self.judge_trials(stamp, out);
         self.write_checkpoints(stamp, out);
@@ -552,7 +552,7 @@
         let attempt = self.requests.get(&ticket).and_then(|request| request.attempt);
         let row = attempt.and_then(|attempt| self.backends.get(attempt.replica));
         row.is_some_and(|row| {
-            row.usable(now) && !row.rests(now) && !self.evacuated.contains(&row.entry.zone)
+            row.usable(now) && !row.backs_off(now) && !self.evacuated.contains(&row.entry.zone)
         })
     }
 
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -1,5 +1,5 @@
-//! Which replica answers a request: for a prompt the one where placing it costs least, by
-//! [`super::placement`], else the lightest.
+//! Picks the replica for a request. A prompt goes to the replica with the lowest placement cost, by
+//! [`super::placement`], and other requests to the least loaded of a random sample.
 
 use super::backend::BackendTable;
 use super::evacuation::EvacuatedZones;
@@ -8,53 +8,55 @@
 use crate::replica::mix;
 use crate::time::BoxTime;
 
-/// Share of slots that another availability zone's replica must be lighter to be worth its bytes.
+/// Load difference, as a share of slots, from which a replica of another availability zone is worth
+/// the traffic between zones.
 pub const ZONE_MARGIN: f64 = 0.25;
 
-/// Replicas of which a plain call takes the lightest. Each box hears of a replica's load now and then, and those that heard the
-/// same choose the same: where three of six replicas of six slots were left at a load of two thirds, 205 of 2,494 calls of
-/// 300 boxes were late or refused with the lightest of all; with two drawn, and loads that fade to the usual one, none of
-/// 2,458 (virtual time).
-const DRAWN: usize = 2;
+/// Replicas of which a request without a prompt gets the least loaded. Each box receives a
+/// replica's load only now and then, and boxes with the same reports would choose the same replica.
+/// With three of six replicas of six slots left at a load of two thirds, 205 of 2,494 calls of 300
+/// boxes were late or refused when the least loaded of all was chosen. With a sample of two, and
+/// loads that decay to the typical load, none of 2,458 were (simulated).
+const SAMPLE_SIZE: usize = 2;
 
-/// Which replicas a pick may take.
+/// What a request needs, and which replicas may serve it.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendQuery<'a> {
     /// Service.
     pub service: &'a str,
-    /// Version wanted, if one is.
+    /// Versions allowed.
     pub version: VersionFilter<'a>,
-    /// What reading its prompt takes, for a request with one.
+    /// Work of reading its prompt, if it has one.
     pub work: Option<PromptWork>,
     /// Availability zone of the box.
     pub zone: &'a str,
-    /// Availability zones whose replicas get nothing.
+    /// Availability zones under evacuation, whose replicas get nothing.
     pub evacuated: &'a EvacuatedZones,
     /// Availability zones in which the request may be served; `None` for all.
     pub zones: Option<&'a [String]>,
-    /// Whether the operator bounds what cold replicas get.
+    /// Whether the operator limits the requests to cold replicas.
     pub bounds_cold: bool,
-    /// Replicas that this request has been sent to.
+    /// Replicas already tried by this request.
     pub tried: &'a [ReplicaKey],
     /// A random number.
     pub random: u64,
-    /// The time.
+    /// The current time.
     pub now: BoxTime,
 }
 
-/// Versions that a pick may take.
+/// A filter on versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionFilter<'a> {
     /// Any.
     Any,
-    /// This one alone.
+    /// This version only.
     Only(&'a str),
-    /// Any but this one.
+    /// Any version but this one.
     Not(&'a str),
 }
 
 impl VersionFilter<'_> {
-    fn takes(self, version: &str) -> bool {
+    fn matches(self, version: &str) -> bool {
         match self {
             VersionFilter::Any => true,
             VersionFilter::Only(wanted) => version == wanted,
@@ -63,77 +65,81 @@
     }
 }
 
-/// A pick, with what decided it.
+/// A picked replica, with the inputs of the decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendPick {
     /// The replica.
     pub key: ReplicaKey,
-    /// Its estimated load.
+    /// Estimated load, as a share of slots.
     pub load: f64,
-    /// Replicas that could have been taken.
+    /// Number of replicas to choose from.
     pub candidates: usize,
-    /// Whether it is known to hold the prompt's shared parts, or is to hold them for all.
+    /// Whether the replica is known to have the prompt's prefix cached, or is designated to cache
+    /// it for all boxes.
     pub affine: bool,
-    /// Whether it is known to hold them.
-    pub holds: bool,
-    /// Until the answer is expected to begin, beside what an idle replica takes for an empty prompt, in
-    /// milliseconds; 0 without a prompt.
+    /// Whether it is known to have the prefix cached.
+    pub cached: bool,
+    /// Expected time until the answer begins, beyond that of an idle replica with an empty prompt,
+    /// in milliseconds; 0 without a prompt.
     pub expected_ms: f64,
-    /// Work that waits there, in milliseconds.
+    /// Work queued at the replica, in milliseconds.
     pub wait_ms: f64,
-    /// Work of the prompt itself there, in milliseconds.
+    /// Work of the prompt itself at the replica, in milliseconds.
     pub work_ms: f64,
 }
 
 impl BackendTable {
-    /// Picks a replica; `None` if there is none that may be used.
-    pub fn pick(&self, ask: &BackendQuery) -> Option<BackendPick> {
-        let keys = self.by_service.get(ask.service)?;
+    /// Picks a replica, or returns `None` if none is usable.
+    pub fn pick(&self, query: &BackendQuery) -> Option<BackendPick> {
+        let keys = self.by_service.get(query.service)?;
         let fits = |key: &&ReplicaKey| {
             let row = &self.rows[**key];
-            row.usable(ask.now)
-                && !ask.evacuated.contains(&row.entry.zone)
-                && ask.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
-                && !(ask.bounds_cold && row.too_cold(ask.now))
-                && row.takes_more(ask.now)
-                && ask.version.takes(&row.entry.version)
-                && !ask.tried.contains(*key)
+            row.usable(query.now)
+                && !query.evacuated.contains(&row.entry.zone)
+                && query.zones.is_none_or(|zones| zones.contains(&row.entry.zone))
+                && !(query.bounds_cold && row.too_cold(query.now))
+                && row.accepts_requests(query.now)
+                && query.version.matches(&row.entry.version)
+                && !query.tried.contains(*key)
         };
         let usable: Vec<ReplicaKey> = keys.iter().filter(fits).copied().collect();
-        let well: Vec<ReplicaKey> =
-            usable.iter().copied().filter(|key| self.rows[*key].ejected_until <= ask.now).collect();
-        // With more than half passed over the cause is not the replicas.
-        let mut pool = if well.len() * 2 < usable.len() { usable } else { well };
-        let asked = pool.iter().copied().find(|key| self.rows[*key].limit.asks(ask.now));
-        if let Some(asked) = asked {
-            pool = vec![asked];
+        let healthy: Vec<ReplicaKey> = usable
+            .iter()
+            .copied()
+            .filter(|key| self.rows[*key].ejected_until <= query.now)
+            .collect();
+        // With more than half ejected, the cause is not the replicas.
+        let mut pool = if healthy.len() * 2 < usable.len() { usable } else { healthy };
+        let probe = pool.iter().copied().find(|key| self.rows[*key].limit.needs_probe(query.now));
+        if let Some(probe) = probe {
+            pool = vec![probe];
         }
-        let placed = ask.work.and_then(|work| self.cheapest(&pool, ask, &work));
+        let placed = query.work.and_then(|work| self.cheapest(&pool, query, &work));
         let (key, view) = match placed {
             Some((key, view)) => (key, Some(view)),
-            None => (self.lightest(&pool, ask)?, None),
+            None => (self.least_loaded(&pool, query)?, None),
         };
-        let expected = view.zip(ask.work).map_or(0.0, |(view, work)| view.expected_ms(&work));
+        let expected = view.zip(query.work).map_or(0.0, |(view, work)| view.expected_ms(&work));
         Some(BackendPick {
             key,
-            load: self.rows[key].load(ask.now),
+            load: self.rows[key].load(query.now),
             candidates: pool.len(),
-            affine: view.is_some_and(|view| view.holds || view.holder),
-            holds: view.is_some_and(|view| view.holds),
+            affine: view.is_some_and(|view| view.cached || view.designated),
+            cached: view.is_some_and(|view| view.cached),
             expected_ms: expected,
             wait_ms: view.map_or(0.0, |view| view.wait_ms),
-            work_ms: view.zip(ask.work).map_or(0.0, |(view, work)| work.read_ms(view.holds)),
+            work_ms: view.zip(query.work).map_or(0.0, |(view, work)| work.read_ms(view.cached)),
         })
     }
 
-    /// Whether a service has replicas, and none of them in these availability zones.
+    /// Returns whether a service has usable replicas, but none in these availability zones.
     pub(super) fn none_in(&self, service: &str, zones: &[String], now: BoxTime) -> bool {
         let keys = self.by_service.get(service).into_iter().flatten();
         let mut usable = keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)).peekable();
         usable.peek().is_some() && usable.all(|row| !zones.contains(&row.entry.zone))
     }
 
-    /// Whether a service has replicas, and all of them are in zones under evacuation.
+    /// Returns whether a service has usable replicas, but all are in zones under evacuation.
     pub(super) fn all_evacuated(
         &self,
         service: &str,
@@ -145,38 +151,38 @@
         usable.peek().is_some() && usable.all(|row| evacuated.contains(&row.entry.zone))
     }
 
-    /// The lightest of some replicas drawn by chance; the box's own zone counts for something.
-    fn lightest(&self, pool: &[ReplicaKey], ask: &BackendQuery) -> Option<ReplicaKey> {
+    /// Returns the least loaded replica of a random sample, with a bonus for the box's own zone.
+    fn least_loaded(&self, pool: &[ReplicaKey], query: &BackendQuery) -> Option<ReplicaKey> {
         let weigh = |key: &ReplicaKey| {
             let row = &self.rows[*key];
-            let far = if row.entry.zone == ask.zone { 0.0 } else { ZONE_MARGIN };
-            row.load(ask.now) + far
+            let penalty = if row.entry.zone == query.zone { 0.0 } else { ZONE_MARGIN };
+            row.load(query.now) + penalty
         };
-        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ ask.random);
-        let mut drawn = pool.to_vec();
-        drawn.sort_by_key(order);
-        drawn.truncate(DRAWN);
-        drawn.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
+        let order = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ query.random);
+        let mut sample = pool.to_vec();
+        sample.sort_by_key(order);
+        sample.truncate(SAMPLE_SIZE);
+        sample.into_iter().min_by(|a, b| weigh(a).total_cmp(&weigh(b)))
     }
 
-    /// The replica where placing a prompt costs least; ties go by chance.
+    /// Returns the replica with the lowest placement cost. Ties are broken at random.
     fn cheapest(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendQuery,
+        query: &BackendQuery,
         work: &PromptWork,
     ) -> Option<(ReplicaKey, ReplicaView)> {
-        let holder = self.holder(pool, ask, work);
+        let designated = self.designated(pool, query, work);
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
-            let mut view = row.view(ask.now);
-            view.holds = row.held.holds(work.shared, ask.now);
-            view.holder = holder == Some(*key);
-            view.near = row.entry.zone == ask.zone;
+            let mut view = row.view(query.now);
+            view.cached = row.held.contains(work.shared, query.now);
+            view.designated = designated == Some(*key);
+            view.same_zone = row.entry.zone == query.zone;
             (*key, view)
         };
         let weigh = |(key, view): (ReplicaKey, ReplicaView)| {
-            let order = mix(self.rows[key].id_hash ^ ask.random);
+            let order = mix(self.rows[key].id_hash ^ query.random);
             (view.cost_ms(work), order, key, view)
         };
         let rows = pool.iter().map(view).map(weigh);
@@ -184,20 +190,21 @@
         least.map(|(_, _, key, view)| (key, view))
     }
 
-    /// The replica that is taken to hold a prompt's shared parts where this box knows of none: the same
-    /// from every box, or from every box of a zone, by the hashes of its id and the parts alone.
-    fn holder(
+    /// Returns the replica designated to cache a prompt's prefix, for boxes that know of no cached
+    /// copy. It is the same for all boxes, or for all boxes of a zone, by rendezvous hashing of
+    /// replica id and prefix.
+    fn designated(
         &self,
         pool: &[ReplicaKey],
-        ask: &BackendQuery,
+        query: &BackendQuery,
         work: &PromptWork,
     ) -> Option<ReplicaKey> {
         if work.shared == 0 {
             return None;
         }
         let weight = |key: &ReplicaKey| mix(self.rows[*key].id_hash ^ work.shared);
-        let near = |key: &ReplicaKey| self.rows[*key].entry.zone == ask.zone;
-        let own = pool.iter().copied().filter(near).min_by_key(weight);
-        own.filter(|_| work.held_by_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
+        let same_zone = |key: &ReplicaKey| self.rows[*key].entry.zone == query.zone;
+        let own = pool.iter().copied().filter(same_zone).min_by_key(weight);
+        own.filter(|_| work.cached_per_zone()).or_else(|| pool.iter().copied().min_by_key(weight))
     }
 }
--- a/crates/core/src/route/poison/record.rs
+++ b/crates/core/src/route/poison/record.rs
@@ -1,136 +1,137 @@
-//! What is known of one content: the ends of replicas under it, and whether it crashes replicas.
+//! The state of one content: its crashes, and whether it is poison.
 
 use std::collections::BTreeSet;
 
 use super::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, END_KEPT_MS, END_SPREAD_MS, FATAL_BINDS_MS,
-    FATAL_ENDS, FATAL_ENDS_APART, FATAL_KEPT_MS, REQUESTS_KEPT, SAME_MOMENT_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_KEPT_MS, CRASH_REQUEST_LIMIT, POISON_CRASHES,
+    POISON_CRASHES_DISTINCT, POISON_KEPT_MS, POISON_REFUSED_MS, SAME_CRASH_MS, SIMULTANEOUS_MS,
 };
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// A replica's end while it worked on requests that ask for the same.
+/// A replica's crash while it ran requests with the same content.
 #[derive(Clone, Debug)]
-pub(super) struct ReplicaEnd {
+pub(super) struct ReplicaCrash {
     /// Hashes of the requests' ids.
     pub(super) requests: Vec<u64>,
     /// The replica, by a hash of its id.
     pub(super) replica: u64,
-    /// Its row, while it is not known that the replica itself ended.
-    pub(super) unsure: Option<ReplicaKey>,
+    /// Key of the replica while the crash is unconfirmed.
+    pub(super) unconfirmed: Option<ReplicaKey>,
     pub(super) at: BoxTime,
 }
 
-impl ReplicaEnd {
-    /// Whether two boxes, or two requests, saw this same end.
-    fn is_same(&self, other: &ReplicaEnd) -> bool {
+impl ReplicaCrash {
+    /// Returns whether two boxes, or two requests, observed the same crash.
+    fn is_same(&self, other: &ReplicaCrash) -> bool {
         let apart_ms = self.at.millis_since(other.at).max(other.at.millis_since(self.at));
-        self.replica == other.replica && apart_ms < END_SPREAD_MS
+        self.replica == other.replica && apart_ms < SAME_CRASH_MS
     }
 
-    /// Takes what another sight of this end adds.
-    fn merge(&mut self, other: ReplicaEnd) {
+    /// Merges another observation of this crash.
+    fn merge(&mut self, other: ReplicaCrash) {
         for request in other.requests {
-            if !self.requests.contains(&request) && self.requests.len() < REQUESTS_KEPT {
+            if !self.requests.contains(&request) && self.requests.len() < CRASH_REQUEST_LIMIT {
                 self.requests.push(request);
             }
         }
-        self.unsure = self.unsure.and(other.unsure);
+        self.unconfirmed = self.unconfirmed.and(other.unconfirmed);
     }
 
-    /// Whether this end and an earlier one are of one moment, under different requests. One request's ends follow
-    /// each other.
-    fn is_together(&self, first: &ReplicaEnd) -> bool {
+    /// Returns whether this crash and an earlier one were simultaneous under different requests.
+    /// Crashes under one request follow each other.
+    fn is_simultaneous(&self, first: &ReplicaCrash) -> bool {
         let shared = self.requests.iter().any(|request| first.requests.contains(request));
-        !shared && self.at.millis_since(first.at) < SAME_MOMENT_MS
+        !shared && self.at.millis_since(first.at) < SIMULTANEOUS_MS
     }
 }
 
-/// What became of a replica after an attempt broke.
+/// The fate of a replica after an attempt broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EndFate {
-    /// It ended.
-    Ended,
-    /// It answered others afterwards.
-    Lived,
-    /// That is not known yet.
-    Open,
+pub(super) enum ReplicaFate {
+    /// It crashed.
+    Crashed,
+    /// It answered other requests afterwards.
+    Survived,
+    /// Not known yet.
+    Unknown,
 }
 
-/// What is known of a content.
+/// The state of a content.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ContentRecord {
-    ends: Vec<ReplicaEnd>,
-    /// When it was last answered; ends before that say nothing.
+    crashes: Vec<ReplicaCrash>,
+    /// When it was last answered. Earlier crashes do not count.
     answered_at: Option<BoxTime>,
-    /// The last end under it, once it is known to crash replicas.
-    fatal_at: Option<BoxTime>,
-    /// Whether it was logged that it is sent no further.
+    /// The last crash, once the content is known as poison.
+    poison_at: Option<BoxTime>,
+    /// Whether its refusal was logged.
     pub(super) logged: bool,
 }
 
 impl ContentRecord {
-    /// The last thing known of it.
+    /// Returns the time of the last crash or answer.
     pub(super) fn last_at(&self) -> BoxTime {
-        let last = self.ends.iter().map(|end| end.at).max();
-        last.max(self.answered_at).max(self.fatal_at).unwrap_or_default()
+        let last = self.crashes.iter().map(|crash| crash.at).max();
+        last.max(self.answered_at).max(self.poison_at).unwrap_or_default()
     }
 
-    /// Whether it is kept.
+    /// Returns whether the record is kept.
     pub(super) fn is_kept(&self, now: BoxTime) -> bool {
-        let kept_ms = if self.fatal_at.is_some() { FATAL_KEPT_MS } else { END_KEPT_MS };
+        let kept_ms = if self.poison_at.is_some() { POISON_KEPT_MS } else { CRASH_KEPT_MS };
         now.millis_since(self.last_at()) < kept_ms
     }
 
-    /// Takes note of an end.
-    pub(super) fn note(&mut self, end: ReplicaEnd, now: BoxTime) {
-        if self.answered_at.is_some_and(|at| at >= end.at) {
+    /// Records a crash.
+    pub(super) fn add_crash(&mut self, crash: ReplicaCrash, now: BoxTime) {
+        if self.answered_at.is_some_and(|at| at >= crash.at) {
             return;
         }
-        match self.ends.iter_mut().find(|known| known.is_same(&end)) {
-            Some(known) => known.merge(end),
-            None => self.ends.push(end),
+        match self.crashes.iter_mut().find(|known| known.is_same(&crash)) {
+            Some(known) => known.merge(crash),
+            None => self.crashes.push(crash),
         }
         self.judge(now);
     }
 
-    /// Takes note that it was answered whole at `at`. Returns whether that is news.
+    /// Records a complete answer at `at`. Returns whether that is new.
     pub(super) fn clear(&mut self, at: BoxTime) -> bool {
         if self.answered_at.is_some_and(|known| known >= at) {
             return false;
         }
         self.answered_at = Some(at);
-        self.ends.retain(|end| end.at > at);
-        self.fatal_at = self.fatal_at.filter(|fatal| *fatal > at);
-        self.logged &= self.fatal_at.is_some();
+        self.crashes.retain(|crash| crash.at > at);
+        self.poison_at = self.poison_at.filter(|poison| *poison > at);
+        self.logged &= self.poison_at.is_some();
         true
     }
 
-    /// Takes another box's word.
-    pub(super) fn merge(&mut self, word: &PoisonUpdate, now: BoxTime) {
-        let at = now.minus_millis(word.age_ms);
-        if word.answered {
+    /// Merges the state received from another box.
+    pub(super) fn merge(&mut self, update: &PoisonUpdate, now: BoxTime) {
+        let at = now.minus_millis(update.age_ms);
+        if update.answered {
             self.clear(at);
         } else if self.answered_at.is_none_or(|answered| answered < at) {
-            self.fatal_at = self.fatal_at.max(Some(at));
+            self.poison_at = self.poison_at.max(Some(at));
         }
     }
 
-    /// Settles ends by what became of their replicas. Returns whether there were any.
+    /// Resolves unconfirmed crashes by the fate of their replicas. Returns whether any was
+    /// confirmed.
     pub(super) fn settle(
         &mut self,
-        fate: &dyn Fn(ReplicaKey, BoxTime) -> EndFate,
+        fate: &dyn Fn(ReplicaKey, BoxTime) -> ReplicaFate,
         now: BoxTime,
     ) -> bool {
         let mut settled = false;
-        self.ends.retain_mut(|end| match end.unsure.map(|key| fate(key, end.at)) {
-            Some(EndFate::Ended) => {
-                end.unsure = None;
+        self.crashes.retain_mut(|crash| match crash.unconfirmed.map(|key| fate(key, crash.at)) {
+            Some(ReplicaFate::Crashed) => {
+                crash.unconfirmed = None;
                 settled = true;
                 true
             }
-            Some(EndFate::Lived) => false,
-            Some(EndFate::Open) | None => true,
+            Some(ReplicaFate::Survived) => false,
+            Some(ReplicaFate::Unknown) | None => true,
         });
         if settled {
             self.judge(now);
@@ -138,73 +139,77 @@
         settled
     }
 
-    /// Finds out whether it crashes replicas. Once that is known, each further end shows that it still does.
+    /// Decides whether the content is poison. Once it is, each further crash confirms it.
     fn judge(&mut self, now: BoxTime) {
-        let ends = self.counted(now);
-        let requests: BTreeSet<u64> = ends.iter().flat_map(|end| &end.requests).copied().collect();
-        let apart = requests.len() >= FATAL_ENDS_APART && ends.len() >= FATAL_ENDS_APART;
-        if self.fatal_at.is_some() || apart || ends.len() >= FATAL_ENDS {
-            self.fatal_at = self.fatal_at.max(ends.iter().map(|end| end.at).max());
+        let crashes = self.counted(now);
+        let requests: BTreeSet<u64> =
+            crashes.iter().flat_map(|crash| &crash.requests).copied().collect();
+        let apart =
+            requests.len() >= POISON_CRASHES_DISTINCT && crashes.len() >= POISON_CRASHES_DISTINCT;
+        if self.poison_at.is_some() || apart || crashes.len() >= POISON_CRASHES {
+            self.poison_at = self.poison_at.max(crashes.iter().map(|crash| crash.at).max());
         }
     }
 
-    /// Sure ends, without those at the moment of another request's.
-    fn counted(&self, now: BoxTime) -> Vec<&ReplicaEnd> {
-        let kept =
-            |end: &&ReplicaEnd| end.unsure.is_none() && now.millis_since(end.at) < END_KEPT_MS;
-        let mut ends: Vec<&ReplicaEnd> = self.ends.iter().filter(kept).collect();
-        ends.sort_by_key(|end| end.at);
-        let mut counted: Vec<&ReplicaEnd> = Vec::with_capacity(ends.len());
-        for end in ends {
-            if !counted.iter().any(|first| end.is_together(first)) {
-                counted.push(end);
+    /// Returns the confirmed crashes, without those simultaneous with one of another request.
+    fn counted(&self, now: BoxTime) -> Vec<&ReplicaCrash> {
+        let kept = |crash: &&ReplicaCrash| {
+            crash.unconfirmed.is_none() && now.millis_since(crash.at) < CRASH_KEPT_MS
+        };
+        let mut crashes: Vec<&ReplicaCrash> = self.crashes.iter().filter(kept).collect();
+        crashes.sort_by_key(|crash| crash.at);
+        let mut counted: Vec<&ReplicaCrash> = Vec::with_capacity(crashes.len());
+        for crash in crashes {
+            if !counted.iter().any(|first| crash.is_simultaneous(first)) {
+                counted.push(crash);
             }
         }
         counted
     }
 
-    /// Ends known here.
+    /// Returns the number of crashes known to this box.
     pub(super) fn count(&self, now: BoxTime) -> usize {
         self.counted(now).len()
     }
 
-    /// How long ago the last end under it was, in milliseconds, if it is known to crash replicas.
-    pub(super) fn fatal_age_ms(&self, now: BoxTime) -> Option<u64> {
-        self.fatal_at.map(|at| now.millis_since(at))
+    /// Returns how long ago the last crash was, in milliseconds, if the content is poison.
+    pub(super) fn poison_age_ms(&self, now: BoxTime) -> Option<u64> {
+        self.poison_at.map(|at| now.millis_since(at))
     }
 
-    /// Whether it is sent no further. A while after the last end it is tried again, by one attempt at a time: until it is
-    /// known what became of that one's replica there is no other.
+    /// Returns whether the content is refused. Some time after the last crash it is allowed again,
+    /// one attempt at a time: no other is sent until the fate of that one's replica is known.
     pub(super) fn is_poison(&self, now: BoxTime) -> bool {
-        let open = || self.ends.iter().any(|end| end.unsure.is_some());
-        self.fatal_age_ms(now).is_some_and(|age_ms| age_ms < FATAL_BINDS_MS || open())
+        let pending = || self.crashes.iter().any(|crash| crash.unconfirmed.is_some());
+        self.poison_age_ms(now).is_some_and(|age_ms| age_ms < POISON_REFUSED_MS || pending())
     }
 
-    /// Ends that other boxes are told of, one note for each request.
+    /// Returns the crashes to gossip, one update for each request.
     pub(super) fn crash_updates(
         &self,
         content: u64,
         now: BoxTime,
     ) -> impl Iterator<Item = CrashUpdate> + '_ {
-        let sure = self.ends.iter().filter(|end| end.unsure.is_none());
-        let notes = sure.flat_map(move |end| {
-            let (replica, age_ms) = (end.replica, now.millis_since(end.at));
-            end.requests.iter().map(move |request| CrashUpdate {
+        let confirmed = self.crashes.iter().filter(|crash| crash.unconfirmed.is_none());
+        let updates = confirmed.flat_map(move |crash| {
+            let (replica, age_ms) = (crash.replica, now.millis_since(crash.at));
+            crash.requests.iter().map(move |request| CrashUpdate {
                 content,
                 request: *request,
                 replica,
                 age_ms,
             })
         });
-        notes.filter(|note| note.age_ms < CRASH_GOSSIP_MS)
+        updates.filter(|update| update.age_ms < CRASH_GOSSIP_MS)
     }
 
-    /// What other boxes are told of it for as long as it is kept; that it was answered, for as long as ends are told.
-    pub(super) fn word(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
-        let fatal = self.fatal_age_ms(now);
+    /// Returns the state to gossip: poison for as long as it is kept, and an answer for as long as
+    /// crashes are gossiped.
+    pub(super) fn poison_update(&self, content: u64, now: BoxTime) -> Option<PoisonUpdate> {
+        let poison = self.poison_age_ms(now);
         let answered = self.answered_at.map(|at| now.millis_since(at));
         let answered = answered.filter(|age_ms| *age_ms < CRASH_GOSSIP_MS);
-        let word = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
-        fatal.map(|age_ms| word(age_ms, false)).or(answered.map(|age_ms| word(age_ms, true)))
+        let update = |age_ms, answered| PoisonUpdate { content, age_ms, answered };
+        poison.map(|age_ms| update(age_ms, false)).or(answered.map(|age_ms| update(age_ms, true)))
     }
 }
--- a/crates/core/tests/route/calls.rs
+++ b/crates/core/tests/route/calls.rs
@@ -1,8 +1,10 @@
-//! Plain calls before a few replicas: many boxes, each of which hears from any replica but now and then.
+//! Calls without prompts to a few replicas: many boxes, each of which rarely receives a report from
+//! any one replica.
 //!
-//! The load pattern: 84 boxes share six replicas of six slots, an answer takes 60 ms of work, and a zone with two of the
-//! replicas is lost, or half of them. What is left would serve all calls at two thirds of its slots, but boxes that each choose the
-//! replica of which they heard the lowest load choose the same one, until others' answers say otherwise.
+//! Load pattern: 84 boxes share six replicas of six slots, an answer takes 60 ms of work, and a
+//! zone with two of the replicas, or half of all replicas, is lost. The rest could serve all calls
+//! at two thirds of their slots. But boxes that each choose the replica with the lowest reported
+//! load all choose the same one, until answers to others show otherwise.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -17,13 +19,13 @@
 
 use crate::fixture::{ask, at, entry, head, plan, session, settings};
 
-/// Zones of the replicas, in the order of their numbers.
+/// Zones of the replicas, by number.
 const REPLICA_ZONES: [usize; 6] = [0, 0, 1, 1, 2, 3];
 
 /// Availability zones.
 const ZONES: usize = 4;
 
-/// Calls that a replica works on at once, and that wait there at most.
+/// Calls that a replica runs at once, and calls that it queues at most.
 const SLOTS: usize = 6;
 const QUEUE: usize = 24;
 
@@ -36,29 +38,29 @@
 /// An answer is late after this, in milliseconds.
 const TARGET_MS: u64 = 300;
 
-/// One way between a box and a replica, or another box, in milliseconds.
-const WAY_MS: u64 = 1;
+/// One-way delay between a box and a replica, or another box, in milliseconds.
+const NETWORK_DELAY_MS: u64 = 1;
 
-/// A moment, in milliseconds.
-type Moment = u64;
+/// Time in the simulation, in milliseconds.
+type SimTime = u64;
 
 #[derive(Clone, Debug)]
 enum Step {
     Tick(usize),
-    Hear(usize, Box<RouteEvent>),
+    Deliver(usize, Box<RouteEvent>),
     Arrive,
     Reach(CallPlace),
     Done(CallPlace),
     Head(CallPlace, AnswerHead),
 }
 
-/// A call, and where it went.
+/// A call, and the replica that it was sent to.
 #[derive(Clone, Copy, Debug)]
 struct CallPlace {
     number: usize,
     ticket: u64,
     replica: usize,
-    began: Moment,
+    began: SimTime,
 }
 
 #[derive(Default)]
@@ -67,7 +69,7 @@
     waiting: VecDeque<CallPlace>,
 }
 
-/// How calls ended.
+/// Outcomes of calls.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallCount {
     asked: usize,
@@ -79,9 +81,9 @@
     boxes: Vec<RouteState>,
     replicas: Vec<CallReplica>,
     keys: HashMap<(usize, ReplicaKey), usize>,
-    steps: BinaryHeap<Reverse<(Moment, u64, usize)>>,
+    steps: BinaryHeap<Reverse<(SimTime, u64, usize)>>,
     planned: Vec<Option<Step>>,
-    now: Moment,
+    now: SimTime,
     random: u64,
     next_arrival: f64,
     count: CallCount,
@@ -109,16 +111,16 @@
         let addresses: Vec<String> = (0..boxes).map(|number| format!("box-{number}:90")).collect();
         for number in 0..boxes {
             fleet.feed(number, RouteEvent::PeersDiscovered(addresses.clone()));
-            fleet.put(number);
+            fleet.set_up(number);
             let first = fleet.now + fleet.below(200);
-            fleet.plan_step(first, Step::Tick(number));
+            fleet.schedule(first, Step::Tick(number));
         }
-        fleet.plan_step(1_000, Step::Arrive);
+        fleet.schedule(1_000, Step::Arrive);
         fleet
     }
 
-    /// A box knows the plan and the replicas.
-    fn put(&mut self, number: usize) {
+    /// Gives a box the plan and the replicas.
+    fn set_up(&mut self, number: usize) {
         let asked_at = BoxTime::from_millis(self.now);
         let mut calls = plan(1);
         calls.routes[1].attempts = 1;
@@ -137,8 +139,8 @@
         self.keys.extend(keys.into_iter().map(|(key, replica)| ((number, key), replica)));
     }
 
-    /// A replica is gone, and all boxes know it.
-    fn lose(&mut self, replica: usize) {
+    /// Removes a replica on all boxes.
+    fn remove_replica(&mut self, replica: usize) {
         for number in 0..self.boxes.len() {
             let id = format!("c{replica}");
             let change = BackendChange { id, at: at(100 + replica as u64), entry: None };
@@ -155,7 +157,7 @@
         (self.draw() * limit as f64) as u64
     }
 
-    fn plan_step(&mut self, at: Moment, step: Step) {
+    fn schedule(&mut self, at: SimTime, step: Step) {
         self.planned.push(Some(step));
         let row = self.planned.len() - 1;
         self.steps.push(Reverse((at, row as u64, row)));
@@ -166,20 +168,20 @@
         let now = BoxTime::from_millis(self.now);
         let stamp = EventStamp { now, wall: WallTime(0), random };
         for effect in self.boxes[number].apply(stamp, event) {
-            self.act(number, effect);
+            self.perform(number, effect);
         }
     }
 
-    fn act(&mut self, number: usize, effect: RouteEffect) {
-        let later = self.now + WAY_MS;
+    fn perform(&mut self, number: usize, effect: RouteEffect) {
+        let later = self.now + NETWORK_DELAY_MS;
         match effect {
-            RouteEffect::SendGossip(targets, note) => {
+            RouteEffect::SendGossip(targets, message) => {
                 for target in targets {
                     let name = target.trim_end_matches(":90").trim_start_matches("box-");
                     let to = name.parse().expect("a number");
-                    self.plan_step(
+                    self.schedule(
                         later,
-                        Step::Hear(to, Box::new(RouteEvent::GossipReceived(note.clone()))),
+                        Step::Deliver(to, Box::new(RouteEvent::GossipReceived(message.clone()))),
                     );
                 }
             }
@@ -187,39 +189,39 @@
                 let replica = self.keys[&(number, order.replica)];
                 let began = self.now;
                 let place = CallPlace { number, ticket: ticket.0, replica, began };
-                self.plan_step(later, Step::Reach(place));
+                self.schedule(later, Step::Reach(place));
             }
             RouteEffect::Refuse(..) => self.count.refused += 1,
             _ => {}
         }
     }
 
-    fn run(&mut self, length: Moment) -> CallCount {
+    fn run(&mut self, length: SimTime) -> CallCount {
         self.count = CallCount::default();
         let until = self.now + length;
         while self.steps.peek().is_some_and(|row| row.0 .0 < until) {
             let Reverse((at, _, row)) = self.steps.pop().expect("a step");
             self.now = at;
             let step = self.planned[row].take().expect("each step is taken once");
-            self.take(step);
+            self.handle(step);
         }
         self.now = until;
         self.count
     }
 
-    fn take(&mut self, step: Step) {
+    fn handle(&mut self, step: Step) {
         match step {
             Step::Tick(number) => {
                 let asked_at = BoxTime::from_millis(self.now);
                 let same = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
                 self.feed(number, same);
                 self.feed(number, RouteEvent::Tick);
-                self.plan_step(self.now + 200, Step::Tick(number));
+                self.schedule(self.now + 200, Step::Tick(number));
             }
-            Step::Hear(number, event) => self.feed(number, *event),
+            Step::Deliver(number, event) => self.feed(number, *event),
             Step::Arrive => {
                 self.next_arrival += -self.draw().ln() / RATE * 1_000.0;
-                self.plan_step(self.next_arrival as u64, Step::Arrive);
+                self.schedule(self.next_arrival as u64, Step::Arrive);
                 self.count.asked += 1;
                 let number = self.below(self.boxes.len() as u64) as usize;
                 let ticket = RequestTicket(self.planned.len() as u64);
@@ -257,27 +259,30 @@
     fn work(&mut self, place: CallPlace) {
         self.replicas[place.replica].running += 1;
         let work_ms = WORK_MS * (0.5 + self.draw());
-        self.plan_step(self.now + work_ms as u64, Step::Done(place));
+        self.schedule(self.now + work_ms as u64, Step::Done(place));
     }
 
     fn answer(&mut self, place: CallPlace, answer: AnswerHead) {
         let replica = &self.replicas[place.replica];
         let (running, waiting) = (replica.running as u32, replica.waiting.len() as u32);
         let load = Some(BackendLoad { running, waiting, slots: SLOTS as u32 });
-        self.plan_step(self.now + WAY_MS, Step::Head(place, AnswerHead { load, ..answer }));
+        self.schedule(
+            self.now + NETWORK_DELAY_MS,
+            Step::Head(place, AnswerHead { load, ..answer }),
+        );
     }
 }
 
-/// Calls of a hundred that may be late or refused: slots are two thirds taken, so that hardly any need wait for as long as the
-/// target.
+/// Calls that may be late or refused, of a hundred. Two thirds of the slots are in use, so hardly
+/// any call waits as long as the target.
 const BAD_LIMIT: usize = 1;
 
 #[test]
-fn calls_spread_over_what_is_left_when_half_of_the_replicas_are_lost() {
+fn calls_spread_over_the_remaining_replicas_when_half_are_lost() {
     for boxes in [9, 84, 300] {
         let mut fleet = CallFleet::start(boxes);
         fleet.run(4_000);
-        [0, 1, 5].into_iter().for_each(|replica| fleet.lose(replica));
+        [0, 1, 5].into_iter().for_each(|replica| fleet.remove_replica(replica));
         let count = fleet.run(12_000);
         println!("{boxes} boxes: {count:?}");
         let bad = count.late + count.refused;
@@ -286,7 +291,7 @@
 }
 
 #[test]
-fn calls_are_in_time_while_all_replicas_are_there() {
+fn calls_meet_the_target_while_no_replica_is_lost() {
     for boxes in [9, 84, 300] {
         let mut fleet = CallFleet::start(boxes);
         fleet.run(2_000);
--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -1,4 +1,4 @@
-//! Cold replicas: what they get in their fullest second, from all boxes together.
+//! Cold replicas: the requests that they get in their busiest second, from all boxes together.
 
 use ravenspoke_core::route::backend::BackendEntry;
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
@@ -10,24 +10,25 @@
 use crate::fixture::{at, entry, ready_box};
 use crate::replica_fleet::{ReplicaFleet, BURST, SIZES, ZONES};
 
-/// Requests that a cold replica bears a second, and for how long it is cold, in milliseconds.
+/// Requests a second that a cold replica accepts, and for how long it is cold, in milliseconds.
 const WARM_UP: WarmUpPlan = WarmUpPlan { lasts_ms: 3_000, per_s: 8.0 };
 
-/// Requests that a cold replica may get in any second: one and a half times what it bears, and five.
+/// Requests that a cold replica may get in any second: one and a half times its limit, plus five.
 const COLD_BOUND: usize = 17;
 
-/// Of so many requests one may be refused while all replicas are cold and bear twice what is asked: a box that has drawn none
-/// of them for half a second sends its callers back, since no other box is asked for its part.
-const REFUSED_PART: usize = 10;
+/// Requests for each one that may be refused while all replicas are cold and accept twice the
+/// demand. A box whose random choice meets none of its replicas for half a second refuses requests,
+/// since no other box uses its share.
+const MIN_ASKED_PER_REFUSED: usize = 10;
 
-/// Boxes before replicas of a service that bounds cold ones.
+/// Starts boxes with replicas of a service that limits requests to cold ones.
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let service = ServicePlan { warm_up: Some(WARM_UP), ..ServicePlan::default() };
     ReplicaFleet::start(boxes, replicas, service)
 }
 
 #[test]
-fn a_zone_that_comes_back_cold_in_a_burst_gets_no_more_than_it_bears() {
+fn a_zone_that_restarts_in_a_burst_stays_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(1.0, 3_000);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn new_replicas_that_come_one_by_one_get_no_more_than_they_bear() {
+fn replicas_started_one_by_one_stay_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(BURST, 3_000);
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn with_none_but_cold_replicas_requests_are_served_as_far_as_they_bear() {
+fn cold_replicas_alone_serve_requests_up_to_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         for replica in 0..replicas {
@@ -73,12 +74,12 @@
         let asked = fleet.refused + fleet.got.iter().map(Vec::len).sum::<usize>();
         println!("{boxes} boxes, all cold: {fullest}, refused {} of {asked}", fleet.refused);
         assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
-        assert!(fleet.refused * REFUSED_PART <= asked, "{} of {asked}", fleet.refused);
+        assert!(fleet.refused * MIN_ASKED_PER_REFUSED <= asked, "{} of {asked}", fleet.refused);
     }
 }
 
 #[test]
-fn a_zone_that_is_given_back_counts_as_cold_before_its_replicas_say_so() {
+fn a_zone_whose_evacuation_ends_counts_as_cold_at_once() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let order = |evacuated| ZoneOrder { zone: "zone-1".to_owned(), evacuated };
@@ -101,7 +102,7 @@
 }
 
 #[test]
-fn replicas_that_come_back_from_a_crash_count_as_cold_before_their_entries_say_so() {
+fn replicas_that_restart_after_a_crash_count_as_cold_before_their_entries_say_so() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.play(1.0, 2_000);
@@ -118,7 +119,7 @@
 }
 
 #[test]
-fn a_replica_that_turns_cold_again_is_cold_for_as_long_as_it_said() {
+fn a_replica_that_turns_cold_again_stays_cold_for_its_reported_time() {
     let mut subject = ready_box();
     let cold = |subject: &crate::fixture::TestBox| {
         let now = BoxTime::from_millis(subject.now);
@@ -134,13 +135,13 @@
     assert_eq!(cold(&subject), ["a"]);
     subject.now += 1_000;
     subject.put(entry("a", "v1"));
-    assert_eq!(cold(&subject), ["a"], "that word may be older than what made it cold");
+    assert_eq!(cold(&subject), ["a"], "the entry may be older than the one that made it cold");
     subject.now += 2_000;
     assert_eq!(cold(&subject), none);
 }
 
-/// The most that a cold replica gets in a second of a burst after a quiet time.
-fn fullest_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
+/// Returns the most requests that a cold replica gets in a second of a burst after a quiet time.
+fn peak_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
     for replica in 0..replicas {
@@ -154,16 +155,16 @@
 }
 
 #[test]
-fn a_burst_after_a_quiet_time_brings_a_cold_replica_no_more_than_any_other() {
+fn a_burst_after_low_load_keeps_cold_replicas_within_the_warm_up_limit() {
     for (boxes, replicas) in SIZES {
-        let fullest = fullest_after_quiet(boxes, replicas, false);
+        let fullest = peak_after_quiet(boxes, replicas, false);
         assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
     }
 }
 
 #[test]
-fn with_other_luck_a_burst_brings_a_cold_replica_no_more_than_any_other() {
+fn with_another_seed_a_burst_keeps_cold_replicas_within_the_warm_up_limit() {
     let (boxes, replicas) = SIZES[2];
-    let fullest = fullest_after_quiet(boxes, replicas, true);
+    let fullest = peak_after_quiet(boxes, replicas, true);
     assert!(fullest <= COLD_BOUND, "{boxes} boxes: {fullest}");
 }
--- a/crates/core/tests/route/models.rs
+++ b/crates/core/tests/route/models.rs
@@ -1,4 +1,4 @@
-//! Models of a route: which of them answers.
+//! The models of a route: which of them answers.
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::event::{
@@ -6,12 +6,13 @@
 };
 
 use ravenspoke_core::route::model_cascade::{
-    next_size, sure_enough, ConfidenceGains, ModelConfidence, AT_ONCE, NEUTRAL,
+    next_size, required_confidence, ConfidenceGains, ModelConfidence, ESCALATE_ALL_SHARE,
+    NEUTRAL_CONFIDENCE,
 };
 
 use crate::fixture::{ask, entry, head, new_box, order_in, plan, TestBox};
 
-/// A box with `count` replicas before a route that leaves the model to the router.
+/// A box with `count` replicas and a route on which the router chooses the model.
 fn box_with_models(count: usize) -> TestBox {
     let mut subject = new_box("box-1");
     let mut sized = plan(1);
@@ -23,8 +24,8 @@
     subject
 }
 
-/// A request whose small model was unsure, sent to the large one: its second of three attempts.
-fn asked_of_the_large_model(subject: &mut TestBox) -> RequestTicket {
+/// A request whose small model was unsure, sent to the large one as its second of three attempts.
+fn escalated_request(subject: &mut TestBox) -> RequestTicket {
     let (ticket, _) = subject.sent(CallerRequest { any_model: true, ..ask("/chat/x") });
     let unsure = AnswerHead { confidence: Some(3), ..head(200) };
     let order = order_in(&subject.feed(RouteEvent::HeadReceived(ticket, unsure)));
@@ -33,10 +34,10 @@
 }
 
 #[test]
-fn the_last_attempt_goes_to_the_small_model_where_the_large_one_is_silent_or_fails() {
+fn the_last_attempt_falls_back_to_the_small_model() {
     for broken in [true, false] {
         let mut subject = box_with_models(20);
-        let ticket = asked_of_the_large_model(&mut subject);
+        let ticket = escalated_request(&mut subject);
         let event = match broken {
             true => RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken),
             false => RouteEvent::AttemptStalled(ticket),
@@ -45,26 +46,26 @@
         assert_eq!((last.number, last.model.as_deref()), (3, Some("small")));
         let unsure = AnswerHead { confidence: Some(3), ..head(200) };
         let effects = subject.feed(RouteEvent::HeadReceived(ticket, unsure));
-        assert_eq!(effects, [RouteEffect::Relay(ticket)], "there is nothing better");
+        assert_eq!(effects, [RouteEffect::Relay(ticket)], "no attempt is left");
     }
 }
 
 #[test]
-fn a_stream_that_the_caller_has_a_part_of_stays_with_its_model() {
+fn a_partly_relayed_stream_keeps_its_model() {
     let mut subject = box_with_models(20);
-    let ticket = asked_of_the_large_model(&mut subject);
-    let sure = AnswerHead { confidence: Some(90), ..head(200) };
-    subject.feed(RouteEvent::HeadReceived(ticket, sure));
+    let ticket = escalated_request(&mut subject);
+    let confident = AnswerHead { confidence: Some(90), ..head(200) };
+    subject.feed(RouteEvent::HeadReceived(ticket, confident));
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
     assert_eq!(order_in(&effects).expect("a last attempt").model.as_deref(), Some("large"));
 }
 
-/// By then the large model's answer has begun in these tests.
+/// Time after which the large model's answer begins in these tests, in milliseconds.
 const LARGE_MODEL_MS: u64 = 150;
 
-/// Arrivals whose small model is unsure, one every `gap_ms` for a while, each with a long prompt of its own:
-/// how many of them were asked of the large model, and what came last.
-fn asked_again_in_a_burst(gap_ms: u64) -> (usize, usize) {
+/// Sends requests whose small model is unsure, one every `gap_ms`, each with a long prompt of its
+/// own. Returns how many were escalated to the large model, and how many were sent.
+fn escalated_in_burst(gap_ms: u64) -> (usize, usize) {
     let mut subject = box_with_models(3);
     let (mut asked, count) = (0, 40);
     for number in 0..count {
@@ -77,8 +78,8 @@
         asked += usize::from(order_in(&effects).is_some());
         subject.now += gap_ms.min(LARGE_MODEL_MS);
         if gap_ms > LARGE_MODEL_MS {
-            let sure = AnswerHead { confidence: Some(90), ..head(200) };
-            subject.feed(RouteEvent::HeadReceived(ticket, sure));
+            let confident = AnswerHead { confidence: Some(90), ..head(200) };
+            subject.feed(RouteEvent::HeadReceived(ticket, confident));
             subject.feed(RouteEvent::ResponseFinished(ticket));
             subject.now += gap_ms - LARGE_MODEL_MS;
         }
@@ -88,51 +89,52 @@
 }
 
 #[test]
-fn in_a_burst_of_unsure_answers_only_those_are_asked_again_that_begin_within_the_target() {
-    let (asked, count) = asked_again_in_a_burst(10);
-    // Three replicas begin 28 of 150 ms each within the target of 1,000 ms and the 400 ms of the burst.
+fn a_burst_escalates_only_requests_that_begin_within_the_target() {
+    let (asked, count) = escalated_in_burst(10);
+    // Three replicas begin 28 answers of 150 ms each within the target of 1,000 ms and the 400 ms
+    // of the burst.
     assert!((15..34).contains(&asked), "{asked} of {count}");
-    let (asked, count) = asked_again_in_a_burst(700);
-    assert_eq!(asked, count, "with time enough all are");
+    let (asked, count) = escalated_in_burst(700);
+    assert_eq!(asked, count, "with enough time all are escalated");
 }
 
 #[test]
-fn how_sure_an_answer_must_be_follows_the_time_of_the_larger_models() {
-    assert_eq!(sure_enough(0.0), NEUTRAL);
-    assert_eq!(sure_enough(AT_ONCE), NEUTRAL);
-    assert!((0.0..NEUTRAL).contains(&sure_enough(0.6)));
-    assert_eq!(sure_enough(1.0), 0.0);
-    assert_eq!(sure_enough(7.0), 0.0);
+fn the_required_confidence_falls_with_the_larger_models_delay() {
+    assert_eq!(required_confidence(0.0), NEUTRAL_CONFIDENCE);
+    assert_eq!(required_confidence(ESCALATE_ALL_SHARE), NEUTRAL_CONFIDENCE);
+    assert!((0.0..NEUTRAL_CONFIDENCE).contains(&required_confidence(0.6)));
+    assert_eq!(required_confidence(1.0), 0.0);
+    assert_eq!(required_confidence(7.0), 0.0);
 }
 
-fn opinion(size: usize, sure: u8) -> ModelConfidence {
-    ModelConfidence { size, sure }
+fn confidence(size: usize, score: u8) -> ModelConfidence {
+    ModelConfidence { size, score }
 }
 
 #[test]
-fn a_middle_model_is_asked_where_the_largest_is_far_off_and_it_is_expected_to_do() {
-    let mut lifts = ConfidenceGains::default();
+fn a_middle_model_is_asked_where_the_largest_is_slow_and_it_suffices() {
+    let mut gains = ConfidenceGains::default();
     for _ in 0..200 {
-        lifts.learn(opinion(0, 30), opinion(1, 45));
+        gains.learn(confidence(0, 30), confidence(1, 45));
     }
-    let next = |sure, part: f64| next_size(3, opinion(0, sure), &lifts, |_| part);
-    assert_eq!(next(45, 0.6), None, "the answer does well enough for that time");
-    let far = |sure| next_size(3, opinion(0, sure), &lifts, |size| [0.0, 0.2, 0.9][size]);
+    let next = |score, part: f64| next_size(3, confidence(0, score), &gains, |_| part);
+    assert_eq!(next(45, 0.6), None, "the confidence suffices at that delay");
+    let far = |score| next_size(3, confidence(0, score), &gains, |size| [0.0, 0.2, 0.9][size]);
     assert_eq!(far(45), Some(1));
-    assert_eq!(far(20), None, "the middle one would not do, and the largest would be late");
+    assert_eq!(far(20), None, "the middle one would not suffice, and the largest would be late");
     assert_eq!(next(45, 0.1), Some(2));
     assert_eq!(next(51, 0.1), None);
-    assert_eq!(next_size(3, opinion(2, 3), &lifts, |_| 0.0), None, "there is none larger");
+    assert_eq!(next_size(3, confidence(2, 3), &gains, |_| 0.0), None, "there is no larger model");
 }
 
 #[test]
-fn opinions_at_the_ends_of_the_scale_teach_nothing() {
-    let mut lifts = ConfidenceGains::default();
-    let before = lifts.expected(1, 10);
+fn confidences_at_the_ends_of_the_scale_are_ignored() {
+    let mut gains = ConfidenceGains::default();
+    let before = gains.expected(1, 10);
     for _ in 0..100 {
-        lifts.learn(opinion(0, 0), opinion(1, 90));
-        lifts.learn(opinion(0, 40), opinion(1, 100));
-        lifts.learn(opinion(1, 40), opinion(1, 10));
+        gains.learn(confidence(0, 0), confidence(1, 90));
+        gains.learn(confidence(0, 40), confidence(1, 100));
+        gains.learn(confidence(1, 40), confidence(1, 10));
     }
-    assert_eq!(lifts.expected(1, 10), before);
+    assert_eq!(gains.expected(1, 10), before);
 }
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end: who is sent on, and who no further.
+//! Poison requests: which requests are refused, and which are still sent.
 
 use ravenspoke_core::event::RequestTicket;
 use ravenspoke_core::route::backend::{backend_hash, BackendChange, BackendEntry};
@@ -8,55 +8,55 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::{RoutePlan, ServicePlan};
 use ravenspoke_core::route::poison::{
-    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
+    CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_SILENCE_MS, POISON_CRASHES, POISON_REFUSED_MS,
 };
 
 use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, RATE};
 
-/// Boxes, and replicas before them.
+/// Numbers of boxes and replicas.
 const SIZES: [(usize, usize); 3] = [(9, 16), (84, 60), (300, 120)];
 
-/// Requests a second that crash replicas.
-const FATAL_PER_S: f64 = 5.0;
+/// Poison requests a second.
+const POISON_PER_S: f64 = 5.0;
 
-/// What the requests of a test ask for.
+/// The content of a test's requests.
 const CONTENT: u64 = 5;
 
 #[test]
-fn what_crashes_replicas_is_sent_no_further_once_boxes_know_it() {
+fn poison_requests_stop_once_boxes_know_them() {
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
         fleet.notes_go = true;
         fleet.play(0.5, 2_000);
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let known = fleet.crashes;
         fleet.play(0.5, 6_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}; {} others refused", fleet.refused);
-        assert!(known > 0, "{boxes} boxes: some replica ends");
+        assert!(known > 0, "{boxes} boxes: some replica crashes");
         assert_eq!(fleet.crashes - known, 0, "{boxes} boxes: all know it after three seconds");
     }
 }
 
-/// Boxes that know what crashes replicas, and have known it for longer than replicas' ends are told.
+/// Boxes that have known the poison for longer than crashes are gossiped.
 fn fleet_that_knows(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
     fleet.notes_go = true;
     fleet.play(0.5, 2_000);
-    fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+    fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
     fleet.play(0.5, 3_000 + CRASH_GOSSIP_MS);
     fleet
 }
 
-/// Boxes that start again, at most.
+/// Boxes that restart, at most.
 const RESTARTS: usize = 30;
 
 #[test]
-fn boxes_that_start_again_in_turn_send_on_nothing_that_the_others_know_to_crash_replicas() {
+fn restarted_boxes_do_not_send_known_poison_requests() {
     for (boxes, replicas) in SIZES {
         let mut fleet = fleet_that_knows(boxes, replicas);
         let known = fleet.crashes;
@@ -67,34 +67,34 @@
         }
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
-        assert_eq!(later, 0, "{boxes} boxes: those that start learn it from the others");
+        assert_eq!(later, 0, "{boxes} boxes: restarted boxes learn it from the others");
     }
 }
 
 #[test]
-fn boxes_that_stood_still_send_on_nothing_that_the_others_know_to_crash_replicas() {
+fn resumed_boxes_do_not_send_known_poison_requests() {
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
         fleet.notes_go = true;
         fleet.play(0.5, 2_000);
         fleet.frozen = (0..boxes).step_by(3).collect();
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 8_000);
         fleet.fatal_part = 0.0;
         fleet.frozen.clear();
         fleet.play(0.5, 500);
         let known = fleet.crashes;
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
-        assert_eq!(later, 0, "{boxes} boxes: those that wake learn it within a round of notes");
+        assert_eq!(later, 0, "{boxes} boxes: resumed boxes learn it within a round of gossip");
     }
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_finds_it_out_anew_and_sends_it_no_further() {
+fn a_fleet_that_restarts_at_once_detects_poison_requests_again() {
     for (boxes, replicas) in SIZES {
         let mut fleet = fleet_that_knows(boxes, replicas);
         let before = fleet.crashes;
@@ -117,107 +117,108 @@
     subject
 }
 
-fn asking(id: &str) -> CallerRequest {
+/// A request with [`CONTENT`].
+fn poison_request(id: &str) -> CallerRequest {
     CallerRequest { id: id.to_owned(), content: CONTENT, ..ask("/read/x") }
 }
 
-/// The attempt under way breaks; gives the next one, if there is one.
-fn break_off(subject: &mut TestBox, ticket: RequestTicket) -> Option<SendOrder> {
+/// Breaks the current attempt. Returns the next one, if there is one.
+fn break_attempt(subject: &mut TestBox, ticket: RequestTicket) -> Option<SendOrder> {
     let broken = RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken);
     crate::fixture::order_in(&subject.feed(broken))
 }
 
-/// A request whose replica ends, after which nothing is heard of that for a while.
-fn end_under(subject: &mut TestBox, id: &str) -> SendOrder {
-    let (ticket, order) = subject.sent(asking(id));
-    break_and_leave(subject, ticket);
-    hear_nothing(subject);
+/// Sends a request whose replica crashes and then stays silent.
+fn crash_under(subject: &mut TestBox, id: &str) -> SendOrder {
+    let (ticket, order) = subject.sent(poison_request(id));
+    break_and_disconnect(subject, ticket);
+    pass_silence(subject);
     order
 }
 
-/// The attempt under way breaks, and its caller leaves.
-fn break_and_leave(subject: &mut TestBox, ticket: RequestTicket) {
-    break_off(subject, ticket);
+/// Breaks the current attempt, and its caller disconnects.
+fn break_and_disconnect(subject: &mut TestBox, ticket: RequestTicket) {
+    break_attempt(subject, ticket);
     subject.feed(RouteEvent::CallerDisconnected(ticket));
 }
 
-/// Nothing is heard of any replica for a while.
-fn hear_nothing(subject: &mut TestBox) {
-    subject.now += UNHEARD_MS;
+/// Lets the time pass after which a silent replica counts as crashed.
+fn pass_silence(subject: &mut TestBox) {
+    subject.now += CRASH_SILENCE_MS;
     subject.feed(RouteEvent::Tick);
 }
 
 #[test]
-fn two_ends_under_different_requests_end_it_with_a_final_answer() {
+fn two_crashes_under_different_requests_refuse_the_content_for_good() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    end_under(&mut subject, "two");
-    let refusal = subject.refused(asking("three"));
+    crash_under(&mut subject, "one");
+    crash_under(&mut subject, "two");
+    let refusal = subject.refused(poison_request("three"));
     assert!(is_refused(refusal, 502, RefusalReason::CrashesReplicas));
-    assert_eq!(refusal.retry_after_ms, None, "coming back does not help");
-    let other = CallerRequest { content: CONTENT + 1, ..asking("four") };
+    assert_eq!(refusal.retry_after_ms, None, "a retry does not help");
+    let other = CallerRequest { content: CONTENT + 1, ..poison_request("four") };
     subject.sent(other);
 }
 
 #[test]
-fn one_request_that_was_there_twice_is_sent_on() {
+fn one_request_at_two_crashes_is_still_sent() {
     let mut subject = box_of_six();
-    let (ticket, _) = subject.sent(asking("one"));
-    break_off(&mut subject, ticket).expect("sent on");
-    hear_nothing(&mut subject);
-    assert!(break_off(&mut subject, ticket).is_some(), "it may be a bystander");
+    let (ticket, _) = subject.sent(poison_request("one"));
+    break_attempt(&mut subject, ticket).expect("sent again");
+    pass_silence(&mut subject);
+    assert!(break_attempt(&mut subject, ticket).is_some(), "it may be a bystander");
 }
 
 #[test]
-fn what_was_answered_meanwhile_crashes_nothing() {
+fn content_that_was_answered_meanwhile_is_no_poison() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    let (ticket, _) = subject.sent(asking("two"));
+    crash_under(&mut subject, "one");
+    let (ticket, _) = subject.sent(poison_request("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    end_under(&mut subject, "three");
-    subject.sent(asking("four"));
+    crash_under(&mut subject, "three");
+    subject.sent(poison_request("four"));
 }
 
 #[test]
-fn replicas_that_end_at_the_same_moment_count_once() {
+fn simultaneous_crashes_count_once() {
     let mut subject = box_of_six();
-    let tickets = ["one", "two", "three"].map(|id| subject.sent(asking(id)).0);
-    tickets.into_iter().for_each(|ticket| break_and_leave(&mut subject, ticket));
-    hear_nothing(&mut subject);
-    subject.sent(asking("four"));
+    let tickets = ["one", "two", "three"].map(|id| subject.sent(poison_request(id)).0);
+    tickets.into_iter().for_each(|ticket| break_and_disconnect(&mut subject, ticket));
+    pass_silence(&mut subject);
+    subject.sent(poison_request("four"));
 }
 
 #[test]
-fn the_end_of_a_replica_that_leaves_does_not_count() {
+fn the_exit_of_a_leaving_replica_is_no_crash() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
+        let (ticket, order) = subject.sent(poison_request(id));
         subject.put(BackendEntry { leaving: true, ..entry(&order.replica_id, "v1") });
-        break_and_leave(&mut subject, ticket);
-        hear_nothing(&mut subject);
+        break_and_disconnect(&mut subject, ticket);
+        pass_silence(&mut subject);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
 #[test]
-fn a_replica_that_answers_others_has_not_ended() {
+fn a_replica_that_answers_others_has_not_crashed() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
-        break_and_leave(&mut subject, ticket);
+        let (ticket, order) = subject.sent(poison_request(id));
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 10;
-        answer_elsewhere(&mut subject, &order);
-        hear_nothing(&mut subject);
+        answer_other_request(&mut subject, &order);
+        pass_silence(&mut subject);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
 
-/// Another request gets an answer, with its load, from the replica of `order`.
-fn answer_elsewhere(subject: &mut TestBox, order: &SendOrder) {
+/// Answers another request, with its load, on the replica of `order`.
+fn answer_other_request(subject: &mut TestBox, order: &SendOrder) {
     let load = ravenspoke_core::route::loads::BackendLoad { running: 1, waiting: 0, slots: 4 };
     loop {
-        let (ticket, other) = subject.sent(CallerRequest { content: 0, ..asking("other") });
+        let (ticket, other) = subject.sent(CallerRequest { content: 0, ..poison_request("other") });
         let answer = ravenspoke_core::route::event::AnswerHead { load: Some(load), ..head(200) };
         subject.feed(RouteEvent::HeadReceived(ticket, answer));
         subject.feed(RouteEvent::ResponseFinished(ticket));
@@ -227,148 +228,173 @@
     }
 }
 
-/// Another box's word of [`CONTENT`].
-fn told_content(number: u64, word: PoisonUpdate) -> RouteEvent {
+/// A gossip message of another box about [`CONTENT`].
+fn poison_gossip(number: u64, update: PoisonUpdate) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let contents = vec![PoisonUpdate { content: CONTENT, ..word }];
-    let note = GossipMessage {
+    let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         card,
         contents,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
 #[test]
-fn what_another_box_knows_to_crash_replicas_is_sent_on_once_it_was_answered_there() {
+fn poison_received_from_another_box_is_cleared_once_answered_there() {
     let mut subject = box_of_six();
-    let fatal = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
-    subject.feed(told_content(1, fatal));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
+    let poison = PoisonUpdate { age_ms: 30_000, ..PoisonUpdate::default() };
+    subject.feed(poison_gossip(1, poison));
+    assert!(is_refused(
+        subject.refused(poison_request("one")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
     let answered = PoisonUpdate { age_ms: 100, answered: true, ..PoisonUpdate::default() };
-    subject.feed(told_content(2, answered));
-    subject.sent(asking("two"));
-    subject.feed(told_content(3, fatal));
-    subject.sent(asking("three"));
+    subject.feed(poison_gossip(2, answered));
+    subject.sent(poison_request("two"));
+    subject.feed(poison_gossip(3, poison));
+    subject.sent(poison_request("three"));
 }
 
 #[test]
-fn a_box_tells_others_that_what_replicas_ended_under_was_answered() {
+fn an_answer_to_suspected_poison_is_announced() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    let (ticket, _) = subject.sent(asking("two"));
+    crash_under(&mut subject, "one");
+    let (ticket, _) = subject.sent(poison_request("two"));
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
-    subject.feed(told(Vec::new()));
+    subject.feed(crash_gossip(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
-    let word = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
-    assert_eq!(note.contents, vec![word]);
+    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message at once");
+    let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
+    assert_eq!(message.contents, vec![update]);
 }
 
 #[test]
-fn what_crashed_replicas_is_tried_again_by_one_attempt_and_its_end_alone_counts() {
+fn poison_is_retried_by_one_attempt_and_one_crash_refuses_it_again() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    end_under(&mut subject, "two");
-    subject.now += FATAL_BINDS_MS;
+    crash_under(&mut subject, "one");
+    crash_under(&mut subject, "two");
+    subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    let (ticket, _) = subject.sent(asking("three"));
-    assert!(break_off(&mut subject, ticket).is_none(), "no second replica for it");
-    assert!(is_refused(subject.refused(asking("four")), 502, RefusalReason::CrashesReplicas));
-    hear_nothing(&mut subject);
-    assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
+    let (ticket, _) = subject.sent(poison_request("three"));
+    assert!(break_attempt(&mut subject, ticket).is_none(), "it gets no second replica");
+    assert!(is_refused(
+        subject.refused(poison_request("four")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
+    pass_silence(&mut subject);
+    assert!(is_refused(
+        subject.refused(poison_request("five")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
-fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
+/// A gossip message of another box with crashes.
+fn crash_gossip(ends: Vec<CrashUpdate>) -> RouteEvent {
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
         card,
         ends,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
 #[test]
-fn ends_that_other_boxes_saw_count_and_lapse() {
+fn crashes_received_from_other_boxes_count_and_expire() {
     let mut subject = box_of_six();
-    let end = |number: u64| CrashUpdate {
+    let crash = |number: u64| CrashUpdate {
         content: CONTENT,
         request: number,
         replica: backend_hash(&format!("gone-{number}")),
         age_ms: 500 * number,
     };
-    subject.feed(told((0..FATAL_ENDS as u64).map(end).collect()));
-    assert!(is_refused(subject.refused(asking("one")), 502, RefusalReason::CrashesReplicas));
-    subject.now += FATAL_BINDS_MS;
+    subject.feed(crash_gossip((0..POISON_CRASHES as u64).map(crash).collect()));
+    assert!(is_refused(
+        subject.refused(poison_request("one")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
+    subject.now += POISON_REFUSED_MS;
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    subject.sent(asking("two"));
+    subject.sent(poison_request("two"));
 }
 
 #[test]
-fn a_box_tells_others_of_ends() {
+fn crashes_are_announced() {
     let mut subject = box_of_six();
-    let order = end_under(&mut subject, "one");
+    let order = crash_under(&mut subject, "one");
     subject.now += 500;
-    let note = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
+    let message = note_in(&subject.feed(crash_gossip(Vec::new()))).or_else(|| {
         subject.now += 500;
         note_in(&subject.feed(RouteEvent::Tick))
     });
-    let ends = note.expect("a note").ends;
+    let ends = message.expect("a gossip message").ends;
     assert_eq!(ends.len(), 1);
     assert_eq!((ends[0].content, ends[0].replica), (CONTENT, backend_hash(&order.replica_id)));
 }
 
 #[test]
-fn an_end_under_requests_of_several_callers_counts_for_each_of_them() {
+fn a_crash_under_several_requests_counts_for_each() {
     let mut subject = box_of_six();
-    end_under(&mut subject, "one");
-    let (first, order) = subject.sent(asking("one"));
+    crash_under(&mut subject, "one");
+    let (first, order) = subject.sent(poison_request("one"));
     let (second, _) = sent_to(&mut subject, "two", &order.replica_id);
     for ticket in [first, second] {
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
     }
-    hear_nothing(&mut subject);
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
+    pass_silence(&mut subject);
+    assert!(is_refused(
+        subject.refused(poison_request("three")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
-/// A request that is given to a certain replica; those before it stay in hand elsewhere.
+/// A request that is sent to the given replica. The ones before it stay in flight elsewhere.
 fn sent_to(subject: &mut TestBox, id: &str, replica: &str) -> (RequestTicket, SendOrder) {
     let mut tries = (0..100).map(|number| {
         let content = if number % 2 == 0 { CONTENT } else { 0 };
-        subject.sent(CallerRequest { content, ..asking(id) })
+        subject.sent(CallerRequest { content, ..poison_request(id) })
     });
     let hit = |(_, order): &(RequestTicket, SendOrder)| {
         order.replica_id == replica && order.content == CONTENT
     };
-    tries.find(hit).expect("the replica gets one")
+    tries.find(hit).expect("the replica gets a request")
 }
 
 #[test]
-fn a_replica_that_ends_twice_under_the_same_content_ended_twice() {
+fn two_crashes_of_one_replica_count_twice() {
     let mut subject = ready_box();
     for id in ["one", "two"] {
         let (ticket, _) = sent_to(&mut subject, id, "a");
-        break_and_leave(&mut subject, ticket);
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 3_000;
         subject.feed(RouteEvent::Tick);
     }
     subject.read_plan(Some(RoutePlan { version: 2, ..plan(2) }));
-    assert!(is_refused(subject.refused(asking("three")), 502, RefusalReason::CrashesReplicas));
+    assert!(is_refused(
+        subject.refused(poison_request("three")),
+        502,
+        RefusalReason::CrashesReplicas
+    ));
 }
 
 #[test]
-fn a_replica_that_answered_others_after_a_break_and_ends_later_did_not_end_under_it() {
+fn a_later_exit_of_a_replica_that_answered_others_is_no_crash() {
     let mut subject = box_of_six();
     for id in ["one", "two", "three"] {
-        let (ticket, order) = subject.sent(asking(id));
-        break_and_leave(&mut subject, ticket);
+        let (ticket, order) = subject.sent(poison_request(id));
+        break_and_disconnect(&mut subject, ticket);
         subject.now += 200;
-        answer_elsewhere(&mut subject, &order);
+        answer_other_request(&mut subject, &order);
         subject.feed(RouteEvent::Tick);
         subject.now += 1_000;
         let gone = subject.offset + 1;
@@ -377,5 +403,5 @@
         subject.feed(RouteEvent::BackendsChanged(vec![change]));
         subject.feed(RouteEvent::Tick);
     }
-    subject.sent(asking("four"));
+    subject.sent(poison_request("four"));
 }
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -1,49 +1,51 @@
-//! Replicas that name a limit: what they get in four seconds, from all boxes together.
+//! Replicas with a rate limit: the requests that they get in four seconds, from all boxes together.
 
 use ravenspoke_core::route::event::{AnswerHead, RefusalReason, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 use ravenspoke_core::route::plan::ServicePlan;
 use ravenspoke_core::route::rate_limit::{
-    LimitUpdate, ASK_AFTER_MS, LIMIT_GOSSIP_MS, LIMIT_KEPT_MS,
+    LimitUpdate, LIMIT_GOSSIP_MS, LIMIT_KEPT_MS, PROBE_AFTER_MS,
 };
 use ravenspoke_core::route::RouteState;
 
 use crate::fixture::{ask, entry, head, is_refused, new_box, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, BURST};
 
-/// Boxes, and replicas before them.
+/// Numbers of boxes and replicas.
 const SIZES: [(usize, usize); 3] = [(9, 16), (84, 60), (300, 120)];
 
-/// Requests a second that a replica in need names.
+/// Limit of an overloaded replica, in requests a second.
 const LIMIT_PER_S: f64 = 1.8;
 
-/// A limit binds this long after it was first named, in milliseconds: the shortest of the platform's bounds.
-const TAKES_MS: u64 = 3_000;
+/// Time until a limit takes effect after its first report, in milliseconds: the shortest of the
+/// platform's bounds.
+const EFFECT_DELAY_MS: u64 = 3_000;
 
-/// The bound is on every span of this length, in milliseconds.
+/// Length of the periods to which the bound applies, in milliseconds.
 const SPAN_MS: u64 = 4_000;
 
-/// Part of what all limits allow that is used while twice as much is asked for, at least: a box that may send to none of
-/// its replicas for a moment sends its callers back, since no other box is asked for its part.
-const USED_PART: f64 = 2.0 / 3.0;
+/// Smallest share of all limits that is used while the demand is twice as high. A box that may send
+/// to none of its replicas for a moment refuses requests, since no other box uses its share.
+const MIN_USED_SHARE: f64 = 2.0 / 3.0;
 
-/// All boxes know that a replica names its limit no more after this, in milliseconds: a sender asks it, its answer comes,
-/// and word of it goes from box to box.
-const LIFTED_MS: u64 = ASK_AFTER_MS + 3_000;
+/// Time until all boxes know that a limit has ended, in milliseconds: a sender probes the replica,
+/// receives its answer, and the boxes gossip it.
+const CLEARED_MS: u64 = PROBE_AFTER_MS + 3_000;
 
-/// Requests that a replica may get in a span: one and a half times what its limit allows, and five.
+/// Returns the requests that a replica may get in a period: one and a half times what its limit
+/// allows, plus five.
 fn allowed(limit_per_s: f64) -> usize {
     (1.5 * limit_per_s * SPAN_MS as f64 / 1_000.0 + 5.0).round() as usize
 }
 
-/// Requests that the fullest of the replicas that named a limit got in its fullest span since that binds.
-fn fullest_limited(fleet: &ReplicaFleet) -> usize {
+/// Returns the most requests that a limited replica got in a period since its limit took effect.
+fn peak_limited(fleet: &ReplicaFleet) -> usize {
     let rows = fleet.named_at.iter().enumerate();
-    let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + TAKES_MS)));
+    let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + EFFECT_DELAY_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
 }
 
-/// Boxes that have met, before replicas.
+/// Boxes that know each other, with replicas.
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
@@ -52,33 +54,33 @@
 }
 
 #[test]
-fn replicas_that_name_a_limit_get_no_more_than_it_allows() {
+fn replicas_with_a_limit_get_no_more_than_it_allows() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let limited = replicas / 6;
         fleet.limits[..limited].fill(Some(LIMIT_PER_S));
         fleet.play(BURST, 12_000);
 
-        let most = fullest_limited(&fleet);
+        let most = peak_limited(&fleet);
         println!(
             "{boxes} boxes: {most} requests in the fullest span, {} allowed",
             allowed(LIMIT_PER_S)
         );
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-        assert_eq!(fleet.refused, 0, "the others take the rest");
+        assert_eq!(fleet.refused, 0, "the other replicas take the rest");
     }
 }
 
-/// With none but limited replicas: what the fullest got in its fullest span, and the part of what all limits allow that
-/// was used.
+/// With limited replicas only: the most requests to one replica in a period, and the share of all
+/// limits that was used.
 fn all_limited(boxes: usize, replicas: usize, other_luck: bool) -> (usize, f64) {
     let mut fleet = start(boxes, replicas);
     fleet.other_luck = other_luck;
     fleet.limits.fill(Some(LIMIT_PER_S));
-    let bound_from = fleet.now + TAKES_MS;
-    fleet.play(1.0, TAKES_MS + 3 * SPAN_MS);
+    let bound_from = fleet.now + EFFECT_DELAY_MS;
+    fleet.play(1.0, EFFECT_DELAY_MS + 3 * SPAN_MS);
 
-    let most = fullest_limited(&fleet);
+    let most = peak_limited(&fleet);
     let got: usize = (0..replicas).map(|replica| fleet.got_since(replica, bound_from)).sum();
     let named = LIMIT_PER_S * (3 * SPAN_MS) as f64 / 1_000.0 * replicas as f64;
     println!("{boxes} boxes, all limited: {most} in the fullest span, {got} of {named:.0} used");
@@ -86,24 +88,24 @@
 }
 
 #[test]
-fn with_none_but_limited_replicas_requests_are_served_as_far_as_limits_allow() {
+fn limited_replicas_alone_serve_requests_up_to_their_limits() {
     for (boxes, replicas) in SIZES {
         let (most, used) = all_limited(boxes, replicas, false);
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-        assert!(used >= USED_PART, "{boxes} boxes: {used}");
+        assert!(used >= MIN_USED_SHARE, "{boxes} boxes: {used}");
     }
 }
 
 #[test]
-fn with_other_luck_limited_replicas_are_used_as_far() {
+fn with_another_seed_limited_replicas_serve_requests_up_to_their_limits() {
     let (boxes, replicas) = SIZES[2];
     let (most, used) = all_limited(boxes, replicas, true);
     assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
-    assert!(used >= USED_PART, "{boxes} boxes: {used}");
+    assert!(used >= MIN_USED_SHARE, "{boxes} boxes: {used}");
 }
 
 #[test]
-fn that_a_replica_names_no_limit_any_more_is_known_to_all_boxes() {
+fn the_end_of_a_limit_reaches_all_boxes() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         fleet.limits[0] = Some(LIMIT_PER_S);
@@ -114,20 +116,20 @@
             };
             fleet.boxes.iter().filter(|state| limits(state)).count()
         };
-        assert_eq!(limited_on(&fleet), boxes, "all know it");
+        assert_eq!(limited_on(&fleet), boxes, "all boxes know it");
         fleet.limits[0] = None;
-        fleet.play(1.0, LIFTED_MS);
+        fleet.play(1.0, CLEARED_MS);
         assert_eq!(limited_on(&fleet), 0, "{boxes} boxes");
     }
 }
 
-/// Feeds the head of an answer from replica `a` that names a limit.
+/// Feeds the head of an answer from replica `a` with a limit.
 fn name_limit(subject: &mut TestBox, limit_per_s: Option<f64>) {
     loop {
         let (ticket, order) = subject.sent(ask("/read/x"));
         let answer = AnswerHead { limit_per_s, ..head(200) };
-        let came = if order.replica_id == "a" { answer } else { head(200) };
-        subject.feed(RouteEvent::HeadReceived(ticket, came));
+        let response = if order.replica_id == "a" { answer } else { head(200) };
+        subject.feed(RouteEvent::HeadReceived(ticket, response));
         subject.feed(RouteEvent::ResponseFinished(ticket));
         if order.replica_id == "a" {
             return;
@@ -135,22 +137,22 @@
     }
 }
 
-/// A note of another box with word of replica `a`'s limit.
-fn note(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
+/// A gossip message of another box with the limit of replica `a`.
+fn limit_gossip(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
     let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let limits = vec![LimitUpdate { replica, per_s, age_ms }];
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         card,
         limits,
         ..GossipMessage::default()
     };
-    RouteEvent::GossipReceived(Box::new(note))
+    RouteEvent::GossipReceived(Box::new(message))
 }
 
-/// Requests of twenty that go to replica `a`.
+/// Returns how many of twenty requests go to replica `a`.
 fn sent_to_a(subject: &mut TestBox) -> usize {
     let mut sent = 0;
     for _ in 0..20 {
@@ -162,27 +164,27 @@
 }
 
 #[test]
-fn a_box_heeds_a_limit_that_another_box_heard() {
+fn a_limit_received_from_another_box_applies() {
     let mut subject = ready_box();
-    subject.feed(note(1, Some(1.0), 200));
+    subject.feed(limit_gossip(1, Some(1.0), 200));
     assert!(sent_to_a(&mut subject) <= 1, "one at a time");
-    subject.feed(note(2, None, 100));
-    assert!(sent_to_a(&mut subject) > 1, "it names none any more");
+    subject.feed(limit_gossip(2, None, 100));
+    assert!(sent_to_a(&mut subject) > 1, "its limit has ended");
 }
 
 #[test]
-fn older_word_of_a_limit_does_not_replace_later_word() {
+fn an_older_limit_update_does_not_replace_a_later_one() {
     let mut subject = ready_box();
     subject.now += LIMIT_GOSSIP_MS;
     name_limit(&mut subject, Some(1.0));
-    subject.feed(note(1, None, 500));
-    assert!(sent_to_a(&mut subject) <= 1, "what the replica said itself is later");
-    subject.feed(note(2, None, LIMIT_GOSSIP_MS));
-    assert!(sent_to_a(&mut subject) <= 1, "word that is too old says nothing");
+    subject.feed(limit_gossip(1, None, 500));
+    assert!(sent_to_a(&mut subject) <= 1, "the report of the replica itself is later");
+    subject.feed(limit_gossip(2, None, LIMIT_GOSSIP_MS));
+    assert!(sent_to_a(&mut subject) <= 1, "an update that is too old does not count");
 }
 
 #[test]
-fn an_answer_that_ran_nothing_lifts_no_limit() {
+fn an_answer_that_ran_nothing_does_not_clear_a_limit() {
     let mut subject = ready_box();
     name_limit(&mut subject, Some(1.0));
     subject.now += 2_000;
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn a_limit_without_word_for_long_counts_no_more() {
+fn a_limit_without_updates_expires() {
     let mut subject = ready_box();
     name_limit(&mut subject, Some(0.0));
     assert!(sent_to_a(&mut subject) <= 1);
@@ -210,7 +212,7 @@
 }
 
 #[test]
-fn with_all_replicas_limited_callers_are_told_at_once_when_to_come_back() {
+fn with_all_replicas_limited_callers_get_a_retry_time_at_once() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(entry("a", "v1"));
@@ -221,16 +223,16 @@
 }
 
 #[test]
-fn a_burst_after_a_quiet_time_brings_a_limited_replica_no_more_than_it_allows() {
+fn a_burst_after_low_load_stays_within_a_replicas_limit() {
     for (boxes, replicas) in SIZES {
         let mut fleet = start(boxes, replicas);
         let limited = replicas / 6;
         fleet.limits[..limited].fill(Some(LIMIT_PER_S));
-        fleet.play(1.0, TAKES_MS);
+        fleet.play(1.0, EFFECT_DELAY_MS);
         fleet.play(0.01, 8_000);
         fleet.play(BURST, 2 * SPAN_MS);
 
-        let most = fullest_limited(&fleet);
+        let most = peak_limited(&fleet);
         println!("{boxes} boxes, burst after a quiet time: {most} in the fullest span");
         assert!(most <= allowed(LIMIT_PER_S), "{boxes} boxes: {most}");
     }
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -1,48 +1,48 @@
-//! The retry budget of a fleet: boxes that see few requests each, and what they make of the whole.
+//! The retry budget of a fleet whose boxes see few requests each.
 
 use ravenspoke_core::route::retry_budget::{
-    BudgetBounds, SendBudget, SendCause, SendCount, HEARD_MS,
+    BudgetBounds, SendBudget, SendCause, SendCount, REPORT_KEPT_MS,
 };
 use ravenspoke_core::time::BoxTime;
 
 /// Boxes of the fleet.
 const BOXES: usize = 100;
 
-/// Each tells its counts this often, in milliseconds, to [`TOLD_TO`] others.
-const NOTE_MS: u64 = 500;
-const TOLD_TO: usize = 12;
+/// Each box gossips its counts this often, in milliseconds, to [`GOSSIP_TARGETS`] others.
+const GOSSIP_MS: u64 = 500;
+const GOSSIP_TARGETS: usize = 12;
 
-/// Requests of a box and second.
+/// Requests a second to each box.
 const RATE: u64 = 2;
 
-/// Time of a test, in milliseconds, and of one step.
+/// Length of a simulation and of one step, in milliseconds.
 const LENGTH_MS: u64 = 60_000;
 const STEP_MS: u64 = 10;
 
 const BOUNDS: BudgetBounds = BudgetBounds { ratio: 0.9, slack: 200.0, window_ms: 10_000 };
 
-/// What a fleet asked for and got.
+/// The extra attempts of a fleet.
 struct FleetSends {
-    /// Further sends that were wanted, and that were made, from the tenth second on.
+    /// Extra attempts wanted, and made, from the tenth second on.
     wanted: u32,
     made: u32,
-    /// The most that were made in any window beyond what the operator allows.
-    beyond: f64,
+    /// The most that were made in any window beyond the operator's bound.
+    excess: f64,
 }
 
-/// A random number below `below`.
+/// Returns a random number below `below`.
 fn draw(state: &mut u64, below: u64) -> u64 {
     *state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
     (*state >> 33) % below
 }
 
-/// Plays a fleet. `wishes` gives, for a moment and a drawn number below 100, how many further sends a request wants
-/// and for what. With `tells`, boxes tell each other their counts.
-fn play(tells: bool, wishes: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
+/// Simulates a fleet. `demand` returns, for a time and a random number below 100, how many extra
+/// attempts a request wants and why. With `gossips`, boxes exchange their counts.
+fn simulate(gossips: bool, demand: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
-    let mut sums = FleetSends { wanted: 0, made: 0, beyond: f64::MIN };
-    // Requests and further sends of each step.
+    let mut sums = FleetSends { wanted: 0, made: 0, excess: f64::MIN };
+    // Requests and extra attempts of each step.
     let mut steps: Vec<(u32, u32)> = Vec::new();
     for now_ms in (0..LENGTH_MS).step_by(STEP_MS as usize) {
         let now = BoxTime::from_millis(now_ms);
@@ -51,7 +51,7 @@
             if draw(&mut seed, 1_000 / STEP_MS) < RATE {
                 boxes[number].earn(BOUNDS, now);
                 step.0 += 1;
-                let (wanted, cause) = wishes(now_ms, draw(&mut seed, 100));
+                let (wanted, cause) = demand(now_ms, draw(&mut seed, 100));
                 let may = |_: &u32| boxes[number].spend(BOUNDS, BOXES, cause, now);
                 let made = (0..wanted).take_while(may).count() as u32;
                 step.1 += made;
@@ -60,9 +60,9 @@
                     sums.made += made;
                 }
             }
-            if tells && now_ms % NOTE_MS == number as u64 * STEP_MS % NOTE_MS {
+            if gossips && now_ms % GOSSIP_MS == number as u64 * STEP_MS % GOSSIP_MS {
                 let count = boxes[number].count(BOUNDS, now);
-                for _ in 0..TOLD_TO {
+                for _ in 0..GOSSIP_TARGETS {
                     let to = draw(&mut seed, BOXES as u64) as usize;
                     boxes[to].merge(&format!("box-{number}"), count, now);
                 }
@@ -73,12 +73,12 @@
         let requests: u32 = window.iter().map(|step| step.0).sum();
         let sends: u32 = window.iter().map(|step| step.1).sum();
         let allowed = BOUNDS.ratio * f64::from(requests) + BOUNDS.slack;
-        sums.beyond = sums.beyond.max(f64::from(sends) - allowed);
+        sums.excess = sums.excess.max(f64::from(sends) - allowed);
     }
     sums
 }
 
-/// More than half of the requests want a larger model's answer.
+/// More than half of the requests want an escalation to a larger model.
 fn larger_models(_: u64, drawn: u64) -> (u32, SendCause) {
     (u32::from(drawn < 56), SendCause::LargerModel)
 }
@@ -92,37 +92,39 @@
 }
 
 #[test]
-fn what_some_boxes_leave_of_the_budget_serves_others() {
-    let alone = play(false, larger_models);
-    let together = play(true, larger_models);
+fn budget_that_some_boxes_leave_serves_others() {
+    let alone = simulate(false, larger_models);
+    let together = simulate(true, larger_models);
 
     let denied = |sends: &FleetSends| 1.0 - f64::from(sends.made) / f64::from(sends.wanted);
-    assert!(denied(&alone) > 0.05, "{} of the sends were denied", denied(&alone));
-    assert!(denied(&together) < 0.02, "{} of the sends are denied", denied(&together));
+    assert!(denied(&alone) > 0.05, "{} of the extra attempts were denied", denied(&alone));
+    assert!(denied(&together) < 0.02, "{} of the extra attempts are denied", denied(&together));
 }
 
-/// Nothing fails for forty seconds; then, where the boxes have left all their parts, each request does.
+/// Nothing fails for forty seconds, so the boxes have not spent their shares. Then each request
+/// fails.
 fn late_storm(now_ms: u64, _: u64) -> (u32, SendCause) {
     (if now_ms >= 40_000 { 2 } else { 0 }, SendCause::Failure)
 }
 
 #[test]
-fn a_storm_that_comes_while_nothing_was_spent_stays_within_what_the_operator_allows() {
-    let sends = play(true, late_storm);
+fn a_failure_storm_on_an_unspent_budget_stays_within_the_bound() {
+    let sends = simulate(true, late_storm);
 
-    assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
+    assert!(sends.excess <= 0.0, "{} extra attempts beyond the budget", sends.excess);
 }
 
 #[test]
-fn a_storm_of_failures_stays_within_what_the_operator_allows() {
-    let sends = play(true, storm);
+fn a_failure_storm_stays_within_the_bound() {
+    let sends = simulate(true, storm);
 
-    assert!(sends.beyond <= 0.0, "{} sends beyond the budget", sends.beyond);
+    assert!(sends.excess <= 0.0, "{} extra attempts beyond the budget", sends.excess);
     assert!(sends.made > sends.wanted / 3, "{} of {}", sends.made, sends.wanted);
 }
 
-/// A box with 20 requests that has sent all that its own part allows; another one told `count` just now.
-fn box_that_spent_its_part(count: SendCount) -> (SendBudget, BoxTime) {
+/// A box with 20 requests that has spent its own share, and that has just received `count` from
+/// another box.
+fn box_with_spent_share(count: SendCount) -> (SendBudget, BoxTime) {
     let mut budget = SendBudget::default();
     let now = BoxTime::from_millis(5_000);
     for _ in 0..20 {
@@ -134,33 +136,33 @@
 }
 
 #[test]
-fn a_box_goes_beyond_its_part_only_while_others_leave_theirs() {
+fn a_box_exceeds_its_share_only_while_others_leave_theirs() {
     let idle = SendCount { requests: 200, sends: 0 };
     let spent = SendCount { requests: 200, sends: 200 };
     for (count, allowed) in [(idle, true), (spent, false)] {
-        let (mut budget, now) = box_that_spent_its_part(count);
+        let (mut budget, now) = box_with_spent_share(count);
         assert_eq!(budget.spend(BOUNDS, BOXES, SendCause::Failure, now), allowed, "{count:?}");
     }
 }
 
 #[test]
-fn counts_that_no_box_can_have_are_borne() {
+fn impossible_counts_do_not_overflow() {
     let most = SendCount { requests: u32::MAX, sends: u32::MAX };
-    let (mut budget, now) = box_that_spent_its_part(most);
+    let (mut budget, now) = box_with_spent_share(most);
     budget.merge("box-3", most, now);
-    assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "nothing is left");
+    assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, now), "no budget is left");
 }
 
 #[test]
-fn what_was_heard_long_ago_leaves_nothing() {
-    let (mut budget, now) = box_that_spent_its_part(SendCount { requests: 200, sends: 0 });
-    let later = now.plus_millis(HEARD_MS);
+fn outdated_counts_leave_no_budget() {
+    let (mut budget, now) = box_with_spent_share(SendCount { requests: 200, sends: 0 });
+    let later = now.plus_millis(REPORT_KEPT_MS);
     assert!(!budget.spend(BOUNDS, BOXES, SendCause::Failure, later));
 }
 
 #[test]
-fn a_box_never_sends_more_than_twice_its_part() {
-    let (mut budget, now) = box_that_spent_its_part(SendCount { requests: 9_000, sends: 0 });
+fn a_box_never_exceeds_twice_its_share() {
+    let (mut budget, now) = box_with_spent_share(SendCount { requests: 9_000, sends: 0 });
     let part = budget.count(BOUNDS, now).sends;
     while budget.spend(BOUNDS, BOXES, SendCause::Failure, now) {}
     assert!(budget.count(BOUNDS, now).sends <= 2 * (part + 1));
