--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ravenspoke_adapter::records::{read_mark, write_mark, MARK_TOPIC};
+use ravenspoke_adapter::records::{read_checkpoint, write_mark, MARK_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::trial_progress::TrialCheckpoint;
@@ -68,7 +68,7 @@
     let mut marks = Vec::new();
     for record in records {
         let Some(value) = &record.value else { continue };
-        match read_mark(&record.key, value) {
+        match read_checkpoint(&record.key, value) {
             Ok(mark) => marks.push(mark),
             Err(error) => observe::note_bad_record(&error),
         }
