--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ravenspoke_adapter::records::{read_checkpoint, write_mark, MARK_TOPIC};
+use ravenspoke_adapter::records::{read_checkpoint, write_checkpoint, MARK_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::trial_progress::TrialCheckpoint;
@@ -48,7 +48,7 @@
 ) {
     let mut follower = TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true);
     while let Some(mark) = due.recv().await {
-        let (key, value) = write_mark(&mark);
+        let (key, value) = write_checkpoint(&mark);
         let record = KeyedRecord::new(key, Some(value));
         let taken = append_unless(&mut follower, &record, |asked_at, standing| {
             let standing = take_marks(&driver, asked_at, standing);
