--- a/crates/box/src/gateway/marks.rs
+++ b/crates/box/src/gateway/marks.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ravenspoke_adapter::records::{read_checkpoint, write_checkpoint, MARK_TOPIC};
+use ravenspoke_adapter::records::{read_checkpoint, write_checkpoint, CHECKPOINT_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::trial_progress::TrialCheckpoint;
@@ -23,7 +23,7 @@
 impl MarkReader {
     pub(super) fn new(driver: Arc<GatewayDriver>, store: StoreClient) -> Self {
         Self {
-            follower: TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true),
+            follower: TopicFollower::new(driver.clone(), store, CHECKPOINT_TOPIC, |_, _| true),
             driver,
         }
     }
@@ -46,7 +46,7 @@
     store: StoreClient,
     mut due: UnboundedReceiver<TrialCheckpoint>,
 ) {
-    let mut follower = TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true);
+    let mut follower = TopicFollower::new(driver.clone(), store, CHECKPOINT_TOPIC, |_, _| true);
     while let Some(mark) = due.recv().await {
         let (key, value) = write_checkpoint(&mark);
         let record = KeyedRecord::new(key, Some(value));
