--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -6,7 +6,7 @@
 use ravenspoke_adapter::cloud::CloudClient;
 use ravenspoke_adapter::records::{read_leader, write_leader, LEADER_TOPIC};
 use ravenspoke_adapter::store::{
-    GroupMember, GroupWord, KeyedRecord, ProducerEpoch, StoreClient, StoreError, CALL_MS,
+    GroupMember, GroupMembership, KeyedRecord, ProducerEpoch, StoreClient, StoreError, CALL_MS,
 };
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::leader::lease::{token, LeaseAnswer};
@@ -70,7 +70,7 @@
     let asked_at = driver.now();
     let answer = timeout(Duration::from_millis(CALL_MS), store.join(member, generation)).await;
     match answer {
-        Ok(Ok(GroupWord { era, generation, has_first })) => {
+        Ok(Ok(GroupMembership { era, generation, has_first })) => {
             let answer = LeaseAnswer { token: token(era, generation), granted: has_first };
             driver.feed(RouteEvent::LeaseAnswered { asked_at, answer });
             Some(generation)
