--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::{select_all, BoxFuture, FutureExt};
-use ravenspoke_adapter::store::{CallPulse, StoreError, CALL_MS};
+use ravenspoke_adapter::store::{CallActivity, StoreError, CALL_MS};
 use ravenspoke_core::time::BoxTime;
 
 /// Calls of one follower that are open at the same time, at most: what a store that takes four seconds needs, which is
@@ -32,7 +32,7 @@
     asked_at: BoxTime,
     wait_ms: u64,
     began: Instant,
-    pulse: CallPulse,
+    pulse: CallActivity,
     answer: BoxFuture<'static, Result<T, StoreError>>,
 }
 
@@ -65,7 +65,7 @@
         &mut self,
         asked_at: BoxTime,
         wait_ms: u64,
-        pulse: CallPulse,
+        pulse: CallActivity,
         answer: impl Future<Output = Result<T, StoreError>> + Send + 'static,
     ) {
         let (began, answer) = (Instant::now(), answer.boxed());
