--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -263,7 +263,7 @@
 
     /// Notes the era that the store names.
     fn note_era(&mut self) {
-        if let Some(value) = self.store.era().take_unread() {
+        if let Some(value) = self.store.era().take_invalid() {
             observe::note_era_unread(&value);
         }
         let era = self.era();
