--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -13,7 +13,7 @@
 
 /// A wait looks at the clock at least this often, in milliseconds: a timer that was set before a suspension is late by its
 /// length.
-pub const LOOK_MS: u64 = 250;
+pub const POLL_INTERVAL_MS: u64 = 250;
 
 /// Time that the monotonic clock lacks from which on the box counts as having been suspended, in milliseconds: below
 /// that the two clocks were only not read at the same moment.
@@ -70,7 +70,7 @@
         tokio::pin!(future);
         loop {
             let left = limit.saturating_sub(self.since(began));
-            let look = left.min(Duration::from_millis(LOOK_MS));
+            let look = left.min(Duration::from_millis(POLL_INTERVAL_MS));
             if let Ok(output) = tokio::time::timeout(look, future.as_mut()).await {
                 return Some(output);
             }
