--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -17,7 +17,7 @@
 
 /// Time that the monotonic clock lacks from which on the box counts as having been suspended, in milliseconds: below
 /// that the two clocks were only not read at the same moment.
-pub const SUSPENDED_MS: u64 = 100;
+pub const SUSPENSION_THRESHOLD_MS: u64 = 100;
 
 /// The clock that counts suspensions can't be read.
 #[derive(Debug, thiserror::Error)]
@@ -106,7 +106,7 @@
         let by_clock = Duration::from_micros(next.clock.micros_since(self.clock));
         let suspended = by_clock.saturating_sub(next.steady.duration_since(self.steady));
         *self = next;
-        (suspended >= Duration::from_millis(SUSPENDED_MS)).then_some(suspended)
+        (suspended >= Duration::from_millis(SUSPENSION_THRESHOLD_MS)).then_some(suspended)
     }
 }
 
