--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -91,20 +91,20 @@
 #[derive(Debug)]
 pub struct SuspensionWatch {
     clock: BoxTime,
-    steady: tokio::time::Instant,
+    monotonic: tokio::time::Instant,
 }
 
 impl SuspensionWatch {
     /// Watches from now on.
     pub fn start(clock: &BoxClock) -> Self {
-        Self { clock: clock.now(), steady: tokio::time::Instant::now() }
+        Self { clock: clock.now(), monotonic: tokio::time::Instant::now() }
     }
 
     /// How long the box was suspended since the last look, if it was.
     pub fn look(&mut self, clock: &BoxClock) -> Option<Duration> {
         let next = Self::start(clock);
         let by_clock = Duration::from_micros(next.clock.micros_since(self.clock));
-        let suspended = by_clock.saturating_sub(next.steady.duration_since(self.steady));
+        let suspended = by_clock.saturating_sub(next.monotonic.duration_since(self.monotonic));
         *self = next;
         (suspended >= Duration::from_millis(SUSPENSION_THRESHOLD_MS)).then_some(suspended)
     }
