--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -100,7 +100,7 @@
         let mut state = self.state();
         // Stamped under the lock: a pause before it can't make an old time look current.
         for effect in state.apply(self.stamp(), event) {
-            self.hand_on(effect);
+            self.dispatch(effect);
         }
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    fn hand_on(&self, effect: BoxEffect) {
+    fn dispatch(&self, effect: BoxEffect) {
         observe::note_effect(&effect);
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
