--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -118,7 +118,7 @@
     }
 
     /// Requests in hand.
-    pub fn open_count(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.lock_steps().len()
     }
 
--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -178,7 +178,7 @@
 ) -> HeadAnswer {
     let driver = &tools.driver;
     let id: u128 = rand::random();
-    if driver.open_count() >= limits.requests {
+    if driver.in_flight_count() >= limits.requests {
         let error = json!({ "error": {
             "message": "this box has too many requests in hand; use another address",
             "type": "rate_limit_error", "code": "box_full", "run": "not_run",
