--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -150,7 +150,7 @@
                     let end = self.attempt(key, &order).await;
                     match end {
                         Some(end) => self.tools.driver.feed(BoxEvent::AttemptEnded(key, end)),
-                        None => self.caller_left(),
+                        None => self.report_disconnect(),
                     }
                 }
                 RequestStep::Judge(key) => {
@@ -199,12 +199,12 @@
             (None, None) => false,
         };
         if gone {
-            self.caller_left();
+            self.report_disconnect();
         }
         steps.recv().await
     }
 
-    fn caller_left(&mut self) {
+    fn report_disconnect(&mut self) {
         self.head = None;
         self.body = None;
         self.tools.driver.feed(BoxEvent::CallerDisconnected(self.ticket));
