--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -250,7 +250,7 @@
         self.replica.clone_from(&order.replica);
         let sent = self.request(order).send();
         let silence = self.tools.silence;
-        let sent = self.unless_left(tokio::time::timeout(silence, sent)).await?;
+        let sent = self.unless_disconnected(tokio::time::timeout(silence, sent)).await?;
         let response = match sent {
             Err(_elapsed) => return Some(AttemptEnd::Broken { delivered: 0 }),
             Ok(Err(error)) if error.is_connect() => return Some(AttemptEnd::NeverConnected),
@@ -274,7 +274,10 @@
     }
 
     /// Waits for `work`, unless the caller goes away first.
-    async fn unless_left<T>(&mut self, work: impl std::future::Future<Output = T>) -> Option<T> {
+    async fn unless_disconnected<T>(
+        &mut self,
+        work: impl std::future::Future<Output = T>,
+    ) -> Option<T> {
         match (&mut self.head, &self.body) {
             (Some(head), _) => {
                 tokio::select! {
@@ -303,7 +306,7 @@
         let mut body = BytesMut::new();
         loop {
             let piece = tokio::time::timeout(self.tools.silence, response.chunk());
-            match self.unless_left(piece).await? {
+            match self.unless_disconnected(piece).await? {
                 Ok(Ok(Some(piece))) => {
                     if body.is_empty() {
                         self.tools.driver.feed(BoxEvent::FirstToken(key));
@@ -353,7 +356,7 @@
             let piece = tokio::time::timeout(self.tools.silence, response.chunk());
             let broken =
                 AttemptEnd::Broken { delivered: if order.buffered { 0 } else { reader.tokens } };
-            let piece = match self.unless_left(piece).await? {
+            let piece = match self.unless_disconnected(piece).await? {
                 Ok(Ok(Some(piece))) => piece,
                 Ok(Ok(None)) if reader.ended => break,
                 Ok(Ok(None) | Err(_)) | Err(_) => return Some(broken),
