--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -371,7 +371,7 @@
                 if held.len() > self.tools.answer_bytes {
                     return Some(broken);
                 }
-            } else if !events.is_empty() && !self.pass_on(events).await {
+            } else if !events.is_empty() && !self.forward(events).await {
                 return None;
             }
         }
@@ -386,7 +386,7 @@
     }
 
     /// Passes a piece on to the caller; the first one carries the head. False if the caller left.
-    async fn pass_on(&mut self, piece: Bytes) -> bool {
+    async fn forward(&mut self, piece: Bytes) -> bool {
         if self.body.is_none() {
             let (sender, receiver) = channel(BODY_PIECES);
             let head = self.head_answer(200, "text/event-stream", AnswerBody::Stream(receiver));
