--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -183,7 +183,7 @@
         if let Ok(step) = steps.try_recv() {
             return Some(step);
         }
-        let gone = match (&mut self.head, &self.body) {
+        let disconnected = match (&mut self.head, &self.body) {
             (Some(head), _) => {
                 tokio::select! {
                     step = steps.recv() => return step,
@@ -198,7 +198,7 @@
             }
             (None, None) => false,
         };
-        if gone {
+        if disconnected {
             self.report_disconnect();
         }
         steps.recv().await
