--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -257,12 +257,12 @@
             Ok(Err(_)) => return Some(AttemptEnd::Broken { delivered: 0 }),
             Ok(Ok(response)) => response,
         };
-        let said = |name| header(response.headers(), name);
-        if said(RUN_HEADER) == Some("not_run") {
-            let leaving = said("x-ravenspoke-leaving").is_some();
+        let response_header = |name| header(response.headers(), name);
+        if response_header(RUN_HEADER) == Some("not_run") {
+            let leaving = response_header("x-ravenspoke-leaving").is_some();
             return Some(AttemptEnd::Declined { leaving });
         }
-        if said(ECHO_HEADER) != Some(self.echo(order).as_str()) {
+        if response_header(ECHO_HEADER) != Some(self.echo(order).as_str()) {
             return Some(AttemptEnd::WrongEcho);
         }
         let streams = matches!(self.call, UpstreamCall::Chat { stream: true, .. });
