--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -157,7 +157,7 @@
                     let good = self.rate().await;
                     self.tools.driver.feed(BoxEvent::HeldAnswerRated(key, good));
                 }
-                RequestStep::Rate => self.rate_later(),
+                RequestStep::Rate => self.rate_in_background(),
                 RequestStep::Finish(reasons) => {
                     self.finish(&reasons).await;
                     break;
@@ -475,7 +475,7 @@
     }
 
     /// Rates in a task of its own: the answer does not wait for it.
-    fn rate_later(&self) {
+    fn rate_in_background(&self) {
         let (tools, version, class) = (self.tools.clone(), self.version.clone(), self.class());
         let (question, text) = (self.question(), self.text.clone());
         tokio::spawn(async move {
