--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -430,13 +430,13 @@
     }
 
     /// Ends the request with a typed error: before the head as its status, after it as an event and
-    /// a cut connection, so that nobody takes the answer for whole.
+    /// a abort connection, so that nobody takes the answer for whole.
     async fn refuse(&mut self, refusal: &RequestRefusal) {
         if let Some(body) = self.body.take() {
             let event = format!("data: {}\n\n", refusal_json(refusal, self.id));
             let _ = body.send(Ok(event.into())).await;
-            let cut = io::Error::new(io::ErrorKind::ConnectionAborted, refusal.reason.slug());
-            let _ = body.send(Err(cut)).await;
+            let abort = io::Error::new(io::ErrorKind::ConnectionAborted, refusal.reason.slug());
+            let _ = body.send(Err(abort)).await;
         } else if let Some(head) = self.head.take() {
             let _ = head.send(HeadAnswer::refusal(refusal, self.id));
         }
