--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -44,8 +44,8 @@
     pub http: reqwest::Client,
     /// Client of the rating service.
     pub rating: RatingClient,
-    /// Longest silence within an answer.
-    pub silence: Duration,
+    /// Longest idle_timeout within an answer.
+    pub idle_timeout: Duration,
     /// Largest answer, in bytes.
     pub answer_bytes: usize,
 }
@@ -249,8 +249,8 @@
         self.version.clone_from(&order.version);
         self.replica.clone_from(&order.replica);
         let sent = self.request(order).send();
-        let silence = self.tools.silence;
-        let sent = self.unless_disconnected(tokio::time::timeout(silence, sent)).await?;
+        let idle_timeout = self.tools.idle_timeout;
+        let sent = self.unless_disconnected(tokio::time::timeout(idle_timeout, sent)).await?;
         let response = match sent {
             Err(_elapsed) => return Some(AttemptEnd::Broken { delivered: 0 }),
             Ok(Err(error)) if error.is_connect() => return Some(AttemptEnd::NeverConnected),
@@ -305,7 +305,7 @@
         let content_type = media.to_owned();
         let mut body = BytesMut::new();
         loop {
-            let piece = tokio::time::timeout(self.tools.silence, response.chunk());
+            let piece = tokio::time::timeout(self.tools.idle_timeout, response.chunk());
             match self.unless_disconnected(piece).await? {
                 Ok(Ok(Some(piece))) => {
                     if body.is_empty() {
@@ -353,7 +353,7 @@
         let mut held = BytesMut::new();
         let mut first = true;
         loop {
-            let piece = tokio::time::timeout(self.tools.silence, response.chunk());
+            let piece = tokio::time::timeout(self.tools.idle_timeout, response.chunk());
             let broken =
                 AttemptEnd::Broken { delivered: if order.buffered { 0 } else { reader.tokens } };
             let piece = match self.unless_disconnected(piece).await? {
--- a/crates/box/src/process.rs
+++ b/crates/box/src/process.rs
@@ -93,7 +93,7 @@
         driver: driver.clone(),
         http: replica_client()?,
         rating: RatingClient::new(platform_http, &settings.platform.rating),
-        silence: Duration::from_millis(settings.limits.silence_ms),
+        idle_timeout: Duration::from_millis(settings.limits.silence_ms),
         answer_bytes: settings.limits.answer_bytes,
     });
     let limits = EntryLimits {
