--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -98,12 +98,12 @@
         return HeadAnswer::malformed("the body is not JSON");
     };
     let checked = body["messages"].as_array().map_or(Ok(()), |rows| check_messages(rows));
-    if let Err(words) = checked {
-        return HeadAnswer::malformed(&words);
+    if let Err(message) = checked {
+        return HeadAnswer::malformed(&message);
     }
     let Some(target) = chat_target(&headers, &body) else {
-        let words = "the body needs `model`, a string, and `messages`, a list that is not empty";
-        return HeadAnswer::malformed(words);
+        let message = "the body needs `model`, a string, and `messages`, a list that is not empty";
+        return HeadAnswer::malformed(message);
     };
     let class = match &target {
         RequestTarget::Model { class, .. } => *class,
