--- a/crates/box/src/links.rs
+++ b/crates/box/src/links.rs
@@ -72,7 +72,7 @@
 
 /// Writes one link's messages until it is idle or broken; a new message opens a new link.
 async fn run_link(identity: LinkIdentity, address: String, mut messages: Receiver<PeerMessage>) {
-    let greeted = timeout(CONNECT_TIMEOUT, greet(&identity, &address)).await;
+    let greeted = timeout(CONNECT_TIMEOUT, connect(&identity, &address)).await;
     let Ok(Ok(stream)) = greeted else { return };
     let mut frames = FramedWrite::new(stream, PeerCodec::default());
     while let Ok(Some(message)) = timeout(IDLE_TIMEOUT, messages.recv()).await {
@@ -90,7 +90,7 @@
     }
 }
 
-async fn greet(identity: &LinkIdentity, address: &str) -> std::io::Result<TcpStream> {
+async fn connect(identity: &LinkIdentity, address: &str) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut frames = Framed::new(stream, raw_codec());
