--- a/crates/box/src/links.rs
+++ b/crates/box/src/links.rs
@@ -72,8 +72,8 @@
 
 /// Writes one link's messages until it is idle or broken; a new message opens a new link.
 async fn run_link(identity: LinkIdentity, address: String, mut messages: Receiver<PeerMessage>) {
-    let greeted = timeout(CONNECT_TIMEOUT, connect(&identity, &address)).await;
-    let Ok(Ok(stream)) = greeted else { return };
+    let connected = timeout(CONNECT_TIMEOUT, connect(&identity, &address)).await;
+    let Ok(Ok(stream)) = connected else { return };
     let mut frames = FramedWrite::new(stream, PeerCodec::default());
     while let Ok(Some(message)) = timeout(IDLE_TIMEOUT, messages.recv()).await {
         if frames.feed(message).await.is_err() {
@@ -117,7 +117,7 @@
         return;
     };
     while let Some(Ok(message)) = frames.next().await {
-        // A link speaks for the box that greeted, and for no other.
+        // A link speaks for the box that connected, and for no other.
         if message.from == name {
             driver.feed(BoxEvent::PeerMessage(message));
         }
