--- a/crates/box/src/links.rs
+++ b/crates/box/src/links.rs
@@ -110,7 +110,8 @@
 
 async fn read_link(identity: LinkIdentity, driver: Arc<BoxDriver>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let Ok(Ok((name, mut frames))) = timeout(CONNECT_TIMEOUT, welcome(&identity, stream)).await
+    let Ok(Ok((name, mut frames))) =
+        timeout(CONNECT_TIMEOUT, accept_hello(&identity, stream)).await
     else {
         metrics::counter!("ravenspoke_peers_refused_total").increment(1);
         tracing::warn!(event = 601, name = "peer_refused");
@@ -124,7 +125,7 @@
     }
 }
 
-async fn welcome(
+async fn accept_hello(
     identity: &LinkIdentity,
     stream: TcpStream,
 ) -> std::io::Result<(String, Framed<TcpStream, PeerCodec>)> {
