--- a/crates/box/src/stream.rs
+++ b/crates/box/src/stream.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub struct EventReader {
     pending: BytesMut,
-    /// Events with content that were passed on.
+    /// Events with content that were complete on.
     pub tokens: u32,
     /// Whether the end marker came.
     pub ended: bool,
@@ -39,7 +39,7 @@
     /// [`EventTooLong`]; the stream can't be read further.
     pub fn push(&mut self, piece: &[u8]) -> Result<Bytes, EventTooLong> {
         self.pending.extend_from_slice(piece);
-        let mut passed = BytesMut::new();
+        let mut complete = BytesMut::new();
         while let Some(length) = find(&self.pending, EVENT_END) {
             let event = self.pending.split_to(length + EVENT_END.len());
             if self.ended {
@@ -49,13 +49,13 @@
                 self.ended = true;
             } else {
                 self.count(&event);
-                passed.extend_from_slice(&event);
+                complete.extend_from_slice(&event);
             }
         }
         if self.pending.len() > EVENT_LIMIT {
             return Err(EventTooLong);
         }
-        Ok(passed.freeze())
+        Ok(complete.freeze())
     }
 
     fn count(&mut self, event: &[u8]) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The end marker, to be passed on last.
+    /// The end marker, to be complete on last.
     pub fn end_marker() -> Bytes {
         Bytes::from_static(b"data: [DONE]\n\n")
     }
