--- a/crates/box/src/main.rs
+++ b/crates/box/src/main.rs
@@ -12,7 +12,7 @@
 use ravenspoke_config::settings::{read_settings, ProcessSettings};
 
 /// Lines that may wait to be written; more are dropped and counted.
-const LOG_LINES: usize = 8_192;
+const LOG_BUFFER_LINES: usize = 8_192;
 
 const HELP: &str = "\
 Run an entry box of ravenspoke.
@@ -192,7 +192,7 @@
 fn start_platform_logs() -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LOG_LINES)
+        .buffered_lines_limit(LOG_BUFFER_LINES)
         .finish(std::io::stdout());
     let filter = tracing_subscriber::EnvFilter::new("warn,ravenspoke_box=info");
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).json().init();
