--- a/crates/box/src/answer.rs
+++ b/crates/box/src/answer.rs
@@ -87,13 +87,13 @@
         "message": message,
         "type": kind,
         "code": refusal.reason.slug(),
-        "run": run_word(refusal.run()),
+        "run": run_state_name(refusal.run()),
         "retry_after_ms": refusal.retry_after_ms,
         "request_id": format!("{request:032x}"),
     } })
 }
 
-fn run_word(run: RunState) -> &'static str {
+fn run_state_name(run: RunState) -> &'static str {
     match run {
         RunState::NotRun => "not_run",
         RunState::Unknown => "unknown",
