--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub enum RequestStep {
     /// Prepare this attempt and report that the write begins.
-    Assign(RequestKey, AttemptOrder),
+    Prepare(RequestKey, AttemptOrder),
     /// Write now.
     Send,
     /// Have the held answer rated.
@@ -137,7 +137,7 @@
         observe::note_effect(&effect);
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
-                self.step(ticket, RequestStep::Assign(key, order));
+                self.step(ticket, RequestStep::Prepare(key, order));
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
             BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::Judge(key)),
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -137,7 +137,7 @@
         let mut order = None;
         while let Some(step) = self.next_step(&mut steps).await {
             match step {
-                RequestStep::Assign(key, assigned) => {
+                RequestStep::Prepare(key, assigned) => {
                     self.key = Some(key);
                     if assigned.session_token.is_some() {
                         self.session_token = assigned.session_token.clone();
