--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -31,7 +31,7 @@
     /// Write now.
     Send,
     /// Have the held answer rated.
-    Judge(RequestKey),
+    RateHeld(RequestKey),
     /// Have the answer rated, later.
     Rate,
     /// The end of the answer may leave.
@@ -140,7 +140,7 @@
                 self.step(ticket, RequestStep::Prepare(key, order));
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
-            BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::Judge(key)),
+            BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::RateHeld(key)),
             BoxEffect::RateReleasedAnswer(ticket) => self.step(ticket, RequestStep::Rate),
             BoxEffect::Finish(ticket, reasons) => self.step(ticket, RequestStep::Finish(reasons)),
             BoxEffect::Refuse(ticket, refusal) => self.step(ticket, RequestStep::Refuse(refusal)),
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -153,7 +153,7 @@
                         None => self.report_disconnect(),
                     }
                 }
-                RequestStep::Judge(key) => {
+                RequestStep::RateHeld(key) => {
                     let good = self.rate().await;
                     self.tools.driver.feed(BoxEvent::HeldAnswerRated(key, good));
                 }
