--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -33,7 +33,7 @@
     /// Have the held answer rated.
     RateHeld(RequestKey),
     /// Have the answer rated, later.
-    Rate,
+    RateReleased,
     /// The end of the answer may leave.
     Finish(Vec<ReasonCode>),
     /// The request ends without a whole answer.
@@ -141,7 +141,7 @@
             }
             BoxEffect::Send(ticket) => self.step(ticket, RequestStep::Send),
             BoxEffect::RateHeldAnswer(ticket, key) => self.step(ticket, RequestStep::RateHeld(key)),
-            BoxEffect::RateReleasedAnswer(ticket) => self.step(ticket, RequestStep::Rate),
+            BoxEffect::RateReleasedAnswer(ticket) => self.step(ticket, RequestStep::RateReleased),
             BoxEffect::Finish(ticket, reasons) => self.step(ticket, RequestStep::Finish(reasons)),
             BoxEffect::Refuse(ticket, refusal) => self.step(ticket, RequestStep::Refuse(refusal)),
             BoxEffect::Replay(ticket, outcome) => self.step(ticket, RequestStep::Replay(outcome)),
--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -157,7 +157,7 @@
                     let good = self.rate().await;
                     self.tools.driver.feed(BoxEvent::HeldAnswerRated(key, good));
                 }
-                RequestStep::Rate => self.rate_in_background(),
+                RequestStep::RateReleased => self.rate_in_background(),
                 RequestStep::Finish(reasons) => {
                     self.finish(&reasons).await;
                     break;
