--- a/crates/box/src/answer.rs
+++ b/crates/box/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: streamed bodies, and errors in the protocol's shape.
+//! Responses to callers: complete and streamed bodies, and errors in the protocol's format.
 
 use std::io;
 
@@ -11,36 +11,37 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-/// Pieces of a body; an error cuts the connection, so that the caller sees the answer as broken.
+/// Sender of body pieces. An error closes the connection, so that the caller sees an aborted
+/// response.
 pub type BodySender = mpsc::Sender<io::Result<Bytes>>;
 
-/// Pieces that may wait for a slow caller before the upstream is read no further.
+/// Pieces that may be queued for a slow caller before reading from the replica pauses.
 pub const BODY_PIECES: usize = 64;
 
-/// An answer whose head is known.
+/// A response whose head is known.
 #[derive(Debug)]
 pub struct HeadAnswer {
     /// HTTP status.
     pub status: u16,
     /// Media type.
     pub content_type: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// Body.
     pub body: AnswerBody,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Pieces to come.
+    /// A stream of pieces.
     Stream(mpsc::Receiver<io::Result<Bytes>>),
 }
 
 impl HeadAnswer {
-    /// A JSON answer.
+    /// Creates a JSON response.
     pub fn json(status: u16, body: &serde_json::Value) -> Self {
         Self {
             status,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// An answer to input that is not of the protocol.
+    /// Creates the response to input that violates the protocol.
     pub fn malformed(message: &str) -> Self {
         let error = json!({
             "message": message, "type": "invalid_request_error",
@@ -59,7 +60,7 @@
         Self::json(400, &json!({ "error": error }))
     }
 
-    /// The answer to a refused request.
+    /// Creates the response to a refused request.
     pub fn refusal(refusal: &RequestRefusal, request: u128) -> Self {
         let mut answer = Self::json(status_of(refusal), &refusal_json(refusal, request));
         if let Some(millis) = refusal.retry_after_ms {
@@ -70,7 +71,7 @@
     }
 }
 
-/// The protocol's error object for a refusal.
+/// The protocol's error object of a refusal.
 pub fn refusal_json(refusal: &RequestRefusal, request: u128) -> serde_json::Value {
     let message = match &refusal.detail {
         Some(detail) => format!("{}: {detail}", refusal.reason.words()),
