--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -1,7 +1,8 @@
-//! The box's clock: the time since its start, with that for which the box was suspended.
+//! The box's clock: the time since its start, including time for which the box was suspended.
 //!
-//! What a box knows grows old while it is suspended, and its requests' time runs out; the system's monotonic clock, by which
-//! timers run, does not count that time. All ages are taken from here, and waits look here again and again.
+//! A box's state ages and its requests' deadlines pass while it is suspended, but the system's
+//! monotonic clock, which drives timers, does not count that time. All ages are therefore taken
+//! from this clock, and waits poll it.
 
 use std::future::Future;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,15 +12,15 @@
 use nix::time::{clock_gettime, ClockId};
 use ravenspoke_core::time::BoxTime;
 
-/// A wait looks at the clock at least this often, in milliseconds: a timer that was set before a suspension is late by its
-/// length.
+/// Interval at which a wait polls the clock, in milliseconds. A timer that was set before a
+/// suspension fires late by the length of the suspension.
 pub const POLL_INTERVAL_MS: u64 = 250;
 
-/// Time that the monotonic clock lacks from which on the box counts as having been suspended, in milliseconds: below
-/// that the two clocks were only not read at the same moment.
+/// Least difference between the two clocks that counts as a suspension, in milliseconds. Smaller
+/// differences arise because the clocks are not read at the same moment.
 pub const SUSPENSION_THRESHOLD_MS: u64 = 100;
 
-/// The clock that counts suspensions can't be read.
+/// The clock that includes suspensions cannot be read.
 #[derive(Debug, thiserror::Error)]
 #[error("the clock that counts suspensions can't be read: {0}")]
 pub struct ClockError(#[from] Errno);
@@ -28,25 +29,25 @@
 #[derive(Debug)]
 pub struct BoxClock {
     started: Duration,
-    /// The latest time that was given, in microseconds.
+    /// The latest time that was returned, in microseconds.
     latest: AtomicU64,
-    /// Time by which a test moved it, in microseconds.
+    /// Time by which a test has advanced the clock, in microseconds.
     skipped: AtomicU64,
 }
 
 impl BoxClock {
-    /// A clock that starts now.
+    /// Starts the clock.
     ///
     /// # Errors
-    /// [`ClockError`], if the system has no such clock.
+    /// Returns [`ClockError`] if the system has no such clock.
     pub fn start() -> Result<Self, ClockError> {
         let started = read(ClockId::CLOCK_BOOTTIME)?;
         Ok(Self { started, latest: AtomicU64::new(0), skipped: AtomicU64::new(0) })
     }
 
-    /// The time.
+    /// The present time.
     pub fn now(&self) -> BoxTime {
-        // It could be read at the start; should that ever fail, time stands for a moment.
+        // The clock was readable at the start; if a later read fails, the latest time is returned.
         let since = read(ClockId::CLOCK_BOOTTIME).unwrap_or_default().saturating_sub(self.started);
         let micros = u64::try_from(since.as_micros()).unwrap_or(u64::MAX);
         let micros = micros.saturating_add(self.skipped.load(Ordering::Relaxed));
@@ -54,7 +55,7 @@
         BoxTime::from_micros(micros.max(latest))
     }
 
-    /// How long it is until `time`.
+    /// Time until `time`.
     pub fn until(&self, time: BoxTime) -> Duration {
         Duration::from_micros(time.micros_since(self.now()))
     }
@@ -64,7 +65,7 @@
         Duration::from_micros(self.now().micros_since(earlier))
     }
 
-    /// What `future` gives within `limit` of this clock; `None` if that is over first.
+    /// Waits for `future` for at most `limit` by this clock; `None` if the limit passes first.
     pub async fn within<F: Future>(&self, limit: Duration, future: F) -> Option<F::Output> {
         let began = self.now();
         tokio::pin!(future);
@@ -80,14 +81,14 @@
         }
     }
 
-    /// Moves it forward, as a suspension does.
+    /// Advances the clock, as a suspension does.
     pub fn skip(&self, length: Duration) {
         let micros = u64::try_from(length.as_micros()).unwrap_or(u64::MAX);
         self.skipped.fetch_add(micros, Ordering::Relaxed);
     }
 }
 
-/// Finds out that the box was suspended.
+/// Detects suspensions of the box.
 #[derive(Debug)]
 pub struct SuspensionWatch {
     clock: BoxTime,
@@ -95,12 +96,12 @@
 }
 
 impl SuspensionWatch {
-    /// Watches from now on.
+    /// Starts watching.
     pub fn start(clock: &BoxClock) -> Self {
         Self { clock: clock.now(), monotonic: tokio::time::Instant::now() }
     }
 
-    /// How long the box was suspended since the last look, if it was.
+    /// Returns for how long the box was suspended since the last call, if it was.
     pub fn look(&mut self, clock: &BoxClock) -> Option<Duration> {
         let next = Self::start(clock);
         let by_clock = Duration::from_micros(next.clock.micros_since(self.clock));
