--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -1,7 +1,8 @@
-//! The driver: one lock around the reducer's state, one place that applies events.
+//! The driver holds the reducer's state under one lock and is the only place that applies events.
 //!
-//! Effects are handed on while the lock is held, in order, to channels that never block; so records
-//! reach the appender, and messages their links, in the order in which the reducer gave them.
+//! It dispatches effects in order, while it holds the lock, to channels that never block. Records
+//! therefore reach the appender, and messages their links, in the order in which the reducer
+//! emitted them.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -23,26 +24,26 @@
 use crate::clock::BoxClock;
 use crate::observe;
 
-/// What the reducer tells the task of one request.
+/// A step that the reducer sends to the task of one request.
 #[derive(Debug)]
 pub enum RequestStep {
-    /// Prepare this attempt and report that the write begins.
+    /// Prepare this attempt and report that it is about to be sent.
     Prepare(RequestKey, AttemptOrder),
-    /// Write now.
+    /// Send the prepared attempt now.
     Send,
-    /// Have the held answer rated.
+    /// Have the held response rated before it may leave.
     RateHeld(RequestKey),
-    /// Have the answer rated, later.
+    /// Have the released response rated in the background.
     RateReleased,
-    /// The end of the answer may leave.
+    /// Send the end of the response.
     Finish(Vec<ReasonCode>),
-    /// The request ends without a whole answer.
+    /// End the request with a refusal.
     Refuse(RequestRefusal),
-    /// The call ran earlier.
+    /// Return the stored outcome of a call that ran earlier.
     Replay(OutcomeRecord),
 }
 
-/// Channels that effects are handed to.
+/// Channels to which effects are dispatched.
 pub struct EffectSinks {
     /// Batches for the log.
     pub appends: UnboundedSender<(LogStream, Vec<LogRecord>)>,
@@ -52,7 +53,7 @@
     pub orders: UnboundedSender<PoolOrder>,
 }
 
-/// The reducer's state, its clocks and its sinks.
+/// The reducer's state, clock and sinks.
 pub struct BoxDriver {
     state: Mutex<BoxState>,
     steps: Mutex<HashMap<RequestTicket, UnboundedSender<RequestStep>>>,
@@ -61,12 +62,12 @@
     next_ticket: AtomicU64,
     /// Wakes the reader of the bundles stream.
     pub read_bundles: Notify,
-    /// Set when nothing is owed any more after a planned stop.
+    /// Notified when no obligations are left after a planned stop.
     pub may_exit: Notify,
 }
 
 impl BoxDriver {
-    /// A driver of `state`.
+    /// Creates a driver of `state`.
     pub fn new(state: BoxState, sinks: EffectSinks, clock: BoxClock) -> Self {
         Self {
             state: Mutex::new(state),
@@ -90,15 +91,15 @@
         EventStamp { now: self.now(), wall, random: rand::random() }
     }
 
-    /// Looks at the state.
+    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, BoxState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Applies an event and hands its effects on.
+    /// Applies an event and dispatches its effects.
     pub fn feed(&self, event: BoxEvent) {
         let mut state = self.state();
-        // Stamped under the lock: a pause before it can't make an old time look current.
+        // Stamped under the lock, so that a wait for the lock cannot make an old time look current.
         for effect in state.apply(self.stamp(), event) {
             self.dispatch(effect);
         }
@@ -112,12 +113,12 @@
         (ticket, receiver)
     }
 
-    /// Forgets a request's channel.
+    /// Removes a request's channel.
     pub fn close_request(&self, ticket: RequestTicket) {
         self.lock_steps().remove(&ticket);
     }
 
-    /// Requests in hand.
+    /// Number of requests in flight.
     pub fn in_flight_count(&self) -> usize {
         self.lock_steps().len()
     }
@@ -128,7 +129,7 @@
 
     fn step(&self, ticket: RequestTicket, step: RequestStep) {
         if let Some(sender) = self.lock_steps().get(&ticket) {
-            // A request whose task has ended takes no more steps.
+            // The task may have ended; it then needs no further steps.
             let _ = sender.send(step);
         }
     }
@@ -145,7 +146,7 @@
             BoxEffect::Finish(ticket, reasons) => self.step(ticket, RequestStep::Finish(reasons)),
             BoxEffect::Refuse(ticket, refusal) => self.step(ticket, RequestStep::Refuse(refusal)),
             BoxEffect::Replay(ticket, outcome) => self.step(ticket, RequestStep::Replay(outcome)),
-            // The receivers live as long as the process.
+            // The receivers live as long as the process, so these sends do not fail.
             BoxEffect::Append(stream, batch) => drop(self.sinks.appends.send((stream, batch))),
             BoxEffect::SendPeer(name, body) => drop(self.sinks.peers.send((name, body))),
             BoxEffect::Order(order) => drop(self.sinks.orders.send(order)),
