--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -1,4 +1,4 @@
-//! The callers' listener: chat completions, models, plain services, and which address to use.
+//! The callers' listener: chat completions, the model list, plain services and box addresses.
 
 use std::sync::Arc;
 
@@ -20,10 +20,10 @@
 use crate::exchange::{ExchangeTools, RequestExchange, UpstreamCall};
 use crate::messages::check_messages;
 
-/// Bytes of a prompt that make its prefix: enough for a system prompt to differ.
+/// Bytes of a prompt that form its prefix; enough to tell system prompts apart.
 const PREFIX_BYTES: usize = 512;
 
-/// Longest header value that is looked at, in bytes.
+/// Longest accepted header value, in bytes.
 const HEADER_LIMIT: usize = 2_048;
 
 /// Limits of the callers' listener.
@@ -31,13 +31,13 @@
 pub struct EntryLimits {
     /// Largest request body, in bytes.
     pub body_bytes: u64,
-    /// Requests in hand at once.
+    /// Most requests in flight at once.
     pub requests: usize,
-    /// How long callers keep an entry answer, in milliseconds.
+    /// How long callers may cache the address response, in milliseconds.
     pub keep_ms: u64,
 }
 
-/// What a caller's headers say.
+/// The headers of a caller's request that the box uses.
 struct CallerHeaders {
     key_hash: [u8; 32],
     session: Option<String>,
@@ -124,7 +124,7 @@
         let room = PREFIX_BYTES - prefix.len();
         prefix.extend_from_slice(&content.as_bytes()[..content.len().min(room)]);
     }
-    // Four bytes a token is the usual estimate for English and Portuguese text.
+    // Four bytes per token is the usual estimate for English and Portuguese text.
     let prompt_tokens = u32::try_from(length / 4).unwrap_or(u32::MAX);
     let class = headers.class.filter(|class| usize::from(*class) < CLASS_COUNT);
     Some(RequestTarget::Model {
@@ -136,7 +136,7 @@
     })
 }
 
-/// Request class by prompt length, where the caller names none: 4 to 7.
+/// Request class by prompt length, 4 to 7, for callers that name none.
 fn length_class(prompt_tokens: u32) -> u8 {
     match prompt_tokens {
         0..=255 => 4,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Feeds the request to the reducer and waits for the head of its answer.
+/// Passes the request to the reducer and waits for the head of its response.
 async fn exchange(
     tools: &Arc<ExchangeTools>,
     limits: &EntryLimits,
@@ -233,14 +233,14 @@
 ) -> Json<Value> {
     let now = tools.driver.now();
     let state = tools.driver.state();
-    // Salted by chance, so that callers of one zone spread over its boxes.
+    // A random salt spreads the callers of one zone over its boxes.
     let rows = state.members().entries(headers.zone.as_deref(), rand::random(), now);
     let addresses: Vec<Value> =
         rows.iter().map(|row| json!({ "address": row.entry, "zone": row.zone })).collect();
     Json(json!({ "addresses": addresses, "keep_ms": limits.keep_ms }))
 }
 
-/// Any method on `/services/<name>/<path..>`.
+/// Handles all methods of `/services/<name>/<path..>`.
 #[derive(Clone)]
 struct ServiceHandler;
 
