--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -1,9 +1,11 @@
-//! Carries one request's effects out: writes to replicas, reads their answers, reports what came.
+//! Carries out the effects of one request: sends attempts to replicas, reads their responses and
+//! reports the results.
 //!
-//! The task of a request waits for the reducer's steps. On `Assign` it reports that it is about to
-//! write; on `Send`, the reducer's last word, it writes at once. What came back goes to the reducer
-//! as an event, and the next step follows from it. The head of the answer goes to the caller as soon
-//! as it is certain; a held answer, and the end of every answer, wait for the reducer.
+//! The task of a request waits for the reducer's steps. On `Prepare` it reports that it is about to
+//! send; on `Send`, which ends the reducer's checks, it sends at once. It reports the result to the
+//! reducer as an event, from which the next step follows. The head of a streamed response goes to
+//! the caller with the first piece; a held response, and the end of every response, wait for the
+//! reducer.
 
 use std::io;
 use std::sync::Arc;
@@ -27,33 +29,33 @@
 use crate::driver::{BoxDriver, RequestStep};
 use crate::stream::EventReader;
 
-/// Header by which a backend server echoes the attempt.
+/// Header in which a backend server repeats the id of the attempt.
 pub const ECHO_HEADER: &str = "x-ravenspoke-attempt";
 
-/// Header by which a backend server says that it did not run a request.
+/// Header in which a backend server reports that it did not run a request.
 pub const RUN_HEADER: &str = "x-ravenspoke-run";
 
-/// Header that asks an engine to resume a stream behind this many tokens.
+/// Header that asks an engine to resume a stream after this many tokens.
 pub const RESUME_HEADER: &str = "x-ravenspoke-resume";
 
-/// What the exchange needs of the box.
+/// Shared resources of the box that an exchange uses.
 pub struct ExchangeTools {
-    /// The reducer.
+    /// Driver of the reducer.
     pub driver: Arc<BoxDriver>,
     /// Client for replicas.
     pub http: reqwest::Client,
     /// Client of the rating service.
     pub rating: RatingClient,
-    /// Longest idle_timeout within an answer.
+    /// Longest time without data from a replica before an attempt fails.
     pub idle_timeout: Duration,
-    /// Largest answer, in bytes.
+    /// Largest response, in bytes.
     pub answer_bytes: usize,
 }
 
-/// What is written to the replica.
+/// The request that is sent to the replica.
 #[derive(Clone, Debug)]
 pub enum UpstreamCall {
-    /// A chat completion; the model's name is set to the version.
+    /// A chat completion; the box replaces the model's name by the version.
     Chat {
         /// The caller's body.
         body: Value,
@@ -72,12 +74,12 @@
         content_type: String,
         /// Body.
         body: Bytes,
-        /// The caller's key, passed on.
+        /// The caller's idempotency key, which is passed on.
         caller_key: Option<String>,
     },
 }
 
-/// A whole answer, held until it may leave.
+/// A complete response that is held until the reducer releases it.
 struct HeldAnswer {
     status: u16,
     content_type: String,
@@ -86,19 +88,19 @@
 
 /// The task of one request.
 pub struct RequestExchange {
-    /// What it needs of the box.
+    /// Shared resources of the box.
     pub tools: Arc<ExchangeTools>,
-    /// Its ticket.
+    /// Ticket of the request.
     pub ticket: RequestTicket,
-    /// Its id.
+    /// Id of the request.
     pub id: u128,
-    /// What is written.
+    /// Request to the replica.
     pub call: UpstreamCall,
-    /// Where the head of the answer goes.
+    /// Receives the head of the response; `None` once the head is sent.
     pub head: Option<oneshot::Sender<HeadAnswer>>,
-    /// Where pieces of a streamed answer go, once its head has left.
+    /// Receives the pieces of a streamed response once its head is sent.
     pub body: Option<BodySender>,
-    /// A whole answer that waits.
+    /// A complete response that waits for its release.
     held: Option<HeldAnswer>,
     text: String,
     version: String,
@@ -108,7 +110,7 @@
 }
 
 impl RequestExchange {
-    /// A task for a request that is about to be fed to the reducer.
+    /// Creates the task of a request that is about to be passed to the reducer.
     pub fn new(
         tools: Arc<ExchangeTools>,
         ticket: RequestTicket,
@@ -175,7 +177,7 @@
         self.tools.driver.close_request(self.ticket);
     }
 
-    /// The next step; a caller that goes away while the request waits is noticed here.
+    /// Waits for the next step, and reports a caller that disconnects meanwhile.
     async fn next_step(
         &mut self,
         steps: &mut UnboundedReceiver<RequestStep>,
@@ -244,7 +246,7 @@
         format!("{:032x}.{}", self.id, order.number)
     }
 
-    /// Makes one attempt; `None` if the caller went away.
+    /// Makes one attempt; `None` if the caller disconnected.
     async fn attempt(&mut self, key: RequestKey, order: &AttemptOrder) -> Option<AttemptEnd> {
         self.version.clone_from(&order.version);
         self.replica.clone_from(&order.replica);
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Waits for `work`, unless the caller goes away first.
+    /// Waits for `work`; `None` if the caller disconnects first.
     async fn unless_disconnected<T>(
         &mut self,
         work: impl std::future::Future<Output = T>,
@@ -385,7 +387,8 @@
         Some(AttemptEnd::Answered { tokens, status: 200, body: Vec::new() })
     }
 
-    /// Passes a piece on to the caller; the first one carries the head. False if the caller left.
+    /// Forwards a piece to the caller, preceded by the head if it is the first. Returns false if
+    /// the caller disconnected.
     async fn forward(&mut self, piece: Bytes) -> bool {
         if self.body.is_none() {
             let (sender, receiver) = channel(BODY_PIECES);
@@ -415,7 +418,7 @@
 
     async fn finish(&mut self, reasons: &[ReasonCode]) {
         if let Some(body) = self.body.take() {
-            // A caller that left does not need the end.
+            // A caller that disconnected does not need the end.
             let _ = body.send(Ok(EventReader::end_marker())).await;
             return;
         }
@@ -429,8 +432,9 @@
         }
     }
 
-    /// Ends the request with a typed error: before the head as its status, after it as an event and
-    /// a abort connection, so that nobody takes the answer for whole.
+    /// Ends the request with a typed error. Before the head is sent, the error is the response.
+    /// After it, the error is an event and the connection is closed, so that no caller takes the
+    /// response for complete.
     async fn refuse(&mut self, refusal: &RequestRefusal) {
         if let Some(body) = self.body.take() {
             let event = format!("data: {}\n\n", refusal_json(refusal, self.id));
@@ -474,7 +478,7 @@
         rating.rate(&self.version, self.class(), &self.question(), &self.text).await.ok()
     }
 
-    /// Rates in a task of its own: the answer does not wait for it.
+    /// Rates in a separate task, so that the response does not wait for the rating.
     fn rate_in_background(&self) {
         let (tools, version, class) = (self.tools.clone(), self.version.clone(), self.class());
         let (question, text) = (self.question(), self.text.clone());
