--- a/crates/box/src/follow.rs
+++ b/crates/box/src/follow.rs
@@ -1,4 +1,5 @@
-//! Follows the platform: the log's streams, the box list, and the replicas' load.
+//! Background tasks that read the log streams, the box list and the replicas' load, append to the
+//! log, send orders to replicas, and drive the reducer's ticks.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,22 +15,22 @@
 
 use crate::driver::BoxDriver;
 
-/// How long a read of the log waits for news: half of the freshness lease at most.
+/// Longest wait of a log read for new records; at most half of the freshness lease.
 const READ_WAIT: Duration = Duration::from_millis(1_000);
 
-/// Pause after the log could not be read.
+/// Pause after a failed read of the log.
 const READ_RETRY: Duration = Duration::from_millis(250);
 
-/// Time between readings of the box list.
+/// Interval between reads of the box list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between load reports of one replica.
+/// Interval between load reports of one replica.
 const LOAD_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between ticks.
+/// Interval between ticks.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Reads a stream for ever, feeding what comes.
+/// Reads a stream forever and passes its records to the reducer.
 pub async fn follow_stream(driver: Arc<BoxDriver>, log: LogClient, stream: LogStream) {
     loop {
         let from = driver.state().next_offset(stream);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Appends batches; streams do not wait for one another.
+/// Appends batches to the log; streams do not wait for one another.
 pub async fn run_appends(
     driver: Arc<BoxDriver>,
     log: LogClient,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Reads the box list, and keeps a poller for each replica on it.
+/// Reads the box list forever and runs a load poller for each listed replica.
 pub async fn follow_list(driver: Arc<BoxDriver>, list: ListClient, http: reqwest::Client) {
     let mut pollers = std::collections::HashMap::new();
     loop {
@@ -130,7 +131,8 @@
     }
 }
 
-/// Gives orders to replicas; one whose time has passed is dropped, last thing before the write.
+/// Sends orders to replicas. An order that is past its time is dropped; this is checked last, right
+/// before it is sent.
 pub async fn run_orders(
     driver: Arc<BoxDriver>,
     http: reqwest::Client,
@@ -156,7 +158,7 @@
     }
 }
 
-/// Feeds ticks.
+/// Passes ticks to the reducer forever.
 pub async fn run_ticks(driver: Arc<BoxDriver>) {
     let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
