--- a/crates/box/src/lib.rs
+++ b/crates/box/src/lib.rs
@@ -1,11 +1,13 @@
-//! The entry box: it reads sockets and clocks, feeds events to the reducer, and carries effects out.
+//! The entry box: it reads sockets and clocks, passes events to the reducer, and carries out
+//! effects.
 //!
 //! [`driver::BoxDriver`] holds the reducer's state and is the only place that applies events.
-//! [`entry`] takes callers' requests, [`exchange`] carries one request's effects out against the
-//! replicas, [`links`] talks to other boxes, [`follow`] reads the platform, [`operator`] serves the
-//! operators, and [`observe`] turns effects into numbered log events and metrics. [`process`] puts
-//! them together, and [`clock`] is where all ages are taken from. [`gateway`] is the box that routes by host and
-//! prefix on the users' platform.
+//! [`entry`] accepts callers' requests, whose chat messages [`messages`] checks. [`exchange`]
+//! carries out the effects of one request; [`stream`] reads its event stream and [`answer`] is its
+//! response. [`links`] exchanges messages with other boxes, [`follow`] reads and writes the log and
+//! the box list, and [`operator`] serves the operators. [`observe`] turns effects into numbered log
+//! events and metrics, [`clock`] is the source of all ages, and [`process`] assembles the box.
+//! [`gateway`] is the box that routes by host and path prefix on the users' platform.
 
 pub mod answer;
 pub mod clock;
