--- a/crates/box/src/links.rs
+++ b/crates/box/src/links.rs
@@ -1,7 +1,8 @@
-//! Links to other boxes: one outgoing connection for each box that this one writes to.
+//! Links to other boxes: one outgoing connection for each box to which this one sends messages.
 //!
-//! Messages are hints and repeats are harmless, so a link that can't keep up drops its oldest word
-//! by dropping the message; the reducer asks again. Witnessed bills are asked again after a bound.
+//! Messages are hints and repeats are harmless, so a link that cannot keep up drops new messages,
+//! and the reducer requests what it lacks again. Requests to witness bills are repeated after a
+//! bound.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,27 +21,27 @@
 
 use crate::driver::BoxDriver;
 
-/// Messages that may wait for one link.
+/// Messages that may be queued for one link.
 const LINK_QUEUE: usize = 1_024;
 
-/// Bound on connecting and greeting.
+/// Timeout for connecting and the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A link without messages is closed after this.
+/// Time without messages after which a link is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Who this box is to others.
+/// The identity with which this box connects to others.
 #[derive(Clone)]
 pub struct LinkIdentity {
     /// Box name.
     pub name: String,
-    /// Incarnation.
+    /// Incarnation of the box's process.
     pub incarnation: u64,
-    /// Secret that boxes share.
+    /// Secret that all boxes share.
     pub key: Arc<[u8]>,
 }
 
-/// Hands messages to links, opening them as needed.
+/// Passes messages to links and opens links as needed.
 pub async fn run_links(
     identity: LinkIdentity,
     driver: Arc<BoxDriver>,
@@ -65,12 +66,12 @@
                 sender
             }
         };
-        // Full: the other box does not read; what it misses it will ask for.
+        // A full queue means that the other box does not read; it will request what it misses.
         let _ = link.try_send(message);
     }
 }
 
-/// Writes one link's messages until it is idle or broken; a new message opens a new link.
+/// Writes one link's messages until the link is idle or fails; the next message opens a new link.
 async fn run_link(identity: LinkIdentity, address: String, mut messages: Receiver<PeerMessage>) {
     let connected = timeout(CONNECT_TIMEOUT, connect(&identity, &address)).await;
     let Ok(Ok(stream)) = connected else { return };
@@ -118,7 +119,7 @@
         return;
     };
     while let Some(Ok(message)) = frames.next().await {
-        // A link speaks for the box that connected, and for no other.
+        // Messages are accepted only from the box that authenticated the link.
         if message.from == name {
             driver.feed(BoxEvent::PeerMessage(message));
         }
@@ -137,6 +138,6 @@
     if !hello.is_valid(&identity.key, &challenge) {
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
-    // The peer does not wait after its hello, so the bytes read ahead go on to the next codec.
+    // The peer does not wait after its hello, so bytes that were read ahead go to the next codec.
     Ok((hello.name, frames.map_codec(|_| PeerCodec::default())))
 }
