--- a/crates/box/src/main.rs
+++ b/crates/box/src/main.rs
@@ -1,4 +1,5 @@
-//! `ravenspoked`: an entry box. All work is in the library.
+//! `ravenspoked` runs an entry box: it reads the command line and settings, starts the logs, and
+//! calls the library.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,7 +12,7 @@
 use ravenspoke_config::gateway::GatewaySettings;
 use ravenspoke_config::settings::{read_settings, ProcessSettings};
 
-/// Lines that may wait to be written; more are dropped and counted.
+/// Log lines that may be queued for writing; further lines are dropped and counted.
 const LOG_BUFFER_LINES: usize = 8_192;
 
 const HELP: &str = "\
@@ -38,13 +39,13 @@
   1  the box could not run
   2  the command line or the settings are wrong";
 
-/// What the command line asks for.
+/// The action that the command line requests.
 enum CommandLine {
-    /// Help or version was printed.
+    /// Help or version was printed; nothing else is to be done.
     Printed,
-    /// A box of signed bundles.
+    /// Run a box that is configured by signed bundles.
     Bundles(Box<ProcessSettings>),
-    /// A box on the users' platform: the settings' file, and the port of its metrics.
+    /// Run a box on the users' platform, with its settings file and metrics port.
     Platform(PathBuf, Option<u16>),
 }
 
@@ -66,7 +67,7 @@
 
 /// Runs a box on the users' platform.
 fn run_platform(path: PathBuf, metrics_port: Option<u16>) -> ExitCode {
-    // A box has a part of one core there: more threads would only take turns.
+    // On the platform a box has a share of one core, so more threads would not run in parallel.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
@@ -75,7 +76,7 @@
             return ExitCode::FAILURE;
         }
     };
-    // Before anything else: a signal that nobody listens for ends the process.
+    // This comes first, because a signal without a listener ends the process.
     let signals = {
         let _inside = runtime.enter();
         BoxSignals::listen()
@@ -141,7 +142,7 @@
     Ok(CommandLine::Bundles(Box::new(settings)))
 }
 
-/// Reads the command line; `None` if help or version was asked for and printed.
+/// Reads the command line; `None` if help or version was requested and printed.
 fn read_args() -> miette::Result<Option<CommandArgs>> {
     let mut args = CommandArgs::default();
     let mut parser = lexopt::Parser::from_env();
@@ -187,8 +188,8 @@
         .wrap_err_with(|| format!("can't read the settings {}", path.display()))
 }
 
-/// Starts the logs of a box on the platform: JSON lines on standard output, through a bounded buffer
-/// that never blocks.
+/// Starts the logs of a box on the platform: JSON lines on standard output, through a bounded
+/// buffer that never blocks the box.
 fn start_platform_logs() -> tracing_appender::non_blocking::WorkerGuard {
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .lossy(true)
