--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -1,4 +1,5 @@
-//! Numbered log events and metrics. `docs/EVENTS.md` is the catalogue; a test holds it to this file.
+//! Numbered log events and metrics. A test checks that the catalogue `docs/EVENTS.md` matches this
+//! file.
 
 use metrics::counter;
 use ravenspoke_core::attempt::RunState;
@@ -75,7 +76,7 @@
     (753, "scale_unsound"),
 ];
 
-/// Logs and counts an effect, where it is worth it.
+/// Logs and counts an effect, if it has a log event or a metric.
 pub fn note_effect(effect: &BoxEffect) {
     match effect {
         BoxEffect::BundleInForce { sequence, digest } => {
