--- a/crates/box/src/operator.rs
+++ b/crates/box/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' listener: state, decisions, metrics and the planned stop, behind a key.
+//! The operators' listener: state, decisions, metrics and the planned stop. All routes need the
+//! operator key.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 
 use crate::driver::BoxDriver;
 
-/// Hash of the operator key.
+/// SHA-256 hash of the operator key.
 pub struct OperatorHash(pub [u8; 32]);
 
 /// Proof that the request carried the operator key.
@@ -29,7 +30,8 @@
         let given = given.and_then(|value| value.strip_prefix("Bearer ")).unwrap_or_default();
         let hash: [u8; 32] = Sha256::digest(given).into();
         match request.rocket().state::<OperatorHash>() {
-            // The digests are compared, not the keys, so the time taken says nothing of the key.
+            // Digests are compared instead of keys, so that the duration reveals nothing of the
+            // key.
             Some(OperatorHash(expected)) if *expected == hash => Outcome::Success(Self),
             _ => Outcome::Error((Status::Unauthorized, ())),
         }
