--- a/crates/box/src/process.rs
+++ b/crates/box/src/process.rs
@@ -1,4 +1,4 @@
-//! Puts the box together: state, listeners and tasks, until the planned stop is over.
+//! Assembles the box from state, listeners and tasks, and runs it until its planned stop is over.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,16 +33,16 @@
         address: SocketAddr,
         /// `entry`, `peer` or `operator`.
         purpose: &'static str,
-        /// What the system says.
+        /// The system's error.
         error: String,
     },
     /// The metrics recorder could not be installed.
     #[error("metrics can't be recorded: {0}")]
     Metrics(String),
-    /// Signals could not be listened for.
+    /// The signal handlers could not be installed.
     #[error("signals can't be listened for: {0}")]
     Signals(std::io::Error),
-    /// The box's clock can't be read.
+    /// The box's clock cannot be read.
     #[error(transparent)]
     #[diagnostic(help("run it on a system that has CLOCK_BOOTTIME"))]
     Clock(#[from] ClockError),
@@ -54,7 +54,7 @@
 /// Runs a box until its planned stop is over.
 ///
 /// # Errors
-/// [`ProcessError`], if it can't start.
+/// Returns [`ProcessError`] if the box cannot start or one of its listeners fails.
 pub async fn run_box(settings: ProcessSettings) -> Result<(), ProcessError> {
     let handle = metrics_exporter_prometheus::PrometheusBuilder::new()
         .install_recorder()
@@ -130,7 +130,7 @@
             error: error.to_string(),
         }
     };
-    // A box without one of its listeners is no box: the first that fails ends the process.
+    // A box needs both listeners, so the first that fails ends the process.
     tokio::try_join!(
         async { entry.launch().await.map_err(wrap("entry", settings.listen.entry)) },
         async { operator.launch().await.map_err(wrap("operator", settings.listen.operator)) },
@@ -153,7 +153,7 @@
     let shutdown = Shutdown {
         ctrlc: false,
         signals: std::collections::HashSet::<Sig>::new(),
-        // Streams have ended before the box may exit; what is left are idle connections.
+        // Streams have ended before the box may exit, so only idle connections are left.
         grace: 1,
         mercy: 1,
         force: true,
@@ -170,7 +170,7 @@
     rocket::custom(config)
 }
 
-/// A client for replicas: connections are kept, and a connection attempt is bounded.
+/// Creates the client for replicas, which keeps idle connections and limits the time to connect.
 fn replica_client() -> Result<reqwest::Client, reqwest::Error> {
     reqwest::Client::builder()
         .connect_timeout(Duration::from_millis(500))
