--- a/crates/box/src/stream.rs
+++ b/crates/box/src/stream.rs
@@ -1,7 +1,7 @@
 //! Reads a stream of server-sent events piece by piece.
 //!
-//! Complete events pass on as they come; the end marker is held back until the request is billed. A
-//! stream that ends without its marker is broken, whatever it said so far.
+//! Complete events are forwarded as they arrive; the end marker is withheld until the request is
+//! billed. A stream that ends without the marker counts as aborted.
 
 use bytes::{Bytes, BytesMut};
 use serde_json::Value;
@@ -20,23 +20,23 @@
 #[error("an event of the stream is longer than {EVENT_LIMIT} bytes")]
 pub struct EventTooLong;
 
-/// State of the reader.
+/// Reader of an event stream.
 #[derive(Debug, Default)]
 pub struct EventReader {
     pending: BytesMut,
-    /// Events with content that were complete on.
+    /// Complete events with content so far; each counts as one token.
     pub tokens: u32,
-    /// Whether the end marker came.
+    /// Whether the end marker has arrived.
     pub ended: bool,
-    /// Text of the answer so far, for rating.
+    /// Text of the response so far, for rating.
     pub text: String,
 }
 
 impl EventReader {
-    /// Takes a piece; gives the complete events to pass on, without the end marker.
+    /// Adds a piece and returns the complete events to forward, without the end marker.
     ///
     /// # Errors
-    /// [`EventTooLong`]; the stream can't be read further.
+    /// Returns [`EventTooLong`] if an event exceeds the limit; the stream cannot be read further.
     pub fn push(&mut self, piece: &[u8]) -> Result<Bytes, EventTooLong> {
         self.pending.extend_from_slice(piece);
         let mut complete = BytesMut::new();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The end marker, to be complete on last.
+    /// The end marker, which is forwarded last.
     pub fn end_marker() -> Bytes {
         Bytes::from_static(b"data: [DONE]\n\n")
     }
