--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -104,8 +104,8 @@
     let entry = GatewayEntry::start(&settings, &driver, listener);
     launch_answers(&settings, &driver, metrics, metrics_port).await?;
     observe::note_started(&settings.name, settings.entry, &settings.seeds);
-    if !settings.unread_seeds.is_empty() {
-        observe::note_unread_seeds(&settings.unread_seeds);
+    if !settings.invalid_seeds.is_empty() {
+        observe::note_unread_seeds(&settings.invalid_seeds);
     }
     tokio::spawn(follow_settings(driver.clone(), file, signals.hangup));
 
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -26,7 +26,7 @@
     /// Where other boxes may hear notes; some may be gone.
     pub seeds: Vec<SocketAddr>,
     /// Seeds that are no addresses, as they are written.
-    pub unread_seeds: Vec<String>,
+    pub invalid_seeds: Vec<String>,
     /// Address of the platform's store, `IP:port`.
     pub store: String,
     /// How long a plan may be relied on.
