--- a/crates/config/src/bundle_file.rs
+++ b/crates/config/src/bundle_file.rs
@@ -86,7 +86,7 @@
     }
     match toml::from_str::<BundleSpec>(text) {
         Ok(spec) => {
-            Links { spec: &spec, root: document.as_table(), list }.check();
+            ReferenceCheck { spec: &spec, root: document.as_table(), list }.check();
             Some(spec)
         }
         Err(error) => {
@@ -118,13 +118,13 @@
 }
 
 /// Checks of what names what.
-struct Links<'a> {
+struct ReferenceCheck<'a> {
     spec: &'a BundleSpec,
     root: &'a dyn TableLike,
     list: &'a mut FindingList,
 }
 
-impl Links<'_> {
+impl ReferenceCheck<'_> {
     fn find(&mut self, table: &str, entry: &str, message: String, help: &str) {
         let section = self.root.get(table).and_then(|item| item.get(entry));
         let place = section.map_or(0..0, place_of);
