--- a/crates/config/src/bundle_file.rs
+++ b/crates/config/src/bundle_file.rs
@@ -59,14 +59,14 @@
 /// All findings.
 pub fn read_bundle(file: &str, text: &str) -> Result<BundleSpec, Box<FileFindings>> {
     let mut list = FindingList::default();
-    let spec = walk(text, &mut list);
+    let spec = parse_bundle(text, &mut list);
     match spec {
         Some(spec) if list.is_empty() => Ok(spec),
         _ => Err(Box::new(list.report(file, text))),
     }
 }
 
-fn walk(text: &str, list: &mut FindingList) -> Option<BundleSpec> {
+fn parse_bundle(text: &str, list: &mut FindingList) -> Option<BundleSpec> {
     if text.len() > BUNDLE_LIMIT {
         list.add(0..0, "the bundle is larger than 512 KiB", "split it or remove what is unused");
         return None;
