--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -212,14 +212,14 @@
 /// All findings.
 pub fn read_settings(file: &str, text: &str) -> Result<ProcessSettings, Box<FileFindings>> {
     let mut list = FindingList::default();
-    let settings = walk(text, &mut list);
+    let settings = parse_settings(text, &mut list);
     match settings {
         Some(settings) if list.is_empty() => Ok(settings),
         _ => Err(Box::new(list.report(file, text))),
     }
 }
 
-fn walk(text: &str, list: &mut FindingList) -> Option<ProcessSettings> {
+fn parse_settings(text: &str, list: &mut FindingList) -> Option<ProcessSettings> {
     let document = parse_text(text, list)?;
     check_table(document.as_table(), "the file", 0..0, ROOT, list);
     for (name, fields) in TABLES {
