--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn example_files_are_valid() {
     for name in ["coteau", "agency"] {
         let path = format!("{}/../../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&path).expect("the example is there");
