--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_names_what_is_checked() {
+fn broken_references_and_invalid_values_of_a_bundle_are_reported() {
     let text = r#"
 [models.small]
 cost_per_1k = 1
