--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -124,7 +124,7 @@
     }
 
     #[test]
-    fn a_spoilt_bundle_is_a_bundle_or_findings(place in 0usize..400, byte in any::<u8>()) {
+    fn corrupted_bundle_parses_without_panic(place in 0usize..400, byte in any::<u8>()) {
         let path = format!("{}/../../examples/coteau.toml", env!("CARGO_MANIFEST_DIR"));
         let mut bytes = std::fs::read(path).expect("the example is there");
         let place = place * bytes.len() / 400;
