--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -40,14 +40,14 @@
 rungs = ["small"]
 "#;
 
-    let told = findings(text);
+    let report = findings(text);
 
     expect![[r#"
         bundle.toml:3: models.small: `cost_per_1k` is not a number, not negative (write a number, not negative)
         bundle.toml:5: models.small has no field `colour` (remove it, or use one of: cost_per_1k, version)
         bundle.toml:7: versions.small-1 lacks `state` (add `state = …`, a string)
         bundle.toml:10: a bundle has no table `cascade` (use one of: models, versions, rollouts, cascades, accounts, pools, services)"#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
 #[test]
@@ -79,7 +79,7 @@
 not_repeatable = ["POST"]
 "#;
 
-    let told = findings(text);
+    let report = findings(text);
 
     expect![[r#"
         bundle.toml:2: models.small: its version `small-2` is not in [versions] (add the version, or name another)
@@ -94,7 +94,7 @@
         bundle.toml:19: accounts.a: it allows `nothing`, which is not in the bundle (name a model, version or cascade)
         bundle.toml:19: accounts.a: its service `none` is not in [services] (add the service, or name another)
         bundle.toml:24: services.broker: `POST` is not an operation (write for example "POST /filings")"#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
 #[test]
@@ -105,10 +105,13 @@
     );
 
     let findings = read_settings("box.toml", &text).expect_err("there are findings");
-    let told = findings.lines().join("\n");
+    let report = findings.lines().join("\n");
 
-    assert!(told.contains("has no field `speed`") && told.contains("lacks `operator`"), "{told}");
-    assert!(!told.contains(secret));
+    assert!(
+        report.contains("has no field `speed`") && report.contains("lacks `operator`"),
+        "{told}"
+    );
+    assert!(!report.contains(secret));
 }
 
 proptest! {
