--- a/crates/cli/src/publish.rs
+++ b/crates/cli/src/publish.rs
@@ -184,7 +184,7 @@
     if signed.base == in_force {
         return Ok(());
     }
-    Err(lost(fold))
+    Err(lost_race(fold))
 }
 
 fn check_sign_offs(rule: &SignOffRule, record: &BundleRecord) -> Result<(), CommandError> {
@@ -197,7 +197,7 @@
 }
 
 /// Tells a loser who won.
-fn lost(fold: &BundleFold) -> CommandError {
+fn lost_race(fold: &BundleFold) -> CommandError {
     let Some(winner) = fold.in_force() else {
         return CommandError::failed("no bundle is in force", "sign again: the base is gone");
     };
@@ -233,7 +233,7 @@
                 let help = "the boxes know other operator keys than this command's settings";
                 return Err(CommandError::failed("the sign-offs are not valid", help));
             }
-            Some(FoldOutcome::Rejected(_)) => return Err(lost(fold)),
+            Some(FoldOutcome::Rejected(_)) => return Err(lost_race(fold)),
             None => {}
         }
     }
