--- a/crates/cli/src/publish.rs
+++ b/crates/cli/src/publish.rs
@@ -218,11 +218,11 @@
     record: BundleRecord,
 ) -> Result<Value, CommandError> {
     let log_record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-    let mut last = String::new();
+    let mut last_error = String::new();
     for _ in 0..APPEND_TRIES {
         let appended = config.log.append("bundles", std::slice::from_ref(&log_record)).await;
         if let Err(error) = appended {
-            last = error.to_string();
+            last_error = error.to_string();
         }
         // Acknowledged or not, the log says what became of it.
         match read_back(config, fold, &signed.digest).await {
