--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -41,17 +41,18 @@
     /// Reads the file at `path`.
     ///
     /// # Errors
-    /// [`CommandError::File`] with what is wrong.
+    /// [`CommandError::File`] with what is file_error.
     pub fn read(path: &str) -> Result<Self, CommandError> {
-        let wrong = |error: String| CommandError::File { file: path.to_owned(), error };
-        let text = std::fs::read_to_string(path).map_err(|error| wrong(error.to_string()))?;
-        let file: OperatorFile = toml::from_str(&text).map_err(|error| wrong(error.to_string()))?;
+        let file_error = |error: String| CommandError::File { file: path.to_owned(), error };
+        let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
+        let file: OperatorFile =
+            toml::from_str(&text).map_err(|error| file_error(error.to_string()))?;
         let signer = |row: SignerFile| SignerSettings { id: row.id, public: row.public };
         let signers: Vec<SignerSettings> = file.sign_off.into_iter().map(signer).collect();
         let rule = ravenspoke_config::settings::sign_off_rule(&signers, file.sign_offs_needed);
         if rule.needed == 0 || rule.needed > rule.keys.len() {
             let words = "sign_offs_needed must be between 1 and the number of valid signers";
-            return Err(wrong(words.to_owned()));
+            return Err(file_error(words.to_owned()));
         }
         let http = reqwest::Client::new();
         Ok(Self {
