--- a/crates/cli/src/show.rs
+++ b/crates/cli/src/show.rs
@@ -93,7 +93,7 @@
 }
 
 fn bill_json(bill: &BillRecord) -> Value {
-    let word = |number: &u32| {
+    let reason_json = |number: &u32| {
         let reason = ReasonCode::ALL.iter().find(|reason| **reason as u32 == *number);
         reason.map_or(json!(number), |r| json!({ "code": r.slug(), "words": r.words() }))
     };
@@ -101,7 +101,7 @@
         "key": bill.key, "account": bill.account, "version": bill.version,
         "request": bill.request, "cost": bill.cost, "tokens": bill.tokens,
         "attempts": bill.attempts, "bundle": bill.bundle,
-        "reasons": bill.reasons.iter().map(word).collect::<Vec<_>>(),
+        "reasons": bill.reasons.iter().map(reason_json).collect::<Vec<_>>(),
     })
 }
 
