--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -6,9 +6,9 @@
 use ravenspoke_peer::{FrameError, PeerCodec, PeerHello, FRAME_LIMIT};
 use tokio_util::codec::{Decoder, Encoder};
 
-fn beat(stamp: u64, name: &str) -> PeerMessage {
-    let beat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
-    PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Beat(beat)) }
+fn heartbeat(stamp: u64, name: &str) -> PeerMessage {
+    let heartbeat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
+    PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Beat(heartbeat)) }
 }
 
 proptest! {
@@ -21,7 +21,7 @@
 
     #[test]
     fn what_is_encoded_is_decoded_however_it_is_cut(stamp in any::<u64>(), name in "[a-z]{0,40}", cut in 0usize..200) {
-        let message = beat(stamp, &name);
+        let message = heartbeat(stamp, &name);
         let mut wire = BytesMut::new();
         PeerCodec::default().encode(message.clone(), &mut wire).expect("a short frame");
         let tail = wire.split_off(cut.min(wire.len()));
