--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -26,12 +26,12 @@
         PeerCodec::default().encode(message.clone(), &mut wire).expect("a short frame");
         let tail = wire.split_off(cut.min(wire.len()));
         let mut codec = PeerCodec::default();
-        let mut got = codec.decode(&mut wire).expect("no error in a valid frame");
-        if got.is_none() {
+        let mut decoded = codec.decode(&mut wire).expect("no error in a valid frame");
+        if decoded.is_none() {
             wire.extend_from_slice(&tail);
-            got = codec.decode(&mut wire).expect("no error in a valid frame");
+            decoded = codec.decode(&mut wire).expect("no error in a valid frame");
         }
-        prop_assert_eq!(got, Some(message));
+        prop_assert_eq!(decoded, Some(message));
     }
 
     #[test]
