--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -20,7 +20,7 @@
     }
 
     #[test]
-    fn what_is_encoded_is_decoded_however_it_is_cut(stamp in any::<u64>(), name in "[a-z]{0,40}", cut in 0usize..200) {
+    fn message_split_at_any_byte_is_decoded(stamp in any::<u64>(), name in "[a-z]{0,40}", cut in 0usize..200) {
         let message = heartbeat(stamp, &name);
         let mut wire = BytesMut::new();
         PeerCodec::default().encode(message.clone(), &mut wire).expect("a short frame");
