--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -35,7 +35,7 @@
     }
 
     #[test]
-    fn a_hello_of_another_key_is_not_valid(key in proptest::collection::vec(any::<u8>(), 16..40)) {
+    fn hello_with_another_key_is_invalid(key in proptest::collection::vec(any::<u8>(), 16..40)) {
         let hello = PeerHello::answer(&key, b"challenge", "box-1");
         prop_assert!(hello.is_valid(&key, b"challenge"));
         prop_assert!(!hello.is_valid(&key, b"another"));
