--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_frame_that_claims_to_be_too_long_is_refused_at_once() {
+fn frame_with_a_length_over_the_limit_is_rejected() {
     let mut buffer = BytesMut::new();
     buffer.extend_from_slice(&(FRAME_LIMIT as u32 + 1).to_be_bytes());
 
