--- a/crates/config/src/bundle_file.rs
+++ b/crates/config/src/bundle_file.rs
@@ -125,7 +125,7 @@
 }
 
 impl ReferenceCheck<'_> {
-    fn find(&mut self, table: &str, entry: &str, message: String, help: &str) {
+    fn add_finding(&mut self, table: &str, entry: &str, message: String, help: &str) {
         let section = self.root.get(table).and_then(|item| item.get(entry));
         let place = section.map_or(0..0, place_of);
         self.list.add(place, format!("{table}.{entry}: {message}"), help);
@@ -145,11 +145,16 @@
         for (name, pool) in &self.spec.pools {
             for model in pool.models.iter().filter(|model| !self.spec.models.contains_key(*model)) {
                 let message = format!("its model `{model}` is not in [models]");
-                self.find("pools", name, message, "add the model, or name another");
+                self.add_finding("pools", name, message, "add the model, or name another");
             }
             if pool.loads_at_once == 0 {
                 let message = "loads_at_once = 0 never loads anything".to_owned();
-                self.find("pools", name, message, "write how many replicas may load at once");
+                self.add_finding(
+                    "pools",
+                    name,
+                    message,
+                    "write how many replicas may load at once",
+                );
             }
         }
     }
@@ -158,19 +163,19 @@
         for (name, model) in &self.spec.models {
             let version = self.spec.versions.get(&model.version);
             match version {
-                None => self.find(
+                None => self.add_finding(
                     "models",
                     name,
                     format!("its version `{}` is not in [versions]", model.version),
                     "add the version, or name another",
                 ),
-                Some(row) if row.model != *name => self.find(
+                Some(row) if row.model != *name => self.add_finding(
                     "models",
                     name,
                     format!("its version `{}` is of model `{}`", model.version, row.model),
                     "name a version of this model",
                 ),
-                Some(row) if row.state == VersionState::Withdrawn => self.find(
+                Some(row) if row.state == VersionState::Withdrawn => self.add_finding(
                     "models",
                     name,
                     format!("its version `{}` is withdrawn", model.version),
@@ -185,11 +190,16 @@
         for (name, version) in &self.spec.versions {
             if !self.spec.models.contains_key(&version.model) {
                 let message = format!("its model `{}` is not in [models]", version.model);
-                self.find("versions", name, message, "add the model, or name another");
+                self.add_finding("versions", name, message, "add the model, or name another");
             }
             if self.spec.models.contains_key(name) || self.spec.cascades.contains_key(name) {
                 let message = "a model or cascade has this name too".to_owned();
-                self.find("versions", name, message, "callers name all three: use another name");
+                self.add_finding(
+                    "versions",
+                    name,
+                    message,
+                    "callers name all three: use another name",
+                );
             }
         }
     }
@@ -200,21 +210,26 @@
             let from = self.spec.versions.get(&rollout.from);
             if to.is_none_or(|row| row.state != VersionState::Serving) {
                 let message = "the version is not a serving one of [versions]".to_owned();
-                self.find("rollouts", name, message, "add it with state = \"serving\"");
+                self.add_finding("rollouts", name, message, "add it with state = \"serving\"");
             }
             if to.map(|row| &row.model) != from.map(|row| &row.model) {
                 let message = format!("`{}` is not a version of the same model", rollout.from);
-                self.find("rollouts", name, message, "name the version that it replaces");
+                self.add_finding("rollouts", name, message, "name the version that it replaces");
             }
             let rising = rollout.steps.windows(2).all(|pair| pair[0] < pair[1]);
             let in_range = rollout.steps.iter().all(|step| (1..=100).contains(step));
             if rollout.steps.is_empty() || !rising || !in_range {
                 let message = "steps are not rising percentages".to_owned();
-                self.find("rollouts", name, message, "write for example [5, 25, 100]");
+                self.add_finding("rollouts", name, message, "write for example [5, 25, 100]");
             }
             if rollout.exposure_budget == 0 {
                 let message = "an exposure budget of 0 never lets it start".to_owned();
-                self.find("rollouts", name, message, "write the requests that a step may expose");
+                self.add_finding(
+                    "rollouts",
+                    name,
+                    message,
+                    "write the requests that a step may expose",
+                );
             }
         }
     }
@@ -222,21 +237,21 @@
     fn check_cascades(&mut self) {
         for (name, cascade) in &self.spec.cascades {
             if cascade.rungs.is_empty() {
-                self.find("cascades", name, "it has no rungs".to_owned(), "name models");
+                self.add_finding("cascades", name, "it has no rungs".to_owned(), "name models");
             }
             if !(0.0..=1.0).contains(&cascade.target) {
                 let message = "its target is not a share".to_owned();
-                self.find("cascades", name, message, "write a number from 0 to 1");
+                self.add_finding("cascades", name, message, "write a number from 0 to 1");
             }
             for rung in &cascade.rungs {
                 if !self.spec.models.contains_key(rung) {
                     let message = format!("its rung `{rung}` is not in [models]");
-                    self.find("cascades", name, message, "add the model, or name another");
+                    self.add_finding("cascades", name, message, "add the model, or name another");
                 }
             }
             if self.spec.models.contains_key(name) {
                 let message = "a model has this name too".to_owned();
-                self.find("cascades", name, message, "callers name both: use another name");
+                self.add_finding("cascades", name, message, "callers name both: use another name");
             }
         }
     }
@@ -248,12 +263,22 @@
                 let valid = hash.len() == 64 && hash.bytes().all(|b| b.is_ascii_hexdigit());
                 if !valid {
                     let message = "a key hash is not 64 hexadecimal digits".to_owned();
-                    self.find("accounts", name, message, "write the SHA-256 of the caller key");
+                    self.add_finding(
+                        "accounts",
+                        name,
+                        message,
+                        "write the SHA-256 of the caller key",
+                    );
                 }
                 let owners = spec.accounts.values().filter(|row| row.key_hashes.contains(hash));
                 if owners.count() > 1 {
                     let message = "another account has the same key hash".to_owned();
-                    self.find("accounts", name, message, "give each account keys of its own");
+                    self.add_finding(
+                        "accounts",
+                        name,
+                        message,
+                        "give each account keys of its own",
+                    );
                 }
             }
             for target in &account.allow {
@@ -262,13 +287,13 @@
                     || spec.cascades.contains_key(target);
                 if !known {
                     let message = format!("it allows `{target}`, which is not in the bundle");
-                    self.find("accounts", name, message, "name a model, version or cascade");
+                    self.add_finding("accounts", name, message, "name a model, version or cascade");
                 }
             }
             for service in &account.services {
                 if !spec.services.contains_key(service) {
                     let message = format!("its service `{service}` is not in [services]");
-                    self.find("accounts", name, message, "add the service, or name another");
+                    self.add_finding("accounts", name, message, "add the service, or name another");
                 }
             }
         }
@@ -282,7 +307,12 @@
                 });
                 if !valid {
                     let message = format!("`{rule}` is not an operation");
-                    self.find("services", name, message, "write for example \"POST /filings\"");
+                    self.add_finding(
+                        "services",
+                        name,
+                        message,
+                        "write for example \"POST /filings\"",
+                    );
                 }
             }
         }
