--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -26,7 +26,7 @@
 }
 
 impl FieldKind {
-    fn words(self) -> &'static str {
+    fn description(self) -> &'static str {
         match self {
             Self::Text => "a string",
             Self::Count => "a whole number, not negative",
@@ -115,17 +115,17 @@
             continue;
         };
         if !field.kind.fits(item) {
-            let help = format!("write {}", field.kind.words());
+            let help = format!("write {}", field.kind.description());
             list.add(
                 place_of(item),
-                format!("{name}: `{key}` is not {}", field.kind.words()),
+                format!("{name}: `{key}` is not {}", field.kind.description()),
                 help,
             );
         }
     }
     for field in fields.iter().filter(|field| field.required) {
         if !table.contains_key(field.name) {
-            let help = format!("add `{} = …`, {}", field.name, field.kind.words());
+            let help = format!("add `{} = …`, {}", field.name, field.kind.description());
             list.add(place.clone(), format!("{name} lacks `{}`", field.name), help);
         }
     }
