--- a/crates/cli/src/publish.rs
+++ b/crates/cli/src/publish.rs
@@ -237,7 +237,7 @@
             None => {}
         }
     }
-    Err(CommandError::Unreachable(format!("the log did not take the bundle: {last}")))
+    Err(CommandError::Unreachable(format!("the log did not take the bundle: {last_error}")))
 }
 
 async fn read_back(
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -109,7 +109,7 @@
 
     assert!(
         report.contains("has no field `speed`") && report.contains("lacks `operator`"),
-        "{told}"
+        "{report}"
     );
     assert!(!report.contains(secret));
 }
