--- a/crates/config/src/bundle_file.rs
+++ b/crates/config/src/bundle_file.rs
@@ -1,7 +1,7 @@
-//! The bundle file: TOML made for version control. `docs/BUNDLE.md` describes it.
+//! Reads the bundle file, a TOML file meant for version control. `docs/BUNDLE.md` describes it.
 //!
-//! [`read_bundle`] walks every section, then checks what names what, and reports all findings
-//! together. It never panics, whatever the bytes.
+//! [`read_bundle`] checks the fields of every section, then the references between sections, and
+//! reports all findings together. It does not panic on any input.
 
 use ravenspoke_core::bundle::{BundleSpec, VersionState};
 use toml_edit::{Item, TableLike};
@@ -53,10 +53,10 @@
     ),
 ];
 
-/// Reads a bundle file's text; `file` names it in findings.
+/// Reads the text of a bundle file, which findings call `file`.
 ///
 /// # Errors
-/// All findings.
+/// Returns all findings.
 pub fn read_bundle(file: &str, text: &str) -> Result<BundleSpec, Box<FileFindings>> {
     let mut list = FindingList::default();
     let spec = parse_bundle(text, &mut list);
@@ -117,7 +117,7 @@
     }
 }
 
-/// Checks of what names what.
+/// Checks the references between sections and the ranges of their values.
 struct ReferenceCheck<'a> {
     spec: &'a BundleSpec,
     root: &'a dyn TableLike,
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -1,30 +1,30 @@
-//! Findings: what is wrong in a file, where, and what to do.
+//! Findings in a file: the problem, its place and the remedy.
 
 use std::ops::Range;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// One thing that is wrong.
+/// One problem in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Diagnostic, thiserror::Error)]
 #[error("{message}")]
 pub struct FileFinding {
-    /// What is wrong.
+    /// The problem.
     pub message: String,
-    /// Where.
+    /// Its place in the file.
     #[label("here")]
     pub place: SourceSpan,
-    /// What to do.
+    /// The remedy.
     #[help]
     pub help: String,
 }
 
-/// Everything that is wrong in a file.
+/// All findings in a file.
 #[derive(Debug, Diagnostic, thiserror::Error)]
 #[error("{file}: {} finding{}", findings.len(), if findings.len() == 1 { "" } else { "s" })]
 pub struct FileFindings {
     /// Name of the file.
     pub file: String,
-    /// Its text.
+    /// Text of the file.
     #[source_code]
     pub source_text: NamedSource<String>,
     /// The findings, in order of their place.
@@ -33,7 +33,7 @@
 }
 
 impl FileFindings {
-    /// A line for each finding: `file:line: message (help)`.
+    /// Formats each finding as a line: `file:line: message (help)`.
     pub fn lines(&self) -> Vec<String> {
         let text = self.source_text.inner();
         let line = |finding: &FileFinding| {
@@ -52,7 +52,7 @@
 }
 
 impl FindingList {
-    /// Adds a finding at `place`.
+    /// Adds a finding at the byte range `place`.
     pub fn add(
         &mut self,
         place: Range<usize>,
@@ -64,12 +64,12 @@
         self.findings.push(finding);
     }
 
-    /// Whether nothing was found.
+    /// Whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The report on `file`.
+    /// Sorts the findings by place and returns them with the file's name and text.
     pub fn report(mut self, file: &str, text: &str) -> FileFindings {
         self.findings.sort_by_key(|finding| (finding.place.offset(), finding.message.clone()));
         FileFindings {
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Settings of a box that routes by host and prefix, on a platform that gives them to the process.
+//! Settings of a box that routes by host and path prefix on the users' platform.
 
 use std::net::SocketAddr;
 
@@ -8,50 +8,50 @@
 use ravenspoke_core::route::region::ZoneRegions;
 use ravenspoke_core::route::retry_budget::BudgetBounds;
 
-/// Checked settings.
+/// Validated settings of a gateway box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
     /// Box name.
     pub name: String,
     /// Availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address of the callers' listener.
     pub entry: SocketAddr,
-    /// Where the platform asks whether the box is ready.
+    /// Address of the readiness listener.
     pub ready: SocketAddr,
-    /// Where callers ask which addresses to use.
+    /// Address of the listener that tells callers which box addresses to use.
     pub directory: SocketAddr,
-    /// Where other boxes' notes are heard, by UDP.
+    /// UDP address on which the box receives gossip.
     pub notes: SocketAddr,
-    /// Where other boxes may hear notes; some may be gone.
+    /// Gossip addresses of other boxes; some may no longer exist.
     pub seeds: Vec<SocketAddr>,
-    /// Seeds that are no addresses, as they are written.
+    /// Seeds that are not addresses, as written in the file.
     pub invalid_seeds: Vec<String>,
     /// Address of the platform's store, `IP:port`.
     pub store: String,
-    /// How long a plan may be relied on.
+    /// Bounds on the age of the plan.
     pub fresh: FreshBounds,
-    /// How many further sends are allowed.
+    /// Retry budget.
     pub budget: BudgetBounds,
-    /// Time between the signal to stop and the kill, in milliseconds.
+    /// Time between the stop signal and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// How long callers may keep an answer about addresses, in milliseconds.
+    /// How long callers may cache an address response, in milliseconds.
     pub keep_ms: u64,
-    /// Descriptors that the process may have open.
+    /// Limit on open file descriptors of the process.
     pub descriptors: usize,
-    /// What the box has for its work.
+    /// CPU and network capacity of the box.
     pub capacity: BoxCapacity,
     /// Region of each availability zone.
     pub regions: ZoneRegions,
-    /// What one box does for all, if the platform has any of it.
+    /// Settings of the leader, if the platform has an API.
     pub leader: Option<LeaderSettings>,
 }
 
-/// What one box does for all.
+/// Settings of the leader, the box that acts for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaderSettings {
     /// Address of the platform's API, `IP:port`.
     pub cloud: String,
-    /// Bounds of what is done.
+    /// Lease duration, usage windows and duties.
     pub bounds: LeaderBounds,
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,10 @@
-//! Checked files: box settings and bundles.
+//! Reads and validates configuration files: box settings and bundles.
 //!
-//! A file is parsed once, with places. [`table`] walks it against a description of its fields and
-//! collects every finding; only a file without findings becomes data. Findings name the file, the
-//! place and what to do, and are reported together.
+//! [`table`] checks a parsed file against a description of its fields and collects every
+//! [`finding`]; only a file without findings becomes data. Findings name the file, the place and
+//! the remedy, and are reported together. [`settings`] reads the settings of a box of signed
+//! bundles and [`bundle_file`] its bundles; [`gateway`] holds the settings of a box on the users'
+//! platform.
 
 pub mod bundle_file;
 pub mod finding;
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a box. `docs/OPERATIONS.md` describes the file.
+//! Settings of a box that is configured by signed bundles. `docs/OPERATIONS.md` describes the file.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 use crate::finding::{FileFindings, FindingList};
 use crate::table::{check_table, needed, optional, parse_text, place_of, FieldKind, TableField};
 
-/// Checked settings.
+/// Validated settings of a box.
 #[derive(Clone, Deserialize)]
 pub struct ProcessSettings {
-    /// Box name, as the box list has it.
+    /// Box name, as in the box list.
     pub name: String,
     /// Availability zone.
     pub zone: String,
     /// Addresses to listen on.
     pub listen: ListenSettings,
-    /// Addresses of the platform.
+    /// Base URLs of the platform's services.
     pub platform: PlatformSettings,
     /// Keys.
     pub keys: KeySettings,
@@ -53,22 +53,22 @@
     pub rating: String,
 }
 
-/// Keys. Never shown in logs, dumps or errors.
+/// Keys. They never appear in logs, dumps or errors.
 #[derive(Clone, Deserialize)]
 pub struct KeySettings {
     /// SHA-256 of the operator key, 64 hexadecimal digits.
     pub operator_hash: String,
-    /// Secret that boxes share, in hexadecimal.
+    /// Secret that all boxes share, in hexadecimal.
     pub peer: String,
     /// Secrets of session tokens, newest first.
     pub tokens: Vec<TokenSettings>,
-    /// Operators that may sign.
+    /// Operators that may sign bundles.
     pub sign_off: Vec<SignerSettings>,
-    /// How many of them must.
+    /// Number of operators that must sign a bundle.
     pub sign_offs_needed: usize,
 }
 
-/// A secret of session tokens.
+/// A secret that signs session tokens.
 #[derive(Clone, Deserialize)]
 pub struct TokenSettings {
     /// Key id.
@@ -96,19 +96,19 @@
     pub queue_ms: u64,
     /// How long a claim may wait for the log, in milliseconds.
     pub claim_ms: u64,
-    /// How long callers keep an entry answer, in milliseconds.
+    /// How long callers may cache the address response, in milliseconds.
     pub entry_keep_ms: u64,
-    /// Bills that may wait for the log.
+    /// Most bills that may wait for the log.
     pub bill_limit: usize,
     /// Largest request body, in bytes.
     pub body_bytes: u64,
-    /// Largest answer, in bytes.
+    /// Largest response, in bytes.
     pub answer_bytes: usize,
-    /// Requests in hand at once.
+    /// Most requests in flight at once.
     pub connections: usize,
-    /// Longest silence within an answer, in milliseconds.
+    /// Longest time without data from a replica during a response, in milliseconds.
     pub silence_ms: u64,
-    /// Answers rated after they left, of 256.
+    /// Share of released responses that are rated, in parts of 256.
     pub rate_share: u64,
 }
 
@@ -129,13 +129,13 @@
     }
 }
 
-/// Logs.
+/// Format and level of the process's logs.
 #[derive(Clone, Deserialize)]
 #[serde(default)]
 pub struct LogSettings {
     /// `text` or `json`.
     pub format: String,
-    /// Least level: `error`, `warn`, `info`, `debug`.
+    /// Lowest level that is logged: `error`, `warn`, `info` or `debug`.
     pub level: String,
 }
 
@@ -206,10 +206,10 @@
     ("logs", &[optional("format", FieldKind::Text), optional("level", FieldKind::Text)]),
 ];
 
-/// Reads a settings file's text; `file` names it in findings.
+/// Reads the text of a settings file, which findings call `file`.
 ///
 /// # Errors
-/// All findings.
+/// Returns all findings.
 pub fn read_settings(file: &str, text: &str) -> Result<ProcessSettings, Box<FileFindings>> {
     let mut list = FindingList::default();
     let settings = parse_settings(text, &mut list);
@@ -276,14 +276,15 @@
     VerifyingKey::from_bytes(&bytes).ok()
 }
 
-/// The rule for sign-offs by `signers`; a signer without a valid public key does not count.
+/// The rule that `needed` of `signers` must sign a bundle. Signers without a valid public key are
+/// left out.
 pub fn sign_off_rule(signers: &[SignerSettings], needed: usize) -> SignOffRule {
     let key = |signer: &SignerSettings| Some((signer.id.clone(), public_key(signer)?));
     SignOffRule { needed, keys: signers.iter().filter_map(key).collect() }
 }
 
 impl KeySettings {
-    /// The rule for sign-offs.
+    /// The rule for sign-offs of bundles.
     pub fn sign_off_rule(&self) -> SignOffRule {
         sign_off_rule(&self.sign_off, self.sign_offs_needed)
     }
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -1,4 +1,4 @@
-//! Walks a TOML table against a description of its fields.
+//! Checks a TOML table against a description of its fields.
 
 use std::ops::Range;
 
@@ -6,7 +6,7 @@
 
 use crate::finding::FindingList;
 
-/// What a field holds.
+/// Type of a field's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FieldKind {
     /// A string.
@@ -21,7 +21,7 @@
     Texts,
     /// A list of whole numbers, not negative.
     Counts,
-    /// A table, or a list of tables, that is walked by its own description.
+    /// A table or a list of tables, which has its own description.
     Nested,
 }
 
@@ -61,20 +61,20 @@
 /// A field of a table.
 #[derive(Clone, Copy, Debug)]
 pub struct TableField {
-    /// Its name.
+    /// Name of the field.
     pub name: &'static str,
-    /// What it holds.
+    /// Type of its value.
     pub kind: FieldKind,
-    /// Whether it must be there.
+    /// Whether the field must be present.
     pub required: bool,
 }
 
-/// A field that must be there.
+/// A required field.
 pub const fn needed(name: &'static str, kind: FieldKind) -> TableField {
     TableField { name, kind, required: true }
 }
 
-/// A field that may be left out.
+/// An optional field.
 pub const fn optional(name: &'static str, kind: FieldKind) -> TableField {
     TableField { name, kind, required: false }
 }
@@ -91,14 +91,14 @@
     }
 }
 
-/// Place of an item; of a table that only its sections write, the first section's; else the start of
-/// the file.
+/// Byte range of an item. A table that exists only through its sections has the range of its first
+/// section; an item without a range has the start of the file.
 pub fn place_of(item: &Item) -> Range<usize> {
     let first = || item.as_table_like()?.iter().find_map(|(_, entry)| entry.span());
     item.span().or_else(first).unwrap_or(0..0)
 }
 
-/// Checks the fields of `table`, called `name` in findings, that starts at `place`.
+/// Checks the fields of `table`, which findings call `name` and which starts at `place`.
 pub fn check_table(
     table: &dyn TableLike,
     name: &str,
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files as operators write them: valid ones, and every finding of wrong ones together.
+//! Valid files are accepted, and all findings in invalid ones are reported together.
 
 use expect_test::expect;
 use proptest::prelude::*;
