--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
 //! Frames between boxes: a length of four bytes, then a `prost` message.
 //!
-//! A connection is one-way. The accepting box sends a challenge; the connecting box answers with its
-//! name and a MAC over the challenge by the peers' key, and then sends [`PeerMessage`]s. Answers
-//! travel over the connection that the other box opened. Any bytes give a message or a
-//! [`FrameError`]; nothing here panics on input.
+//! A connection carries messages in one direction. The accepting box sends a challenge. The
+//! connecting box answers with its name and a MAC over the challenge and the name, made with the
+//! key that all boxes share, and then sends [`PeerMessage`]s. Replies travel over the connection
+//! that the other box opened. Any input decodes to a message or a [`FrameError`], without a panic.
 
 use bytes::{Bytes, BytesMut};
 use hmac::{Hmac, Mac};
@@ -12,13 +12,13 @@
 use sha2::Sha256;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// Longest frame, in bytes: a whole bundle of the target's size fits several times.
+/// Longest frame, in bytes. A complete bundle of the target size fits several times.
 pub const FRAME_LIMIT: usize = 1 << 20;
 
 /// Length of a challenge, in bytes.
 pub const CHALLENGE_BYTES: usize = 16;
 
-/// Why a frame was not taken.
+/// Why a frame was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The frame is longer than [`FRAME_LIMIT`], or the connection failed.
@@ -41,13 +41,13 @@
 }
 
 impl PeerHello {
-    /// Answers `challenge` as the box called `name`.
+    /// Answers `challenge` as the box named `name`.
     pub fn answer(key: &[u8], challenge: &[u8], name: &str) -> Self {
         let mac = hello_mac(key, challenge, name).finalize().into_bytes().to_vec();
         Self { name: name.to_owned(), mac }
     }
 
-    /// Whether the answer was made with `key`.
+    /// Whether the MAC was made with `key` over `challenge`.
     pub fn is_valid(&self, key: &[u8], challenge: &[u8]) -> bool {
         hello_mac(key, challenge, &self.name).verify_slice(&self.mac).is_ok()
     }
--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Any bytes give a message or an error, and never a panic.
+//! Arbitrary bytes decode to a message or an error without a panic, and valid frames round-trip.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
