--- a/crates/services/src/lib.rs
+++ b/crates/services/src/lib.rs
@@ -1,7 +1,7 @@
 //! Clients of the platform: the log, the box list, the rating service and the replicas' load.
 //!
-//! Each call is one HTTP request with a bound on its time. A failed append may have taken effect;
-//! [`LogClient::append`] says only that its answer did not come.
+//! Each call is one HTTP request with a timeout. An append that fails may have taken effect: an
+//! error of [`LogClient::append`] only means that no success response arrived.
 
 use std::time::Duration;
 
@@ -13,34 +13,34 @@
 use ravenspoke_core::replica::{ListedReplica, LoadReport};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
-/// Bound on a call that does not wait for news.
+/// Timeout of a call that does not wait for new records.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Why a call to the platform failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// No answer came, or not one of HTTP.
+    /// No valid HTTP response arrived.
     #[error("{what}: {error}")]
     Http {
-        /// What was called.
+        /// The kind of call.
         what: &'static str,
-        /// The client's words, without the address.
+        /// The HTTP client's error, without the address.
         error: reqwest::Error,
     },
     /// The service answered with an error status.
     #[error("{what}: the service answered with status {status}")]
     Status {
-        /// What was called.
+        /// The kind of call.
         what: &'static str,
         /// HTTP status.
         status: u16,
     },
-    /// A record in the log is not of this format.
+    /// A log record cannot be decoded.
     #[error("log record at offset {offset} is not of this format: {error}")]
     Record {
-        /// Its offset.
+        /// Offset of the record.
         offset: u64,
-        /// What is wrong.
+        /// The decoder's error.
         error: String,
     },
 }
@@ -58,16 +58,16 @@
     response.json().await.map_err(wrap)
 }
 
-/// What a read of a stream gave.
+/// Result of reading a stream.
 #[derive(Debug)]
 pub struct StreamRead {
     /// First offset that the log still keeps.
     pub first: u64,
-    /// Offset behind the last record.
+    /// Offset after the last record.
     pub tail: u64,
-    /// Age of the first record below, in milliseconds.
+    /// Age of the first record in `records`, in milliseconds.
     pub age_ms: u64,
-    /// Records with their offsets. A record that is not of this format has no body.
+    /// Records with their offsets. A record that cannot be decoded has no body.
     pub records: Vec<(u64, LogRecord)>,
 }
 
@@ -103,15 +103,15 @@
 }
 
 impl LogClient {
-    /// A client of the log at `base`, a URL without a slash at its end.
+    /// Creates a client of the log at the URL `base`.
     pub fn new(http: reqwest::Client, base: &str) -> Self {
         Self { http, base: base.trim_end_matches('/').to_owned() }
     }
 
-    /// Appends `records` to a stream in one append; gives the offset of the first.
+    /// Appends `records` to a stream in one append and returns the offset of the first.
     ///
     /// # Errors
-    /// [`PlatformError`]; the append may have taken effect all the same, or may yet.
+    /// Returns [`PlatformError`]; the append may still have taken effect, or may do so later.
     pub async fn append(&self, stream: &str, records: &[LogRecord]) -> Result<u64, PlatformError> {
         let records = records.iter().map(|row| STANDARD.encode(row.encode_to_vec())).collect();
         let url = format!("{}/v1/streams/{stream}/append", self.base);
@@ -120,10 +120,10 @@
         Ok(appended.offset)
     }
 
-    /// Reads a stream from `from`; waits up to `wait` for news where there is none.
+    /// Reads a stream from offset `from`; if there are no records, waits up to `wait` for new ones.
     ///
     /// # Errors
-    /// [`PlatformError`].
+    /// Returns [`PlatformError`] if the call fails.
     pub async fn read(
         &self,
         stream: &str,
@@ -142,10 +142,10 @@
         Ok(StreamRead { first: read.first, tail: read.tail, age_ms: read.age_ms, records })
     }
 
-    /// Reads a stream to its tail.
+    /// Reads a stream from its start to its tail.
     ///
     /// # Errors
-    /// [`PlatformError`].
+    /// Returns [`PlatformError`] if a call fails.
     pub async fn read_all(&self, stream: &str) -> Result<Vec<(u64, LogRecord)>, PlatformError> {
         let mut all = Vec::new();
         let mut from = 0;
@@ -158,12 +158,12 @@
     }
 }
 
-/// Decodes a record; `None` if it is not of this format.
+/// Decodes a record; `None` if it is malformed.
 fn decode_record(data: &str) -> Option<LogRecord> {
     LogRecord::decode(STANDARD.decode(data).ok()?.as_slice()).ok()
 }
 
-/// The box list's answer.
+/// Body of the box list's response.
 #[derive(Debug, Deserialize)]
 struct ListAnswer {
     boxes: Vec<BoxRow>,
@@ -193,12 +193,12 @@
     leaving: bool,
 }
 
-/// A reading of the box list.
+/// The contents of the box list.
 #[derive(Clone, Debug, Default)]
 pub struct BoxList {
     /// Entry boxes.
     pub boxes: Vec<ListedBox>,
-    /// Their operator addresses, by box name.
+    /// Operator addresses of the boxes, by box name.
     pub operators: Vec<(String, String)>,
     /// Replicas.
     pub replicas: Vec<ListedReplica>,
@@ -212,7 +212,7 @@
 }
 
 impl ListClient {
-    /// A client of the list at `base`.
+    /// Creates a client of the list at the URL `base`.
     pub fn new(http: reqwest::Client, base: &str) -> Self {
         Self { http, base: base.trim_end_matches('/').to_owned() }
     }
@@ -220,7 +220,7 @@
     /// Reads the list.
     ///
     /// # Errors
-    /// [`PlatformError`].
+    /// Returns [`PlatformError`] if the call fails.
     pub async fn read(&self) -> Result<BoxList, PlatformError> {
         let request = self.http.get(format!("{}/v1/boxes", self.base)).timeout(CALL_TIMEOUT);
         let list: ListAnswer = answer("box list", request).await?;
@@ -266,15 +266,15 @@
 }
 
 impl RatingClient {
-    /// A client of the service at `base`.
+    /// Creates a client of the service at the URL `base`.
     pub fn new(http: reqwest::Client, base: &str) -> Self {
         Self { http, base: base.trim_end_matches('/').to_owned() }
     }
 
-    /// Rates an answer: whether it meets the quality target.
+    /// Rates an answer; returns whether it meets the quality target.
     ///
     /// # Errors
-    /// [`PlatformError`].
+    /// Returns [`PlatformError`] if the call fails.
     pub async fn rate(
         &self,
         version: &str,
@@ -290,19 +290,19 @@
     }
 }
 
-/// A load report as replicas send it.
+/// A load report in the replicas' format.
 #[derive(Debug, Deserialize)]
 pub struct LoadRow {
-    /// Versions loaded.
+    /// Loaded versions.
     #[serde(default)]
     pub versions: Vec<String>,
     /// Requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests that wait.
     pub waiting: u32,
-    /// Requests that the batch takes.
+    /// Largest number of requests in the batch.
     pub slots: u32,
-    /// Whether the replica leaves.
+    /// Whether the replica is shutting down.
     #[serde(default)]
     pub leaving: bool,
     /// Age of the report, in milliseconds.
@@ -310,10 +310,10 @@
     pub age_ms: u64,
 }
 
-/// Asks a replica for its load; gives the report and its age in milliseconds.
+/// Reads a replica's load; returns the report and its age in milliseconds.
 ///
 /// # Errors
-/// [`PlatformError`].
+/// Returns [`PlatformError`] if the call fails.
 pub async fn read_load(
     http: &reqwest::Client,
     address: &str,
