--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -38,10 +38,10 @@
 }
 
 impl OperatorConfig {
-    /// Reads the file at `path`.
+    /// Reads the settings file at `path`.
     ///
     /// # Errors
-    /// [`CommandError::File`] with what is file_error.
+    /// Returns [`CommandError::File`] if the file cannot be read or is invalid.
     pub fn read(path: &str) -> Result<Self, CommandError> {
         let file_error = |error: String| CommandError::File { file: path.to_owned(), error };
         let text = std::fs::read_to_string(path).map_err(|error| file_error(error.to_string()))?;
