--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -71,8 +71,8 @@
         tokio::pin!(future);
         loop {
             let left = limit.saturating_sub(self.since(began));
-            let look = left.min(Duration::from_millis(POLL_INTERVAL_MS));
-            if let Ok(output) = tokio::time::timeout(look, future.as_mut()).await {
+            let wait = left.min(Duration::from_millis(POLL_INTERVAL_MS));
+            if let Ok(output) = tokio::time::timeout(wait, future.as_mut()).await {
                 return Some(output);
             }
             if left.is_zero() {
