--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -1,9 +1,11 @@
-//! Carries one request's effects out: writes to replicas, reads their answers, reports what came.
+//! Carries out the effects of one request: sends attempts to replicas, reads their responses and
+//! reports the results.
 //!
-//! The task of a request waits for the reducer's steps. On `Assign` it reports that it is about to
-//! write; on `Send`, the reducer's last word, it writes at once. What came back goes to the reducer
-//! as an event, and the next step follows from it. The head of the answer goes to the caller as soon
-//! as it is certain; a held answer, and the end of every answer, wait for the reducer.
+//! The task of a request waits for the reducer's steps. On `Prepare` it reports that it is about to
+//! send; on `Send`, which ends the reducer's checks, it sends at once. It reports the result to the
+//! reducer as an event, from which the next step follows. The head of a streamed response goes to
+//! the caller with the first piece; a held response, and the end of every response, wait for the
+//! reducer.
 
 use std::io;
 use std::sync::Arc;
@@ -27,33 +29,33 @@
 use crate::driver::{BoxDriver, RequestStep};
 use crate::stream::EventReader;
 
-/// Header by which a backend server echoes the attempt.
+/// Header in which a backend server repeats the id of the attempt.
 pub const ECHO_HEADER: &str = "x-ravenspoke-attempt";
 
-/// Header by which a backend server says that it did not run a request.
+/// Header in which a backend server reports that it did not run a request.
 pub const RUN_HEADER: &str = "x-ravenspoke-run";
 
-/// Header that asks an engine to resume a stream behind this many tokens.
+/// Header that asks an engine to resume a stream after this many tokens.
 pub const RESUME_HEADER: &str = "x-ravenspoke-resume";
 
-/// What the exchange needs of the box.
+/// Shared resources of the box that an exchange uses.
 pub struct ExchangeTools {
-    /// The reducer.
+    /// Driver of the reducer.
     pub driver: Arc<BoxDriver>,
     /// Client for replicas.
     pub http: reqwest::Client,
     /// Client of the rating service.
     pub rating: RatingClient,
-    /// Longest silence within an answer.
-    pub silence: Duration,
-    /// Largest answer, in bytes.
+    /// Longest time without data from a replica before an attempt fails.
+    pub idle_timeout: Duration,
+    /// Largest response, in bytes.
     pub answer_bytes: usize,
 }
 
-/// What is written to the replica.
+/// The request that is sent to the replica.
 #[derive(Clone, Debug)]
 pub enum UpstreamCall {
-    /// A chat completion; the model's name is set to the version.
+    /// A chat completion; the box replaces the model's name by the version.
     Chat {
         /// The caller's body.
         body: Value,
@@ -72,12 +74,12 @@
         content_type: String,
         /// Body.
         body: Bytes,
-        /// The caller's key, passed on.
+        /// The caller's idempotency key, which is passed on.
         caller_key: Option<String>,
     },
 }
 
-/// A whole answer, held until it may leave.
+/// A complete response that is held until the reducer releases it.
 struct HeldAnswer {
     status: u16,
     content_type: String,
@@ -86,19 +88,19 @@
 
 /// The task of one request.
 pub struct RequestExchange {
-    /// What it needs of the box.
+    /// Shared resources of the box.
     pub tools: Arc<ExchangeTools>,
-    /// Its ticket.
+    /// Ticket of the request.
     pub ticket: RequestTicket,
-    /// Its id.
+    /// Id of the request.
     pub id: u128,
-    /// What is written.
+    /// Request to the replica.
     pub call: UpstreamCall,
-    /// Where the head of the answer goes.
+    /// Receives the head of the response; `None` once the head is sent.
     pub head: Option<oneshot::Sender<HeadAnswer>>,
-    /// Where pieces of a streamed answer go, once its head has left.
+    /// Receives the pieces of a streamed response once its head is sent.
     pub body: Option<BodySender>,
-    /// A whole answer that waits.
+    /// A complete response that waits for its release.
     held: Option<HeldAnswer>,
     text: String,
     version: String,
@@ -108,7 +110,7 @@
 }
 
 impl RequestExchange {
-    /// A task for a request that is about to be fed to the reducer.
+    /// Creates the task of a request that is about to be passed to the reducer.
     pub fn new(
         tools: Arc<ExchangeTools>,
         ticket: RequestTicket,
@@ -137,7 +139,7 @@
         let mut order = None;
         while let Some(step) = self.next_step(&mut steps).await {
             match step {
-                RequestStep::Assign(key, assigned) => {
+                RequestStep::Prepare(key, assigned) => {
                     self.key = Some(key);
                     if assigned.session_token.is_some() {
                         self.session_token = assigned.session_token.clone();
@@ -150,14 +152,14 @@
                     let end = self.attempt(key, &order).await;
                     match end {
                         Some(end) => self.tools.driver.feed(BoxEvent::AttemptEnded(key, end)),
-                        None => self.caller_left(),
+                        None => self.report_disconnect(),
                     }
                 }
-                RequestStep::Judge(key) => {
+                RequestStep::RateHeld(key) => {
                     let good = self.rate().await;
                     self.tools.driver.feed(BoxEvent::HeldAnswerRated(key, good));
                 }
-                RequestStep::Rate => self.rate_later(),
+                RequestStep::RateReleased => self.rate_in_background(),
                 RequestStep::Finish(reasons) => {
                     self.finish(&reasons).await;
                     break;
@@ -175,7 +177,7 @@
         self.tools.driver.close_request(self.ticket);
     }
 
-    /// The next step; a caller that goes away while the request waits is noticed here.
+    /// Waits for the next step, and reports a caller that disconnects meanwhile.
     async fn next_step(
         &mut self,
         steps: &mut UnboundedReceiver<RequestStep>,
@@ -183,7 +185,7 @@
         if let Ok(step) = steps.try_recv() {
             return Some(step);
         }
-        let gone = match (&mut self.head, &self.body) {
+        let disconnected = match (&mut self.head, &self.body) {
             (Some(head), _) => {
                 tokio::select! {
                     step = steps.recv() => return step,
@@ -198,13 +200,13 @@
             }
             (None, None) => false,
         };
-        if gone {
-            self.caller_left();
+        if disconnected {
+            self.report_disconnect();
         }
         steps.recv().await
     }
 
-    fn caller_left(&mut self) {
+    fn report_disconnect(&mut self) {
         self.head = None;
         self.body = None;
         self.tools.driver.feed(BoxEvent::CallerDisconnected(self.ticket));
@@ -244,25 +246,25 @@
         format!("{:032x}.{}", self.id, order.number)
     }
 
-    /// Makes one attempt; `None` if the caller went away.
+    /// Makes one attempt; `None` if the caller disconnected.
     async fn attempt(&mut self, key: RequestKey, order: &AttemptOrder) -> Option<AttemptEnd> {
         self.version.clone_from(&order.version);
         self.replica.clone_from(&order.replica);
         let sent = self.request(order).send();
-        let silence = self.tools.silence;
-        let sent = self.unless_left(tokio::time::timeout(silence, sent)).await?;
+        let idle_timeout = self.tools.idle_timeout;
+        let sent = self.unless_disconnected(tokio::time::timeout(idle_timeout, sent)).await?;
         let response = match sent {
             Err(_elapsed) => return Some(AttemptEnd::Aborted { delivered: 0 }),
             Ok(Err(error)) if error.is_connect() => return Some(AttemptEnd::NeverConnected),
             Ok(Err(_)) => return Some(AttemptEnd::Aborted { delivered: 0 }),
             Ok(Ok(response)) => response,
         };
-        let said = |name| header(response.headers(), name);
-        if said(RUN_HEADER) == Some("not_run") {
-            let leaving = said("x-ravenspoke-leaving").is_some();
+        let response_header = |name| header(response.headers(), name);
+        if response_header(RUN_HEADER) == Some("not_run") {
+            let leaving = response_header("x-ravenspoke-leaving").is_some();
             return Some(AttemptEnd::Declined { leaving });
         }
-        if said(ECHO_HEADER) != Some(self.echo(order).as_str()) {
+        if response_header(ECHO_HEADER) != Some(self.echo(order).as_str()) {
             return Some(AttemptEnd::WrongEcho);
         }
         let streams = matches!(self.call, UpstreamCall::Chat { stream: true, .. });
@@ -273,8 +275,11 @@
         }
     }
 
-    /// Waits for `work`, unless the caller goes away first.
-    async fn unless_left<T>(&mut self, work: impl std::future::Future<Output = T>) -> Option<T> {
+    /// Waits for `work`; `None` if the caller disconnects first.
+    async fn unless_disconnected<T>(
+        &mut self,
+        work: impl std::future::Future<Output = T>,
+    ) -> Option<T> {
         match (&mut self.head, &self.body) {
             (Some(head), _) => {
                 tokio::select! {
@@ -302,8 +307,8 @@
         let content_type = media.to_owned();
         let mut body = BytesMut::new();
         loop {
-            let piece = tokio::time::timeout(self.tools.silence, response.chunk());
-            match self.unless_left(piece).await? {
+            let piece = tokio::time::timeout(self.tools.idle_timeout, response.chunk());
+            match self.unless_disconnected(piece).await? {
                 Ok(Ok(Some(piece))) => {
                     if body.is_empty() {
                         self.tools.driver.feed(BoxEvent::FirstToken(key));
@@ -350,10 +355,10 @@
         let mut held = BytesMut::new();
         let mut first = true;
         loop {
-            let piece = tokio::time::timeout(self.tools.silence, response.chunk());
+            let piece = tokio::time::timeout(self.tools.idle_timeout, response.chunk());
             let broken =
                 AttemptEnd::Aborted { delivered: if order.buffered { 0 } else { reader.tokens } };
-            let piece = match self.unless_left(piece).await? {
+            let piece = match self.unless_disconnected(piece).await? {
                 Ok(Ok(Some(piece))) => piece,
                 Ok(Ok(None)) if reader.ended => break,
                 Ok(Ok(None) | Err(_)) | Err(_) => return Some(broken),
@@ -368,7 +373,7 @@
                 if held.len() > self.tools.answer_bytes {
                     return Some(broken);
                 }
-            } else if !events.is_empty() && !self.pass_on(events).await {
+            } else if !events.is_empty() && !self.forward(events).await {
                 return None;
             }
         }
@@ -382,8 +387,9 @@
         Some(AttemptEnd::Answered { tokens, status: 200, body: Vec::new() })
     }
 
-    /// Passes a piece on to the caller; the first one carries the head. False if the caller left.
-    async fn pass_on(&mut self, piece: Bytes) -> bool {
+    /// Forwards a piece to the caller, preceded by the head if it is the first. Returns false if
+    /// the caller disconnected.
+    async fn forward(&mut self, piece: Bytes) -> bool {
         if self.body.is_none() {
             let (sender, receiver) = channel(BODY_PIECES);
             let head = self.head_answer(200, "text/event-stream", AnswerBody::Stream(receiver));
@@ -412,7 +418,7 @@
 
     async fn finish(&mut self, reasons: &[ReasonCode]) {
         if let Some(body) = self.body.take() {
-            // A caller that left does not need the end.
+            // A caller that disconnected does not need the end.
             let _ = body.send(Ok(EventReader::end_marker())).await;
             return;
         }
@@ -426,14 +432,15 @@
         }
     }
 
-    /// Ends the request with a typed error: before the head as its status, after it as an event and
-    /// a cut connection, so that nobody takes the answer for whole.
+    /// Ends the request with a typed error. Before the head is sent, the error is the response.
+    /// After it, the error is an event and the connection is closed, so that no caller takes the
+    /// response for complete.
     async fn refuse(&mut self, refusal: &RequestRefusal) {
         if let Some(body) = self.body.take() {
             let event = format!("data: {}\n\n", refusal_json(refusal, self.id));
             let _ = body.send(Ok(event.into())).await;
-            let cut = io::Error::new(io::ErrorKind::ConnectionAborted, refusal.reason.slug());
-            let _ = body.send(Err(cut)).await;
+            let abort = io::Error::new(io::ErrorKind::ConnectionAborted, refusal.reason.slug());
+            let _ = body.send(Err(abort)).await;
         } else if let Some(head) = self.head.take() {
             let _ = head.send(HeadAnswer::refusal(refusal, self.id));
         }
@@ -471,8 +478,8 @@
         rating.rate(&self.version, self.class(), &self.question(), &self.text).await.ok()
     }
 
-    /// Rates in a task of its own: the answer does not wait for it.
-    fn rate_later(&self) {
+    /// Rates in a separate task, so that the response does not wait for the rating.
+    fn rate_in_background(&self) {
         let (tools, version, class) = (self.tools.clone(), self.version.clone(), self.class());
         let (question, text) = (self.question(), self.text.clone());
         tokio::spawn(async move {
--- a/crates/box/src/gateway/checkpoints.rs
+++ b/crates/box/src/gateway/checkpoints.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use ravenspoke_adapter::records::{read_mark, write_mark, MARK_TOPIC};
+use ravenspoke_adapter::records::{read_checkpoint, write_checkpoint, CHECKPOINT_TOPIC};
 use ravenspoke_adapter::store::{KeyedRecord, StoreClient};
 use ravenspoke_core::route::event::RouteEvent;
 use ravenspoke_core::route::trial_progress::TrialCheckpoint;
@@ -24,7 +24,7 @@
 impl CheckpointReader {
     pub(super) fn new(driver: Arc<GatewayDriver>, store: StoreClient) -> Self {
         Self {
-            follower: TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true),
+            follower: TopicFollower::new(driver.clone(), store, CHECKPOINT_TOPIC, |_, _| true),
             driver,
         }
     }
@@ -47,9 +47,9 @@
     store: StoreClient,
     mut due: UnboundedReceiver<TrialCheckpoint>,
 ) {
-    let mut follower = TopicFollower::new(driver.clone(), store, MARK_TOPIC, |_, _| true);
+    let mut follower = TopicFollower::new(driver.clone(), store, CHECKPOINT_TOPIC, |_, _| true);
     while let Some(checkpoint) = due.recv().await {
-        let (key, value) = write_mark(&checkpoint);
+        let (key, value) = write_checkpoint(&checkpoint);
         let record = KeyedRecord::new(key, Some(value));
         let appended = append_unless(&mut follower, &record, |asked_at, stored| {
             let stored = apply_checkpoints(&driver, asked_at, stored);
@@ -69,7 +69,7 @@
     let mut checkpoints = Vec::new();
     for record in records {
         let Some(value) = &record.value else { continue };
-        match read_mark(&record.key, value) {
+        match read_checkpoint(&record.key, value) {
             Ok(checkpoint) => checkpoints.push(checkpoint),
             Err(error) => observe::log_bad_record(&error),
         }
--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::{select_all, BoxFuture, FutureExt};
-use ravenspoke_adapter::store::{CallPulse, StoreError, CALL_MS};
+use ravenspoke_adapter::store::{CallActivity, StoreError, CALL_MS};
 use ravenspoke_core::time::BoxTime;
 
 /// Maximum number of open calls of one follower. It suits a store that takes four seconds a call,
@@ -33,7 +33,7 @@
     asked_at: BoxTime,
     wait_ms: u64,
     began: Instant,
-    pulse: CallPulse,
+    pulse: CallActivity,
     answer: BoxFuture<'static, Result<T, StoreError>>,
 }
 
@@ -67,7 +67,7 @@
         &mut self,
         asked_at: BoxTime,
         wait_ms: u64,
-        pulse: CallPulse,
+        pulse: CallActivity,
         answer: impl Future<Output = Result<T, StoreError>> + Send + 'static,
     ) {
         let (began, answer) = (Instant::now(), answer.boxed());
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -267,7 +267,7 @@
 
     /// Records the era that the store names.
     fn record_era(&mut self) {
-        if let Some(value) = self.store.era().take_unread() {
+        if let Some(value) = self.store.era().take_invalid() {
             observe::log_invalid_era(&value);
         }
         let era = self.era();
--- a/crates/box/src/links.rs
+++ b/crates/box/src/links.rs
@@ -1,7 +1,8 @@
-//! Links to other boxes: one outgoing connection for each box that this one writes to.
+//! Links to other boxes: one outgoing connection for each box to which this one sends messages.
 //!
-//! Messages are hints and repeats are harmless, so a link that can't keep up drops its oldest word
-//! by dropping the message; the reducer asks again. Witnessed bills are asked again after a bound.
+//! Messages are hints and repeats are harmless, so a link that cannot keep up drops new messages,
+//! and the reducer requests what it lacks again. Requests to witness bills are repeated after a
+//! bound.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,27 +21,27 @@
 
 use crate::driver::BoxDriver;
 
-/// Messages that may wait for one link.
+/// Messages that may be queued for one link.
 const LINK_QUEUE: usize = 1_024;
 
-/// Bound on connecting and greeting.
+/// Timeout for connecting and the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A link without messages is closed after this.
+/// Time without messages after which a link is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Who this box is to others.
+/// The identity with which this box connects to others.
 #[derive(Clone)]
 pub struct LinkIdentity {
     /// Box name.
     pub name: String,
-    /// Incarnation.
+    /// Incarnation of the box's process.
     pub incarnation: u64,
-    /// Secret that boxes share.
+    /// Secret that all boxes share.
     pub key: Arc<[u8]>,
 }
 
-/// Hands messages to links, opening them as needed.
+/// Passes messages to links and opens links as needed.
 pub async fn run_links(
     identity: LinkIdentity,
     driver: Arc<BoxDriver>,
@@ -65,15 +66,15 @@
                 sender
             }
         };
-        // Full: the other box does not read; what it misses it will ask for.
+        // A full queue means that the other box does not read; it will request what it misses.
         let _ = link.try_send(message);
     }
 }
 
-/// Writes one link's messages until it is idle or broken; a new message opens a new link.
+/// Writes one link's messages until the link is idle or fails; the next message opens a new link.
 async fn run_link(identity: LinkIdentity, address: String, mut messages: Receiver<PeerMessage>) {
-    let greeted = timeout(CONNECT_TIMEOUT, greet(&identity, &address)).await;
-    let Ok(Ok(stream)) = greeted else { return };
+    let connected = timeout(CONNECT_TIMEOUT, connect(&identity, &address)).await;
+    let Ok(Ok(stream)) = connected else { return };
     let mut frames = FramedWrite::new(stream, PeerCodec::default());
     while let Ok(Some(message)) = timeout(IDLE_TIMEOUT, messages.recv()).await {
         if frames.feed(message).await.is_err() {
@@ -90,7 +91,7 @@
     }
 }
 
-async fn greet(identity: &LinkIdentity, address: &str) -> std::io::Result<TcpStream> {
+async fn connect(identity: &LinkIdentity, address: &str) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut frames = Framed::new(stream, raw_codec());
@@ -110,21 +111,22 @@
 
 async fn read_link(identity: LinkIdentity, driver: Arc<BoxDriver>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let Ok(Ok((name, mut frames))) = timeout(CONNECT_TIMEOUT, welcome(&identity, stream)).await
+    let Ok(Ok((name, mut frames))) =
+        timeout(CONNECT_TIMEOUT, accept_hello(&identity, stream)).await
     else {
         metrics::counter!("ravenspoke_peers_refused_total").increment(1);
         tracing::warn!(event = 601, name = "peer_refused");
         return;
     };
     while let Some(Ok(message)) = frames.next().await {
-        // A link speaks for the box that greeted, and for no other.
+        // Messages are accepted only from the box that authenticated the link.
         if message.from == name {
             driver.feed(BoxEvent::PeerMessage(message));
         }
     }
 }
 
-async fn welcome(
+async fn accept_hello(
     identity: &LinkIdentity,
     stream: TcpStream,
 ) -> std::io::Result<(String, Framed<TcpStream, PeerCodec>)> {
@@ -136,6 +138,6 @@
     if !hello.is_valid(&identity.key, &challenge) {
         return Err(std::io::ErrorKind::PermissionDenied.into());
     }
-    // The peer does not wait after its hello, so the bytes read ahead go on to the next codec.
+    // The peer does not wait after its hello, so bytes that were read ahead go to the next codec.
     Ok((hello.name, frames.map_codec(|_| PeerCodec::default())))
 }
--- a/crates/config/tests/files.rs
+++ b/crates/config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Files as operators write them: valid ones, and every finding of wrong ones together.
+//! Valid files are accepted, and all findings in invalid ones are reported together.
 
 use expect_test::expect;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn example_files_are_valid() {
     for name in ["coteau", "agency"] {
         let path = format!("{}/../../examples/{name}.toml", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read_to_string(&path).expect("the example is there");
@@ -40,18 +40,18 @@
 rungs = ["small"]
 "#;
 
-    let told = findings(text);
+    let report = findings(text);
 
     expect![[r#"
         bundle.toml:3: models.small: `cost_per_1k` is not a number, not negative (write a number, not negative)
         bundle.toml:5: models.small has no field `colour` (remove it, or use one of: cost_per_1k, version)
         bundle.toml:7: versions.small-1 lacks `state` (add `state = …`, a string)
         bundle.toml:10: a bundle has no table `cascade` (use one of: models, versions, rollouts, cascades, accounts, pools, services)"#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
 #[test]
-fn what_names_what_is_checked() {
+fn broken_references_and_invalid_values_of_a_bundle_are_reported() {
     let text = r#"
 [models.small]
 cost_per_1k = 1
@@ -79,7 +79,7 @@
 not_repeatable = ["POST"]
 "#;
 
-    let told = findings(text);
+    let report = findings(text);
 
     expect![[r#"
         bundle.toml:2: models.small: its version `small-2` is not in [versions] (add the version, or name another)
@@ -94,7 +94,7 @@
         bundle.toml:19: accounts.a: it allows `nothing`, which is not in the bundle (name a model, version or cascade)
         bundle.toml:19: accounts.a: its service `none` is not in [services] (add the service, or name another)
         bundle.toml:24: services.broker: `POST` is not an operation (write for example "POST /filings")"#]]
-    .assert_eq(&told);
+    .assert_eq(&report);
 }
 
 #[test]
@@ -105,26 +105,29 @@
     );
 
     let findings = read_settings("box.toml", &text).expect_err("there are findings");
-    let told = findings.lines().join("\n");
+    let report = findings.lines().join("\n");
 
-    assert!(told.contains("has no field `speed`") && told.contains("lacks `operator`"), "{told}");
-    assert!(!told.contains(secret));
+    assert!(
+        report.contains("has no field `speed`") && report.contains("lacks `operator`"),
+        "{report}"
+    );
+    assert!(!report.contains(secret));
 }
 
 proptest! {
     #[test]
-    fn any_text_is_a_bundle_or_findings(text in "\\PC{0,300}") {
+    fn any_text_parses_without_panic(text in "\\PC{0,300}") {
         let _ = read_bundle("any.toml", &text);
         let _ = read_settings("any.toml", &text);
     }
 
     #[test]
-    fn any_bytes_are_a_bundle_or_findings(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_parse_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = read_bundle("any.toml", &String::from_utf8_lossy(&bytes));
     }
 
     #[test]
-    fn a_spoilt_bundle_is_a_bundle_or_findings(place in 0usize..400, byte in any::<u8>()) {
+    fn corrupted_bundle_parses_without_panic(place in 0usize..400, byte in any::<u8>()) {
         let path = format!("{}/../../examples/coteau.toml", env!("CARGO_MANIFEST_DIR"));
         let mut bytes = std::fs::read(path).expect("the example is there");
         let place = place * bytes.len() / 400;
--- a/crates/peer/tests/any_bytes.rs
+++ b/crates/peer/tests/any_bytes.rs
@@ -1,4 +1,4 @@
-//! Any bytes give a message or an error, and never a panic.
+//! Arbitrary bytes decode to a message or an error without a panic, and valid frames round-trip.
 
 use bytes::BytesMut;
 use proptest::prelude::*;
@@ -6,36 +6,40 @@
 use ravenspoke_peer::{FrameError, PeerCodec, PeerHello, FRAME_LIMIT};
 use tokio_util::codec::{Decoder, Encoder};
 
-fn beat(stamp: u64, name: &str) -> PeerMessage {
-    let beat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
-    PeerMessage { from: name.to_owned(), incarnation: 3, body: Some(PeerBody::Heartbeat(beat)) }
+fn heartbeat(stamp: u64, name: &str) -> PeerMessage {
+    let heartbeat = PeerHeartbeat { stamp, sequence: 7, ..PeerHeartbeat::default() };
+    PeerMessage {
+        from: name.to_owned(),
+        incarnation: 3,
+        body: Some(PeerBody::Heartbeat(heartbeat)),
+    }
 }
 
 proptest! {
     #[test]
-    fn any_bytes_are_a_message_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_decode_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..600)) {
         let mut buffer = BytesMut::from(bytes.as_slice());
         let mut codec = PeerCodec::default();
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
     }
 
     #[test]
-    fn what_is_encoded_is_decoded_however_it_is_cut(stamp in any::<u64>(), name in "[a-z]{0,40}", cut in 0usize..200) {
-        let message = beat(stamp, &name);
+    fn message_split_at_any_byte_is_decoded(stamp in any::<u64>(), name in "[a-z]{0,40}", cut in 0usize..200) {
+        let message = heartbeat(stamp, &name);
         let mut wire = BytesMut::new();
         PeerCodec::default().encode(message.clone(), &mut wire).expect("a short frame");
         let tail = wire.split_off(cut.min(wire.len()));
         let mut codec = PeerCodec::default();
-        let mut got = codec.decode(&mut wire).expect("no error in a valid frame");
-        if got.is_none() {
+        let mut decoded = codec.decode(&mut wire).expect("no error in a valid frame");
+        if decoded.is_none() {
             wire.extend_from_slice(&tail);
-            got = codec.decode(&mut wire).expect("no error in a valid frame");
+            decoded = codec.decode(&mut wire).expect("no error in a valid frame");
         }
-        prop_assert_eq!(got, Some(message));
+        prop_assert_eq!(decoded, Some(message));
     }
 
     #[test]
-    fn a_hello_of_another_key_is_not_valid(key in proptest::collection::vec(any::<u8>(), 16..40)) {
+    fn hello_with_another_key_is_invalid(key in proptest::collection::vec(any::<u8>(), 16..40)) {
         let hello = PeerHello::answer(&key, b"challenge", "box-1");
         prop_assert!(hello.is_valid(&key, b"challenge"));
         prop_assert!(!hello.is_valid(&key, b"another"));
@@ -44,7 +48,7 @@
 }
 
 #[test]
-fn a_frame_that_claims_to_be_too_long_is_refused_at_once() {
+fn frame_with_a_length_over_the_limit_is_rejected() {
     let mut buffer = BytesMut::new();
     buffer.extend_from_slice(&(FRAME_LIMIT as u32 + 1).to_be_bytes());
 
