--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -295,8 +295,8 @@
             if deed == BackendOutcome::Unreachable {
                 self.settle_crashes(stamp.now);
                 self.mark_unreachable_cold(attempt.replica);
-                self.rounds.next_note =
-                    self.rounds.next_note.min(stamp.now.plus_millis(UNREACHABLE_DELAY_MS));
+                self.rounds.next_round =
+                    self.rounds.next_round.min(stamp.now.plus_millis(UNREACHABLE_DELAY_MS));
             }
         }
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -29,7 +29,7 @@
     /// Number of the last note.
     pub(super) note_number: u64,
     /// When the next round is due.
-    pub(super) next_note: BoxTime,
+    pub(super) next_round: BoxTime,
     /// News of replicas, with when it was learnt.
     pub(super) changes: VecDeque<(BoxTime, BackendChange)>,
 }
@@ -60,15 +60,15 @@
         }
         self.rounds.changes.retain(|(_, other)| other.id != change.id);
         self.rounds.changes.push_back((stamp.now, change));
-        self.rounds.next_note = BoxTime::default();
+        self.rounds.next_round = BoxTime::default();
     }
 
     /// Sends a round of notes, if it is time for one.
     pub(super) fn send_gossip(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
-        if stamp.now < self.rounds.next_note {
+        if stamp.now < self.rounds.next_round {
             return;
         }
-        self.rounds.next_note = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
+        self.rounds.next_round = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
         self.peers.forget(stamp.now);
         let told = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
         self.rounds.changes.retain(|(at, _)| told(*at));
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -252,7 +252,7 @@
             }
             RouteEvent::CheckpointStored(mark) => {
                 self.apply_checkpoint(stamp, &mark);
-                self.rounds.next_note = BoxTime::default();
+                self.rounds.next_round = BoxTime::default();
             }
             RouteEvent::BackendsChanged(changes) => self.on_backends(stamp, changes, out),
             // Unlike an entry that vanished while the store was away, it does not come back by itself.
@@ -305,7 +305,7 @@
             RouteEvent::CallerDisconnected(ticket) => self.on_caller_disconnected(stamp, ticket),
             RouteEvent::StopRequested => {
                 self.stopping_since.get_or_insert(stamp.now);
-                self.rounds.next_note = BoxTime::default();
+                self.rounds.next_round = BoxTime::default();
                 out.push(RouteEffect::StopBegun);
                 self.on_tick(stamp, out);
             }
@@ -362,7 +362,7 @@
             }
             out.push(RouteEffect::EvacuationChanged { order, known_to, in_flight });
             // Told with the next tick: until they know, other boxes send there.
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -91,7 +91,7 @@
         let age_ms = stamp.now.millis_since(asked_at);
         out.push(RouteEffect::PlanInForce { version, routes, age_ms });
         // Others ask for it at once: it is everywhere after a few steps, and few boxes read the store.
-        self.rounds.next_note = BoxTime::default();
+        self.rounds.next_round = BoxTime::default();
         self.send_gossip(stamp, out);
     }
 
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -244,7 +244,7 @@
     pub(super) fn clear_content(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if self.fatal.clear(request.content, stamp.now) {
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
@@ -276,7 +276,7 @@
         self.fatal.forget(now);
         if settled {
             // Each request until others know may end one more replica.
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -107,7 +107,7 @@
         if let Some(start) = self.start.as_mut().filter(|_| turn) {
             // Others that start wait to be told by boxes that say so.
             if !std::mem::replace(&mut start.reads, true) {
-                self.rounds.next_note = BoxTime::default();
+                self.rounds.next_round = BoxTime::default();
             }
         }
     }
@@ -124,7 +124,7 @@
         let untold = self.start.as_mut().filter(|start| open && !start.told_open);
         if let Some(start) = untold {
             start.told_open = true;
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -108,7 +108,7 @@
             trial.state = verdict.state;
             out.push(moved(trial));
             // Told with the next tick: until they know, other boxes give sessions to other versions.
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
@@ -197,7 +197,7 @@
             let settled = trial.carries_at_ms;
             advance(trial, stamp.now, out);
             if trial.carries_at_ms != settled {
-                self.rounds.next_note = BoxTime::default();
+                self.rounds.next_round = BoxTime::default();
             }
             let share = trial.share(stamp.now, store_away);
             if share == trial.logged_share {
