--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -48,7 +48,7 @@
     #[prost(uint64, tag = "3")]
     number: u64,
     #[prost(message, optional, tag = "4")]
-    card: Option<WireCard>,
+    info: Option<WireCard>,
     #[prost(message, optional, tag = "25")]
     known: Option<WireKnownPlan>,
     #[prost(uint64, tag = "26")]
@@ -210,7 +210,7 @@
     WireNote {
         name: note.name.clone(),
         number: note.number,
-        card: Some(write_card(&note.card)),
+        info: Some(write_card(&note.info)),
         known: Some(write_known(note.known)),
         era: note.era,
         changes: changes.iter().map(write_change).collect(),
@@ -236,7 +236,7 @@
     GossipMessage {
         name: wire.name,
         number: wire.number,
-        card: wire.card.map(read_card).unwrap_or_default(),
+        info: wire.info.map(read_card).unwrap_or_default(),
         known: read_known(wire.known),
         era: wire.era,
         read_age_ms: wire.read_age_ms,
--- a/crates/box/src/gateway/note_wire/peer.rs
+++ b/crates/box/src/gateway/note_wire/peer.rs
@@ -12,7 +12,7 @@
     #[prost(string, tag = "1")]
     name: String,
     #[prost(message, optional, tag = "2")]
-    card: Option<WireCard>,
+    info: Option<WireCard>,
     #[prost(uint64, tag = "3")]
     age_ms: u64,
 }
@@ -79,7 +79,7 @@
 pub(super) fn write_summary(summary: &PeerSummary) -> WireSummary {
     WireSummary {
         name: summary.name.clone(),
-        card: Some(write_card(&summary.card)),
+        info: Some(write_card(&summary.info)),
         age_ms: summary.age_ms,
     }
 }
@@ -87,33 +87,33 @@
 pub(super) fn read_summary(summary: WireSummary) -> PeerSummary {
     PeerSummary {
         name: summary.name,
-        card: summary.card.map(read_card).unwrap_or_default(),
+        info: summary.info.map(read_card).unwrap_or_default(),
         age_ms: summary.age_ms,
     }
 }
 
-pub(super) fn write_card(card: &PeerInfo) -> WireCard {
+pub(super) fn write_card(info: &PeerInfo) -> WireCard {
     WireCard {
-        incarnation: card.incarnation,
-        gossip_address: card.gossip_address.clone(),
-        entry_address: card.entry_address.clone(),
-        zone: card.zone.clone(),
-        open: card.open,
-        store_unreachable: card.store_unreachable,
-        reads: card.reads,
-        strong: card.strong,
+        incarnation: info.incarnation,
+        gossip_address: info.gossip_address.clone(),
+        entry_address: info.entry_address.clone(),
+        zone: info.zone.clone(),
+        open: info.open,
+        store_unreachable: info.store_unreachable,
+        reads: info.reads,
+        strong: info.strong,
     }
 }
 
-pub(super) fn read_card(card: WireCard) -> PeerInfo {
+pub(super) fn read_card(info: WireCard) -> PeerInfo {
     PeerInfo {
-        incarnation: card.incarnation,
-        gossip_address: card.gossip_address,
-        entry_address: card.entry_address,
-        zone: card.zone,
-        open: card.open,
-        store_unreachable: card.store_unreachable,
-        reads: card.reads,
-        strong: card.strong,
+        incarnation: info.incarnation,
+        gossip_address: info.gossip_address,
+        entry_address: info.entry_address,
+        zone: info.zone,
+        open: info.open,
+        store_unreachable: info.store_unreachable,
+        reads: info.reads,
+        strong: info.strong,
     }
 }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -23,7 +23,7 @@
     TopicPosition::new(3, offset)
 }
 
-fn card(name: &str) -> PeerInfo {
+fn info(name: &str) -> PeerInfo {
     PeerInfo {
         incarnation: 17,
         gossip_address: format!("10.1.0.{}:7680", name.len()),
@@ -73,7 +73,7 @@
     GossipMessage {
         name: "front-1".to_owned(),
         number: 5,
-        card: card("front-1"),
+        info: info("front-1"),
         era: 3,
         known: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
@@ -97,7 +97,7 @@
             service: "pool".to_owned(),
             models: vec![pace(0.25), pace(1.5)],
         }],
-        duty_holders: vec![PeerSummary { name: "f-2".to_owned(), card: card("f-2"), age_ms: 900 }],
+        duty_holders: vec![PeerSummary { name: "f-2".to_owned(), info: info("f-2"), age_ms: 900 }],
         ..GossipMessage::default()
     }
 }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -111,7 +111,7 @@
         GossipMessage {
             name: self.settings.name.clone(),
             number,
-            card: self.card(stamp.now),
+            info: self.info(stamp.now),
             era: self.era,
             known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
@@ -166,7 +166,7 @@
     }
 
     /// What this box says of itself.
-    fn card(&self, now: BoxTime) -> PeerInfo {
+    fn info(&self, now: BoxTime) -> PeerInfo {
         PeerInfo {
             incarnation: self.settings.incarnation,
             gossip_address: self.settings.gossip_address.clone(),
@@ -255,7 +255,7 @@
         if note.name == self.settings.name || !self.peers.merge(note, stamp.now) {
             return;
         }
-        if self.is_starting() && note.card.open && note.echo.is_none() {
+        if self.is_starting() && note.info.open && note.echo.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
             self.asks.next_ask = stamp.now;
         }
@@ -306,7 +306,7 @@
         };
         self.asks.unanswered_at = None;
         self.asks.answered_at = Some(stamp.now);
-        if note.card.reads {
+        if note.info.reads {
             self.asks.reader_answered_at = Some(stamp.now);
         }
         let EntryCoverage { known_to, age_ms, page } = note.entries;
@@ -319,7 +319,7 @@
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
+                    note.info.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
@@ -329,7 +329,7 @@
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
+                    note.info.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
@@ -354,7 +354,7 @@
             if stamp.now >= self.asks.next_behind_ask && !self.asks.lagging {
                 self.asks.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
+                    note.info.gossip_address.clone(),
                     self.ask(stamp),
                 ));
             }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -573,8 +573,8 @@
 
     /// Whether the box that hears notes at this address is known to be in this one's availability zone.
     pub fn is_in_same_zone(&self, gossip_address: &str) -> bool {
-        let mut rows = self.peers.rows().map(|(_, row)| &row.card);
-        rows.any(|card| card.gossip_address == gossip_address && card.zone == self.settings.zone)
+        let mut rows = self.peers.rows().map(|(_, row)| &row.info);
+        rows.any(|info| info.gossip_address == gossip_address && info.zone == self.settings.zone)
     }
 
     /// Replicas.
@@ -591,7 +591,7 @@
     /// Addresses for a caller: open boxes; where none is open, this one, if it serves.
     pub fn advertised_addresses(&self, now: BoxTime) -> Vec<String> {
         let mut named: Vec<String> =
-            self.peers.open_rows(now).map(|row| row.card.entry_address.clone()).collect();
+            self.peers.open_rows(now).map(|row| row.info.entry_address.clone()).collect();
         if self.open(now) || (named.is_empty() && self.ready(now)) {
             named.push(self.settings.entry_address.clone());
         }
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -51,7 +51,7 @@
 impl LocalPeer<'_> {
     /// Whether another box serves or reads, or may do so by now.
     fn may_serve(&self, other: &PeerState) -> bool {
-        other.card.serves() || self.open_since.is_some_and(|since| other.heard_at < since)
+        other.info.serves() || self.open_since.is_some_and(|since| other.heard_at < since)
     }
 }
 
@@ -75,9 +75,9 @@
     fn of_other(me: &LocalPeer, name: &str, other: &PeerState) -> Self {
         let (idle, hash) = (!me.may_serve(other), xxh3_64(name.as_bytes()));
         Self {
-            store_unreachable: other.card.store_unreachable,
+            store_unreachable: other.info.store_unreachable,
             idle,
-            weak: !other.card.strong,
+            weak: !other.info.strong,
             hash,
         }
     }
@@ -114,7 +114,7 @@
         all.truncate(self.reader_count(now));
         let own = all.iter().any(|(_, name)| name.is_none());
         let others = all.into_iter().filter_map(|(_, name)| self.rows.get(name?));
-        (own, others.map(|row| row.card.gossip_address.clone()).collect())
+        (own, others.map(|row| row.info.gossip_address.clone()).collect())
     }
 
     /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
@@ -127,7 +127,7 @@
         let rows = all.into_iter().filter_map(|(_, name)| self.rows.get_key_value(name?));
         rows.map(|(name, row)| PeerSummary {
             name: name.clone(),
-            card: row.card.clone(),
+            info: row.info.clone(),
             age_ms: now.millis_since(row.heard_at),
         })
         .collect()
@@ -135,7 +135,7 @@
 
     /// Whether another box lives that reaches the store and serves or reads for the others.
     pub fn any_serves(&self, now: BoxTime) -> bool {
-        self.living(now).any(|(_, row)| row.card.serves() && !row.card.store_unreachable)
+        self.living(now).any(|(_, row)| row.info.serves() && !row.info.store_unreachable)
     }
 
     /// How many boxes come before this one in a duty that one box has.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -198,7 +198,7 @@
     /// Number of the note; a lower one than seen is old.
     pub number: u64,
     /// What the sender says of itself.
-    pub card: PeerInfo,
+    pub info: PeerInfo,
     /// The store's era, as far as it knows.
     pub era: u64,
     /// How far it knows the operator's records.
@@ -264,7 +264,7 @@
     /// Name.
     pub name: String,
     /// What it said of itself.
-    pub card: PeerInfo,
+    pub info: PeerInfo,
     /// How long ago it spoke, in milliseconds.
     pub age_ms: u64,
 }
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -16,7 +16,7 @@
 pub struct PeerState {
     /// What it says of itself.
     #[serde(flatten)]
-    pub card: PeerInfo,
+    pub info: PeerInfo,
     /// Number of its last note; 0 if it was only heard of.
     pub number: u64,
     /// When it was heard last.
@@ -52,11 +52,11 @@
     /// Takes a note. Returns false if it is older than one that was taken.
     pub fn merge(&mut self, note: &GossipMessage, now: BoxTime) -> bool {
         let known = self.rows.get(&note.name);
-        let same = known.filter(|row| row.card.incarnation == note.card.incarnation);
+        let same = known.filter(|row| row.info.incarnation == note.info.incarnation);
         if same.is_some_and(|row| row.number >= note.number) {
             return false;
         }
-        let state = PeerState { card: note.card.clone(), number: note.number, heard_at: now };
+        let state = PeerState { info: note.info.clone(), number: note.number, heard_at: now };
         self.put(&note.name, state);
         true
     }
@@ -72,7 +72,7 @@
 
     /// Takes what was told of a box that spoke at `heard_at`.
     fn apply_duty_holder(&mut self, lead: &PeerSummary, heard_at: BoxTime) {
-        let here = |row: &PeerState| row.card.gossip_address == lead.card.gossip_address;
+        let here = |row: &PeerState| row.info.gossip_address == lead.info.gossip_address;
         let later = |row: &PeerState| row.heard_at >= heard_at;
         // An address has one box, and who was heard there last is it.
         let stands =
@@ -81,25 +81,25 @@
             return;
         }
         let known = self.rows.get(&lead.name);
-        let same = known.filter(|row| row.card.incarnation == lead.card.incarnation);
+        let same = known.filter(|row| row.info.incarnation == lead.info.incarnation);
         // Only its own notes are numbered: one that is still under way must not look old.
         let number = same.map_or(0, |row| row.number);
-        let state = PeerState { card: lead.card.clone(), number, heard_at };
+        let state = PeerState { info: lead.info.clone(), number, heard_at };
         self.put(&lead.name, state);
     }
 
     /// Notes a box, in place of any other at its address.
     fn put(&mut self, name: &str, state: PeerState) {
-        let address = &state.card.gossip_address;
+        let address = &state.info.gossip_address;
         self.hearsay.remove(address);
-        self.rows.retain(|other, row| other == name || row.card.gossip_address != *address);
+        self.rows.retain(|other, row| other == name || row.info.gossip_address != *address);
         self.rows.insert(name.to_owned(), state);
     }
 
     /// Notes addresses that may have a box.
     pub fn add_addresses(&mut self, addresses: &[String], own: &str, now: BoxTime) {
         for address in addresses {
-            let known = self.rows.values().any(|row| row.card.gossip_address == *address);
+            let known = self.rows.values().any(|row| row.info.gossip_address == *address);
             if !known && address != own {
                 self.hearsay.entry(address.clone()).or_insert(now);
             }
@@ -120,8 +120,8 @@
     /// Addresses for the next round of notes of a box in `zone`: all if they are few, else some by chance, of
     /// these most in the same availability zone. Who was only heard of may be anywhere.
     pub fn gossip_targets(&self, zone: &str, random: u64) -> Vec<String> {
-        let near = |row: &&PeerState| row.card.zone == zone;
-        let known = |row: &PeerState| row.card.gossip_address.clone();
+        let near = |row: &&PeerState| row.info.zone == zone;
+        let known = |row: &PeerState| row.info.gossip_address.clone();
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
         let far = self.rows.values().filter(|row| !near(row)).map(known);
         let mut others: Vec<String> = far.chain(self.hearsay.keys().cloned()).collect();
@@ -160,22 +160,22 @@
 
     /// All addresses that have, or may have, another box.
     pub fn addresses(&self) -> Vec<String> {
-        let known = self.rows.values().map(|row| &row.card.gossip_address);
+        let known = self.rows.values().map(|row| &row.info.gossip_address);
         known.chain(self.hearsay.keys()).cloned().collect()
     }
 
     /// An open box, by chance, of an availability zone if it has any: what a box that knows nothing asks first.
     pub fn any_open(&self, zone: &str, now: BoxTime, random: u64) -> Option<String> {
         let (near, far): (Vec<&PeerState>, Vec<&PeerState>) =
-            self.open_rows(now).partition(|row| row.card.zone == zone);
+            self.open_rows(now).partition(|row| row.info.zone == zone);
         let rows = if near.is_empty() { far } else { near };
         let index = random.checked_rem(rows.len() as u64)?;
-        rows.get(index as usize).map(|row| row.card.gossip_address.clone())
+        rows.get(index as usize).map(|row| row.info.gossip_address.clone())
     }
 
     /// An address that may have a box, by chance: what a box asks that knows nobody yet.
     pub fn any_address(&self, random: u64) -> Option<String> {
-        let known = self.rows.values().map(|row| &row.card.gossip_address);
+        let known = self.rows.values().map(|row| &row.info.gossip_address);
         let all: Vec<&String> = known.chain(self.hearsay.keys()).collect();
         let index = random.checked_rem(all.len() as u64)?;
         all.get(index as usize).map(|address| (*address).clone())
@@ -186,11 +186,11 @@
         let first = (random % self.rows.len().max(1) as u64) as usize;
         let rows = self.rows.values().chain(self.rows.values()).skip(first);
         let some = rows.take(ADDRESSES_PER_MESSAGE.min(self.rows.len()));
-        some.map(|row| row.card.gossip_address.clone()).collect()
+        some.map(|row| row.info.gossip_address.clone()).collect()
     }
 
     /// Live boxes that callers may be sent to.
     pub fn open_rows(&self, now: BoxTime) -> impl Iterator<Item = &PeerState> {
-        self.rows.values().filter(move |row| row.card.open && row.lives(now))
+        self.rows.values().filter(move |row| row.info.open && row.lives(now))
     }
 }
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -10,11 +10,11 @@
 const REQUESTS: usize = 40;
 
 fn note_of_other(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         changes,
         ..GossipMessage::default()
     };
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -239,7 +239,7 @@
             .map(|other| GossipMessage {
                 name: format!("box-{other}"),
                 number: 1,
-                card: PeerInfo { gossip_address: format!("box-{other}:90"), ..PeerInfo::default() },
+                info: PeerInfo { gossip_address: format!("box-{other}:90"), ..PeerInfo::default() },
                 ..GossipMessage::default()
             })
             .collect();
@@ -493,7 +493,7 @@
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
     let note = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let lead = PeerSummary { name: "box-2".to_owned(), card: note.card.clone(), age_ms: 0 };
+    let lead = PeerSummary { name: "box-2".to_owned(), info: note.info.clone(), age_ms: 0 };
     let leads = vec![lead];
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
@@ -507,13 +507,13 @@
 fn old_word_of_a_box_does_not_make_it_live() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
     tell(&mut second, &mut first);
-    let card = PeerInfo {
+    let info = PeerInfo {
         entry_address: "box-2:80".to_owned(),
         gossip_address: "box-2:90".to_owned(),
         open: true,
         ..PeerInfo::default()
     };
-    let lead = PeerSummary { name: "box-2".to_owned(), card, age_ms: 1_900 };
+    let lead = PeerSummary { name: "box-2".to_owned(), info, age_ms: 1_900 };
     first.now += 1_900;
     let note = GossipMessage {
         name: "box-3".to_owned(),
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -229,12 +229,12 @@
 
 /// Another box's word of [`CONTENT`].
 fn told_content(number: u64, word: PoisonUpdate) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..word }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         contents,
         ..GossipMessage::default()
     };
@@ -282,11 +282,11 @@
 }
 
 fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
-        card,
+        info,
         ends,
         ..GossipMessage::default()
     };
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -138,12 +138,12 @@
 /// A note of another box with word of replica `a`'s limit.
 fn note(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let limits = vec![LimitUpdate { replica, per_s, age_ms }];
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         limits,
         ..GossipMessage::default()
     };
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -228,10 +228,10 @@
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
             let gossip_address = format!("{name}:90");
-            let card = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
+            let info = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
             let down = down[other].clone();
             let note =
-                GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
+                GossipMessage { name, number: self.now, info, down, ..GossipMessage::default() };
             self.feed(number, RouteEvent::GossipReceived(Box::new(note)));
         }
     }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -303,11 +303,11 @@
     let mut subject = new_box("box-2");
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
-    let card = PeerInfo { gossip_address: "box-1:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-1:90".to_owned(), ..PeerInfo::default() };
     let news = GossipMessage {
         name: "box-1".to_owned(),
         number: 1,
-        card,
+        info,
         changes: vec![change.clone()],
         ..GossipMessage::default()
     };
@@ -334,7 +334,7 @@
     GossipMessage {
         name: name.to_owned(),
         number: 1,
-        card: PeerInfo { incarnation, gossip_address: format!("{name}:90"), ..PeerInfo::default() },
+        info: PeerInfo { incarnation, gossip_address: format!("{name}:90"), ..PeerInfo::default() },
         trials: vec![trial],
         ..GossipMessage::default()
     }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -10,9 +10,9 @@
 /// Three other boxes speak, which callers may be sent to or not.
 fn hear_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
-        let card = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
+        let info = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
         let note =
-            GossipMessage { name: name.to_owned(), number: 1, card, ..GossipMessage::default() };
+            GossipMessage { name: name.to_owned(), number: 1, info, ..GossipMessage::default() };
         subject.feed(RouteEvent::GossipReceived(Box::new(note)));
     }
 }
--- a/crates/core/tests/route/trials.rs
+++ b/crates/core/tests/route/trials.rs
@@ -303,7 +303,7 @@
         ravenspoke_core::route::peers::GossipMessage {
             name: "box-3".to_owned(),
             number: 1,
-            card: PeerInfo {
+            info: PeerInfo {
                 gossip_address: "box-3:90".to_owned(),
                 open: true,
                 ..PeerInfo::default()
