--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -65,7 +65,9 @@
     /// About how long it is, in bytes, if it is an answer.
     pub fn answer_bytes(&self) -> Option<usize> {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => Some(AnswerPace::expected_bytes(note)),
+            Self::Note(_, note) if note.in_reply_to.is_some() => {
+                Some(AnswerPace::expected_bytes(note))
+            }
             _ => None,
         }
     }
@@ -73,7 +75,7 @@
     /// What it is.
     pub fn kind(&self) -> DatagramKind {
         match self {
-            Self::Note(_, note) if note.echo.is_some() => DatagramKind::Answer,
+            Self::Note(_, note) if note.in_reply_to.is_some() => DatagramKind::Answer,
             Self::Note(..) => DatagramKind::Note,
             Self::Placement(..) => DatagramKind::Placement,
             Self::Ask(..) => DatagramKind::Ask,
--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -64,7 +64,7 @@
     #[prost(uint64, optional, tag = "13")]
     read_age_ms: Option<u64>,
     #[prost(message, optional, tag = "14")]
-    echo: Option<WireAsk>,
+    in_reply_to: Option<WireAsk>,
     #[prost(message, repeated, tag = "15")]
     loads: Vec<WireLoad>,
     #[prost(message, repeated, tag = "16")]
@@ -219,10 +219,10 @@
         others: note.others.clone(),
         read_age_ms: note.read_age_ms,
         evacuation: Some(write_evacuation(&note.evacuation)),
-        echo: note.echo.as_ref().map(write_ask),
+        in_reply_to: note.in_reply_to.as_ref().map(write_ask),
         loads: note.loads.iter().map(write_load).collect(),
         duty_holders: note.duty_holders.iter().map(write_summary).collect(),
-        entries: note.echo.as_ref().map(|_| write_word(note.entries)),
+        entries: note.in_reply_to.as_ref().map(|_| write_word(note.entries)),
         down: note.down.iter().map(write_down).collect(),
         limits: note.limits.iter().map(write_limit).collect(),
         ends: note.ends.iter().map(write_end).collect(),
@@ -241,7 +241,7 @@
         era: wire.era,
         read_age_ms: wire.read_age_ms,
         evacuation: wire.evacuation.map(read_evacuation).unwrap_or_default(),
-        echo: wire.echo.map(read_ask),
+        in_reply_to: wire.in_reply_to.map(read_ask),
         changes: wire.changes.into_iter().map(read_change).collect(),
         trials: wire.trials.into_iter().map(read_trial).collect(),
         verdicts: wire.verdicts.into_iter().map(read_verdict).collect(),
--- a/crates/box/src/gateway/note_wire/pages.rs
+++ b/crates/box/src/gateway/note_wire/pages.rs
@@ -44,7 +44,7 @@
 impl PackedPages {
     /// The packed entries of an answer, if they are many.
     pub fn of(&mut self, note: &GossipMessage) -> Option<&[u8]> {
-        note.echo.as_ref().filter(|_| note.changes.len() >= KEPT_FROM)?;
+        note.in_reply_to.as_ref().filter(|_| note.changes.len() >= KEPT_FROM)?;
         let key = PageKey::of(&note.changes)?;
         let place = match self.0.iter().position(|(known, _)| *known == key) {
             Some(place) => place,
--- a/crates/box/src/gateway/notes.rs
+++ b/crates/box/src/gateway/notes.rs
@@ -122,7 +122,7 @@
 ) -> Vec<u8> {
     let page = pages.of(note);
     let bare = encode_note(note, None, page);
-    let Some(ask) = note.echo.as_ref().filter(|ask| ask.known < note.known) else {
+    let Some(ask) = note.in_reply_to.as_ref().filter(|ask| ask.known < note.known) else {
         return bare;
     };
     let mut operator = driver.operator();
--- a/crates/box/src/gateway/told.rs
+++ b/crates/box/src/gateway/told.rs
@@ -149,7 +149,7 @@
     };
     let Some(as_of) = as_of else { return };
     // What it told begins where this box had read to when it asked: nothing is left out.
-    let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
+    let follows = note.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
     if follows && note.known > known {
         // The records may lack the end of an order that the teller never had; its word of the zones is whole.
         driver.feed(RouteEvent::EvacuationsReceived(note.evacuation.clone()));
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -77,7 +77,7 @@
         era: 3,
         known: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
-        echo: Some(ask()),
+        in_reply_to: Some(ask()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
         entries: EntryCoverage {
             known_to: Some(at(43)),
@@ -111,7 +111,7 @@
 
 #[test]
 fn a_note_that_answers_nothing_has_no_word_of_entries() {
-    let note = GossipMessage { echo: None, entries: EntryCoverage::default(), ..answer() };
+    let note = GossipMessage { in_reply_to: None, entries: EntryCoverage::default(), ..answer() };
     let heard = decode_datagram(&encode_note(&note, None, None)).expect("a datagram");
     assert_eq!(heard, HeardDatagram::Note(Box::new(note), None));
 }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -116,7 +116,7 @@
             known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
             evacuation: self.evacuated.digest(),
-            echo: None,
+            in_reply_to: None,
             entries: EntryCoverage::default(),
             changes: self
                 .rounds
@@ -242,7 +242,7 @@
         note.changes = changes;
         note.contents = self.poison_response(note.number, stamp.now);
         note.entries = EntryCoverage { known_to, age_ms, page };
-        note.echo = Some(ask);
+        note.in_reply_to = Some(ask);
         out.push(RouteEffect::SendGossip(to, Box::new(note)));
     }
 
@@ -255,7 +255,7 @@
         if note.name == self.settings.name || !self.peers.merge(note, stamp.now) {
             return;
         }
-        if self.is_starting() && note.info.open && note.echo.is_none() {
+        if self.is_starting() && note.info.open && note.in_reply_to.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
             self.asks.next_ask = stamp.now;
         }
@@ -376,7 +376,7 @@
 
 /// The ask that a note answers, if it was made in this life of the process and not too long ago.
 fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
-    let asked = note.echo.as_ref().filter(|ask| ask.incarnation == incarnation)?;
+    let asked = note.in_reply_to.as_ref().filter(|ask| ask.incarnation == incarnation)?;
     let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
 }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -208,7 +208,7 @@
     /// Availability zones under evacuation, as far as the sender knows.
     pub evacuation: EvacuationDigest,
     /// The ask that this note answers.
-    pub echo: Option<SyncRequest>,
+    pub in_reply_to: Option<SyncRequest>,
     /// Changes to the replicas' entries: in an answer what the ask wants, else what is news.
     pub changes: Vec<BackendChange>,
     /// How far an answer shows the replicas' entries.
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -190,7 +190,8 @@
     reader.read_plan(Some(plan(1)));
     asker.now += 500;
     let mut other_life = answer(&mut reader, &asker);
-    other_life.echo = other_life.echo.map(|echo| SyncRequest { incarnation: 2, ..echo });
+    other_life.in_reply_to =
+        other_life.in_reply_to.map(|in_reply_to| SyncRequest { incarnation: 2, ..in_reply_to });
     let old = answer(&mut reader, &asker);
     asker.feed(RouteEvent::GossipReceived(Box::new(other_life)));
     assert_eq!(age(&asker), Some(500));
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -278,7 +278,7 @@
                 RouteEffect::SendGossip(targets, note) => {
                     for target in targets {
                         let far = number_of(&target) % ZONES != to % ZONES;
-                        self.notes[usize::from(far)] += u64::from(note.echo.is_none());
+                        self.notes[usize::from(far)] += u64::from(note.in_reply_to.is_none());
                         let entries = note.entries.page.map_or(0, |_| note.changes.len());
                         self.told_entries += entries as u64;
                         let bytes = NOTE_BYTES + TOLD_BYTES * note.changes.len() as u64;
@@ -504,7 +504,7 @@
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(note, BoxTime::from_millis(self.now));
         let known = state.plan_position();
-        let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
+        let follows = note.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
         if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
             let plan = Some(plan(note.known.version)).filter(|plan| plan.version > known.version);
             self.feed(to, RouteEvent::PlanReceived { as_of, known: note.known, plan });
