--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -82,7 +82,7 @@
     #[prost(message, repeated, tag = "22")]
     limits: Vec<WireLimit>,
     #[prost(message, repeated, tag = "23")]
-    ends: Vec<WireEnd>,
+    crashes: Vec<WireEnd>,
     #[prost(message, repeated, tag = "24")]
     contents: Vec<WireContent>,
 }
@@ -225,7 +225,7 @@
         entries: note.in_reply_to.as_ref().map(|_| write_word(note.entries)),
         down: note.down.iter().map(write_down).collect(),
         limits: note.limits.iter().map(write_limit).collect(),
-        ends: note.ends.iter().map(write_end).collect(),
+        crashes: note.crashes.iter().map(write_end).collect(),
         contents: note.contents.iter().map(write_content).collect(),
         budgets: note.budgets.iter().map(write_budget).collect(),
         paces: note.paces.iter().map(write_pace).collect(),
@@ -251,7 +251,7 @@
         entries: wire.entries.map(read_word).unwrap_or_default(),
         down: wire.down.into_iter().map(read_down).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
-        ends: wire.ends.into_iter().map(read_end).collect(),
+        crashes: wire.crashes.into_iter().map(read_end).collect(),
         contents: wire.contents.into_iter().map(read_content).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
         paces: wire.paces.into_iter().map(read_pace).collect(),
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -129,7 +129,7 @@
             loads,
             down,
             limits,
-            ends: self.crash_updates(stamp.now),
+            crashes: self.crash_updates(stamp.now),
             contents: self.poison_updates(number, stamp.now),
             budgets,
             paces,
@@ -276,7 +276,7 @@
             }
         }
         self.apply_limits(stamp, &note.limits, out);
-        self.apply_crashes(stamp, &note.ends, &note.contents);
+        self.apply_crashes(stamp, &note.crashes, &note.contents);
         for told in &note.paces {
             if self.backends.serves(&told.service) {
                 self.paces.entry(told.service.clone()).or_default().merge(&told.models);
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -220,7 +220,7 @@
     /// Limits that replicas name, or name no more.
     pub limits: Vec<LimitUpdate>,
     /// Ends of replicas while they worked on requests.
-    pub ends: Vec<CrashUpdate>,
+    pub crashes: Vec<CrashUpdate>,
     /// Contents that crash replicas, or turned out not to.
     pub contents: Vec<PoisonUpdate>,
     /// Further sends.
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Boxes that know what crashes replicas, and have known it for longer than replicas' ends are told.
+/// Boxes that know what crashes replicas, and have known it for longer than replicas' crashes are told.
 fn fleet_that_knows(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
@@ -127,7 +127,7 @@
     crate::fixture::order_in(&subject.feed(broken))
 }
 
-/// A request whose replica ends, after which nothing is heard of that for a while.
+/// A request whose replica crashes, after which nothing is heard of that for a while.
 fn end_under(subject: &mut TestBox, id: &str) -> SendOrder {
     let (ticket, order) = subject.sent(asking(id));
     break_and_leave(subject, ticket);
@@ -281,13 +281,13 @@
     assert!(is_refused(subject.refused(asking("five")), 502, RefusalReason::CrashesReplicas));
 }
 
-fn told(ends: Vec<CrashUpdate>) -> RouteEvent {
+fn told(crashes: Vec<CrashUpdate>) -> RouteEvent {
     let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let note = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
         info,
-        ends,
+        crashes,
         ..GossipMessage::default()
     };
     RouteEvent::GossipReceived(Box::new(note))
@@ -318,9 +318,12 @@
         subject.now += 500;
         note_in(&subject.feed(RouteEvent::Tick))
     });
-    let ends = note.expect("a note").ends;
-    assert_eq!(ends.len(), 1);
-    assert_eq!((ends[0].content, ends[0].replica), (CONTENT, backend_hash(&order.replica_id)));
+    let crashes = note.expect("a note").crashes;
+    assert_eq!(crashes.len(), 1);
+    assert_eq!(
+        (crashes[0].content, crashes[0].replica),
+        (CONTENT, backend_hash(&order.replica_id))
+    );
 }
 
 #[test]
