--- a/crates/box/src/gateway/note_wire/mod.rs
+++ b/crates/box/src/gateway/note_wire/mod.rs
@@ -74,7 +74,7 @@
     #[prost(message, repeated, tag = "18")]
     budgets: Vec<WireBudget>,
     #[prost(message, repeated, tag = "19")]
-    paces: Vec<WirePace>,
+    latencies: Vec<WirePace>,
     #[prost(message, optional, tag = "20")]
     evacuation: Option<WireEvacuation>,
     #[prost(message, repeated, tag = "21")]
@@ -228,7 +228,7 @@
         crashes: note.crashes.iter().map(write_end).collect(),
         contents: note.contents.iter().map(write_content).collect(),
         budgets: note.budgets.iter().map(write_budget).collect(),
-        paces: note.paces.iter().map(write_pace).collect(),
+        latencies: note.latencies.iter().map(write_pace).collect(),
     }
 }
 
@@ -254,6 +254,6 @@
         crashes: wire.crashes.into_iter().map(read_end).collect(),
         contents: wire.contents.into_iter().map(read_content).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
-        paces: wire.paces.into_iter().map(read_pace).collect(),
+        latencies: wire.latencies.into_iter().map(read_pace).collect(),
     }
 }
--- a/crates/box/tests/notes.rs
+++ b/crates/box/tests/notes.rs
@@ -93,7 +93,7 @@
             service: "pool".to_owned(),
             count: SendCount { requests: 21, sends: 9 },
         }],
-        paces: vec![LatencyUpdate {
+        latencies: vec![LatencyUpdate {
             service: "pool".to_owned(),
             models: vec![pace(0.25), pace(1.5)],
         }],
--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -21,7 +21,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(attempt) = request.attempt else { return };
         if let Some(load) = head.load {
-            let mean_ms = self.paces.get(&request.service).map_or(0.0, ServiceLatency::mean_ms);
+            let mean_ms = self.latencies.get(&request.service).map_or(0.0, ServiceLatency::mean_ms);
             self.backends.reported(attempt.replica, load, mean_ms, stamp.now);
         }
         self.learn_limit(stamp, attempt.replica, head, out);
--- a/crates/core/src/route/choice.rs
+++ b/crates/core/src/route/choice.rs
@@ -73,7 +73,7 @@
     ) -> Option<PromptWork> {
         let prompt = request.prompt?;
         let unknown = ServiceLatency::default();
-        let pace = self.paces.get(&request.service).unwrap_or(&unknown);
+        let pace = self.latencies.get(&request.service).unwrap_or(&unknown);
         let size = size.unwrap_or(0);
         let shared = if request.affinity == 0 { 0 } else { mix(request.affinity ^ size as u64) };
         Some(PromptWork {
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -21,7 +21,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(work) = self.prompt_work(request, request.size) else { return };
         let work_ms = pick.work_ms;
-        let pace = self.paces.entry(request.service.clone()).or_default();
+        let pace = self.latencies.entry(request.service.clone()).or_default();
         pace.sent(work_ms);
         let expected_ms = pick.expected_ms + pace.begin_ms(request.size.unwrap_or(0));
         self.backends.placed(pick.key, &work, work_ms, expected_ms, stamp.now);
@@ -54,7 +54,7 @@
             let shared = if attempt.held { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
-            let pace = self.paces.entry(request.service.clone()).or_default();
+            let pace = self.latencies.entry(request.service.clone()).or_default();
             pace.learn(request.size.unwrap_or(0), tokens, took_ms);
         }
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -82,7 +82,7 @@
     fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> GossipMessage {
         self.rounds.note_number += 1;
         let number = self.rounds.note_number;
-        let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
+        let (others, leads, latencies) = if self.tells_of_others(number, stamp.now) {
             let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
             (self.peers.some_addresses(stamp.random), leads, self.told_paces())
         } else {
@@ -132,7 +132,7 @@
             crashes: self.crash_updates(stamp.now),
             contents: self.poison_updates(number, stamp.now),
             budgets,
-            paces,
+            latencies,
             trials: trials.collect(),
             verdicts: self.verdicts(),
             others,
@@ -153,7 +153,7 @@
     /// Paces of the models of services that have any.
     fn told_paces(&self) -> Vec<LatencyUpdate> {
         let told = self
-            .paces
+            .latencies
             .iter()
             .map(|(service, pace)| LatencyUpdate { service: service.clone(), models: pace.told() });
         told.filter(|note| !note.models.is_empty()).collect()
@@ -265,8 +265,8 @@
         let evacuations = self.evacuated.merge(&note.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
         self.apply_entries(stamp, note, out);
-        let paces = &self.paces;
-        let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
+        let latencies = &self.latencies;
+        let mean_ms = |service: &str| latencies.get(service).map_or(0.0, ServiceLatency::mean_ms);
         for told in &note.loads {
             self.backends.apply_load(told, &mean_ms, stamp.now);
         }
@@ -277,9 +277,9 @@
         }
         self.apply_limits(stamp, &note.limits, out);
         self.apply_crashes(stamp, &note.crashes, &note.contents);
-        for told in &note.paces {
+        for told in &note.latencies {
             if self.backends.serves(&told.service) {
-                self.paces.entry(told.service.clone()).or_default().merge(&told.models);
+                self.latencies.entry(told.service.clone()).or_default().merge(&told.models);
             }
         }
         for told in &note.budgets {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -161,7 +161,7 @@
     /// How much surer larger models are, by service.
     lifts: HashMap<String, ConfidenceGains>,
     /// Paces of the models, by service.
-    paces: HashMap<String, ServiceLatency>,
+    latencies: HashMap<String, ServiceLatency>,
     requests: HashMap<RequestTicket, RouteRequest>,
     /// Until then entries that vanish may come back: the store was away.
     grace_until: Option<BoxTime>,
@@ -203,7 +203,7 @@
             mark_at: BTreeMap::new(),
             budgets: HashMap::new(),
             lifts: HashMap::new(),
-            paces: HashMap::new(),
+            latencies: HashMap::new(),
             requests: HashMap::new(),
             grace_until: None,
             read_to: TopicPosition::default(),
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -61,7 +61,7 @@
     pub begin: LatencyEstimate,
 }
 
-/// What a box tells of the paces of a service's models.
+/// What a box tells of the latencies of a service's models.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LatencyUpdate {
     /// Service.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -226,7 +226,7 @@
     /// Further sends.
     pub budgets: Vec<BudgetUpdate>,
     /// Paces of models.
-    pub paces: Vec<LatencyUpdate>,
+    pub latencies: Vec<LatencyUpdate>,
     /// Trials under way.
     pub trials: Vec<TrialUpdate>,
     /// Verdicts known.
