--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -156,7 +156,7 @@
     /// When a verdict became due or was last sent to the store, by service.
     verdict_at: BTreeMap<String, BoxTime>,
     /// The same of marks.
-    mark_at: BTreeMap<String, BoxTime>,
+    checkpoint_at: BTreeMap<String, BoxTime>,
     budgets: HashMap<String, SendBudget>,
     /// How much surer larger models are, by service.
     lifts: HashMap<String, ConfidenceGains>,
@@ -200,7 +200,7 @@
             peers: PeerTable::default(),
             trials: BTreeMap::new(),
             verdict_at: BTreeMap::new(),
-            mark_at: BTreeMap::new(),
+            checkpoint_at: BTreeMap::new(),
             budgets: HashMap::new(),
             lifts: HashMap::new(),
             latencies: HashMap::new(),
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -181,8 +181,8 @@
         let rank = self.duty_rank(stamp.now);
         for (service, trial) in &self.trials {
             match trial.mark_due(stamp.now) {
-                None => drop(self.mark_at.remove(service)),
-                Some(mark) if takes_turn(&mut self.mark_at, service, rank, stamp.now) => {
+                None => drop(self.checkpoint_at.remove(service)),
+                Some(mark) if takes_turn(&mut self.checkpoint_at, service, rank, stamp.now) => {
                     out.push(RouteEffect::WriteCheckpoint(mark));
                 }
                 Some(_) => {}
