--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -39,7 +39,8 @@
     /// Trials.
     pub trials: Vec<&'a VersionTrial>,
     /// Contents under which replicas ended.
-    pub fatal: Vec<PoisonDump>,
+    #[serde(rename = "fatal")]
+    pub poison: Vec<PoisonDump>,
     /// Requests in hand.
     #[serde(rename = "in_hand")]
     pub in_flight: usize,
@@ -61,7 +62,7 @@
             evacuated: self.evacuated.zones(),
             peers: self.peers.rows().collect(),
             trials: self.trials.values().collect(),
-            fatal: self.poison_dump(now),
+            poison: self.poison_dump(now),
             in_flight: self.requests.len(),
         }
     }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -150,7 +150,7 @@
     /// Availability zones whose replicas get nothing.
     evacuated: EvacuatedZones,
     /// What replicas ended under.
-    fatal: PoisonContents,
+    poison: PoisonContents,
     peers: PeerTable,
     trials: BTreeMap<String, VersionTrial>,
     /// When a verdict became due or was last sent to the store, by service.
@@ -196,7 +196,7 @@
             table: RouteTable::default(),
             fresh: PlanFreshness::default(),
             evacuated: EvacuatedZones::default(),
-            fatal: PoisonContents::default(),
+            poison: PoisonContents::default(),
             peers: PeerTable::default(),
             trials: BTreeMap::new(),
             verdict_at: BTreeMap::new(),
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -231,19 +231,19 @@
             unsure: Some(attempt.replica),
             at: stamp.now,
         };
-        self.fatal.note(request.content, end, stamp.now);
+        self.poison.note(request.content, end, stamp.now);
     }
 
     /// Whether a request asks for what crashes replicas.
     pub(super) fn is_poison(&self, stamp: EventStamp, ticket: RequestTicket) -> bool {
         let content = self.requests.get(&ticket).map_or(0, |request| request.content);
-        self.fatal.is_poison(content, stamp.now)
+        self.poison.is_poison(content, stamp.now)
     }
 
     /// A request was answered whole.
     pub(super) fn clear_content(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket) else { return };
-        if self.fatal.clear(request.content, stamp.now) {
+        if self.poison.clear(request.content, stamp.now) {
             self.rounds.next_round = BoxTime::default();
         }
     }
@@ -259,10 +259,10 @@
             let at = stamp.now.minus_millis(told.age_ms);
             let CrashUpdate { content, request, replica, .. } = *told;
             let end = ReplicaEnd { requests: vec![request], replica, unsure: None, at };
-            self.fatal.note(content, end, stamp.now);
+            self.poison.note(content, end, stamp.now);
         }
         for word in words.iter().filter(|word| word.age_ms < FATAL_KEPT_MS) {
-            self.fatal.merge(word, stamp.now);
+            self.poison.merge(word, stamp.now);
         }
     }
 
@@ -272,8 +272,8 @@
         let fate = |key: ReplicaKey, at: BoxTime| {
             backends.get(key).map_or(EndFate::Ended, |row| row.fate_since(at, now))
         };
-        let settled = self.fatal.settle(&fate, now);
-        self.fatal.forget(now);
+        let settled = self.poison.settle(&fate, now);
+        self.poison.forget(now);
         if settled {
             // Each request until others know may end one more replica.
             self.rounds.next_round = BoxTime::default();
@@ -282,22 +282,22 @@
 
     /// Ends that other boxes are told of.
     pub(super) fn crash_updates(&self, now: BoxTime) -> Vec<CrashUpdate> {
-        self.fatal.told(now)
+        self.poison.told(now)
     }
 
     /// What other boxes are told of contents with the note of this number.
     pub(super) fn poison_updates(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.fatal.words(number, POISON_PER_MESSAGE, now)
+        self.poison.words(number, POISON_PER_MESSAGE, now)
     }
 
     /// What a box that asks is told of contents.
     pub(super) fn poison_response(&self, number: u64, now: BoxTime) -> Vec<PoisonUpdate> {
-        self.fatal.words(number, POISON_PER_RESPONSE, now)
+        self.poison.words(number, POISON_PER_RESPONSE, now)
     }
 
     /// Contents under which replicas ended, as operators see them.
     pub(super) fn poison_dump(&self, now: BoxTime) -> Vec<PoisonDump> {
-        self.fatal.dump(now)
+        self.poison.dump(now)
     }
 
     /// Ends a request that asks for what crashes replicas. Returns whether it does.
@@ -307,12 +307,12 @@
         ticket: RequestTicket,
         out: &mut Vec<RouteEffect>,
     ) -> bool {
-        let fatal = self.is_poison(stamp, ticket);
-        if fatal {
+        let poison = self.is_poison(stamp, ticket);
+        if poison {
             self.log_poison(stamp, ticket, out);
             self.give_up(stamp, ticket, RefusalReason::CrashesReplicas, out);
         }
-        fatal
+        poison
     }
 
     /// Logs a content that is sent no further, once, with a client account that asks for it.
@@ -320,7 +320,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let content = request.content;
         let account = request.account.clone();
-        let Some(row) = self.fatal.first_met(content) else { return };
+        let Some(row) = self.poison.first_met(content) else { return };
         let (ends, age_ms) = (row.count(stamp.now), row.fatal_age_ms(stamp.now));
         out.push(RouteEffect::PoisonRefused { content, account, ends, age_ms });
     }
