--- a/crates/core/src/route/answer.rs
+++ b/crates/core/src/route/answer.rs
@@ -117,18 +117,18 @@
         opinion: ModelConfidence,
     ) -> Option<usize> {
         let request = self.requests.get_mut(&ticket)?;
-        let lifts = self.lifts.entry(request.service.clone()).or_default();
+        let gains = self.gains.entry(request.service.clone()).or_default();
         if let Some(before) = request.opinion.replace(opinion) {
-            lifts.learn(before, opinion);
+            gains.learn(before, opinion);
         }
         let request = self.requests.get(&ticket)?;
-        let lifts = self.lifts.get(&request.service)?;
+        let gains = self.gains.get(&request.service)?;
         let spent_ms = stamp.now.millis_since(request.arrived) as f64;
         let target_ms = request.route.target_ms.max(1) as f64;
         let part_of = |size: usize| {
             let choice = self.choose(stamp, ticket, Some(size));
             (spent_ms + choice.map_or(0.0, |choice| choice.pick.expected_ms)) / target_ms
         };
-        model_cascade::next_size(request.route.sizes.len(), opinion, lifts, part_of)
+        model_cascade::next_size(request.route.sizes.len(), opinion, gains, part_of)
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -159,7 +159,7 @@
     checkpoint_at: BTreeMap<String, BoxTime>,
     budgets: HashMap<String, SendBudget>,
     /// How much surer larger models are, by service.
-    lifts: HashMap<String, ConfidenceGains>,
+    gains: HashMap<String, ConfidenceGains>,
     /// Paces of the models, by service.
     latencies: HashMap<String, ServiceLatency>,
     requests: HashMap<RequestTicket, RouteRequest>,
@@ -202,7 +202,7 @@
             verdict_at: BTreeMap::new(),
             checkpoint_at: BTreeMap::new(),
             budgets: HashMap::new(),
-            lifts: HashMap::new(),
+            gains: HashMap::new(),
             latencies: HashMap::new(),
             requests: HashMap::new(),
             grace_until: None,
