--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -124,7 +124,7 @@
     pub backlog: ReplicaBacklog,
     /// Prompts' shared parts that it holds.
     #[serde(skip)]
-    pub(super) held: PrefixCache,
+    pub(super) prefix_cache: PrefixCache,
     /// Answers that it left out lately, the oldest first.
     #[serde(skip)]
     pub lost: Vec<LostAnswer>,
@@ -348,7 +348,7 @@
     }
 
     /// Takes a life of a replica after another one, which the store's order tells. It holds and knows nothing of before,
-    /// so it gets a key of its own: work, failures, parts held and load of the former life stay with the former key.
+    /// so it gets a key of its own: work, failures, parts prefix_cache and load of the former life stay with the former key.
     fn put_other_life(
         &mut self,
         former: ReplicaKey,
@@ -398,7 +398,7 @@
             unreachable_at: None,
             expires_at: None,
             backlog: ReplicaBacklog::default(),
-            held: PrefixCache::default(),
+            prefix_cache: PrefixCache::default(),
             lost: Vec::new(),
             entry,
         });
--- a/crates/core/src/route/loads.rs
+++ b/crates/core/src/route/loads.rs
@@ -124,7 +124,7 @@
         now: BoxTime,
     ) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.held.note(work.shared, now);
+            row.prefix_cache.note(work.shared, now);
             row.backlog.sent(work_ms, expected_ms, now);
         }
     }
@@ -133,7 +133,7 @@
     pub(super) fn apply_placement(&mut self, told: &PlacementUpdate, now: BoxTime) {
         let Some(key) = self.hashes.get(&told.replica) else { return };
         let row = &mut self.rows[*key];
-        row.held.note(told.shared, now);
+        row.prefix_cache.note(told.shared, now);
         row.backlog.told(f64::from(told.work_ms), now);
     }
 
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -170,7 +170,7 @@
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let mut view = row.view(ask.now);
-            view.holds = row.held.holds(work.shared, ask.now);
+            view.holds = row.prefix_cache.holds(work.shared, ask.now);
             view.holder = holder == Some(*key);
             view.near = row.entry.zone == ask.zone;
             (*key, view)
