--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -215,18 +215,18 @@
     }
 
     /// Replicas of a service by availability zone, those that leave left out.
-    pub(super) fn stocks(&self, service: &str, now: BoxTime) -> BTreeMap<String, ZoneCount> {
-        let mut stocks: BTreeMap<String, ZoneCount> = BTreeMap::new();
+    pub(super) fn zone_counts(&self, service: &str, now: BoxTime) -> BTreeMap<String, ZoneCount> {
+        let mut zone_counts: BTreeMap<String, ZoneCount> = BTreeMap::new();
         let keys = self.by_service.get(service).into_iter().flatten();
         for row in keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)) {
-            let stock = stocks.entry(row.entry.zone.clone()).or_default();
+            let stock = zone_counts.entry(row.entry.zone.clone()).or_default();
             if !row.entry.spot {
                 stock.on_demand += 1;
             } else if row.cold_until <= now {
                 stock.spot += 1;
             }
         }
-        stocks
+        zone_counts
     }
 
     /// The first `most` changes of the store from a position on, in its order: replicas that are used, and with `gone`
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -423,8 +423,9 @@
             if self.trials.get(service).is_some_and(running) {
                 continue;
             }
-            let stocks = self.backends.stocks(service, stamp.now);
-            let found = || KnownSize { size: ServiceSize::found(service, &stocks), kept: false };
+            let zone_counts = self.backends.zone_counts(service, stamp.now);
+            let found =
+                || KnownSize { size: ServiceSize::found(service, &zone_counts), kept: false };
             self.leader.sizes.entry(service.clone()).or_insert_with(found);
             let Some(known) = self.leader.sizes.get(service) else { continue };
             if !known.kept {
@@ -433,7 +434,7 @@
                 continue;
             }
             for (zone, size) in known.size.without(&|zone| self.evacuated.contains(zone)) {
-                let stock = stocks.get(zone).copied().unwrap_or_default();
+                let stock = zone_counts.get(zone).copied().unwrap_or_default();
                 let wish = scale::zone_target(plan, size, stock);
                 let kinds =
                     [(true, wish.spot, stock.spot), (false, wish.on_demand, stock.on_demand)];
