--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -183,14 +183,14 @@
     /// yet asks anybody, again and again.
     pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
-        let again = !self.is_starting() && self.asks.unanswered_at.is_some_and(unanswered);
-        if stamp.now < self.asks.next_ask && !again {
+        let again = !self.is_starting() && self.sync.unanswered_at.is_some_and(unanswered);
+        if stamp.now < self.sync.next_ask && !again {
             return;
         }
         let (own, readers) = self.peers.readers(&self.local_peer(stamp.now), stamp.now);
         // A box that was started while the store is away knows no replica, reader or not.
         if own && self.knows_replicas() {
-            self.asks.unanswered_at = None;
+            self.sync.unanswered_at = None;
             return;
         }
         let first = stamp.random.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
@@ -199,8 +199,8 @@
         let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
         let pause_ms = self.ask_pause_ms(stamp.now);
-        self.asks.next_ask = stamp.now.plus_millis(pause_ms);
-        self.asks.unanswered_at = Some(stamp.now);
+        self.sync.next_ask = stamp.now.plus_millis(pause_ms);
+        self.sync.unanswered_at = Some(stamp.now);
         out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
     }
 
@@ -257,7 +257,7 @@
         }
         if self.is_starting() && note.info.open && note.in_reply_to.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
-            self.asks.next_ask = stamp.now;
+            self.sync.next_ask = stamp.now;
         }
         self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
         self.peers.apply_duty_holders(&note.duty_holders, &self.settings.name, stamp.now);
@@ -304,10 +304,10 @@
             // replica must get nothing two seconds after the store's word.
             return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
         };
-        self.asks.unanswered_at = None;
-        self.asks.answered_at = Some(stamp.now);
+        self.sync.unanswered_at = None;
+        self.sync.answered_at = Some(stamp.now);
         if note.info.reads {
-            self.asks.reader_answered_at = Some(stamp.now);
+            self.sync.reader_answered_at = Some(stamp.now);
         }
         let EntryCoverage { known_to, age_ms, page } = note.entries;
         let as_of = age_ms.map(|age| asked.asked_at.minus_millis(age));
@@ -345,14 +345,14 @@
         out: &mut Vec<RouteEffect>,
     ) {
         if note.known > self.plan_position() {
-            self.asks.behind_since.get_or_insert(stamp.now);
+            self.sync.behind_since.get_or_insert(stamp.now);
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
             // one, asking again gives the same.
             let answers = own_ask(note, self.settings.incarnation, stamp.now)
                 .is_some_and(|ask| ask.known == self.plan_position());
-            self.asks.lagging |= answers && note.entries.page.is_none();
-            if stamp.now >= self.asks.next_behind_ask && !self.asks.lagging {
-                self.asks.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
+            self.sync.lagging |= answers && note.entries.page.is_none();
+            if stamp.now >= self.sync.next_behind_ask && !self.sync.lagging {
+                self.sync.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
                     note.info.gossip_address.clone(),
                     self.ask(stamp),
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -178,7 +178,7 @@
     /// Its part in reading the store for all.
     reading: ReaderState,
     /// What it asks of other boxes.
-    asks: SyncState,
+    sync: SyncState,
     /// Its notes to other boxes.
     rounds: GossipRounds,
     /// Its part in what one box does for all.
@@ -212,7 +212,7 @@
             entries: EntryPosition::default(),
             start: None,
             reading: ReaderState::default(),
-            asks: SyncState::default(),
+            sync: SyncState::default(),
             rounds: GossipRounds::default(),
             leader: LeaderState::default(),
             stopping_since: None,
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -105,8 +105,8 @@
     fn note_read(&mut self, read_to: TopicPosition) {
         if read_to >= self.read_to {
             self.read_to = read_to;
-            self.asks.behind_since = None;
-            self.asks.lagging = false;
+            self.sync.behind_since = None;
+            self.sync.lagging = false;
         }
     }
 
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -50,16 +50,16 @@
     /// answer of theirs stands for a read, also after a call that failed.
     pub fn is_behind(&self, now: BoxTime) -> bool {
         let long = |at: BoxTime| now.millis_since(at) >= peers::BEHIND_MS;
-        self.asks.lagging || self.asks.behind_since.is_some_and(long)
+        self.sync.lagging || self.sync.behind_since.is_some_and(long)
     }
 
     /// Whether this box lost the store, or the store lost its plan, and others, who answer it, find out when it is back.
     pub(super) fn leaves_tries_to_others(&self, now: BoxTime) -> bool {
         let within = |limit_ms| move |at: BoxTime| now.millis_since(at) < limit_ms;
-        let answered_at = self.asks.answered_at;
+        let answered_at = self.sync.answered_at;
         let answered = self.is_cut(now) && answered_at.is_some_and(within(peers::ANSWERED_MS));
         // Nobody can say that the plan is fresh, so that only word of one who reads stands for a read.
-        let read_at = self.asks.reader_answered_at;
+        let read_at = self.sync.reader_answered_at;
         let read = self.awaits_plan() && read_at.is_some_and(within(READER_LOST_MS));
         answered || read
     }
