--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -176,7 +176,7 @@
     /// How this box was started; `None` before the first event.
     start: Option<StartupState>,
     /// Its part in reading the store for all.
-    reading: ReaderState,
+    reader: ReaderState,
     /// What it asks of other boxes.
     sync: SyncState,
     /// Its notes to other boxes.
@@ -211,7 +211,7 @@
             orders_era: 0,
             entries: EntryPosition::default(),
             start: None,
-            reading: ReaderState::default(),
+            reader: ReaderState::default(),
             sync: SyncState::default(),
             rounds: GossipRounds::default(),
             leader: LeaderState::default(),
@@ -270,7 +270,7 @@
             RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
-                self.reading.cut_at = failed.then_some(stamp.now);
+                self.reader.cut_at = failed.then_some(stamp.now);
                 self.grace_until = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
             RouteEvent::GossipReceived(note) => self.on_gossip(stamp, &note, out),
@@ -490,13 +490,13 @@
 
     /// Whether this box can't reach the store.
     fn is_cut(&self, now: BoxTime) -> bool {
-        self.reading.cut_at.is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
+        self.reader.cut_at.is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
     }
 
     /// This box among the candidates for a duty.
     fn local_peer(&self, now: BoxTime) -> LocalPeer<'_> {
         let serves = self.open(now) || self.reads_for_others(now);
-        let (cut, open_since) = (self.is_cut(now), self.reading.open_since);
+        let (cut, open_since) = (self.is_cut(now), self.reader.open_since);
         let strong = self.settings.capacity.is_strong();
         LocalPeer { name: &self.settings.name, serves, store_unreachable: cut, strong, open_since }
     }
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -114,8 +114,8 @@
 
     /// Notes since when callers may be sent to this box.
     pub(super) fn note_open(&mut self, now: BoxTime) {
-        let since = self.reading.open_since.unwrap_or(now);
-        self.reading.open_since = self.open(now).then_some(since);
+        let since = self.reader.open_since.unwrap_or(now);
+        self.reader.open_since = self.open(now).then_some(since);
     }
 
     /// Tells others at once when this box, started lately, knows what they ask for.
@@ -149,7 +149,7 @@
 
     /// Whether this box is one of those that read the store often.
     pub fn is_reader(&self, now: BoxTime) -> bool {
-        self.reading.reader_at.is_some_and(|at| now >= at)
+        self.reader.reader_at.is_some_and(|at| now >= at)
     }
 
     /// Whether it does, and goes on.
@@ -161,28 +161,28 @@
     /// reader: boxes that started with it learn from it what comes next, such as an order to bring a version in.
     pub(super) fn read_on(&mut self, now: BoxTime) {
         if self.settling(now) && self.peers.readers(&self.local_peer(now), now).0 {
-            self.reading.reader_at = Some(now);
+            self.reader.reader_at = Some(now);
         }
     }
 
     /// Notes from when on this box is one of the readers.
     pub(super) fn settle_reader(&mut self, now: BoxTime) {
         if !self.peers.readers(&self.local_peer(now), now).0 {
-            self.reading.reader_at = None;
+            self.reader.reader_at = None;
             return;
         }
         let settle_ms =
             if self.started_lately(now) { peers::START_SETTLE_MS } else { peers::READER_SETTLE_MS };
-        self.reading.reader_at.get_or_insert(now.plus_millis(settle_ms));
+        self.reader.reader_at.get_or_insert(now.plus_millis(settle_ms));
     }
 
     /// Tells when this box becomes a reader, or is none any more.
     pub(super) fn note_reader(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
         let reads = self.is_reader(now);
-        if reads == self.reading.told_reader {
+        if reads == self.reader.told_reader {
             return;
         }
-        self.reading.told_reader = reads;
+        self.reader.told_reader = reads;
         let (cut, plan_age_ms) = (self.is_cut(now), self.fresh.age_ms(now));
         out.push(RouteEffect::ReaderChanged { reads, cut, plan_age_ms });
     }
