--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(super) struct GossipRounds {
     /// Number of the last note.
-    pub(super) note_number: u64,
+    pub(super) last_number: u64,
     /// When the next round is due.
     pub(super) next_round: BoxTime,
     /// News of replicas, with when it was learnt.
@@ -80,8 +80,8 @@
     }
 
     fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> GossipMessage {
-        self.rounds.note_number += 1;
-        let number = self.rounds.note_number;
+        self.rounds.last_number += 1;
+        let number = self.rounds.last_number;
         let (others, leads, latencies) = if self.tells_of_others(number, stamp.now) {
             let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
             (self.peers.some_addresses(stamp.random), leads, self.told_paces())
