--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -184,7 +184,7 @@
     pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
         let again = !self.is_starting() && self.sync.unanswered_at.is_some_and(unanswered);
-        if stamp.now < self.sync.next_ask && !again {
+        if stamp.now < self.sync.next_request && !again {
             return;
         }
         let (own, readers) = self.peers.readers(&self.local_peer(stamp.now), stamp.now);
@@ -199,7 +199,7 @@
         let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
         let pause_ms = self.ask_pause_ms(stamp.now);
-        self.sync.next_ask = stamp.now.plus_millis(pause_ms);
+        self.sync.next_request = stamp.now.plus_millis(pause_ms);
         self.sync.unanswered_at = Some(stamp.now);
         out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
     }
@@ -257,7 +257,7 @@
         }
         if self.is_starting() && note.info.open && note.in_reply_to.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
-            self.sync.next_ask = stamp.now;
+            self.sync.next_request = stamp.now;
         }
         self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
         self.peers.apply_duty_holders(&note.duty_holders, &self.settings.name, stamp.now);
--- a/crates/core/src/route/sync_state.rs
+++ b/crates/core/src/route/sync_state.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SyncState {
     /// When the next ask is due.
-    pub(super) next_ask: BoxTime,
+    pub(super) next_request: BoxTime,
     /// When the last ask was sent, if no answer has come.
     pub(super) unanswered_at: Option<BoxTime>,
     /// When another box last answered an ask.
