--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -351,8 +351,8 @@
             let answers = own_ask(note, self.settings.incarnation, stamp.now)
                 .is_some_and(|ask| ask.known == self.plan_position());
             self.sync.lagging |= answers && note.entries.page.is_none();
-            if stamp.now >= self.sync.next_behind_ask && !self.sync.lagging {
-                self.sync.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
+            if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
+                self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
                     note.info.gossip_address.clone(),
                     self.ask(stamp),
--- a/crates/core/src/route/sync_state.rs
+++ b/crates/core/src/route/sync_state.rs
@@ -18,5 +18,5 @@
     /// Whether an answer to its ask for that lacked it.
     pub(super) lagging: bool,
     /// When it may ask for that again.
-    pub(super) next_behind_ask: BoxTime,
+    pub(super) next_catch_up: BoxTime,
 }
