--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -36,7 +36,7 @@
 
 /// What a note is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoteKind {
+enum MessageKind {
     /// It goes to some boxes by turns.
     Round,
     /// It answers an ask.
@@ -74,12 +74,12 @@
         self.rounds.changes.retain(|(at, _)| told(*at));
         let targets = self.peers.gossip_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
-            let note = self.note(stamp, NoteKind::Round);
+            let note = self.note(stamp, MessageKind::Round);
             out.push(RouteEffect::SendGossip(targets, Box::new(note)));
         }
     }
 
-    fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> GossipMessage {
+    fn note(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
         let (others, leads, latencies) = if self.tells_of_others(number, stamp.now) {
@@ -90,7 +90,8 @@
         };
         let budgets = self.told_budgets(stamp.now);
         // Each takes a look at all replicas, and rounds of notes bring them to all: an answer comes too often for that.
-        let (loads, down, limits) = if kind == NoteKind::Round || self.peers.gossip_reaches_all() {
+        let (loads, down, limits) = if kind == MessageKind::Round || self.peers.gossip_reaches_all()
+        {
             let backends = &self.backends;
             let now = stamp.now;
             (
@@ -236,7 +237,7 @@
     ) {
         let to = vec![ask.gossip_address.clone()];
         self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
-        let mut note = self.note(stamp, NoteKind::Answer);
+        let mut note = self.note(stamp, MessageKind::Answer);
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
         note.changes = changes;
