--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -40,7 +40,7 @@
     /// It goes to some boxes by turns.
     Round,
     /// It answers an ask.
-    Answer,
+    Response,
 }
 
 impl RouteState {
@@ -237,7 +237,7 @@
     ) {
         let to = vec![ask.gossip_address.clone()];
         self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
-        let mut note = self.note(stamp, MessageKind::Answer);
+        let mut note = self.note(stamp, MessageKind::Response);
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
         note.changes = changes;
