--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -21,7 +21,7 @@
 pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
 /// News of replicas in one note, at most, the newest first; what a box misses it reads itself later.
-pub const NEWS_LIMIT: usize = 40;
+pub const CHANGES_PER_ROUND: usize = 40;
 
 /// The notes of a box, and the news that they carry.
 #[derive(Debug, Default)]
@@ -124,7 +124,7 @@
                 .changes
                 .iter()
                 .rev()
-                .take(NEWS_LIMIT)
+                .take(CHANGES_PER_ROUND)
                 .map(|row| row.1.clone())
                 .collect(),
             loads,
