--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -88,7 +88,7 @@
         } else {
             Default::default()
         };
-        let budgets = self.told_budgets(stamp.now);
+        let budgets = self.budget_updates(stamp.now);
         // Each takes a look at all replicas, and rounds of notes bring them to all: an answer comes too often for that.
         let (loads, down, limits) = if kind == MessageKind::Round || self.peers.gossip_reaches_all()
         {
@@ -142,7 +142,7 @@
     }
 
     /// This box's further sends, for services that had requests lately.
-    fn told_budgets(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
+    fn budget_updates(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
         let bounds = self.settings.budget;
         let counts = self.budgets.iter_mut().map(|(service, budget)| BudgetUpdate {
             service: service.clone(),
