--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -84,7 +84,7 @@
         let number = self.rounds.last_number;
         let (others, leads, latencies) = if self.tells_of_others(number, stamp.now) {
             let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
-            (self.peers.some_addresses(stamp.random), leads, self.told_paces())
+            (self.peers.some_addresses(stamp.random), leads, self.latency_updates())
         } else {
             Default::default()
         };
@@ -152,7 +152,7 @@
     }
 
     /// Paces of the models of services that have any.
-    fn told_paces(&self) -> Vec<LatencyUpdate> {
+    fn latency_updates(&self) -> Vec<LatencyUpdate> {
         let told = self
             .latencies
             .iter()
