--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -82,7 +82,7 @@
     fn note(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
-        let (others, leads, latencies) = if self.tells_of_others(number, stamp.now) {
+        let (others, leads, latencies) = if self.includes_peers(number, stamp.now) {
             let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
             (self.peers.some_addresses(stamp.random), leads, self.latency_updates())
         } else {
@@ -162,7 +162,7 @@
 
     /// Whether the note of this number tells of other boxes. Boxes that start together all do: they have to find
     /// each other.
-    fn tells_of_others(&self, number: u64, now: BoxTime) -> bool {
+    fn includes_peers(&self, number: u64, now: BoxTime) -> bool {
         self.started_lately(now) || number % peers::OTHERS_EVERY == 0
     }
 
