--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -300,7 +300,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let changes = note.changes.clone();
-        let Some(asked) = own_ask(note, self.settings.incarnation, stamp.now) else {
+        let Some(asked) = own_request(note, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
             // replica must get nothing two seconds after the store's word.
             return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
@@ -349,7 +349,7 @@
             self.sync.behind_since.get_or_insert(stamp.now);
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
             // one, asking again gives the same.
-            let answers = own_ask(note, self.settings.incarnation, stamp.now)
+            let answers = own_request(note, self.settings.incarnation, stamp.now)
                 .is_some_and(|ask| ask.known == self.plan_position());
             self.sync.lagging |= answers && note.entries.page.is_none();
             if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
@@ -370,13 +370,13 @@
     /// As of when, on this box's clock, another one knew what its note says; `None` if the note
     /// answers no ask of this life of the process, or one that is too old.
     pub fn message_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
-        let asked = own_ask(note, self.settings.incarnation, now)?;
+        let asked = own_request(note, self.settings.incarnation, now)?;
         Some(asked.asked_at.minus_millis(note.read_age_ms?))
     }
 }
 
 /// The ask that a note answers, if it was made in this life of the process and not too long ago.
-fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
+fn own_request(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
     let asked = note.in_reply_to.as_ref().filter(|ask| ask.incarnation == incarnation)?;
     let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
