--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -182,7 +182,7 @@
 
     /// Asks a reader how fresh this box's knowledge is, unless it reads often itself; one that knows nothing
     /// yet asks anybody, again and again.
-    pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
+    pub(super) fn request_sync(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
         let again = !self.is_starting() && self.sync.unanswered_at.is_some_and(unanswered);
         if stamp.now < self.sync.next_request && !again {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -342,7 +342,7 @@
         self.advance_trials(stamp, out);
         self.judge_trials(stamp, out);
         self.write_checkpoints(stamp, out);
-        self.ask_reader(stamp, out);
+        self.request_sync(stamp, out);
         self.send_gossip(stamp, out);
         self.lead(stamp, out);
     }
