--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -199,14 +199,14 @@
         let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
         let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
-        let pause_ms = self.ask_pause_ms(stamp.now);
+        let pause_ms = self.sync_pause_ms(stamp.now);
         self.sync.next_request = stamp.now.plus_millis(pause_ms);
         self.sync.unanswered_at = Some(stamp.now);
         out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
     }
 
     /// Time until the next ask, in milliseconds.
-    fn ask_pause_ms(&mut self, now: BoxTime) -> u64 {
+    fn sync_pause_ms(&mut self, now: BoxTime) -> u64 {
         let starts = self.is_starting();
         let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
         let start = self.start.as_mut().filter(|_| starts);
