--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -202,7 +202,7 @@
         let pause_ms = self.sync_pause_ms(stamp.now);
         self.sync.next_request = stamp.now.plus_millis(pause_ms);
         self.sync.unanswered_at = Some(stamp.now);
-        out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
+        out.push(RouteEffect::SendSyncRequest(reader, self.sync_request(stamp)));
     }
 
     /// Time until the next ask, in milliseconds.
@@ -218,7 +218,7 @@
         }
     }
 
-    fn ask(&self, stamp: EventStamp) -> SyncRequest {
+    fn sync_request(&self, stamp: EventStamp) -> SyncRequest {
         SyncRequest {
             gossip_address: self.settings.gossip_address.clone(),
             incarnation: self.settings.incarnation,
@@ -321,7 +321,7 @@
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
                     note.info.gossip_address.clone(),
-                    self.ask(stamp),
+                    self.sync_request(stamp),
                 ));
             }
             return;
@@ -331,7 +331,7 @@
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
                     note.info.gossip_address.clone(),
-                    self.ask(stamp),
+                    self.sync_request(stamp),
                 ));
             }
             None => {}
@@ -356,7 +356,7 @@
                 self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
                     note.info.gossip_address.clone(),
-                    self.ask(stamp),
+                    self.sync_request(stamp),
                 ));
             }
             return;
