--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -112,7 +112,7 @@
         GossipMessage {
             name: self.settings.name.clone(),
             number,
-            info: self.info(stamp.now),
+            info: self.own_info(stamp.now),
             era: self.era,
             known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
@@ -167,7 +167,7 @@
     }
 
     /// What this box says of itself.
-    fn info(&self, now: BoxTime) -> PeerInfo {
+    fn own_info(&self, now: BoxTime) -> PeerInfo {
         PeerInfo {
             incarnation: self.settings.incarnation,
             gossip_address: self.settings.gossip_address.clone(),
