--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -20,13 +20,13 @@
 /// tells it on.
 pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
-/// News of replicas in one note, at most, the newest first; what a box misses it reads itself later.
+/// News of replicas in one message, at most, the newest first; what a box misses it reads itself later.
 pub const CHANGES_PER_ROUND: usize = 40;
 
 /// The notes of a box, and the news that they carry.
 #[derive(Debug, Default)]
 pub(super) struct GossipRounds {
-    /// Number of the last note.
+    /// Number of the last message.
     pub(super) last_number: u64,
     /// When the next round is due.
     pub(super) next_round: BoxTime,
@@ -34,7 +34,7 @@
     pub(super) changes: VecDeque<(BoxTime, BackendChange)>,
 }
 
-/// What a note is for.
+/// What a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MessageKind {
     /// It goes to some boxes by turns.
@@ -74,12 +74,12 @@
         self.rounds.changes.retain(|(at, _)| told(*at));
         let targets = self.peers.gossip_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
-            let note = self.note(stamp, MessageKind::Round);
-            out.push(RouteEffect::SendGossip(targets, Box::new(note)));
+            let message = self.message(stamp, MessageKind::Round);
+            out.push(RouteEffect::SendGossip(targets, Box::new(message)));
         }
     }
 
-    fn note(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
+    fn message(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
         let (others, leads, latencies) = if self.includes_peers(number, stamp.now) {
@@ -157,10 +157,10 @@
             .latencies
             .iter()
             .map(|(service, pace)| LatencyUpdate { service: service.clone(), models: pace.told() });
-        told.filter(|note| !note.models.is_empty()).collect()
+        told.filter(|message| !message.models.is_empty()).collect()
     }
 
-    /// Whether the note of this number tells of other boxes. Boxes that start together all do: they have to find
+    /// Whether the message of this number tells of other boxes. Boxes that start together all do: they have to find
     /// each other.
     fn includes_peers(&self, number: u64, now: BoxTime) -> bool {
         self.started_lately(now) || number % peers::OTHERS_EVERY == 0
@@ -237,80 +237,80 @@
     ) {
         let to = vec![ask.gossip_address.clone()];
         self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
-        let mut note = self.note(stamp, MessageKind::Response);
+        let mut message = self.message(stamp, MessageKind::Response);
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(ask.entries, &self.backends, stamp.now);
-        note.changes = changes;
-        note.contents = self.poison_response(note.number, stamp.now);
-        note.entries = EntryCoverage { known_to, age_ms, page };
-        note.in_reply_to = Some(ask);
-        out.push(RouteEffect::SendGossip(to, Box::new(note)));
+        message.changes = changes;
+        message.contents = self.poison_response(message.number, stamp.now);
+        message.entries = EntryCoverage { known_to, age_ms, page };
+        message.in_reply_to = Some(ask);
+        out.push(RouteEffect::SendGossip(to, Box::new(message)));
     }
 
     pub(super) fn on_gossip(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.name == self.settings.name || !self.peers.merge(note, stamp.now) {
+        if message.name == self.settings.name || !self.peers.merge(message, stamp.now) {
             return;
         }
-        if self.is_starting() && note.info.open && note.in_reply_to.is_none() {
+        if self.is_starting() && message.info.open && message.in_reply_to.is_none() {
             // It has just come to know what this box asks for, and has told few others so.
             self.sync.next_request = stamp.now;
         }
-        self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
-        self.peers.apply_duty_holders(&note.duty_holders, &self.settings.name, stamp.now);
-        self.note_era(note.era, stamp.now, out);
-        let evacuations = self.evacuated.merge(&note.evacuation, stamp.now);
+        self.peers.add_addresses(&message.others, &self.settings.gossip_address, stamp.now);
+        self.peers.apply_duty_holders(&message.duty_holders, &self.settings.name, stamp.now);
+        self.note_era(message.era, stamp.now, out);
+        let evacuations = self.evacuated.merge(&message.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
-        self.apply_entries(stamp, note, out);
+        self.apply_entries(stamp, message, out);
         let latencies = &self.latencies;
         let mean_ms = |service: &str| latencies.get(service).map_or(0.0, ServiceLatency::mean_ms);
-        for told in &note.loads {
+        for told in &message.loads {
             self.backends.apply_load(told, &mean_ms, stamp.now);
         }
-        for told in &note.down {
+        for told in &message.down {
             if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
                 self.mark_unreachable_cold(key);
             }
         }
-        self.apply_limits(stamp, &note.limits, out);
-        self.apply_crashes(stamp, &note.crashes, &note.contents);
-        for told in &note.latencies {
+        self.apply_limits(stamp, &message.limits, out);
+        self.apply_crashes(stamp, &message.crashes, &message.contents);
+        for told in &message.latencies {
             if self.backends.serves(&told.service) {
                 self.latencies.entry(told.service.clone()).or_default().merge(&told.models);
             }
         }
-        for told in &note.budgets {
+        for told in &message.budgets {
             if let Some(budget) = self.budgets.get_mut(&told.service) {
-                budget.merge(&note.name, told.count, stamp.now);
+                budget.merge(&message.name, told.count, stamp.now);
             }
         }
-        self.apply_trials(stamp, note, out);
-        self.apply_freshness(stamp, note, out);
+        self.apply_trials(stamp, message, out);
+        self.apply_freshness(stamp, message, out);
     }
 
     /// Takes what another box says of replicas: news, or the answer to an ask.
     fn apply_entries(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        let changes = note.changes.clone();
-        let Some(asked) = own_request(note, self.settings.incarnation, stamp.now) else {
+        let changes = message.changes.clone();
+        let Some(asked) = own_request(message, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
             // replica must get nothing two seconds after the store's word.
             return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
         };
         self.sync.unanswered_at = None;
         self.sync.answered_at = Some(stamp.now);
-        if note.info.reads {
+        if message.info.reads {
             self.sync.reader_answered_at = Some(stamp.now);
         }
-        let EntryCoverage { known_to, age_ms, page } = note.entries;
+        let EntryCoverage { known_to, age_ms, page } = message.entries;
         let as_of = age_ms.map(|age| asked.asked_at.minus_millis(age));
         let Some(page) = page else {
             // An answer that is no word of all there is has more behind it.
@@ -320,7 +320,7 @@
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
-                    note.info.gossip_address.clone(),
+                    message.info.gossip_address.clone(),
                     self.sync_request(stamp),
                 ));
             }
@@ -330,7 +330,7 @@
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
-                    note.info.gossip_address.clone(),
+                    message.info.gossip_address.clone(),
                     self.sync_request(stamp),
                 ));
             }
@@ -342,42 +342,42 @@
     fn apply_freshness(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.known > self.plan_position() {
+        if message.known > self.plan_position() {
             self.sync.behind_since.get_or_insert(stamp.now);
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
             // one, asking again gives the same.
-            let answers = own_request(note, self.settings.incarnation, stamp.now)
+            let answers = own_request(message, self.settings.incarnation, stamp.now)
                 .is_some_and(|ask| ask.known == self.plan_position());
-            self.sync.lagging |= answers && note.entries.page.is_none();
+            self.sync.lagging |= answers && message.entries.page.is_none();
             if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
                 self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
-                    note.info.gossip_address.clone(),
+                    message.info.gossip_address.clone(),
                     self.sync_request(stamp),
                 ));
             }
             return;
         }
-        let as_of = self.message_as_of(note, stamp.now);
-        if let Some(as_of) = as_of.filter(|_| note.known == self.plan_position()) {
+        let as_of = self.message_as_of(message, stamp.now);
+        if let Some(as_of) = as_of.filter(|_| message.known == self.plan_position()) {
             self.fresh.renew(as_of);
         }
     }
 
-    /// As of when, on this box's clock, another one knew what its note says; `None` if the note
+    /// As of when, on this box's clock, another one knew what its message says; `None` if the message
     /// answers no ask of this life of the process, or one that is too old.
-    pub fn message_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
-        let asked = own_request(note, self.settings.incarnation, now)?;
-        Some(asked.asked_at.minus_millis(note.read_age_ms?))
+    pub fn message_as_of(&self, message: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
+        let asked = own_request(message, self.settings.incarnation, now)?;
+        Some(asked.asked_at.minus_millis(message.read_age_ms?))
     }
 }
 
-/// The ask that a note answers, if it was made in this life of the process and not too long ago.
-fn own_request(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
-    let asked = note.in_reply_to.as_ref().filter(|ask| ask.incarnation == incarnation)?;
+/// The ask that a message answers, if it was made in this life of the process and not too long ago.
+fn own_request(message: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
+    let asked = message.in_reply_to.as_ref().filter(|ask| ask.incarnation == incarnation)?;
     let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
     (asked.asked_at <= now && early).then_some(asked)
 }
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -17,7 +17,7 @@
     /// What it says of itself.
     #[serde(flatten)]
     pub info: PeerInfo,
-    /// Number of its last note; 0 if it was only heard of.
+    /// Number of its last message; 0 if it was only heard of.
     pub number: u64,
     /// When it was heard last.
     pub heard_at: BoxTime,
@@ -49,15 +49,15 @@
         self.rows.iter()
     }
 
-    /// Takes a note. Returns false if it is older than one that was taken.
-    pub fn merge(&mut self, note: &GossipMessage, now: BoxTime) -> bool {
-        let known = self.rows.get(&note.name);
-        let same = known.filter(|row| row.info.incarnation == note.info.incarnation);
-        if same.is_some_and(|row| row.number >= note.number) {
+    /// Takes a message. Returns false if it is older than one that was taken.
+    pub fn merge(&mut self, message: &GossipMessage, now: BoxTime) -> bool {
+        let known = self.rows.get(&message.name);
+        let same = known.filter(|row| row.info.incarnation == message.info.incarnation);
+        if same.is_some_and(|row| row.number >= message.number) {
             return false;
         }
-        let state = PeerState { info: note.info.clone(), number: note.number, heard_at: now };
-        self.put(&note.name, state);
+        let state = PeerState { info: message.info.clone(), number: message.number, heard_at: now };
+        self.put(&message.name, state);
         true
     }
 
@@ -153,7 +153,7 @@
         rows.map(|(name, _)| name.as_str())
     }
 
-    /// Whether the boxes that are known are so few that each note reaches all.
+    /// Whether the boxes that are known are so few that each message reaches all.
     pub fn gossip_reaches_all(&self) -> bool {
         self.rows.len() + self.hearsay.len() <= GOSSIP_FANOUT
     }
