--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -236,8 +236,8 @@
                 let news = self.evacuated.apply_read(read, stamp.now);
                 self.apply_evacuations(stamp, news, out);
             }
-            RouteEvent::EvacuationsReceived(word) => {
-                let news = self.evacuated.merge(&word, stamp.now);
+            RouteEvent::EvacuationsReceived(digest) => {
+                let news = self.evacuated.merge(&digest, stamp.now);
                 self.apply_evacuations(stamp, news, out);
             }
             RouteEvent::OrdersRead { read_to, orders } => {
@@ -250,8 +250,8 @@
             RouteEvent::CheckpointsRead { asked_at, checkpoints } => {
                 self.on_checkpoints(stamp, asked_at, checkpoints)
             }
-            RouteEvent::CheckpointStored(mark) => {
-                self.apply_checkpoint(stamp, &mark);
+            RouteEvent::CheckpointStored(checkpoint) => {
+                self.apply_checkpoint(stamp, &checkpoint);
                 self.rounds.next_round = BoxTime::default();
             }
             RouteEvent::BackendsChanged(changes) => self.on_backends(stamp, changes, out),
@@ -273,9 +273,11 @@
                 self.reader.cut_at = failed.then_some(stamp.now);
                 self.grace_until = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
-            RouteEvent::GossipReceived(note) => self.on_gossip(stamp, &note, out),
-            RouteEvent::PlacementReceived(told) => self.backends.apply_placement(&told, stamp.now),
-            RouteEvent::SyncRequested(ask) => self.on_sync_request(stamp, ask, out),
+            RouteEvent::GossipReceived(message) => self.on_gossip(stamp, &message, out),
+            RouteEvent::PlacementReceived(update) => {
+                self.backends.apply_placement(&update, stamp.now)
+            }
+            RouteEvent::SyncRequested(request) => self.on_sync_request(stamp, request, out),
             RouteEvent::LeaseAnswered { asked_at, answer } => {
                 self.on_lease(stamp, asked_at, answer, out);
             }
@@ -287,13 +289,13 @@
             RouteEvent::LeaderCallEnded(call, outcome) => {
                 self.on_leader_call(stamp, &call, outcome)
             }
-            RouteEvent::UsageRequested(ask) => self.on_usage_requested(&ask, out),
-            RouteEvent::UsageReceived(note) => self.on_usage_received(&note),
+            RouteEvent::UsageRequested(request) => self.on_usage_requested(&request, out),
+            RouteEvent::UsageReceived(response) => self.on_usage_received(&response),
             RouteEvent::PeersDiscovered(addresses) => {
                 self.peers.add_addresses(&addresses, &self.settings.gossip_address, stamp.now);
             }
-            RouteEvent::RequestArrived(ticket, ask) => {
-                self.on_request_arrived(stamp, ticket, ask, out)
+            RouteEvent::RequestArrived(ticket, request) => {
+                self.on_request_arrived(stamp, ticket, request, out)
             }
             RouteEvent::HeadReceived(ticket, head) => self.on_head(stamp, ticket, head, out),
             RouteEvent::AttemptStalled(ticket) => self.on_attempt_stalled(stamp, ticket, out),
