--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -49,13 +49,13 @@
         &mut self,
         stamp: EventStamp,
         change: BackendChange,
-        news: ChangeKind,
+        kind: ChangeKind,
         out: &mut Vec<RouteEffect>,
     ) {
-        if news == ChangeKind::None {
+        if kind == ChangeKind::None {
             return;
         }
-        if news == ChangeKind::Leaving {
+        if kind == ChangeKind::Leaving {
             out.push(RouteEffect::BackendLeaving(change.id.clone()));
         }
         self.rounds.changes.retain(|(_, other)| other.id != change.id);
@@ -70,8 +70,8 @@
         }
         self.rounds.next_round = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
         self.peers.forget(stamp.now);
-        let told = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
-        self.rounds.changes.retain(|(at, _)| told(*at));
+        let recent = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
+        self.rounds.changes.retain(|(at, _)| recent(*at));
         let targets = self.peers.gossip_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
             let message = self.message(stamp, MessageKind::Round);
@@ -82,9 +82,9 @@
     fn message(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
-        let (others, leads, latencies) = if self.includes_peers(number, stamp.now) {
-            let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
-            (self.peers.some_addresses(stamp.random), leads, self.latency_updates())
+        let (others, duty_holders, latencies) = if self.includes_peers(number, stamp.now) {
+            let duty_holders = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
+            (self.peers.some_addresses(stamp.random), duty_holders, self.latency_updates())
         } else {
             Default::default()
         };
@@ -137,7 +137,7 @@
             trials: trials.collect(),
             verdicts: self.verdicts(),
             others,
-            duty_holders: leads,
+            duty_holders,
         }
     }
 
@@ -148,16 +148,16 @@
             service: service.clone(),
             count: budget.count(bounds, now),
         });
-        counts.filter(|told| told.count != SendCount::default()).collect()
+        counts.filter(|update| update.count != SendCount::default()).collect()
     }
 
     /// Paces of the models of services that have any.
     fn latency_updates(&self) -> Vec<LatencyUpdate> {
-        let told = self
-            .latencies
-            .iter()
-            .map(|(service, pace)| LatencyUpdate { service: service.clone(), models: pace.told() });
-        told.filter(|message| !message.models.is_empty()).collect()
+        let updates = self.latencies.iter().map(|(service, latency)| LatencyUpdate {
+            service: service.clone(),
+            models: latency.told(),
+        });
+        updates.filter(|message| !message.models.is_empty()).collect()
     }
 
     /// Whether the message of this number tells of other boxes. Boxes that start together all do: they have to find
@@ -196,8 +196,8 @@
         }
         let first = stamp.random.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
         let reader = readers.get(first).filter(|_| !self.is_starting()).cloned();
-        let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
-        let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
+        let any_open = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
+        let reader = reader.or_else(any_open).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
         let pause_ms = self.sync_pause_ms(stamp.now);
         self.sync.next_request = stamp.now.plus_millis(pause_ms);
@@ -207,11 +207,11 @@
 
     /// Time until the next ask, in milliseconds.
     fn sync_pause_ms(&mut self, now: BoxTime) -> u64 {
-        let starts = self.is_starting();
-        let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
-        let start = self.start.as_mut().filter(|_| starts);
+        let starting = self.is_starting();
+        let mostly_open = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
+        let start = self.start.as_mut().filter(|_| starting);
         let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::note_ask);
-        if starts && many_know {
+        if starting && mostly_open {
             pause_ms.min(peers::SYNC_RETRY_MS)
         } else {
             pause_ms
@@ -232,18 +232,18 @@
     pub(super) fn on_sync_request(
         &mut self,
         stamp: EventStamp,
-        ask: SyncRequest,
+        request: SyncRequest,
         out: &mut Vec<RouteEffect>,
     ) {
-        let to = vec![ask.gossip_address.clone()];
+        let to = vec![request.gossip_address.clone()];
         self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
         let mut message = self.message(stamp, MessageKind::Response);
         let EntryAnswer { changes, known_to, age_ms, page } =
-            self.entries.answer(ask.entries, &self.backends, stamp.now);
+            self.entries.answer(request.entries, &self.backends, stamp.now);
         message.changes = changes;
         message.contents = self.poison_response(message.number, stamp.now);
         message.entries = EntryCoverage { known_to, age_ms, page };
-        message.in_reply_to = Some(ask);
+        message.in_reply_to = Some(request);
         out.push(RouteEffect::SendGossip(to, Box::new(message)));
     }
 
@@ -268,24 +268,24 @@
         self.apply_entries(stamp, message, out);
         let latencies = &self.latencies;
         let mean_ms = |service: &str| latencies.get(service).map_or(0.0, ServiceLatency::mean_ms);
-        for told in &message.loads {
-            self.backends.apply_load(told, &mean_ms, stamp.now);
+        for update in &message.loads {
+            self.backends.apply_load(update, &mean_ms, stamp.now);
         }
-        for told in &message.down {
-            if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
+        for update in &message.down {
+            if let Some(key) = self.backends.apply_unreachable(update, stamp.now) {
                 self.mark_unreachable_cold(key);
             }
         }
         self.apply_limits(stamp, &message.limits, out);
         self.apply_crashes(stamp, &message.crashes, &message.contents);
-        for told in &message.latencies {
-            if self.backends.serves(&told.service) {
-                self.latencies.entry(told.service.clone()).or_default().merge(&told.models);
+        for update in &message.latencies {
+            if self.backends.serves(&update.service) {
+                self.latencies.entry(update.service.clone()).or_default().merge(&update.models);
             }
         }
-        for told in &message.budgets {
-            if let Some(budget) = self.budgets.get_mut(&told.service) {
-                budget.merge(&message.name, told.count, stamp.now);
+        for update in &message.budgets {
+            if let Some(budget) = self.budgets.get_mut(&update.service) {
+                budget.merge(&message.name, update.count, stamp.now);
             }
         }
         self.apply_trials(stamp, message, out);
@@ -300,7 +300,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let changes = message.changes.clone();
-        let Some(asked) = own_request(message, self.settings.incarnation, stamp.now) else {
+        let Some(request) = own_request(message, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
             // replica must get nothing two seconds after the store's word.
             return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
@@ -311,12 +311,12 @@
             self.sync.reader_answered_at = Some(stamp.now);
         }
         let EntryCoverage { known_to, age_ms, page } = message.entries;
-        let as_of = age_ms.map(|age| asked.asked_at.minus_millis(age));
+        let as_of = age_ms.map(|age| request.asked_at.minus_millis(age));
         let Some(page) = page else {
             // An answer that is no word of all there is has more behind it.
-            let more = age_ms.is_none() && known_to > asked.entries.known_to;
+            let more = age_ms.is_none() && known_to > request.entries.known_to;
             self.apply_backends(stamp, changes, BackendSource::Told, None, out);
-            self.entries.apply_changes(asked.entries, known_to, as_of);
+            self.entries.apply_changes(request.entries, known_to, as_of);
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
                 out.push(RouteEffect::SendSyncRequest(
@@ -326,7 +326,7 @@
             }
             return;
         };
-        match self.entries.apply_page(asked.entries, page, &changes, as_of, stamp.now) {
+        match self.entries.apply_page(request.entries, page, &changes, as_of, stamp.now) {
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
@@ -350,7 +350,7 @@
             // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
             // one, asking again gives the same.
             let answers = own_request(message, self.settings.incarnation, stamp.now)
-                .is_some_and(|ask| ask.known == self.plan_position());
+                .is_some_and(|request| request.known == self.plan_position());
             self.sync.lagging |= answers && message.entries.page.is_none();
             if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
                 self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
@@ -370,14 +370,15 @@
     /// As of when, on this box's clock, another one knew what its message says; `None` if the message
     /// answers no ask of this life of the process, or one that is too old.
     pub fn message_as_of(&self, message: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
-        let asked = own_request(message, self.settings.incarnation, now)?;
-        Some(asked.asked_at.minus_millis(message.read_age_ms?))
+        let request = own_request(message, self.settings.incarnation, now)?;
+        Some(request.asked_at.minus_millis(message.read_age_ms?))
     }
 }
 
 /// The ask that a message answers, if it was made in this life of the process and not too long ago.
 fn own_request(message: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
-    let asked = message.in_reply_to.as_ref().filter(|ask| ask.incarnation == incarnation)?;
-    let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
-    (asked.asked_at <= now && early).then_some(asked)
+    let request =
+        message.in_reply_to.as_ref().filter(|request| request.incarnation == incarnation)?;
+    let early = now.millis_since(request.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
+    (request.asked_at <= now && early).then_some(request)
 }
