--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -303,7 +303,7 @@
         let Some(request) = own_request(message, self.settings.incarnation, stamp.now) else {
             // Only what is gone for good is told: that this box lost the store says nothing against it, and a
             // replica must get nothing two seconds after the store's word.
-            return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
+            return self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
         };
         self.sync.unanswered_at = None;
         self.sync.answered_at = Some(stamp.now);
@@ -315,7 +315,7 @@
         let Some(page) = page else {
             // An answer that is no word of all there is has more behind it.
             let more = age_ms.is_none() && known_to > request.entries.known_to;
-            self.apply_backends(stamp, changes, BackendSource::Told, None, out);
+            self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
             self.entries.apply_changes(request.entries, known_to, as_of);
             if more {
                 // Where replicas come in thousands, an ask now and then does not keep up with them.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -137,7 +137,7 @@
     /// This box read them.
     Store,
     /// Another box told them.
-    Told,
+    Gossip,
 }
 
 /// All state of a routing box.
