--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -174,7 +174,7 @@
             entry_address: self.settings.entry_address.clone(),
             zone: self.settings.zone.clone(),
             open: self.open(now),
-            store_unreachable: self.is_cut(now),
+            store_unreachable: self.store_unreachable(now),
             reads: self.reads_for_others(now) || self.reads_at_start(),
             strong: self.settings.capacity.is_strong(),
         }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -491,14 +491,14 @@
     }
 
     /// Whether this box can't reach the store.
-    fn is_cut(&self, now: BoxTime) -> bool {
+    fn store_unreachable(&self, now: BoxTime) -> bool {
         self.reader.cut_at.is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
     }
 
     /// This box among the candidates for a duty.
     fn local_peer(&self, now: BoxTime) -> LocalPeer<'_> {
         let serves = self.open(now) || self.reads_for_others(now);
-        let (cut, open_since) = (self.is_cut(now), self.reader.open_since);
+        let (cut, open_since) = (self.store_unreachable(now), self.reader.open_since);
         let strong = self.settings.capacity.is_strong();
         LocalPeer { name: &self.settings.name, serves, store_unreachable: cut, strong, open_since }
     }
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -57,7 +57,8 @@
     pub(super) fn leaves_tries_to_others(&self, now: BoxTime) -> bool {
         let within = |limit_ms| move |at: BoxTime| now.millis_since(at) < limit_ms;
         let answered_at = self.sync.answered_at;
-        let answered = self.is_cut(now) && answered_at.is_some_and(within(peers::ANSWERED_MS));
+        let answered =
+            self.store_unreachable(now) && answered_at.is_some_and(within(peers::ANSWERED_MS));
         // Nobody can say that the plan is fresh, so that only word of one who reads stands for a read.
         let read_at = self.sync.reader_answered_at;
         let read = self.awaits_plan() && read_at.is_some_and(within(READER_LOST_MS));
@@ -69,7 +70,7 @@
     pub fn must_read_entries(&self, now: BoxTime) -> bool {
         let untold = self.is_untold(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
         // While the store is away, reads of the plan find out when it is back.
-        let away = self.store_away(now) && self.is_cut(now);
+        let away = self.store_away(now) && self.store_unreachable(now);
         let told = self.entries.is_listing(now) || self.leaves_tries_to_others(now);
         self.is_reader(now) || (untold && !away && !told)
     }
@@ -183,7 +184,7 @@
             return;
         }
         self.reader.told_reader = reads;
-        let (cut, plan_age_ms) = (self.is_cut(now), self.fresh.age_ms(now));
+        let (cut, plan_age_ms) = (self.store_unreachable(now), self.fresh.age_ms(now));
         out.push(RouteEffect::ReaderChanged { reads, cut, plan_age_ms });
     }
 }
