--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -270,7 +270,7 @@
             RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
-                self.reader.cut_at = failed.then_some(stamp.now);
+                self.reader.store_failed_at = failed.then_some(stamp.now);
                 self.grace_until = Some(stamp.now.plus_millis(EXPIRY_GRACE_MS));
             }
             RouteEvent::GossipReceived(message) => self.on_gossip(stamp, &message, out),
@@ -492,7 +492,9 @@
 
     /// Whether this box can't reach the store.
     fn store_unreachable(&self, now: BoxTime) -> bool {
-        self.reader.cut_at.is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
+        self.reader
+            .store_failed_at
+            .is_some_and(|at| now.millis_since(at) < peers::STORE_UNREACHABLE_MS)
     }
 
     /// This box among the candidates for a duty.
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ReaderState {
     /// When a call to the store last failed, if none succeeded since.
-    pub(super) cut_at: Option<BoxTime>,
+    pub(super) store_failed_at: Option<BoxTime>,
     /// From when on it reads for the others, if it is one of the readers.
     pub(super) reader_at: Option<BoxTime>,
     /// Whether it was last told to be a reader.
