--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -32,7 +32,7 @@
     /// From when on it reads for the others, if it is one of the readers.
     pub(super) reader_at: Option<BoxTime>,
     /// Whether it was last told to be a reader.
-    pub(super) told_reader: bool,
+    pub(super) reported_reader: bool,
     /// Since when callers may be sent to this box.
     pub(super) open_since: Option<BoxTime>,
 }
@@ -180,10 +180,10 @@
     /// Tells when this box becomes a reader, or is none any more.
     pub(super) fn note_reader(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
         let reads = self.is_reader(now);
-        if reads == self.reader.told_reader {
+        if reads == self.reader.reported_reader {
             return;
         }
-        self.reader.told_reader = reads;
+        self.reader.reported_reader = reads;
         let (cut, plan_age_ms) = (self.store_unreachable(now), self.fresh.age_ms(now));
         out.push(RouteEffect::ReaderChanged { reads, cut, plan_age_ms });
     }
