--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -27,7 +27,7 @@
     /// Whether it has begun to serve callers.
     pub(super) entry_opened: bool,
     /// Whether it has told others that it can answer them.
-    pub(super) told_open: bool,
+    pub(super) announced_open: bool,
     /// When it learnt the plan.
     plan_at: Option<BoxTime>,
     asks: u32,
@@ -47,7 +47,7 @@
             read_at,
             reads: false,
             entry_opened: false,
-            told_open: false,
+            announced_open: false,
             plan_at: None,
             asks: 0,
         }
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -122,9 +122,9 @@
     /// Tells others at once when this box, started lately, knows what they ask for.
     pub(super) fn tell_open(&mut self, now: BoxTime) {
         let open = self.open(now);
-        let untold = self.start.as_mut().filter(|start| open && !start.told_open);
+        let untold = self.start.as_mut().filter(|start| open && !start.announced_open);
         if let Some(start) = untold {
-            start.told_open = true;
+            start.announced_open = true;
             self.rounds.next_round = BoxTime::default();
         }
     }
