--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -337,7 +337,7 @@
         self.settle_crashes(stamp.now);
         self.note_open(stamp.now);
         self.take_turn(stamp.now);
-        self.tell_open(stamp.now);
+        self.announce_open(stamp.now);
         self.settle_reader(stamp.now);
         self.note_reader(stamp.now, out);
         self.tally_silent(stamp);
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -120,7 +120,7 @@
     }
 
     /// Tells others at once when this box, started lately, knows what they ask for.
-    pub(super) fn tell_open(&mut self, now: BoxTime) {
+    pub(super) fn announce_open(&mut self, now: BoxTime) {
         let open = self.open(now);
         let untold = self.start.as_mut().filter(|start| open && !start.announced_open);
         if let Some(start) = untold {
