--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -335,7 +335,7 @@
         self.share_limits(stamp.now);
         self.share_cold(stamp.now);
         self.settle_crashes(stamp.now);
-        self.note_open(stamp.now);
+        self.update_open_since(stamp.now);
         self.take_turn(stamp.now);
         self.announce_open(stamp.now);
         self.settle_reader(stamp.now);
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -114,7 +114,7 @@
     }
 
     /// Notes since when callers may be sent to this box.
-    pub(super) fn note_open(&mut self, now: BoxTime) {
+    pub(super) fn update_open_since(&mut self, now: BoxTime) {
         let since = self.reader.open_since.unwrap_or(now);
         self.reader.open_since = self.open(now).then_some(since);
     }
