--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -339,7 +339,7 @@
         self.take_turn(stamp.now);
         self.announce_open(stamp.now);
         self.settle_reader(stamp.now);
-        self.note_reader(stamp.now, out);
+        self.report_reader_change(stamp.now, out);
         self.tally_silent(stamp);
         self.advance_trials(stamp, out);
         self.judge_trials(stamp, out);
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -178,7 +178,7 @@
     }
 
     /// Tells when this box becomes a reader, or is none any more.
-    pub(super) fn note_reader(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
+    pub(super) fn report_reader_change(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
         let reads = self.is_reader(now);
         if reads == self.reader.reported_reader {
             return;
