--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -265,7 +265,7 @@
             }
             RouteEvent::EntriesRead { as_of, to } => {
                 self.entries.note_read(to, Some(as_of));
-                self.read_on(stamp.now);
+                self.continue_reading(stamp.now);
             }
             RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -160,7 +160,7 @@
 
     /// Who has started and read the store since nobody told it anything reads on at once, if it finds itself a
     /// reader: boxes that started with it learn from it what comes next, such as an order to bring a version in.
-    pub(super) fn read_on(&mut self, now: BoxTime) {
+    pub(super) fn continue_reading(&mut self, now: BoxTime) {
         if self.settling(now) && self.peers.readers(&self.local_peer(now), now).0 {
             self.reader.reader_at = Some(now);
         }
