--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -338,7 +338,7 @@
         self.update_open_since(stamp.now);
         self.take_turn(stamp.now);
         self.announce_open(stamp.now);
-        self.settle_reader(stamp.now);
+        self.update_reader_at(stamp.now);
         self.report_reader_change(stamp.now, out);
         self.tally_silent(stamp);
         self.advance_trials(stamp, out);
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -167,7 +167,7 @@
     }
 
     /// Notes from when on this box is one of the readers.
-    pub(super) fn settle_reader(&mut self, now: BoxTime) {
+    pub(super) fn update_reader_at(&mut self, now: BoxTime) {
         if !self.peers.readers(&self.local_peer(now), now).0 {
             self.reader.reader_at = None;
             return;
