--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -336,7 +336,7 @@
         self.share_cold(stamp.now);
         self.settle_crashes(stamp.now);
         self.update_open_since(stamp.now);
-        self.take_turn(stamp.now);
+        self.begin_start_read(stamp.now);
         self.announce_open(stamp.now);
         self.update_reader_at(stamp.now);
         self.report_reader_change(stamp.now, out);
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes this box's turn to read the store, if it has come. Who has begun does not stop for another who has, too.
-    pub(super) fn take_turn(&mut self, now: BoxTime) {
+    pub(super) fn begin_start_read(&mut self, now: BoxTime) {
         let turn = self.start.is_some_and(|start| self.is_own_turn(start, now));
         if let Some(start) = self.start.as_mut().filter(|_| turn) {
             // Others that start wait to be told by boxes that say so.
