--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -42,7 +42,7 @@
     /// told it lately that what it knows is fresh, or has told it what is new.
     pub fn must_read_plan(&self, now: BoxTime) -> bool {
         let untold = self.is_untold(self.fresh.age_ms(now), OWN_READ_MS, now);
-        let left = self.leaves_tries_to_others(now);
+        let left = self.defers_to_others(now);
         self.is_reader(now) || self.is_behind(now) || (untold && !left)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether this box lost the store, or the store lost its plan, and others, who answer it, find out when it is back.
-    pub(super) fn leaves_tries_to_others(&self, now: BoxTime) -> bool {
+    pub(super) fn defers_to_others(&self, now: BoxTime) -> bool {
         let within = |limit_ms| move |at: BoxTime| now.millis_since(at) < limit_ms;
         let answered_at = self.sync.answered_at;
         let answered =
@@ -71,7 +71,7 @@
         let untold = self.is_untold(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
         // While the store is away, reads of the plan find out when it is back.
         let away = self.store_away(now) && self.store_unreachable(now);
-        let told = self.entries.is_listing(now) || self.leaves_tries_to_others(now);
+        let told = self.entries.is_listing(now) || self.defers_to_others(now);
         self.is_reader(now) || (untold && !away && !told)
     }
 
