--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -41,7 +41,7 @@
     /// Whether this box must read the operator's records itself: it is a reader, or no other box has
     /// told it lately that what it knows is fresh, or has told it what is new.
     pub fn must_read_plan(&self, now: BoxTime) -> bool {
-        let untold = self.is_untold(self.fresh.age_ms(now), OWN_READ_MS, now);
+        let untold = self.is_outdated(self.fresh.age_ms(now), OWN_READ_MS, now);
         let left = self.defers_to_others(now);
         self.is_reader(now) || self.is_behind(now) || (untold && !left)
     }
@@ -68,7 +68,7 @@
     /// Whether this box must read the replicas' entries itself: it is a reader, or no other box has told it
     /// lately what differs.
     pub fn must_read_entries(&self, now: BoxTime) -> bool {
-        let untold = self.is_untold(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
+        let untold = self.is_outdated(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
         // While the store is away, reads of the plan find out when it is back.
         let away = self.store_away(now) && self.store_unreachable(now);
         let told = self.entries.is_listing(now) || self.defers_to_others(now);
@@ -77,7 +77,7 @@
 
     /// Whether others have told this box too little: what it knows is older than `limit_ms`, or it still knows
     /// nothing some time after its start.
-    fn is_untold(&self, age_ms: Option<u64>, limit_ms: u64, now: BoxTime) -> bool {
+    fn is_outdated(&self, age_ms: Option<u64>, limit_ms: u64, now: BoxTime) -> bool {
         match age_ms {
             Some(age) => age >= limit_ms,
             None => self.start.is_none_or(|start| self.is_own_turn(start, now)),
