--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -41,9 +41,9 @@
     /// Whether this box must read the operator's records itself: it is a reader, or no other box has
     /// told it lately that what it knows is fresh, or has told it what is new.
     pub fn must_read_plan(&self, now: BoxTime) -> bool {
-        let untold = self.is_outdated(self.fresh.age_ms(now), OWN_READ_MS, now);
-        let left = self.defers_to_others(now);
-        self.is_reader(now) || self.is_behind(now) || (untold && !left)
+        let outdated = self.is_outdated(self.fresh.age_ms(now), OWN_READ_MS, now);
+        let deferred = self.defers_to_others(now);
+        self.is_reader(now) || self.is_behind(now) || (outdated && !deferred)
     }
 
     /// Whether others have read further and have not told this box what: it may be too long to be told, so that no
@@ -68,11 +68,11 @@
     /// Whether this box must read the replicas' entries itself: it is a reader, or no other box has told it
     /// lately what differs.
     pub fn must_read_entries(&self, now: BoxTime) -> bool {
-        let untold = self.is_outdated(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
+        let outdated = self.is_outdated(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
         // While the store is away, reads of the plan find out when it is back.
-        let away = self.store_away(now) && self.store_unreachable(now);
-        let told = self.entries.is_listing(now) || self.defers_to_others(now);
-        self.is_reader(now) || (untold && !away && !told)
+        let unreachable = self.store_away(now) && self.store_unreachable(now);
+        let deferred = self.entries.is_listing(now) || self.defers_to_others(now);
+        self.is_reader(now) || (outdated && !unreachable && !deferred)
     }
 
     /// Whether others have told this box too little: what it knows is older than `limit_ms`, or it still knows
@@ -122,8 +122,8 @@
     /// Tells others at once when this box, started lately, knows what they ask for.
     pub(super) fn announce_open(&mut self, now: BoxTime) {
         let open = self.open(now);
-        let untold = self.start.as_mut().filter(|start| open && !start.announced_open);
-        if let Some(start) = untold {
+        let start = self.start.as_mut().filter(|start| open && !start.announced_open);
+        if let Some(start) = start {
             start.announced_open = true;
             self.rounds.next_round = BoxTime::default();
         }
