--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -14,7 +14,7 @@
 
 /// A reader whose plan is older than this, in milliseconds, reads it without waiting for a record: with the wait, and a
 /// store that takes 2.5 s for a call, it would else be older than a key may be honoured before it is read.
-pub const WAIT_AGE_MS: u64 = 500;
+pub const LONG_POLL_AGE_MS: u64 = 500;
 
 /// A box that nobody has told for this long what differs in the replicas' entries reads them itself, in
 /// milliseconds: what a reader's own knowledge may be old, and two asks.
@@ -144,7 +144,7 @@
     /// Whether a read of the operator's records is to wait for one. What is old is read anew at once: a reader
     /// that waited with it would no longer be named to callers.
     pub fn long_polls_plan(&self, now: BoxTime) -> bool {
-        let old = self.fresh.age_ms(now).is_none_or(|age| age >= WAIT_AGE_MS);
+        let old = self.fresh.age_ms(now).is_none_or(|age| age >= LONG_POLL_AGE_MS);
         self.is_reader(now) && !old
     }
 
