--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -97,7 +97,7 @@
 pub const EXPIRY_GRACE_MS: u64 = 2_200;
 
 /// A box whose plan is older than this is not named to callers, in milliseconds, unless all are:
-/// past [`store_readers::OWN_READ_MS`] and a call to the store.
+/// past [`store_readers::PLAN_READ_AGE_MS`] and a call to the store.
 pub const ADVERTISED_AGE_MS: u64 = 3_600;
 
 /// New requests are still taken for this long after the planned stop began, in milliseconds: callers
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -10,7 +10,7 @@
 
 /// A box that no reader has told for this long that its knowledge is fresh reads the store itself, in
 /// milliseconds: two asks, and what a reader's own knowledge may be old.
-pub const OWN_READ_MS: u64 = 3_000;
+pub const PLAN_READ_AGE_MS: u64 = 3_000;
 
 /// A reader whose plan is older than this, in milliseconds, reads it without waiting for a record: with the wait, and a
 /// store that takes 2.5 s for a call, it would else be older than a key may be honoured before it is read.
@@ -41,7 +41,7 @@
     /// Whether this box must read the operator's records itself: it is a reader, or no other box has
     /// told it lately that what it knows is fresh, or has told it what is new.
     pub fn must_read_plan(&self, now: BoxTime) -> bool {
-        let outdated = self.is_outdated(self.fresh.age_ms(now), OWN_READ_MS, now);
+        let outdated = self.is_outdated(self.fresh.age_ms(now), PLAN_READ_AGE_MS, now);
         let deferred = self.defers_to_others(now);
         self.is_reader(now) || self.is_behind(now) || (outdated && !deferred)
     }
