--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -18,7 +18,7 @@
 
 /// A box that nobody has told for this long what differs in the replicas' entries reads them itself, in
 /// milliseconds: what a reader's own knowledge may be old, and two asks.
-pub const OWN_ENTRIES_MS: u64 = 4_000;
+pub const ENTRIES_READ_AGE_MS: u64 = 4_000;
 
 /// A box that waits for the store to show a lost plan again reads it itself where no reader has answered it for this long,
 /// in milliseconds: until boxes agree on other readers.
@@ -68,7 +68,7 @@
     /// Whether this box must read the replicas' entries itself: it is a reader, or no other box has told it
     /// lately what differs.
     pub fn must_read_entries(&self, now: BoxTime) -> bool {
-        let outdated = self.is_outdated(self.entries.age_ms(now), OWN_ENTRIES_MS, now);
+        let outdated = self.is_outdated(self.entries.age_ms(now), ENTRIES_READ_AGE_MS, now);
         // While the store is away, reads of the plan find out when it is back.
         let unreachable = self.store_away(now) && self.store_unreachable(now);
         let deferred = self.entries.is_listing(now) || self.defers_to_others(now);
