--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -9,7 +9,7 @@
 /// A box that learnt the plan so long ago, in milliseconds, takes callers even if it does not know the rest: a listing of
 /// replicas and two of trials, each tried twice. It then serves by what other boxes tell, which is better for callers
 /// than nothing.
-pub const KNOW_REST_MS: u64 = 800;
+pub const ACCEPT_AFTER_PLAN_MS: u64 = 800;
 
 /// Such a box waits at least so long after its own turn to read the store, in milliseconds: a few calls. One that still
 /// knows nothing then takes callers to refuse them, so that they find another box.
@@ -63,7 +63,7 @@
     /// since it knows no replica and not how far a trial has come.
     pub(super) fn callers_at(&self) -> BoxTime {
         let own_read = self.read_at.plus_millis(KNOW_OWN_MS);
-        self.plan_at.map_or(own_read, |at| own_read.max(at.plus_millis(KNOW_REST_MS)))
+        self.plan_at.map_or(own_read, |at| own_read.max(at.plus_millis(ACCEPT_AFTER_PLAN_MS)))
     }
 
     /// Counts an ask. Gives when to ask again, in milliseconds.
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -27,7 +27,7 @@
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
-use ravenspoke_core::route::startup::{KNOW_OWN_MS, KNOW_REST_MS};
+use ravenspoke_core::route::startup::{ACCEPT_AFTER_PLAN_MS, KNOW_OWN_MS};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
 use ravenspoke_core::route::trial_progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
@@ -255,7 +255,7 @@
 fn a_box_that_is_told_no_more_takes_callers_some_time_after_it_learnt_the_plan() {
     let mut subject = box_that_read_late();
 
-    subject.now += KNOW_REST_MS;
+    subject.now += ACCEPT_AFTER_PLAN_MS;
 
     assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
 }
@@ -275,7 +275,7 @@
     }
 
     assert!(!takes(&subject), "the listing is under way");
-    subject.now += KNOW_REST_MS;
+    subject.now += ACCEPT_AFTER_PLAN_MS;
     assert!(takes(&subject));
 }
 
