--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -13,7 +13,7 @@
 
 /// Such a box waits at least so long after its own turn to read the store, in milliseconds: a few calls. One that still
 /// knows nothing then takes callers to refuse them, so that they find another box.
-pub const KNOW_OWN_MS: u64 = 300;
+pub const ACCEPT_AFTER_READ_MS: u64 = 300;
 
 /// How a box was started.
 #[derive(Clone, Copy, Debug)]
@@ -62,7 +62,7 @@
     /// turn to read, not from the start: where that turn comes late it would else refuse callers, or part sessions,
     /// since it knows no replica and not how far a trial has come.
     pub(super) fn callers_at(&self) -> BoxTime {
-        let own_read = self.read_at.plus_millis(KNOW_OWN_MS);
+        let own_read = self.read_at.plus_millis(ACCEPT_AFTER_READ_MS);
         self.plan_at.map_or(own_read, |at| own_read.max(at.plus_millis(ACCEPT_AFTER_PLAN_MS)))
     }
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -27,7 +27,7 @@
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
-use ravenspoke_core::route::startup::{ACCEPT_AFTER_PLAN_MS, KNOW_OWN_MS};
+use ravenspoke_core::route::startup::{ACCEPT_AFTER_PLAN_MS, ACCEPT_AFTER_READ_MS};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
 use ravenspoke_core::route::trial_progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
@@ -284,7 +284,7 @@
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
 
-    subject.now += START_WAIT_MS + START_SPREAD_MS + KNOW_OWN_MS;
+    subject.now += START_WAIT_MS + START_SPREAD_MS + ACCEPT_AFTER_READ_MS;
 
     assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
 }
