--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -30,7 +30,7 @@
     pub(super) announced_open: bool,
     /// When it learnt the plan.
     plan_at: Option<BoxTime>,
-    asks: u32,
+    requests_sent: u32,
 }
 
 impl StartupState {
@@ -49,7 +49,7 @@
             entry_opened: false,
             announced_open: false,
             plan_at: None,
-            asks: 0,
+            requests_sent: 0,
         }
     }
 
@@ -68,8 +68,8 @@
 
     /// Counts an ask. Gives when to ask again, in milliseconds.
     pub(super) fn note_ask(&mut self) -> u64 {
-        let doublings = self.asks.min(START_ASK_DOUBLINGS);
-        self.asks += 1;
+        let doublings = self.requests_sent.min(START_ASK_DOUBLINGS);
+        self.requests_sent += 1;
         START_ASK_MS << doublings
     }
 }
