--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -210,7 +210,7 @@
         let starting = self.is_starting();
         let mostly_open = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
         let start = self.start.as_mut().filter(|_| starting);
-        let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::note_ask);
+        let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::count_request);
         if starting && mostly_open {
             pause_ms.min(peers::SYNC_RETRY_MS)
         } else {
--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -67,7 +67,7 @@
     }
 
     /// Counts an ask. Gives when to ask again, in milliseconds.
-    pub(super) fn note_ask(&mut self) -> u64 {
+    pub(super) fn count_request(&mut self) -> u64 {
         let doublings = self.requests_sent.min(START_ASK_DOUBLINGS);
         self.requests_sent += 1;
         START_ASK_MS << doublings
