--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -86,7 +86,7 @@
         }
         self.table = RouteTable::build(plan);
         if let Some(start) = &mut self.start {
-            start.note_plan(stamp.now);
+            start.record_plan(stamp.now);
         }
         let age_ms = stamp.now.millis_since(asked_at);
         out.push(RouteEffect::PlanInForce { version, routes, age_ms });
--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -54,7 +54,7 @@
     }
 
     /// Notes that the plan is known.
-    pub(super) fn note_plan(&mut self, now: BoxTime) {
+    pub(super) fn record_plan(&mut self, now: BoxTime) {
         self.plan_at.get_or_insert(now);
     }
 
