--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -112,7 +112,7 @@
     }
 
     /// Notes that all changes before `to` are known, and that there were no others at `as_of`.
-    pub fn note_read(&mut self, to: TopicPosition, as_of: Option<BoxTime>) {
+    pub fn record_read(&mut self, to: TopicPosition, as_of: Option<BoxTime>) {
         self.known_to = self.known_to.max(Some(to));
         if self.known_to == Some(to) {
             self.as_of = self.as_of.max(as_of);
@@ -167,7 +167,7 @@
             return;
         }
         if to >= known {
-            self.note_read(to, as_of);
+            self.record_read(to, as_of);
         } else if to.era == known.era {
             // The other knows less, and nothing was there then that this box does not know.
             self.as_of = self.as_of.max(as_of);
@@ -207,7 +207,7 @@
         }
         let listing = self.listing.take()?;
         self.note_told(listing.end, listing.tombstones_from);
-        self.note_read(listing.end, listing.as_of);
+        self.record_read(listing.end, listing.as_of);
         Some((listing.end, listing.rows))
     }
 }
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -264,7 +264,7 @@
                 self.on_listed(stamp, end, listed, self.grace_until(stamp.now), out);
             }
             RouteEvent::EntriesRead { as_of, to } => {
-                self.entries.note_read(to, Some(as_of));
+                self.entries.record_read(to, Some(as_of));
                 self.continue_reading(stamp.now);
             }
             RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -98,11 +98,11 @@
     /// Relies on the plan as all that was confirmed before `asked_at`, up to a position.
     fn rely_on(&mut self, asked_at: BoxTime, read_to: TopicPosition) {
         self.fresh.renew(asked_at);
-        self.note_read(read_to);
+        self.record_read(read_to);
     }
 
     /// Notes how far the operator's records were read, or told by another box.
-    fn note_read(&mut self, read_to: TopicPosition) {
+    fn record_read(&mut self, read_to: TopicPosition) {
         if read_to >= self.read_to {
             self.read_to = read_to;
             self.sync.behind_since = None;
