--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -99,7 +99,7 @@
     }
 
     /// Notes a listing of all entries before `end`.
-    pub fn note_listed(&mut self, end: TopicPosition) {
+    pub fn record_listing(&mut self, end: TopicPosition) {
         self.known_to = Some(end);
         self.tombstones_from = end;
         self.listing = None;
@@ -107,7 +107,7 @@
 
     /// Notes one that shows as well which replicas are gone from a position on.
     fn note_told(&mut self, end: TopicPosition, tombstones_from: TopicPosition) {
-        self.note_listed(end);
+        self.record_listing(end);
         self.tombstones_from = tombstones_from.min(end);
     }
 
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -260,7 +260,7 @@
                 self.apply_backends(stamp, changes, BackendSource::Store, None, out);
             }
             RouteEvent::BackendsListed { end, listed } => {
-                self.entries.note_listed(end);
+                self.entries.record_listing(end);
                 self.on_listed(stamp, end, listed, self.grace_until(stamp.now), out);
             }
             RouteEvent::EntriesRead { as_of, to } => {
