--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -106,7 +106,7 @@
     }
 
     /// Notes one that shows as well which replicas are gone from a position on.
-    fn note_told(&mut self, end: TopicPosition, tombstones_from: TopicPosition) {
+    fn record_received_listing(&mut self, end: TopicPosition, tombstones_from: TopicPosition) {
         self.record_listing(end);
         self.tombstones_from = tombstones_from.min(end);
     }
@@ -206,7 +206,7 @@
             return None;
         }
         let listing = self.listing.take()?;
-        self.note_told(listing.end, listing.tombstones_from);
+        self.record_received_listing(listing.end, listing.tombstones_from);
         self.record_read(listing.end, listing.as_of);
         Some((listing.end, listing.rows))
     }
