--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -125,18 +125,18 @@
         EntryQuery { known_to: self.known_to, page_from, has_backends }
     }
 
-    /// What is told to a box with this wish.
-    pub fn answer(&self, wish: EntryQuery, table: &BackendTable, now: BoxTime) -> EntryAnswer {
+    /// What is told to a box with this query.
+    pub fn answer(&self, query: EntryQuery, table: &BackendTable, now: BoxTime) -> EntryAnswer {
         let Some(known_to) = self.known_to else { return EntryAnswer::default() };
         // A replica that may come back is neither told nor passed over.
         let first_expiring = table.first_expiring();
         let settled_to = first_expiring.map_or(known_to, |at| at.min(known_to));
         let tombstones_from = self.tombstones_from.max(table.tombstones_from());
-        let whole = wish.known_to.is_none_or(|to| to < tombstones_from);
-        if whole && first_expiring.is_some() && wish.has_backends {
+        let whole = query.known_to.is_none_or(|to| to < tombstones_from);
+        if whole && first_expiring.is_some() && query.has_backends {
             return EntryAnswer::default();
         }
-        let from = if whole { wish.page_from } else { wish.known_to.unwrap_or_default() };
+        let from = if whole { query.page_from } else { query.known_to.unwrap_or_default() };
         let shows_gone = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, shows_gone, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
@@ -152,18 +152,18 @@
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
     }
 
-    /// Takes what another box told of changes, in answer to a wish. Nothing is left out only if that wish
+    /// Takes what another box told of changes, in answer to a query. Nothing is left out only if that query
     /// named no more than is known now.
     pub fn apply_changes(
         &mut self,
-        wish: EntryQuery,
+        query: EntryQuery,
         told_to: Option<TopicPosition>,
         as_of: Option<BoxTime>,
     ) {
-        let (Some(to), Some(wished), Some(known)) = (told_to, wish.known_to, self.known_to) else {
+        let (Some(to), Some(asked), Some(known)) = (told_to, query.known_to, self.known_to) else {
             return;
         };
-        if wished > known {
+        if asked > known {
             return;
         }
         if to >= known {
@@ -177,7 +177,7 @@
     /// Takes a page of a listing. Gives the whole of it, with its end, when the last one has come.
     pub fn apply_page(
         &mut self,
-        wish: EntryQuery,
+        query: EntryQuery,
         page: ListingPage,
         changes: &[BackendChange],
         as_of: Option<BoxTime>,
@@ -187,14 +187,14 @@
             return None;
         }
         let first = TopicPosition::default();
-        if wish.page_from == first {
+        if query.page_from == first {
             let (end, rows) = (page.end, Vec::new());
             let tombstones_from = page.tombstones_from;
             self.listing =
                 Some(OpenListing { end, tombstones_from, as_of, next: first, rows, heard_at: now });
         }
         let listing = self.listing.as_mut()?;
-        if listing.next != wish.page_from || page.end < listing.end {
+        if listing.next != query.page_from || page.end < listing.end {
             return None;
         }
         listing.rows.extend(changes.iter().cloned());
