--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -145,10 +145,10 @@
         changes.truncate(kept);
         let all = !more && settled_to == known_to;
         let age_ms = self.age_ms(now).filter(|_| all || whole);
-        let told_to = next.map_or(settled_to, |at| at.min(settled_to));
+        let sent_to = next.map_or(settled_to, |at| at.min(settled_to));
         let tombstones_from = if shows_gone { tombstones_from } else { settled_to };
         let page = whole.then_some(ListingPage { end: settled_to, next, tombstones_from });
-        let known_to = if whole { settled_to } else { told_to };
+        let known_to = if whole { settled_to } else { sent_to };
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
     }
 
@@ -157,10 +157,10 @@
     pub fn apply_changes(
         &mut self,
         query: EntryQuery,
-        told_to: Option<TopicPosition>,
+        sent_to: Option<TopicPosition>,
         as_of: Option<BoxTime>,
     ) {
-        let (Some(to), Some(asked), Some(known)) = (told_to, query.known_to, self.known_to) else {
+        let (Some(to), Some(asked), Some(known)) = (sent_to, query.known_to, self.known_to) else {
             return;
         };
         if asked > known {
