--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -59,7 +59,7 @@
 
 /// A listing of which not all pages have come.
 #[derive(Debug)]
-struct OpenListing {
+struct PartialListing {
     end: TopicPosition,
     tombstones_from: TopicPosition,
     as_of: Option<BoxTime>,
@@ -78,7 +78,7 @@
     as_of: Option<BoxTime>,
     /// From here on it is known which replicas are gone.
     tombstones_from: TopicPosition,
-    listing: Option<OpenListing>,
+    listing: Option<PartialListing>,
 }
 
 impl EntryPosition {
@@ -190,8 +190,14 @@
         if query.page_from == first {
             let (end, rows) = (page.end, Vec::new());
             let tombstones_from = page.tombstones_from;
-            self.listing =
-                Some(OpenListing { end, tombstones_from, as_of, next: first, rows, heard_at: now });
+            self.listing = Some(PartialListing {
+                end,
+                tombstones_from,
+                as_of,
+                next: first,
+                rows,
+                heard_at: now,
+            });
         }
         let listing = self.listing.as_mut()?;
         if listing.next != query.page_from || page.end < listing.end {
