--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -66,7 +66,7 @@
     next: TopicPosition,
     rows: Vec<BackendChange>,
     /// When its last page came.
-    heard_at: BoxTime,
+    received_at: BoxTime,
 }
 
 /// How far the entries are known.
@@ -95,7 +95,7 @@
     /// Whether the pages of a listing come in.
     pub fn is_listing(&self, now: BoxTime) -> bool {
         let listing = self.listing.as_ref();
-        listing.is_some_and(|listing| now.millis_since(listing.heard_at) < LISTING_MS)
+        listing.is_some_and(|listing| now.millis_since(listing.received_at) < LISTING_MS)
     }
 
     /// Notes a listing of all entries before `end`.
@@ -196,7 +196,7 @@
                 as_of,
                 next: first,
                 rows,
-                heard_at: now,
+                received_at: now,
             });
         }
         let listing = self.listing.as_mut()?;
@@ -204,7 +204,7 @@
             return None;
         }
         listing.rows.extend(changes.iter().cloned());
-        listing.heard_at = now;
+        listing.received_at = now;
         // Pages may come from different boxes.
         listing.tombstones_from = listing.tombstones_from.max(page.tombstones_from);
         if let Some(next) = page.next {
