--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -137,8 +137,8 @@
             return EntryAnswer::default();
         }
         let from = if whole { query.page_from } else { query.known_to.unwrap_or_default() };
-        let shows_gone = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
-        let mut changes = table.changes_from(from, shows_gone, CHANGES_PER_MESSAGE + 1);
+        let with_tombstones = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
+        let mut changes = table.changes_from(from, with_tombstones, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
         let kept = if more && !whole { aligned(&changes) } else { CHANGES_PER_MESSAGE };
         let next = changes.get(kept).map(|change| change.at);
@@ -146,7 +146,7 @@
         let all = !more && settled_to == known_to;
         let age_ms = self.age_ms(now).filter(|_| all || whole);
         let sent_to = next.map_or(settled_to, |at| at.min(settled_to));
-        let tombstones_from = if shows_gone { tombstones_from } else { settled_to };
+        let tombstones_from = if with_tombstones { tombstones_from } else { settled_to };
         let page = whole.then_some(ListingPage { end: settled_to, next, tombstones_from });
         let known_to = if whole { settled_to } else { sent_to };
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
