--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -140,7 +140,7 @@
         let with_tombstones = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, with_tombstones, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
-        let kept = if more && !whole { aligned(&changes) } else { CHANGES_PER_MESSAGE };
+        let kept = if more && !whole { aligned_count(&changes) } else { CHANGES_PER_MESSAGE };
         let next = changes.get(kept).map(|change| change.at);
         changes.truncate(kept);
         let all = !more && settled_to == known_to;
@@ -220,7 +220,7 @@
 
 /// How many of more changes than an answer holds are told in one: up to a position that is the same for all who ask, so that
 /// what follows is packed once for them.
-fn aligned(changes: &[BackendChange]) -> usize {
+fn aligned_count(changes: &[BackendChange]) -> usize {
     let window =
         |change: &BackendChange| (change.at.era, change.at.offset / CHANGES_PER_MESSAGE as u64);
     let Some(first) = changes.first().map(window) else { return 0 };
