--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -140,9 +140,9 @@
         let with_tombstones = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, with_tombstones, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
-        let kept = if more && !whole { aligned_count(&changes) } else { CHANGES_PER_MESSAGE };
-        let next = changes.get(kept).map(|change| change.at);
-        changes.truncate(kept);
+        let sent_count = if more && !whole { aligned_count(&changes) } else { CHANGES_PER_MESSAGE };
+        let next = changes.get(sent_count).map(|change| change.at);
+        changes.truncate(sent_count);
         let all = !more && settled_to == known_to;
         let age_ms = self.age_ms(now).filter(|_| all || whole);
         let sent_to = next.map_or(settled_to, |at| at.min(settled_to));
