--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -132,23 +132,26 @@
         let first_expiring = table.first_expiring();
         let settled_to = first_expiring.map_or(known_to, |at| at.min(known_to));
         let tombstones_from = self.tombstones_from.max(table.tombstones_from());
-        let whole = query.known_to.is_none_or(|to| to < tombstones_from);
-        if whole && first_expiring.is_some() && query.has_backends {
+        let is_listing_page = query.known_to.is_none_or(|to| to < tombstones_from);
+        if is_listing_page && first_expiring.is_some() && query.has_backends {
             return EntryAnswer::default();
         }
-        let from = if whole { query.page_from } else { query.known_to.unwrap_or_default() };
-        let with_tombstones = !whole || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
+        let from =
+            if is_listing_page { query.page_from } else { query.known_to.unwrap_or_default() };
+        let with_tombstones = !is_listing_page || table.tombstone_count() <= TOMBSTONES_PER_MESSAGE;
         let mut changes = table.changes_from(from, with_tombstones, CHANGES_PER_MESSAGE + 1);
         let more = changes.len() > CHANGES_PER_MESSAGE;
-        let sent_count = if more && !whole { aligned_count(&changes) } else { CHANGES_PER_MESSAGE };
+        let sent_count =
+            if more && !is_listing_page { aligned_count(&changes) } else { CHANGES_PER_MESSAGE };
         let next = changes.get(sent_count).map(|change| change.at);
         changes.truncate(sent_count);
         let all = !more && settled_to == known_to;
-        let age_ms = self.age_ms(now).filter(|_| all || whole);
+        let age_ms = self.age_ms(now).filter(|_| all || is_listing_page);
         let sent_to = next.map_or(settled_to, |at| at.min(settled_to));
         let tombstones_from = if with_tombstones { tombstones_from } else { settled_to };
-        let page = whole.then_some(ListingPage { end: settled_to, next, tombstones_from });
-        let known_to = if whole { settled_to } else { sent_to };
+        let page =
+            is_listing_page.then_some(ListingPage { end: settled_to, next, tombstones_from });
+        let known_to = if is_listing_page { settled_to } else { sent_to };
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
     }
 
@@ -174,7 +177,7 @@
         }
     }
 
-    /// Takes a page of a listing. Gives the whole of it, with its end, when the last one has come.
+    /// Takes a page of a listing. Gives the is_listing_page of it, with its end, when the last one has come.
     pub fn apply_page(
         &mut self,
         query: EntryQuery,
