--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -49,7 +49,7 @@
 /// Of these, boxes of the sender's own availability zone at most: bytes between zones are paid for, and boxes of one
 /// zone mostly choose among the same replicas. The rest keeps word going between zones: each hears eight notes a
 /// second from the others.
-pub const NOTE_NEAR: usize = 8;
+pub const GOSSIP_SAME_ZONE: usize = 8;
 
 /// Boxes that read the store often, at least: any two may be gone at once.
 pub const READERS_MIN: usize = 3;
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -6,8 +6,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{
-    GossipMessage, PeerInfo, PeerSummary, ADDRESSES_PER_MESSAGE, GOSSIP_FANOUT, INDIRECT_SILENT_MS,
-    NOTE_NEAR, PEER_EXPIRY_MS, SILENT_MS,
+    GossipMessage, PeerInfo, PeerSummary, ADDRESSES_PER_MESSAGE, GOSSIP_FANOUT, GOSSIP_SAME_ZONE,
+    INDIRECT_SILENT_MS, PEER_EXPIRY_MS, SILENT_MS,
 };
 use crate::time::BoxTime;
 
@@ -129,7 +129,7 @@
             let order = |address: &String| xxh3_64_with_seed(address.as_bytes(), random);
             targets.sort_by_cached_key(order);
             others.sort_by_cached_key(order);
-            targets.truncate(NOTE_NEAR.max(GOSSIP_FANOUT.saturating_sub(others.len())));
+            targets.truncate(GOSSIP_SAME_ZONE.max(GOSSIP_FANOUT.saturating_sub(others.len())));
             others.truncate(GOSSIP_FANOUT - targets.len());
         }
         targets.append(&mut others);
