--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -163,7 +163,7 @@
     /// Whether the message of this number tells of other boxes. Boxes that start together all do: they have to find
     /// each other.
     fn includes_peers(&self, number: u64, now: BoxTime) -> bool {
-        self.started_lately(now) || number % peers::OTHERS_EVERY == 0
+        self.started_lately(now) || number % peers::PEERS_EVERY_MESSAGES == 0
     }
 
     /// What this box says of itself.
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -128,7 +128,7 @@
 
 /// Of this many notes of a box that was not started lately one tells of others: each box hears two dozen notes
 /// a second where not all reach all, and word of others was half of their bytes.
-pub const OTHERS_EVERY: u64 = 4;
+pub const PEERS_EVERY_MESSAGES: u64 = 4;
 
 /// Addresses of other boxes that a note tells of.
 pub const ADDRESSES_PER_MESSAGE: usize = 6;
