--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -77,7 +77,7 @@
 /// this, in milliseconds: some answers' way between zones. It asks again after as long, then after twice as
 /// long each time: where all start at once, the few that all know of must not be asked more than they can
 /// answer.
-pub const START_ASK_MS: u64 = 40;
+pub const START_SYNC_MS: u64 = 40;
 
 /// Times that the pause between a starting box's asks is doubled, at most: then it asks as often as any other.
 pub const START_ASK_DOUBLINGS: u32 = 3;
