--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -80,7 +80,7 @@
 pub const START_SYNC_MS: u64 = 40;
 
 /// Times that the pause between a starting box's asks is doubled, at most: then it asks as often as any other.
-pub const START_ASK_DOUBLINGS: u32 = 3;
+pub const START_SYNC_DOUBLINGS: u32 = 3;
 
 /// A box that others are told to ask first reads the store this long after its start at the latest, by chance,
 /// if nobody knew, in milliseconds: the others wait for it.
--- a/crates/core/src/route/startup.rs
+++ b/crates/core/src/route/startup.rs
@@ -1,7 +1,7 @@
 //! A box's start: it asks others for what it must know, and reads the store itself if nobody tells it.
 
 use super::peers::{
-    START_ASK_DOUBLINGS, START_SEED_MS, START_SPREAD_MS, START_SYNC_MS, START_WAIT_MS,
+    START_SEED_MS, START_SPREAD_MS, START_SYNC_DOUBLINGS, START_SYNC_MS, START_WAIT_MS,
 };
 use crate::event::EventStamp;
 use crate::time::BoxTime;
@@ -68,7 +68,7 @@
 
     /// Counts an ask. Gives when to ask again, in milliseconds.
     pub(super) fn count_request(&mut self) -> u64 {
-        let doublings = self.requests_sent.min(START_ASK_DOUBLINGS);
+        let doublings = self.requests_sent.min(START_SYNC_DOUBLINGS);
         self.requests_sent += 1;
         START_SYNC_MS << doublings
     }
