--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -118,7 +118,7 @@
 /// A box that lost the store, and whose last ask was answered within this, in milliseconds, leaves it to the readers
 /// to find out when the store is back: two asks, once lost. Calls of 300 boxes in an outage of 8 s:
 /// 415 in place of 1,094 (virtual time).
-pub const ANSWERED_MS: u64 = 1_700;
+pub const SYNC_ANSWERED_MS: u64 = 1_700;
 
 /// An answer to an ask that was sent longer ago says nothing, in milliseconds.
 pub const SYNC_RESPONSE_LIMIT_MS: u64 = 3_000;
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -58,7 +58,7 @@
         let within = |limit_ms| move |at: BoxTime| now.millis_since(at) < limit_ms;
         let answered_at = self.sync.answered_at;
         let answered =
-            self.store_unreachable(now) && answered_at.is_some_and(within(peers::ANSWERED_MS));
+            self.store_unreachable(now) && answered_at.is_some_and(within(peers::SYNC_ANSWERED_MS));
         // Nobody can say that the plan is fresh, so that only word of one who reads stands for a read.
         let read_at = self.sync.reader_answered_at;
         let read = self.awaits_plan() && read_at.is_some_and(within(READER_LOST_MS));
