--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -40,7 +40,7 @@
 pub struct PeerTable {
     pub(super) rows: BTreeMap<String, PeerState>,
     /// Addresses that were only heard of, with when.
-    hearsay: BTreeMap<String, BoxTime>,
+    unverified: BTreeMap<String, BoxTime>,
 }
 
 impl PeerTable {
@@ -91,7 +91,7 @@
     /// Notes a box, in place of any other at its address.
     fn put(&mut self, name: &str, state: PeerState) {
         let address = &state.info.gossip_address;
-        self.hearsay.remove(address);
+        self.unverified.remove(address);
         self.rows.retain(|other, row| other == name || row.info.gossip_address != *address);
         self.rows.insert(name.to_owned(), state);
     }
@@ -101,7 +101,7 @@
         for address in addresses {
             let known = self.rows.values().any(|row| row.info.gossip_address == *address);
             if !known && address != own {
-                self.hearsay.entry(address.clone()).or_insert(now);
+                self.unverified.entry(address.clone()).or_insert(now);
             }
         }
     }
@@ -109,7 +109,7 @@
     /// Forgets boxes that were silent for long, and addresses where nobody answered.
     pub fn forget(&mut self, now: BoxTime) {
         self.rows.retain(|_, row| now.millis_since(row.heard_at) < PEER_EXPIRY_MS);
-        self.hearsay.retain(|_, at| now.millis_since(*at) < PEER_EXPIRY_MS);
+        self.unverified.retain(|_, at| now.millis_since(*at) < PEER_EXPIRY_MS);
     }
 
     /// Boxes that live, this one included.
@@ -124,7 +124,7 @@
         let known = |row: &PeerState| row.info.gossip_address.clone();
         let mut targets: Vec<String> = self.rows.values().filter(near).map(known).collect();
         let far = self.rows.values().filter(|row| !near(row)).map(known);
-        let mut others: Vec<String> = far.chain(self.hearsay.keys().cloned()).collect();
+        let mut others: Vec<String> = far.chain(self.unverified.keys().cloned()).collect();
         if targets.len() + others.len() > GOSSIP_FANOUT {
             let order = |address: &String| xxh3_64_with_seed(address.as_bytes(), random);
             targets.sort_by_cached_key(order);
@@ -143,7 +143,7 @@
         if self.gossip_reaches_all() {
             return live;
         }
-        1 + self.rows.len() + self.hearsay.len()
+        1 + self.rows.len() + self.unverified.len()
     }
 
     /// Names of the fleet's other boxes: those that [`Self::fleet_count`] counts and whose names are known.
@@ -155,13 +155,13 @@
 
     /// Whether the boxes that are known are so few that each message reaches all.
     pub fn gossip_reaches_all(&self) -> bool {
-        self.rows.len() + self.hearsay.len() <= GOSSIP_FANOUT
+        self.rows.len() + self.unverified.len() <= GOSSIP_FANOUT
     }
 
     /// All addresses that have, or may have, another box.
     pub fn addresses(&self) -> Vec<String> {
         let known = self.rows.values().map(|row| &row.info.gossip_address);
-        known.chain(self.hearsay.keys()).cloned().collect()
+        known.chain(self.unverified.keys()).cloned().collect()
     }
 
     /// An open box, by chance, of an availability zone if it has any: what a box that knows nothing asks first.
@@ -176,7 +176,7 @@
     /// An address that may have a box, by chance: what a box asks that knows nobody yet.
     pub fn any_address(&self, random: u64) -> Option<String> {
         let known = self.rows.values().map(|row| &row.info.gossip_address);
-        let all: Vec<&String> = known.chain(self.hearsay.keys()).collect();
+        let all: Vec<&String> = known.chain(self.unverified.keys()).collect();
         let index = random.checked_rem(all.len() as u64)?;
         all.get(index as usize).map(|address| (*address).clone())
     }
