--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -51,7 +51,7 @@
 impl LocalPeer<'_> {
     /// Whether another box serves or reads, or may do so by now.
     fn may_serve(&self, other: &PeerState) -> bool {
-        other.info.serves() || self.open_since.is_some_and(|since| other.heard_at < since)
+        other.info.serves() || self.open_since.is_some_and(|since| other.seen_at < since)
     }
 }
 
@@ -128,7 +128,7 @@
         rows.map(|(name, row)| PeerSummary {
             name: name.clone(),
             info: row.info.clone(),
-            age_ms: now.millis_since(row.heard_at),
+            age_ms: now.millis_since(row.seen_at),
         })
         .collect()
     }
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -20,18 +20,19 @@
     /// Number of its last message; 0 if it was only heard of.
     pub number: u64,
     /// When it was heard last.
-    pub heard_at: BoxTime,
+    #[serde(rename = "heard_at")]
+    pub seen_at: BoxTime,
 }
 
 impl PeerState {
     /// Whether it was heard lately.
     pub(super) fn lives(&self, now: BoxTime) -> bool {
-        now.millis_since(self.heard_at) < SILENT_MS
+        now.millis_since(self.seen_at) < SILENT_MS
     }
 
     /// Whether it was heard lately, or others have lately heard it.
     pub(super) fn may_hold_duty(&self, now: BoxTime) -> bool {
-        now.millis_since(self.heard_at) < INDIRECT_SILENT_MS
+        now.millis_since(self.seen_at) < INDIRECT_SILENT_MS
     }
 }
 
@@ -56,7 +57,7 @@
         if same.is_some_and(|row| row.number >= message.number) {
             return false;
         }
-        let state = PeerState { info: message.info.clone(), number: message.number, heard_at: now };
+        let state = PeerState { info: message.info.clone(), number: message.number, seen_at: now };
         self.put(&message.name, state);
         true
     }
@@ -70,10 +71,10 @@
         }
     }
 
-    /// Takes what was told of a box that spoke at `heard_at`.
-    fn apply_duty_holder(&mut self, lead: &PeerSummary, heard_at: BoxTime) {
+    /// Takes what was told of a box that spoke at `seen_at`.
+    fn apply_duty_holder(&mut self, lead: &PeerSummary, seen_at: BoxTime) {
         let here = |row: &PeerState| row.info.gossip_address == lead.info.gossip_address;
-        let later = |row: &PeerState| row.heard_at >= heard_at;
+        let later = |row: &PeerState| row.seen_at >= seen_at;
         // An address has one box, and who was heard there last is it.
         let stands =
             |(name, row): (&String, &PeerState)| (*name == lead.name || here(row)) && later(row);
@@ -84,7 +85,7 @@
         let same = known.filter(|row| row.info.incarnation == lead.info.incarnation);
         // Only its own notes are numbered: one that is still under way must not look old.
         let number = same.map_or(0, |row| row.number);
-        let state = PeerState { info: lead.info.clone(), number, heard_at };
+        let state = PeerState { info: lead.info.clone(), number, seen_at };
         self.put(&lead.name, state);
     }
 
@@ -108,7 +109,7 @@
 
     /// Forgets boxes that were silent for long, and addresses where nobody answered.
     pub fn forget(&mut self, now: BoxTime) {
-        self.rows.retain(|_, row| now.millis_since(row.heard_at) < PEER_EXPIRY_MS);
+        self.rows.retain(|_, row| now.millis_since(row.seen_at) < PEER_EXPIRY_MS);
         self.unverified.retain(|_, at| now.millis_since(*at) < PEER_EXPIRY_MS);
     }
 
