--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -99,7 +99,8 @@
     /// Other boxes that live: where notes reach all, who did not speak is silent; else word of it may be under way.
     fn living(&self, now: BoxTime) -> impl Iterator<Item = (&String, &PeerState)> {
         let few = self.gossip_reaches_all();
-        let live = move |row: &PeerState| if few { row.lives(now) } else { row.may_hold_duty(now) };
+        let live =
+            move |row: &PeerState| if few { row.is_live(now) } else { row.may_hold_duty(now) };
         self.rows.iter().filter(move |(_, row)| live(row))
     }
 
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -26,7 +26,7 @@
 
 impl PeerState {
     /// Whether it was heard lately.
-    pub(super) fn lives(&self, now: BoxTime) -> bool {
+    pub(super) fn is_live(&self, now: BoxTime) -> bool {
         now.millis_since(self.seen_at) < SILENT_MS
     }
 
@@ -115,7 +115,7 @@
 
     /// Boxes that live, this one included.
     pub fn live_count(&self, now: BoxTime) -> usize {
-        1 + self.rows.values().filter(|row| row.lives(now)).count()
+        1 + self.rows.values().filter(|row| row.is_live(now)).count()
     }
 
     /// Addresses for the next round of notes of a box in `zone`: all if they are few, else some by chance, of
@@ -150,7 +150,7 @@
     /// Names of the fleet's other boxes: those that [`Self::fleet_count`] counts and whose names are known.
     pub fn fleet_names(&self, now: BoxTime) -> impl Iterator<Item = &str> {
         let all = !self.gossip_reaches_all();
-        let rows = self.rows.iter().filter(move |(_, row)| all || row.lives(now));
+        let rows = self.rows.iter().filter(move |(_, row)| all || row.is_live(now));
         rows.map(|(name, _)| name.as_str())
     }
 
@@ -192,6 +192,6 @@
 
     /// Live boxes that callers may be sent to.
     pub fn open_rows(&self, now: BoxTime) -> impl Iterator<Item = &PeerState> {
-        self.rows.values().filter(move |row| row.info.open && row.lives(now))
+        self.rows.values().filter(move |row| row.info.open && row.is_live(now))
     }
 }
