--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -90,14 +90,14 @@
     /// Boxes that may have duties, this one included, in their order.
     fn candidates(&self, me: &LocalPeer, now: BoxTime) -> Vec<Candidate<'_>> {
         let key = |name: &str, row: &PeerState| CandidateKey::of_other(me, name, row);
-        let others = self.living(now).map(|(name, row)| (key(name, row), Some(name.as_str())));
+        let others = self.live_rows(now).map(|(name, row)| (key(name, row), Some(name.as_str())));
         let mut all: Vec<Candidate> = others.chain([(CandidateKey::of_own(me), None)]).collect();
         all.sort();
         all
     }
 
     /// Other boxes that live: where notes reach all, who did not speak is silent; else word of it may be under way.
-    fn living(&self, now: BoxTime) -> impl Iterator<Item = (&String, &PeerState)> {
+    fn live_rows(&self, now: BoxTime) -> impl Iterator<Item = (&String, &PeerState)> {
         let few = self.gossip_reaches_all();
         let live =
             move |row: &PeerState| if few { row.is_live(now) } else { row.may_hold_duty(now) };
@@ -136,7 +136,7 @@
 
     /// Whether another box lives that reaches the store and serves or reads for the others.
     pub fn any_serves(&self, now: BoxTime) -> bool {
-        self.living(now).any(|(_, row)| row.info.serves() && !row.info.store_unreachable)
+        self.live_rows(now).any(|(_, row)| row.info.serves() && !row.info.store_unreachable)
     }
 
     /// How many boxes come before this one in a duty that one box has.
@@ -144,6 +144,6 @@
         let own = CandidateKey::of_own(me);
         let before =
             |(name, row): &(&String, &PeerState)| CandidateKey::of_other(me, name, row) < own;
-        self.living(now).filter(before).count()
+        self.live_rows(now).filter(before).count()
     }
 }
