--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -64,29 +64,29 @@
 
     /// Takes what another box told of boxes with duties.
     pub fn apply_duty_holders(&mut self, duty_holders: &[PeerSummary], me: &str, now: BoxTime) {
-        for lead in
-            duty_holders.iter().filter(|lead| lead.name != me && lead.age_ms < INDIRECT_SILENT_MS)
+        for peer in
+            duty_holders.iter().filter(|peer| peer.name != me && peer.age_ms < INDIRECT_SILENT_MS)
         {
-            self.apply_duty_holder(lead, now.minus_millis(lead.age_ms));
+            self.apply_duty_holder(peer, now.minus_millis(peer.age_ms));
         }
     }
 
     /// Takes what was told of a box that spoke at `seen_at`.
-    fn apply_duty_holder(&mut self, lead: &PeerSummary, seen_at: BoxTime) {
-        let here = |row: &PeerState| row.info.gossip_address == lead.info.gossip_address;
+    fn apply_duty_holder(&mut self, peer: &PeerSummary, seen_at: BoxTime) {
+        let here = |row: &PeerState| row.info.gossip_address == peer.info.gossip_address;
         let later = |row: &PeerState| row.seen_at >= seen_at;
         // An address has one box, and who was heard there last is it.
         let stands =
-            |(name, row): (&String, &PeerState)| (*name == lead.name || here(row)) && later(row);
+            |(name, row): (&String, &PeerState)| (*name == peer.name || here(row)) && later(row);
         if self.rows.iter().any(stands) {
             return;
         }
-        let known = self.rows.get(&lead.name);
-        let same = known.filter(|row| row.info.incarnation == lead.info.incarnation);
+        let known = self.rows.get(&peer.name);
+        let same = known.filter(|row| row.info.incarnation == peer.info.incarnation);
         // Only its own notes are numbered: one that is still under way must not look old.
         let number = same.map_or(0, |row| row.number);
-        let state = PeerState { info: lead.info.clone(), number, seen_at };
-        self.put(&lead.name, state);
+        let state = PeerState { info: peer.info.clone(), number, seen_at };
+        self.put(&peer.name, state);
     }
 
     /// Notes a box, in place of any other at its address.
