--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -133,7 +133,7 @@
 impl BackendState {
     /// Takes it for cold for `ms` from `from` on, or longer if that is known. Its own word of being warm changes nothing:
     /// it may be older than what made it cold, and what is cold is so for a few seconds.
-    fn cool(&mut self, ms: u64, from: BoxTime) {
+    fn mark_cold(&mut self, ms: u64, from: BoxTime) {
         self.cold_until = self.cold_until.max(from.plus_millis(ms));
     }
 
@@ -179,7 +179,7 @@
     /// entry says so seconds later.
     pub(super) fn mark_unreachable_cold(&mut self, key: ReplicaKey, ms: u64) {
         if let Some(row) = self.rows.get_mut(key) {
-            row.cool(ASSUMED_DOWN_MS + ms, row.ejected_until);
+            row.mark_cold(ASSUMED_DOWN_MS + ms, row.ejected_until);
             self.newly_cold = true;
         }
     }
@@ -193,7 +193,7 @@
     ) {
         for row in self.rows.values_mut().filter(|row| row.entry.zone == zone) {
             if let Some(plan) = warm_up(&row.entry.service) {
-                row.cool(plan.lasts_ms, now);
+                row.mark_cold(plan.lasts_ms, now);
                 self.newly_cold = true;
             }
         }
@@ -334,7 +334,7 @@
         let changed = row.entry.address != entry.address || row.entry.version != entry.version;
         // A leaving mark is never taken back within one life of a replica.
         let leaving = row.entry.leaving || entry.leaving;
-        row.cool(entry.cold_ms, now);
+        row.mark_cold(entry.cold_ms, now);
         self.newly_cold |= entry.cold_ms > 0;
         row.entry = BackendEntry { leaving, born, ..entry };
         row.expires_at = None;
