--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -167,7 +167,7 @@
     by_change: BTreeMap<TopicPosition, BTreeSet<ReplicaKey>>,
     /// Those whose entries vanished while the store was unsound.
     expiring: BTreeSet<ReplicaKey>,
-    gone: ReplicaTombstones,
+    tombstones: ReplicaTombstones,
     /// Position up to which the last whole listing showed all.
     listed_to: TopicPosition,
     /// Whether a replica is cold in which this box's part was not worked out yet.
@@ -241,7 +241,7 @@
         });
         let mut changes: Vec<BackendChange> = used.take(most).collect();
         if gone {
-            let gone = self.gone.since(from).take(most);
+            let gone = self.tombstones.since(from).take(most);
             changes.extend(gone.map(|(id, at)| BackendChange { id: id.clone(), at, entry: None }));
             changes.sort_by_key(|change| change.at);
             changes.truncate(most);
@@ -256,12 +256,12 @@
 
     /// Replicas that are known to be gone.
     pub(super) fn tombstone_count(&self) -> usize {
-        self.gone.count()
+        self.tombstones.count()
     }
 
     /// Position from which on it is known which replicas are gone.
     pub fn tombstones_from(&self) -> TopicPosition {
-        self.gone.kept_from()
+        self.tombstones.kept_from()
     }
 
     /// Takes one change. Where the store was away, an entry that vanished is used until `grace_until`: it
@@ -273,7 +273,7 @@
         grace_until: Option<BoxTime>,
     ) -> ChangeKind {
         let known = self.ids.get(&change.id).map(|key| self.rows[*key].at);
-        let known = known.or_else(|| self.gone.position(&change.id));
+        let known = known.or_else(|| self.tombstones.position(&change.id));
         // A listing did not show it, so that it was gone by then.
         let known = known.or((change.at < self.listed_to).then_some(self.listed_to));
         // What may come back is settled by the same change, from a box that takes it for gone.
@@ -286,7 +286,7 @@
                 .map_or(ChangeKind::None, |entry| self.apply_leaving(entry));
         }
         match &change.entry {
-            Some(entry) if self.gone.has_left(entry, change.at) => ChangeKind::None,
+            Some(entry) if self.tombstones.has_left(entry, change.at) => ChangeKind::None,
             Some(entry) => self.put(entry.clone(), change.at, now),
             None => self.apply_removal(&change.id, change.at, grace_until),
         }
@@ -320,7 +320,7 @@
 
     fn put(&mut self, entry: BackendEntry, at: TopicPosition, now: BoxTime) -> ChangeKind {
         let Some(key) = self.ids.get(&entry.id).copied() else {
-            self.gone.forget(&entry.id);
+            self.tombstones.forget(&entry.id);
             let leaving = entry.leaving;
             self.insert(entry, at, now);
             return if leaving { ChangeKind::Leaving } else { ChangeKind::Changed };
@@ -417,7 +417,7 @@
         grace_until: Option<BoxTime>,
     ) -> ChangeKind {
         let Some(key) = self.ids.get(id).copied() else {
-            self.gone.note(id, at, None);
+            self.tombstones.note(id, at, None);
             return ChangeKind::None;
         };
         self.note_change(key, at);
@@ -441,7 +441,7 @@
             keys.retain(|other| *other != key);
         }
         let id = row.entry.id.clone();
-        self.gone.note(&id, row.at, Some(row.entry).filter(|entry| entry.leaving));
+        self.tombstones.note(&id, row.at, Some(row.entry).filter(|entry| entry.leaving));
     }
 
     /// Drops entries whose grace is over, and gives that as changes.
