--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -149,7 +149,7 @@
 }
 
 /// Whether two entries under one id are of two lives of a replica. One that does not say when it started may be of either.
-pub(super) fn is_other_life(known: &BackendEntry, told: &BackendEntry) -> bool {
+pub(super) fn is_other_incarnation(known: &BackendEntry, told: &BackendEntry) -> bool {
     let born = known.born.zip(told.born);
     born.is_some_and(|(known, told)| known != told)
 }
@@ -325,7 +325,7 @@
             self.insert(entry, at, now);
             return if leaving { ChangeKind::Leaving } else { ChangeKind::Changed };
         };
-        if is_other_life(&self.rows[key].entry, &entry) {
+        if is_other_incarnation(&self.rows[key].entry, &entry) {
             return self.put_other_life(key, entry, at, now);
         }
         let row = &mut self.rows[key];
--- a/crates/core/src/route/tombstones.rs
+++ b/crates/core/src/route/tombstones.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeSet, HashMap};
 
-use super::backend::{is_other_life, BackendEntry};
+use super::backend::{is_other_incarnation, BackendEntry};
 use crate::position::TopicPosition;
 
 /// Ids are kept until there are this many; then all are forgotten. Twice the replicas of the largest
@@ -39,7 +39,7 @@
     pub(super) fn has_left(&self, entry: &BackendEntry, at: TopicPosition) -> bool {
         let row = self.rows.get(&entry.id).filter(|row| row.at.era < at.era);
         let left = row.and_then(|row| row.left.as_ref());
-        left.is_some_and(|left| !is_other_life(left, entry))
+        left.is_some_and(|left| !is_other_incarnation(left, entry))
     }
 
     /// Notes that a replica is gone as of `at`, with its entry if it had said that it leaves.
