--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -326,7 +326,7 @@
             return if leaving { ChangeKind::Leaving } else { ChangeKind::Changed };
         };
         if is_other_incarnation(&self.rows[key].entry, &entry) {
-            return self.put_other_life(key, entry, at, now);
+            return self.put_other_incarnation(key, entry, at, now);
         }
         let row = &mut self.rows[key];
         let born = entry.born.or(row.entry.born);
@@ -349,7 +349,7 @@
 
     /// Takes a life of a replica after another one, which the store's order tells. It holds and knows nothing of before,
     /// so it gets a key of its own: work, failures, parts prefix_cache and load of the former life stay with the former key.
-    fn put_other_life(
+    fn put_other_incarnation(
         &mut self,
         former: ReplicaKey,
         entry: BackendEntry,
