--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -339,7 +339,7 @@
         row.entry = BackendEntry { leaving, born, ..entry };
         row.expires_at = None;
         self.expiring.remove(&key);
-        self.note_change(key, at);
+        self.record_change(key, at);
         match (news, changed) {
             (true, _) => ChangeKind::Leaving,
             (false, true) => ChangeKind::Changed,
@@ -361,7 +361,7 @@
     }
 
     /// Notes a replica's last change.
-    fn note_change(&mut self, key: ReplicaKey, at: TopicPosition) {
+    fn record_change(&mut self, key: ReplicaKey, at: TopicPosition) {
         let former = std::mem::replace(&mut self.rows[key].at, at);
         self.forget_change(key, former);
         self.by_change.entry(at).or_default().insert(key);
@@ -420,7 +420,7 @@
             self.tombstones.note(id, at, None);
             return ChangeKind::None;
         };
-        self.note_change(key, at);
+        self.record_change(key, at);
         let row = &mut self.rows[key];
         if let Some(grace_until) = grace_until.filter(|_| !row.entry.leaving) {
             row.expires_at.get_or_insert(grace_until);
