--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -417,7 +417,7 @@
         grace_until: Option<BoxTime>,
     ) -> ChangeKind {
         let Some(key) = self.ids.get(id).copied() else {
-            self.tombstones.note(id, at, None);
+            self.tombstones.insert(id, at, None);
             return ChangeKind::None;
         };
         self.record_change(key, at);
@@ -441,7 +441,7 @@
             keys.retain(|other| *other != key);
         }
         let id = row.entry.id.clone();
-        self.tombstones.note(&id, row.at, Some(row.entry).filter(|entry| entry.leaving));
+        self.tombstones.insert(&id, row.at, Some(row.entry).filter(|entry| entry.leaving));
     }
 
     /// Drops entries whose grace is over, and gives that as changes.
--- a/crates/core/src/route/tombstones.rs
+++ b/crates/core/src/route/tombstones.rs
@@ -43,7 +43,7 @@
     }
 
     /// Notes that a replica is gone as of `at`, with its entry if it had said that it leaves.
-    pub(super) fn note(&mut self, id: &str, at: TopicPosition, left: Option<BackendEntry>) {
+    pub(super) fn insert(&mut self, id: &str, at: TopicPosition, left: Option<BackendEntry>) {
         if self.rows.len() >= GONE_LIMIT {
             let last = self.rows.values().map(|row| row.at).max().unwrap_or_default();
             self.kept_from = self.kept_from.max(last.plus(1));
