--- a/crates/core/src/route/tombstones.rs
+++ b/crates/core/src/route/tombstones.rs
@@ -7,7 +7,7 @@
 
 /// Ids are kept until there are this many; then all are forgotten. Twice the replicas of the largest
 /// fleet aimed at, all replaced at once: some 1.5 MB.
-const GONE_LIMIT: usize = 16_384;
+const TOMBSTONE_LIMIT: usize = 16_384;
 
 /// A replica that is gone.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
     /// Notes that a replica is gone as of `at`, with its entry if it had said that it leaves.
     pub(super) fn insert(&mut self, id: &str, at: TopicPosition, left: Option<BackendEntry>) {
-        if self.rows.len() >= GONE_LIMIT {
+        if self.rows.len() >= TOMBSTONE_LIMIT {
             let last = self.rows.values().map(|row| row.at).max().unwrap_or_default();
             self.kept_from = self.kept_from.max(last.plus(1));
             self.rows.clear();
