--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -266,7 +266,7 @@
 
     /// Takes one change. Where the store was away, an entry that vanished is used until `grace_until`: it
     /// may come back. Gives what of it is news.
-    pub fn take(
+    pub fn apply_change(
         &mut self,
         change: &BackendChange,
         now: BoxTime,
@@ -312,7 +312,8 @@
         let gone = |id: &String| BackendChange { id: id.clone(), at: end.previous(), entry: None };
         let missing: Vec<BackendChange> = missing.map(gone).collect();
         let changes = missing.into_iter().chain(listed);
-        let taken = changes.map(|change| (change.clone(), self.take(&change, now, grace_until)));
+        let taken =
+            changes.map(|change| (change.clone(), self.apply_change(&change, now, grace_until)));
         let taken = taken.collect();
         self.listed_to = self.listed_to.max(end);
         taken
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -445,7 +445,7 @@
         out: &mut Vec<RouteEffect>,
     ) {
         for change in changes {
-            let news = self.backends.take(&change, stamp.now, grace_until);
+            let news = self.backends.apply_change(&change, stamp.now, grace_until);
             if news == ChangeKind::Leaving || source == BackendSource::Store {
                 self.announce_change(stamp, change, news, out);
             }
