--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -149,9 +149,9 @@
 }
 
 /// Whether two entries under one id are of two lives of a replica. One that does not say when it started may be of either.
-pub(super) fn is_other_incarnation(known: &BackendEntry, told: &BackendEntry) -> bool {
-    let born = known.born.zip(told.born);
-    born.is_some_and(|(known, told)| known != told)
+pub(super) fn is_other_incarnation(known: &BackendEntry, other: &BackendEntry) -> bool {
+    let born = known.born.zip(other.born);
+    born.is_some_and(|(known, other)| known != other)
 }
 
 /// Replicas by key.
@@ -219,11 +219,11 @@
         let mut zone_counts: BTreeMap<String, ZoneCount> = BTreeMap::new();
         let keys = self.by_service.get(service).into_iter().flatten();
         for row in keys.map(|key| &self.rows[*key]).filter(|row| row.usable(now)) {
-            let stock = zone_counts.entry(row.entry.zone.clone()).or_default();
+            let count = zone_counts.entry(row.entry.zone.clone()).or_default();
             if !row.entry.spot {
-                stock.on_demand += 1;
+                count.on_demand += 1;
             } else if row.cold_until <= now {
-                stock.spot += 1;
+                count.spot += 1;
             }
         }
         zone_counts
@@ -231,7 +231,12 @@
 
     /// The first `most` changes of the store from a position on, in its order: replicas that are used, and with `gone`
     /// those that are gone.
-    pub fn changes_from(&self, from: TopicPosition, gone: bool, most: usize) -> Vec<BackendChange> {
+    pub fn changes_from(
+        &self,
+        from: TopicPosition,
+        removed: bool,
+        limit: usize,
+    ) -> Vec<BackendChange> {
         let keys = self.by_change.range(from..).flat_map(|(_, keys)| keys);
         let rows = keys.filter_map(|key| self.rows.get(*key));
         let used = rows.filter(|row| row.expires_at.is_none()).map(|row| BackendChange {
@@ -239,12 +244,16 @@
             at: row.at,
             entry: Some(row.entry.clone()),
         });
-        let mut changes: Vec<BackendChange> = used.take(most).collect();
-        if gone {
-            let gone = self.tombstones.since(from).take(most);
-            changes.extend(gone.map(|(id, at)| BackendChange { id: id.clone(), at, entry: None }));
+        let mut changes: Vec<BackendChange> = used.take(limit).collect();
+        if removed {
+            let removed = self.tombstones.since(from).take(limit);
+            changes.extend(removed.map(|(id, at)| BackendChange {
+                id: id.clone(),
+                at,
+                entry: None,
+            }));
             changes.sort_by_key(|change| change.at);
-            changes.truncate(most);
+            changes.truncate(limit);
         }
         changes
     }
@@ -309,14 +318,15 @@
         let shown: HashSet<&str> = listed.iter().map(|row| row.id.as_str()).collect();
         let missing = self.ids.keys().filter(|id| !shown.contains(id.as_str()));
         // The listing shows all changes before `end`; one at `end` is later.
-        let gone = |id: &String| BackendChange { id: id.clone(), at: end.previous(), entry: None };
-        let missing: Vec<BackendChange> = missing.map(gone).collect();
+        let removal =
+            |id: &String| BackendChange { id: id.clone(), at: end.previous(), entry: None };
+        let missing: Vec<BackendChange> = missing.map(removal).collect();
         let changes = missing.into_iter().chain(listed);
-        let taken =
+        let applied =
             changes.map(|change| (change.clone(), self.apply_change(&change, now, grace_until)));
-        let taken = taken.collect();
+        let applied = applied.collect();
         self.listed_to = self.listed_to.max(end);
-        taken
+        applied
     }
 
     fn put(&mut self, entry: BackendEntry, at: TopicPosition, now: BoxTime) -> ChangeKind {
@@ -331,7 +341,7 @@
         }
         let row = &mut self.rows[key];
         let born = entry.born.or(row.entry.born);
-        let news = entry.leaving && !row.entry.leaving;
+        let newly_leaving = entry.leaving && !row.entry.leaving;
         let changed = row.entry.address != entry.address || row.entry.version != entry.version;
         // A leaving mark is never taken back within one life of a replica.
         let leaving = row.entry.leaving || entry.leaving;
@@ -341,7 +351,7 @@
         row.expires_at = None;
         self.expiring.remove(&key);
         self.record_change(key, at);
-        match (news, changed) {
+        match (newly_leaving, changed) {
             (true, _) => ChangeKind::Leaving,
             (false, true) => ChangeKind::Changed,
             (false, false) => ChangeKind::None,
@@ -448,9 +458,9 @@
     /// Drops entries whose grace is over, and gives that as changes.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<BackendChange> {
         let over = |key: &ReplicaKey| self.rows[*key].expires_at.is_some_and(|at| at <= now);
-        let lapsed: Vec<ReplicaKey> = self.expiring.iter().copied().filter(over).collect();
-        let mut changes = Vec::with_capacity(lapsed.len());
-        for key in lapsed {
+        let expired: Vec<ReplicaKey> = self.expiring.iter().copied().filter(over).collect();
+        let mut changes = Vec::with_capacity(expired.len());
+        for key in expired {
             let row = &self.rows[key];
             changes.push(BackendChange { id: row.entry.id.clone(), at: row.at, entry: None });
             self.remove(key);
