--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -262,12 +262,12 @@
                 self.on_plan_received(stamp, as_of, known, plan, out);
             }
             RouteEvent::EvacuationsRead(read) => {
-                let news = self.evacuated.apply_read(read, stamp.now);
-                self.apply_evacuations(stamp, news, out);
+                let changed = self.evacuated.apply_read(read, stamp.now);
+                self.apply_evacuations(stamp, changed, out);
             }
             RouteEvent::EvacuationsReceived(digest) => {
-                let news = self.evacuated.merge(&digest, stamp.now);
-                self.apply_evacuations(stamp, news, out);
+                let changed = self.evacuated.merge(&digest, stamp.now);
+                self.apply_evacuations(stamp, changed, out);
             }
             RouteEvent::OrdersRead { read_to, orders } => {
                 self.on_orders(stamp, read_to, orders, out);
@@ -383,11 +383,11 @@
     fn apply_evacuations(
         &mut self,
         stamp: EventStamp,
-        news: Vec<ZoneOrder>,
+        changed: Vec<ZoneOrder>,
         out: &mut Vec<RouteEffect>,
     ) {
         let known_to = self.evacuated.digest().known_to;
-        for order in news {
+        for order in changed {
             let in_flight = self.in_flight_at(&order.zone);
             if !order.evacuated {
                 self.mark_zone_cold(stamp.now, &order.zone);
@@ -445,9 +445,9 @@
         out: &mut Vec<RouteEffect>,
     ) {
         for change in changes {
-            let news = self.backends.apply_change(&change, stamp.now, grace_until);
-            if news == ChangeKind::Leaving || source == BackendSource::Store {
-                self.announce_change(stamp, change, news, out);
+            let kind = self.backends.apply_change(&change, stamp.now, grace_until);
+            if kind == ChangeKind::Leaving || source == BackendSource::Store {
+                self.announce_change(stamp, change, kind, out);
             }
         }
     }
@@ -463,8 +463,8 @@
         let all = self.backends.apply_all(end, listed, stamp.now, grace_until);
         // A listing box learns late what the others already know, so that it announces leaving
         // replicas only.
-        for (change, news) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
-            self.announce_change(stamp, change, news, out);
+        for (change, kind) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
+            self.announce_change(stamp, change, kind, out);
         }
     }
 
@@ -533,9 +533,9 @@
     /// This box as a candidate for a duty.
     fn local_peer(&self, now: BoxTime) -> LocalPeer<'_> {
         let serves = self.open(now) || self.reads_for_others(now);
-        let (cut, open_since) = (self.store_unreachable(now), self.reader.open_since);
+        let (store_unreachable, open_since) = (self.store_unreachable(now), self.reader.open_since);
         let strong = self.settings.capacity.is_strong();
-        LocalPeer { name: &self.settings.name, serves, store_unreachable: cut, strong, open_since }
+        LocalPeer { name: &self.settings.name, serves, store_unreachable, strong, open_since }
     }
 
     /// Number of requests in flight.
@@ -629,12 +629,12 @@
 
     /// Addresses for callers: open boxes, or this box if none is open and it can serve.
     pub fn advertised_addresses(&self, now: BoxTime) -> Vec<String> {
-        let mut named: Vec<String> =
+        let mut addresses: Vec<String> =
             self.peers.open_rows(now).map(|row| row.info.entry_address.clone()).collect();
-        if self.open(now) || (named.is_empty() && self.ready(now)) {
-            named.push(self.settings.entry_address.clone());
+        if self.open(now) || (addresses.is_empty() && self.ready(now)) {
+            addresses.push(self.settings.entry_address.clone());
         }
-        named.truncate(peers::ADVERTISED_LIMIT);
-        named
+        addresses.truncate(peers::ADVERTISED_LIMIT);
+        addresses
     }
 }
