--- a/crates/core/src/route/backend.rs
+++ b/crates/core/src/route/backend.rs
@@ -1,7 +1,7 @@
-//! Replicas of backend servers on the platform: what is known of each; [`super::pick`] chooses.
+//! Replicas of backend servers and what a box knows of each.
 //!
-//! A replica is known by its entry in the store; [`super::loads`] says how busy it is. What a replica
-//! *does* counts as well: see [`super::backend_health`].
+//! A replica is known by its entry in the store. Its load is in [`super::loads`], its health in
+//! [`super::backend_health`], and [`super::pick`] chooses among replicas.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -21,13 +21,13 @@
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-/// A replica as its entry in the store gives it.
+/// A replica as its entry in the store describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct BackendEntry {
-    /// Id; a replica that starts again may keep it.
+    /// Id; a restarted replica may keep it.
     pub id: String,
-    /// What tells its lives apart: when this one started by its own clock, which may have been set back since, in Unix
-    /// milliseconds. `None` from a replica that does not say it.
+    /// Start time by the replica's own clock, in Unix milliseconds, which tells its incarnations
+    /// apart. The clock may have been set back since. `None` if the replica does not report it.
     pub born: Option<u64>,
     /// Address, `IP:port`.
     pub address: String,
@@ -35,15 +35,15 @@
     pub service: String,
     /// Availability zone.
     pub zone: String,
-    /// Version of its software.
+    /// Software version.
     pub version: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at once.
     pub slots: u32,
-    /// Whether it says that it leaves.
+    /// Whether it reports that it is leaving.
     pub leaving: bool,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining warm-up time, in milliseconds.
     pub cold_ms: u64,
-    /// Whether it is cheaper and may be taken away.
+    /// Whether it is a spot replica, which costs less and may be taken away at any time.
     pub spot: bool,
 }
 
@@ -52,26 +52,26 @@
 pub struct BackendChange {
     /// Id of the replica.
     pub id: String,
-    /// Position of the change in the store: of two changes the later one counts, whichever way and
-    /// however late they came.
+    /// Position of the change in the store. Of two changes the one with the later position counts,
+    /// in whichever order they arrive.
     pub at: TopicPosition,
-    /// The entry; `None` if it is gone.
+    /// The entry; `None` if it was removed.
     pub entry: Option<BackendEntry>,
 }
 
-/// What stands for a replica's id in notes.
+/// Hash that identifies a replica in gossip.
 pub fn backend_hash(id: &str) -> u64 {
     xxh3_64(id.as_bytes())
 }
 
-/// What of a change is news.
+/// What a change adds to what is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     /// Nothing.
     None,
-    /// There is a replica, or an address or version, that was not known.
+    /// A replica, address or version that was not known.
     Changed,
-    /// A replica leaves or is gone.
+    /// A replica is leaving or was removed.
     Leaving,
 }
 
@@ -84,60 +84,61 @@
     pub(super) id_hash: u64,
     /// Position of its last change in the store.
     pub at: TopicPosition,
-    /// Reported running requests, and waiting ones by [`super::loads::WAITING_WEIGHT`].
+    /// Reported running requests, plus waiting ones times [`super::loads::WAITING_WEIGHT`].
     pub reported: u32,
-    /// What it usually reports, lately.
+    /// Load that it typically reports.
     #[serde(rename = "usual")]
     pub typical_load: f64,
-    /// Reported waiting requests alone.
+    /// Reported waiting requests.
     pub reported_waiting: u32,
-    /// When they were reported.
+    /// When the load was reported.
     pub reported_at: BoxTime,
-    /// Sent by this box since the report.
+    /// Requests that this box sent since the report.
     pub since_report: u32,
-    /// Requests of this box that it has not finished.
+    /// Requests of this box in flight.
     pub outstanding: u32,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Spans in a row for which it was passed over.
+    /// Consecutive ejections.
     #[serde(rename = "passes")]
     pub ejections: u32,
-    /// Not chosen before this.
+    /// Ejected until this time.
     #[serde(rename = "passed_until")]
     pub ejected_until: BoxTime,
-    /// When a connection to it last did not come about, here or at another box.
+    /// When this or another box last failed to connect to it.
     #[serde(rename = "down_at")]
     pub unreachable_at: Option<BoxTime>,
-    /// Not chosen from this on: its entry vanished while the store was unsound.
+    /// Not chosen from this time on, because its entry vanished during a store outage.
     #[serde(rename = "lapses_at")]
     pub expires_at: Option<BoxTime>,
-    /// Cold until this.
+    /// Cold until this time.
     pub cold_until: BoxTime,
-    /// This box's part of what it bears until then.
+    /// This box's share of the requests that it takes while it is cold.
     pub(super) warm_up: SenderPart,
-    /// It wants nothing from this box before this.
+    /// In backoff for this box until this time.
     #[serde(rename = "rests_until")]
     pub backoff_until: BoxTime,
-    /// The limit that it names.
+    /// Its rate limit.
     pub limit: ReplicaLimit,
-    /// Prompts that wait there.
+    /// Prompts in its queue.
     pub backlog: ReplicaBacklog,
-    /// Prompts' shared parts that it holds.
+    /// Shared prompt parts in its cache.
     #[serde(skip)]
     pub(super) prefix_cache: PrefixCache,
-    /// Answers that it left out lately, the oldest first.
+    /// Recently lost responses, the oldest first.
     #[serde(skip)]
     pub lost: Vec<LostAnswer>,
 }
 
 impl BackendState {
-    /// Takes it for cold for `ms` from `from` on, or longer if that is known. Its own word of being warm changes nothing:
-    /// it may be older than what made it cold, and what is cold is so for a few seconds.
+    /// Marks it as cold for `ms` from `from` on; a later end that is already known stays. A report
+    /// that it is warm has no effect, because it may be older than what made the replica cold, and
+    /// a replica is cold for a few seconds only.
     fn mark_cold(&mut self, ms: u64, from: BoxTime) {
         self.cold_until = self.cold_until.max(from.plus_millis(ms));
     }
 
-    /// Whether it is cold, and this box may send it no more for now.
+    /// Whether it is cold and this box has used up its share.
     pub(super) fn too_cold(&self, now: BoxTime) -> bool {
         self.cold_until > now && !self.warm_up.allows(now)
     }
@@ -148,35 +149,37 @@
     }
 }
 
-/// Whether two entries under one id are of two lives of a replica. One that does not say when it started may be of either.
+/// Whether two entries with the same id belong to different incarnations of a replica. An entry
+/// without a start time may belong to either.
 pub(super) fn is_other_incarnation(known: &BackendEntry, other: &BackendEntry) -> bool {
     let born = known.born.zip(other.born);
     born.is_some_and(|(known, other)| known != other)
 }
 
-/// Replicas by key.
+/// The known replicas, by key.
 #[derive(Debug, Default)]
 pub struct BackendTable {
     pub(super) rows: SlotMap<ReplicaKey, BackendState>,
     pub(super) ids: HashMap<String, ReplicaKey>,
-    /// By [`backend_hash`] of their ids.
+    /// By [`backend_hash`] of the id.
     pub(super) hashes: HashMap<u64, ReplicaKey>,
     /// In the order of the hashes of their ids, which is the same on every box.
     pub(super) by_service: HashMap<String, Vec<ReplicaKey>>,
-    /// In the order of their last changes: what a box that asks lacks is found without a look at all.
+    /// By position of the last change, so that a sync response is found without a scan of all
+    /// replicas.
     by_change: BTreeMap<TopicPosition, BTreeSet<ReplicaKey>>,
-    /// Those whose entries vanished while the store was unsound.
+    /// Replicas whose entries vanished during a store outage.
     expiring: BTreeSet<ReplicaKey>,
     tombstones: ReplicaTombstones,
-    /// Position up to which the last whole listing showed all.
+    /// End of the last complete listing.
     listed_to: TopicPosition,
-    /// Whether a replica is cold in which this box's part was not worked out yet.
+    /// Whether a replica became cold and this box's share of it was not computed yet.
     pub(super) newly_cold: bool,
 }
 
 impl BackendTable {
-    /// Takes a replica that could not be reached for cold for `ms` from when it may be back: it has mostly started anew, and its
-    /// entry says so seconds later.
+    /// Marks an unreachable replica as cold for `ms` from when it may be back. Most unreachable
+    /// replicas have restarted, and the entry shows that seconds later.
     pub(super) fn mark_unreachable_cold(&mut self, key: ReplicaKey, ms: u64) {
         if let Some(row) = self.rows.get_mut(key) {
             row.mark_cold(ASSUMED_DOWN_MS + ms, row.ejected_until);
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Takes the replicas of a zone for cold, as long as the operator says of their services.
+    /// Marks the replicas of a zone as cold, for as long as the operator sets for their services.
     pub(super) fn mark_zone_cold(
         &mut self,
         zone: &str,
@@ -204,7 +207,7 @@
         self.rows.iter()
     }
 
-    /// Whether any replica of a service is known, or was.
+    /// Whether a replica of the service is known or was known.
     pub fn serves(&self, service: &str) -> bool {
         self.by_service.contains_key(service)
     }
@@ -214,7 +217,7 @@
         self.rows.get(key)
     }
 
-    /// Replicas of a service by availability zone, those that leave left out.
+    /// Replicas of a service by availability zone, without leaving ones.
     pub(super) fn zone_counts(&self, service: &str, now: BoxTime) -> BTreeMap<String, ZoneCount> {
         let mut zone_counts: BTreeMap<String, ZoneCount> = BTreeMap::new();
         let keys = self.by_service.get(service).into_iter().flatten();
@@ -229,8 +232,8 @@
         zone_counts
     }
 
-    /// The first `most` changes of the store from a position on, in its order: replicas that are used, and with `gone`
-    /// those that are gone.
+    /// The first `limit` changes of the store from a position on, in the order of the store:
+    /// replicas in use, and with `removed` also removed ones.
     pub fn changes_from(
         &self,
         from: TopicPosition,
@@ -258,23 +261,24 @@
         changes
     }
 
-    /// Position of the first change that may yet be undone: an entry vanished while the store was away.
+    /// Position of the first change that may still be undone, because an entry vanished during a
+    /// store outage.
     pub fn first_expiring(&self) -> Option<TopicPosition> {
         self.expiring.iter().filter_map(|key| self.rows.get(*key)).map(|row| row.at).min()
     }
 
-    /// Replicas that are known to be gone.
+    /// Number of tombstones.
     pub(super) fn tombstone_count(&self) -> usize {
         self.tombstones.count()
     }
 
-    /// Position from which on it is known which replicas are gone.
+    /// Position from which on all removals are known.
     pub fn tombstones_from(&self) -> TopicPosition {
         self.tombstones.kept_from()
     }
 
-    /// Takes one change. Where the store was away, an entry that vanished is used until `grace_until`: it
-    /// may come back. Gives what of it is news.
+    /// Applies a change and returns what it adds to what is known. An entry that vanished during a
+    /// store outage may come back and is used until `grace_until`.
     pub fn apply_change(
         &mut self,
         change: &BackendChange,
@@ -283,9 +287,9 @@
     ) -> ChangeKind {
         let known = self.ids.get(&change.id).map(|key| self.rows[*key].at);
         let known = known.or_else(|| self.tombstones.position(&change.id));
-        // A listing did not show it, so that it was gone by then.
+        // The last listing did not show it, so that it was removed by then.
         let known = known.or((change.at < self.listed_to).then_some(self.listed_to));
-        // What may come back is settled by the same change, from a box that takes it for gone.
+        // The same removal from a box that knows it to be final ends the grace period here.
         let settled =
             grace_until.is_none() && change.entry.is_none() && self.is_expiring(&change.id);
         if known.is_some_and(|at| at > change.at || (at == change.at && !settled)) {
@@ -301,13 +305,13 @@
         }
     }
 
-    /// Whether a replica is used only until its entry must be back.
+    /// Whether a replica is in its grace period.
     fn is_expiring(&self, id: &str) -> bool {
         self.ids.get(id).is_some_and(|key| self.rows[*key].expires_at.is_some())
     }
 
-    /// Takes a whole listing that was made when the store's entries ended at `end`: what is not in it
-    /// is gone. Gives the changes that are news.
+    /// Applies a complete listing that was made when the store's entries ended at `end`: replicas
+    /// that are not listed were removed. Returns all changes with their kinds.
     pub fn apply_all(
         &mut self,
         end: TopicPosition,
@@ -317,7 +321,7 @@
     ) -> Vec<(BackendChange, ChangeKind)> {
         let shown: HashSet<&str> = listed.iter().map(|row| row.id.as_str()).collect();
         let missing = self.ids.keys().filter(|id| !shown.contains(id.as_str()));
-        // The listing shows all changes before `end`; one at `end` is later.
+        // The listing shows all changes before `end`, so that a change at `end` is later.
         let removal =
             |id: &String| BackendChange { id: id.clone(), at: end.previous(), entry: None };
         let missing: Vec<BackendChange> = missing.map(removal).collect();
@@ -343,7 +347,7 @@
         let born = entry.born.or(row.entry.born);
         let newly_leaving = entry.leaving && !row.entry.leaving;
         let changed = row.entry.address != entry.address || row.entry.version != entry.version;
-        // A leaving mark is never taken back within one life of a replica.
+        // A leaving mark is never withdrawn within an incarnation of a replica.
         let leaving = row.entry.leaving || entry.leaving;
         row.mark_cold(entry.cold_ms, now);
         self.newly_cold |= entry.cold_ms > 0;
@@ -358,8 +362,9 @@
         }
     }
 
-    /// Takes a life of a replica after another one, which the store's order tells. It holds and knows nothing of before,
-    /// so it gets a key of its own: work, failures, parts prefix_cache and load of the former life stay with the former key.
+    /// Stores the entry of an incarnation that follows another one in the order of the store. It
+    /// shares no state with the former one, so that it gets a key of its own: requests in flight,
+    /// failures, cached prompt parts and load stay with the former key.
     fn put_other_incarnation(
         &mut self,
         former: ReplicaKey,
@@ -371,7 +376,7 @@
         self.put(entry, at, now)
     }
 
-    /// Notes a replica's last change.
+    /// Records the position of a replica's last change.
     fn record_change(&mut self, key: ReplicaKey, at: TopicPosition) {
         let former = std::mem::replace(&mut self.rows[key].at, at);
         self.forget_change(key, former);
@@ -455,7 +460,7 @@
         self.tombstones.insert(&id, row.at, Some(row.entry).filter(|entry| entry.leaving));
     }
 
-    /// Drops entries whose grace is over, and gives that as changes.
+    /// Removes entries whose grace period is over, and returns the removals.
     pub fn drop_expired(&mut self, now: BoxTime) -> Vec<BackendChange> {
         let over = |key: &ReplicaKey| self.rows[*key].expires_at.is_some_and(|at| at <= now);
         let expired: Vec<ReplicaKey> = self.expiring.iter().copied().filter(over).collect();
--- a/crates/core/src/route/dump.rs
+++ b/crates/core/src/route/dump.rs
@@ -1,4 +1,4 @@
-//! The state as operators see it.
+//! The state of a routing box as operators see it.
 
 use serde::Serialize;
 
@@ -11,22 +11,22 @@
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-/// State of a routing box. Keys of client accounts are left out.
+/// State of a routing box, without the keys of client accounts.
 #[derive(Debug, Serialize)]
 pub struct RouteDump<'a> {
     /// Box name.
     pub name: &'a str,
-    /// Whether callers may be sent here.
+    /// Whether callers may be directed to this box.
     pub open: bool,
     /// Whether the planned stop has begun.
     pub stopping: bool,
-    /// The store's era; 0 where it names none.
+    /// The store's era; 0 if unknown.
     pub store_era: u64,
     /// Position up to which the operator's records were read.
     pub read_to: TopicPosition,
     /// Position up to which the replicas' entries are known.
     pub entries_to: Option<TopicPosition>,
-    /// Age of what is known of the plan, in milliseconds.
+    /// Age of the plan, in milliseconds.
     pub plan_age_ms: Option<u64>,
     /// The plan.
     pub plan: &'a RoutePlan,
@@ -38,10 +38,10 @@
     pub peers: Vec<(&'a String, &'a PeerState)>,
     /// Trials.
     pub trials: Vec<&'a VersionTrial>,
-    /// Contents under which replicas ended.
+    /// Content that crashes replicas.
     #[serde(rename = "fatal")]
     pub poison: Vec<PoisonDump>,
-    /// Requests in hand.
+    /// Number of requests in flight.
     #[serde(rename = "in_hand")]
     pub in_flight: usize,
 }
--- a/crates/core/src/route/tombstones.rs
+++ b/crates/core/src/route/tombstones.rs
@@ -1,48 +1,50 @@
-//! Replicas that are gone: a change that comes late, or an older copy of the store, must not bring one back.
+//! Tombstones of removed replicas: neither a late change nor an older copy of the store may bring
+//! one back.
 
 use std::collections::{BTreeSet, HashMap};
 
 use super::backend::{is_other_incarnation, BackendEntry};
 use crate::position::TopicPosition;
 
-/// Ids are kept until there are this many; then all are forgotten. Twice the replicas of the largest
-/// fleet aimed at, all replaced at once: some 1.5 MB.
+/// When this many tombstones are kept, all of them are dropped. It is twice the number of replicas
+/// of the largest fleet, all replaced at once, and takes some 1.5 MB.
 const TOMBSTONE_LIMIT: usize = 16_384;
 
-/// A replica that is gone.
+/// Tombstone of a removed replica.
 #[derive(Debug)]
 struct ReplicaTombstone {
-    /// Position of that in the store.
+    /// Position of the removal in the store.
     at: TopicPosition,
-    /// Its last entry, if it had said that it leaves.
+    /// Last entry, if the replica had reported that it was leaving.
     left: Option<BackendEntry>,
 }
 
-/// Replicas that are gone, by id.
+/// Tombstones by replica id.
 #[derive(Debug, Default)]
 pub(super) struct ReplicaTombstones {
     rows: HashMap<String, ReplicaTombstone>,
-    /// In the order in which they went.
+    /// In the order of removal.
     by_change: BTreeSet<(TopicPosition, String)>,
-    /// Position from which on none was forgotten.
+    /// Position from which on all tombstones are kept.
     kept_from: TopicPosition,
 }
 
 impl ReplicaTombstones {
-    /// The position at which a replica was gone, if it is known to be.
+    /// Position at which a replica was removed, if it has a tombstone.
     pub(super) fn position(&self, id: &str) -> Option<TopicPosition> {
         self.rows.get(id).map(|row| row.at)
     }
 
-    /// Whether an entry is of a life of a replica that had said that it leaves and was gone, before the store came back
-    /// from a copy that still has it.
+    /// Whether an entry belongs to an incarnation that had reported that it was leaving and was
+    /// removed, before the store was restored from a copy that still has it.
     pub(super) fn has_left(&self, entry: &BackendEntry, at: TopicPosition) -> bool {
         let row = self.rows.get(&entry.id).filter(|row| row.at.era < at.era);
         let left = row.and_then(|row| row.left.as_ref());
         left.is_some_and(|left| !is_other_incarnation(left, entry))
     }
 
-    /// Notes that a replica is gone as of `at`, with its entry if it had said that it leaves.
+    /// Inserts the tombstone of a replica that was removed at `at`, with its entry if it had
+    /// reported that it was leaving.
     pub(super) fn insert(&mut self, id: &str, at: TopicPosition, left: Option<BackendEntry>) {
         if self.rows.len() >= TOMBSTONE_LIMIT {
             let last = self.rows.values().map(|row| row.at).max().unwrap_or_default();
@@ -55,24 +57,24 @@
         self.rows.insert(id.to_owned(), ReplicaTombstone { at, left });
     }
 
-    /// Forgets one that is there again.
+    /// Drops the tombstone of a replica that is back.
     pub(super) fn forget(&mut self, id: &str) {
         if let Some(row) = self.rows.remove(id) {
             self.by_change.remove(&(row.at, id.to_owned()));
         }
     }
 
-    /// How many are known.
+    /// Number of tombstones.
     pub(super) fn count(&self) -> usize {
         self.rows.len()
     }
 
-    /// Position from which on all that went is known.
+    /// Position from which on all removals are known.
     pub(super) fn kept_from(&self) -> TopicPosition {
         self.kept_from
     }
 
-    /// Those that went from a position on, with when, in that order.
+    /// Removals from a position on, with their positions, in that order.
     pub(super) fn since(
         &self,
         from: TopicPosition,
