--- a/crates/core/src/route/plan.rs
+++ b/crates/core/src/route/plan.rs
@@ -1,7 +1,7 @@
-//! What the operator wants routed where: plain data, and the table that answers lookups.
+//! The operator's routing plan as plain data, and the table that answers lookups in it.
 //!
-//! A [`RoutePlan`] is the unsigned kin of a bundle: the platform's store takes only valid ones and
-//! orders them, so there is nothing to sign, carry forward or claim.
+//! A [`RoutePlan`] is the unsigned counterpart of a bundle: the platform's store accepts only valid
+//! plans and orders them, so that plans have no signatures, carry-forward or claims.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,69 +10,70 @@
 use super::leader::scale::ScalePlan;
 use super::warm_up::WarmUpPlan;
 
-/// What may be done with a request of a route more than once.
+/// How a request of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Idempotent,
-    /// Runs at most once for each caller's request.
+    /// Is executed at most once for each caller's request.
     Single,
-    /// A stream of events; `resumable` ones may be taken up at another replica.
+    /// A stream of events.
     Stream {
-        /// Whether another replica may go on behind the last whole event.
+        /// Whether another replica may continue the stream after the last complete event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have been executed may be sent again.
     pub fn repeatable(self) -> bool {
         !matches!(self, RouteKind::Single | RouteKind::Stream { resumable: false })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteTarget {
     /// Service name.
     pub service: String,
-    /// Part among the route's targets; any unit.
+    /// Weight among the route's targets, in any unit.
     pub weight: u32,
 }
 
-/// A route: which requests it takes and how they are to be served.
+/// A route: which requests it matches and how they are served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RouteSpec {
     /// Route name.
     pub name: String,
-    /// Host that callers name, in lower case, without a port.
+    /// Host that it matches, in lower case and without a port.
     pub host: String,
-    /// Path prefix, beginning and ending with a slash.
+    /// Path prefix, which begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How its requests may be repeated.
     pub kind: RouteKind,
-    /// The longest that the operator wants a request held, in milliseconds.
+    /// Longest time that a request is held, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer, or a stream's first event, counts in full, in milliseconds.
+    /// Time within which a response, or the first event of a stream, has full value, in
+    /// milliseconds.
     pub target_ms: u64,
-    /// Longest pause between events that counts in full, in milliseconds; 0 if none is set.
+    /// Longest pause between events with full value, in milliseconds; 0 if unset.
     pub pause_ms: u64,
-    /// Urgency, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// Replicas that one request may be sent to.
+    /// Number of replicas that a request may be sent to.
     pub attempts: u32,
-    /// Whether a request needs no key.
+    /// Whether requests need no key.
     pub anonymous: bool,
-    /// Models that may answer, the smallest first; empty where the caller names its own.
+    /// Models that may answer, the smallest first; empty if the caller names the model.
     pub sizes: Vec<String>,
-    /// Regions in which it may be served; empty for all.
+    /// Regions in which its requests may be served; empty for all.
     pub regions: Vec<String>,
-    /// Services with their parts; never empty in a plan that was taken.
+    /// Services with their weights; never empty in an accepted plan.
     pub targets: Vec<RouteTarget>,
 }
 
@@ -81,20 +82,20 @@
 pub struct ModelPlan {
     /// Model name.
     pub name: String,
-    /// Cost of 1,000 generated tokens; read tokens cost a quarter.
+    /// Cost of 1,000 generated tokens; prompt tokens cost a quarter of it.
     pub cost: f64,
 }
 
 /// A service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServicePlan {
-    /// Connections that a replica takes from all boxes together; 0 if not told.
+    /// Connections that a replica accepts from all boxes together; 0 if unset.
     pub connections: usize,
-    /// Models, for a service of engines.
+    /// Models, if the service runs engines.
     pub models: Vec<ModelPlan>,
-    /// How little its replicas bear while they are cold, if that is told.
+    /// Limits of its cold replicas, if set.
     pub warm_up: Option<WarmUpPlan>,
-    /// How many replicas it may have, if that is the router's to order.
+    /// Scale bounds, if the router scales the service.
     pub scale: Option<ScalePlan>,
 }
 
@@ -103,36 +104,36 @@
 pub struct KeyHolder {
     /// Account name.
     pub name: String,
-    /// Keys that callers show. Not part of any dump.
+    /// API keys. Never part of a dump.
     #[serde(skip)]
     pub keys: Vec<String>,
-    /// Urgency that goes before the route's.
+    /// Urgency that overrides the route's.
     pub priority: Option<u8>,
     /// Regions in which its requests may be served; empty for all.
     pub regions: Vec<String>,
 }
 
-/// Bounds on what callers may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head, in milliseconds.
+    /// Time for a request head, in milliseconds.
     pub header_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Used until a plan is known: what HTTP servers usually take.
+    /// Limits until a plan is known: common defaults of HTTP servers.
     fn default() -> Self {
         Self { header_bytes: 16_384, body_bytes: 4 << 20, header_ms: 5_000, idle_ms: 30_000 }
     }
 }
 
-/// The whole plan.
+/// A complete plan.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RoutePlan {
     /// Version; a box never goes back to a lower one.
@@ -141,24 +142,24 @@
     pub routes: Vec<RouteSpec>,
     /// Services by name.
     pub services: BTreeMap<String, ServicePlan>,
-    /// Client accounts; `None` where no key is asked for.
+    /// Client accounts; `None` if no keys are required.
     pub holders: Option<Vec<KeyHolder>>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// A plan made ready for lookups on the path of a request.
+/// A plan with indexes for lookups in the request path.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     plan: RoutePlan,
-    /// Rows of `plan.routes` by host, the longest prefix first.
+    /// Indexes into `plan.routes` by host, the longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
-    /// Rows of `plan.holders` by key.
+    /// Indexes into `plan.holders` by key.
     by_key: HashMap<String, usize>,
 }
 
 impl RouteTable {
-    /// Indexes a plan.
+    /// Builds the indexes of a plan.
     pub fn build(plan: RoutePlan) -> Self {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (row, route) in plan.routes.iter().enumerate() {
@@ -179,7 +180,7 @@
         &self.plan
     }
 
-    /// The route that takes `path` on `host`: the one with the longest prefix.
+    /// The route with the longest prefix that matches `path` on `host`.
     pub fn find(&self, host: &str, path: &str) -> Option<&RouteSpec> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let rows = match self.by_host.get(host) {
@@ -196,7 +197,7 @@
         self.plan.holders.as_ref()?.get(*row)
     }
 
-    /// Whether requests need a key at all.
+    /// Whether requests need a key.
     pub fn asks_for_keys(&self) -> bool {
         self.plan.holders.is_some()
     }
--- a/crates/core/src/route/plan_freshness.rs
+++ b/crates/core/src/route/plan_freshness.rs
@@ -1,39 +1,40 @@
-//! How long a box may rely on its plan: from the *start* of the last sound read of it.
+//! How long a box may rely on its plan, counted from the *start* of the last successful read of it.
 //!
-//! A key that was taken away must not be honoured [`FreshBounds::revoke_ms`] after the store took the
-//! change. A read that began at `asked_at` shows every change confirmed before; so what it showed may
-//! be relied on until `asked_at + revoke_ms`, whatever happens to the box or the store since. Times
-//! are of the box's steady clock, which a jump of the time of day does not move.
+//! A revoked key must not be accepted [`FreshBounds::revoke_ms`] after the store confirmed the
+//! change. A read that began at `asked_at` shows every change that was confirmed before; its result
+//! may be relied on until `asked_at + revoke_ms`, whatever happens to the box or the store
+//! afterwards. Times are on the box's monotonic clock, which changes of the time of day do not
+//! affect.
 
 use crate::time::BoxTime;
 
-/// Kept back from [`FreshBounds::revoke_ms`], in milliseconds: timers fire late and a request spends
-/// some time between the check and the write.
+/// Safety margin before [`FreshBounds::revoke_ms`], in milliseconds: timers fire late, and a
+/// request takes some time between the check and the write.
 pub const REVOKE_MARGIN_MS: u64 = 400;
 
-/// Bounds from the settings.
+/// Freshness bounds from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshBounds {
-    /// After this, in milliseconds, a withdrawn key must not run anything; `None` where keys are not
-    /// withdrawn strictly.
+    /// Time after which a revoked key must not start any work, in milliseconds; `None` if
+    /// revocation is not strict.
     pub revoke_ms: Option<u64>,
-    /// A confirmed plan is in force everywhere after this, in milliseconds.
+    /// Time after which a confirmed plan is in force on all boxes, in milliseconds.
     pub apply_ms: u64,
 }
 
-/// What a box may rely on.
+/// Freshness of the plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlanFreshness {
     asked_at: Option<BoxTime>,
 }
 
 impl PlanFreshness {
-    /// Notes a sound read that began at `asked_at`.
+    /// Records a successful read that began at `asked_at`.
     pub fn renew(&mut self, asked_at: BoxTime) {
         self.asked_at = self.asked_at.max(Some(asked_at));
     }
 
-    /// When the last sound read began.
+    /// When the last successful read began.
     pub fn as_of(&self) -> Option<BoxTime> {
         self.asked_at
     }
@@ -43,12 +44,12 @@
         self.asked_at.is_none()
     }
 
-    /// Age of what the box knows, in milliseconds; `None` before the first read.
+    /// Age of the plan, in milliseconds; `None` before the first read.
     pub fn age_ms(&self, now: BoxTime) -> Option<u64> {
         self.asked_at.map(|at| now.millis_since(at))
     }
 
-    /// Whether keys may still be honoured.
+    /// Whether keys may still be accepted.
     pub fn honours_keys(&self, now: BoxTime, bounds: FreshBounds) -> bool {
         match (self.age_ms(now), bounds.revoke_ms) {
             (None, _) => false,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Whether "there is no such route or key" may be said: a plan that has it may be in force.
+    /// Whether unknown routes and keys may be denied. With an older plan a newer one, which has
+    /// them, may be in force.
     pub fn may_deny(&self, now: BoxTime, bounds: FreshBounds) -> bool {
         self.age_ms(now).is_some_and(|age| age < bounds.apply_ms)
     }
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -1,7 +1,8 @@
-//! How far a box knows the operator's records: the plan in force, and the position up to which they were read.
+//! How far a box knows the operator's records: the plan in force, and the position up to which they
+//! were read.
 //!
-//! Two words of it compare by the plan's version first, then by the position. A plan that was confirmed binds, also
-//! where a store that came back from a copy has lost it.
+//! Positions compare by the version of the plan first, then by the offset in the store. A confirmed
+//! plan stays binding even if a store that was restored from a copy has lost it.
 
 use super::event::RouteEffect;
 use super::peers::PlanPosition;
@@ -13,7 +14,7 @@
 use crate::time::BoxTime;
 
 impl RouteState {
-    /// Takes the plan that the store shows, or that it shows no other.
+    /// Applies a read of the store: a plan, or the result that it is unchanged.
     pub(super) fn on_plan_read(
         &mut self,
         stamp: EventStamp,
@@ -24,9 +25,11 @@
     ) {
         self.note_era(read_to.era, stamp.now, out);
         match plan {
-            // A store that came back from a copy, and shows nothing new since, may lack what was confirmed.
+            // A store that was restored from a copy and shows no new plan since may lack confirmed
+            // plans.
             None if self.has_plan() && read_to.era > self.read_to.era => {}
-            // Without a plan nothing is served or denied; that there was none then is known all the same.
+            // Without a plan nothing is served or denied, but it is known that there was none at
+            // that time.
             None => self.rely_on(asked_at, read_to),
             Some(plan) if plan.version < self.table.plan().version => {
                 out.push(RouteEffect::PlanTooOld { version: plan.version });
@@ -35,7 +38,8 @@
         }
     }
 
-    /// Takes the plan that another box knows, or its word that it is this box's, as of `as_of`.
+    /// Applies the plan that another box sent, or its statement that the plan is unchanged as of
+    /// `as_of`.
     pub(super) fn on_plan_received(
         &mut self,
         stamp: EventStamp,
@@ -53,12 +57,12 @@
                 self.apply_plan(stamp, as_of, known.read_to, plan, out);
             }
             _ if known.version == own.version => self.rely_on(as_of, known.read_to),
-            // The plan itself was too long to be told.
+            // The plan was too large for the message.
             _ => {}
         }
     }
 
-    /// Takes a plan that is no older than the one in force.
+    /// Applies a plan that is no older than the one in force.
     fn apply_plan(
         &mut self,
         stamp: EventStamp,
@@ -69,7 +73,7 @@
     ) {
         let newer = plan.version > self.table.plan().version;
         if newer && read_to < self.read_to {
-            // The store has lost this plan, so that its later word was not whole.
+            // The store has lost this plan, so that its later records were not complete.
             self.fresh = PlanFreshness::default();
             self.read_to = read_to;
         }
@@ -90,18 +94,20 @@
         }
         let age_ms = stamp.now.millis_since(asked_at);
         out.push(RouteEffect::PlanInForce { version, routes, age_ms });
-        // Others ask for it at once: it is everywhere after a few steps, and few boxes read the store.
+        // Other boxes request the plan at once: it reaches all of them after a few steps, and few
+        // boxes read the store.
         self.rounds.next_round = BoxTime::default();
         self.send_gossip(stamp, out);
     }
 
-    /// Relies on the plan as all that was confirmed before `asked_at`, up to a position.
+    /// Relies on the plan as the latest one that was confirmed before `asked_at`.
     fn rely_on(&mut self, asked_at: BoxTime, read_to: TopicPosition) {
         self.fresh.renew(asked_at);
         self.record_read(read_to);
     }
 
-    /// Notes how far the operator's records were read, or told by another box.
+    /// Records the position up to which the operator's records are known from the store or from
+    /// another box.
     fn record_read(&mut self, read_to: TopicPosition) {
         if read_to >= self.read_to {
             self.read_to = read_to;
@@ -115,7 +121,8 @@
         self.read_to
     }
 
-    /// As of when the plan is all that was confirmed; `None` before the first sound read.
+    /// Time as of which the plan is the latest confirmed one; `None` before the first successful
+    /// read.
     pub fn plan_as_of(&self) -> Option<BoxTime> {
         self.fresh.as_of()
     }
--- a/crates/core/src/route/store_era.rs
+++ b/crates/core/src/route/store_era.rs
@@ -1,8 +1,9 @@
-//! The store's era: what a box does when the store comes back from an older copy of its data.
+//! The store's era: what a box does when the store is restored from an older copy of its data.
 //!
-//! What was confirmed goes on to bind. The operator and the replicas write again what was lost of theirs; until the store
-//! shows a plan that is at least as new as the one in force, nothing that it shows is relied on as all that there is.
-//! What the boxes wrote they write again: verdicts and marks of trials, by turns as at first.
+//! Confirmed state stays binding. The operator and the replicas write their lost records again.
+//! Until the store shows a plan that is at least as new as the one in force, none of its contents
+//! count as complete. The boxes write their own records again: verdicts and checkpoints of trials,
+//! in the same order of precedence as the first time.
 
 use super::event::RouteEffect;
 use super::trial_progress::TrialProgress;
@@ -10,7 +11,7 @@
 use crate::time::BoxTime;
 
 impl RouteState {
-    /// Notes the store's era, as the store or another box names it.
+    /// Applies the store's era, as the store or another box reported it.
     pub(super) fn note_era(&mut self, era: u64, now: BoxTime, out: &mut Vec<RouteEffect>) {
         if era <= self.era {
             return;
@@ -20,7 +21,8 @@
             return;
         }
         out.push(RouteEffect::StoreRestored { era, former });
-        // Entries written since the copy come back when their replicas write them again.
+        // Entries that were written after the copy was made come back when their replicas write
+        // them again.
         self.grace_until = Some(now.plus_millis(EXPIRY_GRACE_MS));
         for trial in self.trials.values_mut() {
             trial.written = false;
@@ -28,7 +30,8 @@
         }
     }
 
-    /// Whether the store came back from a copy and was not seen yet to show a plan as new as the one in force.
+    /// Whether the store was restored from a copy and has not shown a plan as new as the one in
+    /// force yet.
     pub(super) fn awaits_plan(&self) -> bool {
         self.has_plan() && self.era > self.read_to.era
     }
--- a/crates/core/src/route/sync_state.rs
+++ b/crates/core/src/route/sync_state.rs
@@ -1,22 +1,22 @@
-//! What a box asks of others, and how far it is behind them.
+//! Sync requests of a box to other boxes, and how far it is behind them.
 
 use crate::time::BoxTime;
 
-/// The asks of a box, and their answers.
+/// Sync requests of a box and their responses.
 #[derive(Debug, Default)]
 pub(super) struct SyncState {
-    /// When the next ask is due.
+    /// When the next request is due.
     pub(super) next_request: BoxTime,
-    /// When the last ask was sent, if no answer has come.
+    /// When the last request was sent, if it has no response yet.
     pub(super) unanswered_at: Option<BoxTime>,
-    /// When another box last answered an ask.
+    /// When another box last responded.
     pub(super) answered_at: Option<BoxTime>,
-    /// When a box that reads the store for the others last did.
+    /// When a store reader last responded.
     pub(super) reader_answered_at: Option<BoxTime>,
-    /// Since when it is known that another box has read further.
+    /// Since when another box is known to have read further.
     pub(super) behind_since: Option<BoxTime>,
-    /// Whether an answer to its ask for that lacked it.
+    /// Whether a response lacked the records that this box is behind by.
     pub(super) lagging: bool,
-    /// When it may ask for that again.
+    /// When those records may be requested again.
     pub(super) next_catch_up: BoxTime,
 }
