--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -1,63 +1,66 @@
-//! How far a box knows the replicas' entries in the store, and what it tells a box that asks.
+//! How far a box knows the replicas' entries in the store, and how it responds to other boxes about
+//! them.
 //!
-//! Few boxes read the entries; the others ask them, each naming the position up to which it knows all. The
-//! answer holds what differs, each change once and in the order of the store, so that a box is complete
-//! after one answer, whatever datagrams were lost before, and bytes follow the changes, not the number of
-//! replicas. A box that knows nothing yet, or less than the other remembers of replicas that are gone, gets
-//! a listing in pages.
+//! A few boxes read the entries. The others send them sync requests that state the position up to
+//! which they know everything. A response holds the differences, each change once and in the order
+//! of the store, so that one response makes a box complete whatever datagrams were lost before, and
+//! its size depends on the number of changes, not of replicas. A box that knows nothing yet, or is
+//! behind the oldest tombstone of the responding box, gets a listing in pages.
 
 use super::backend::{BackendChange, BackendTable};
 use crate::position::TopicPosition;
 use crate::time::BoxTime;
 
-/// Changes in one datagram, at most: packed some 20 bytes each, in a datagram of at most 60,000 that may hold a plan
-/// of a thousand routes beside them.
+/// Upper bound of the changes in a datagram. A packed change takes some 20 bytes, in a datagram of
+/// at most 60,000 that may also hold a plan of a thousand routes.
 pub const CHANGES_PER_MESSAGE: usize = 1_000;
 
-/// A listing shows which replicas are gone as well, if these are at most so many: who was told it can then tell others what
-/// they lack, where it would else have to tell them all replicas.
+/// A listing includes tombstones if there are at most this many. A box that received them can send
+/// differences to others, where it would otherwise have to send them all replicas.
 pub const TOMBSTONES_PER_MESSAGE: usize = CHANGES_PER_MESSAGE / 2;
 
-/// A listing is under way for this long after a page of it, in milliseconds: an ask and its answer, once lost and
-/// repeated. Meanwhile the store is not asked for all replicas as well.
+/// A listing is in progress for this long after its last page, in milliseconds, which covers a
+/// request and its response, lost once and repeated. Meanwhile the replicas are not listed in the
+/// store as well.
 pub const LISTING_MS: u64 = 500;
 
-/// A page of a listing.
+/// Properties of a page of a listing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListingPage {
-    /// Position up to which the listing shows all.
+    /// Position up to which the listing shows everything.
     pub end: TopicPosition,
-    /// Position from which the next page goes on; `None` on the last.
+    /// Position at which the next page begins; `None` on the last page.
     pub next: Option<TopicPosition>,
-    /// From this position on it shows which replicas are gone as well.
+    /// Position from which on the listing includes tombstones.
     pub tombstones_from: TopicPosition,
 }
 
-/// What a box wants to know of the entries.
+/// What a box requests of the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EntryQuery {
-    /// All changes before this position are known; `None` if nothing is.
+    /// All changes before this position are known; `None` if nothing is known.
     pub known_to: Option<TopicPosition>,
-    /// Where the next page of a listing begins, if one is under way; else before all.
+    /// Where the next page of a listing in progress begins; otherwise the first position.
     pub page_from: TopicPosition,
-    /// Whether replicas are known that a listing may have to remove.
+    /// Whether the box knows replicas that a listing may have to remove.
     pub has_backends: bool,
 }
 
-/// What a box tells of the entries.
+/// Response about the entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntryAnswer {
     /// The changes.
     pub changes: Vec<BackendChange>,
-    /// All changes before this position are known with them; `None` if nothing was known.
+    /// All changes before this position are known with the response; `None` if the responding box
+    /// knew nothing.
     pub known_to: Option<TopicPosition>,
-    /// How long ago that was all there was, in milliseconds; `None` if it wasn't.
+    /// Age of that knowledge, in milliseconds; `None` if there are further changes.
     pub age_ms: Option<u64>,
-    /// The page of a listing, if the changes are one.
+    /// Properties of the page, if the changes are a page of a listing.
     pub page: Option<ListingPage>,
 }
 
-/// A listing of which not all pages have come.
+/// A listing of which some pages are missing.
 #[derive(Debug)]
 struct PartialListing {
     end: TopicPosition,
@@ -65,7 +68,7 @@
     as_of: Option<BoxTime>,
     next: TopicPosition,
     rows: Vec<BackendChange>,
-    /// When its last page came.
+    /// When its last page was received.
     received_at: BoxTime,
 }
 
@@ -74,9 +77,9 @@
 pub struct EntryPosition {
     /// All changes before this position are known.
     known_to: Option<TopicPosition>,
-    /// As of when that was all there was.
+    /// Time as of which there were no others.
     as_of: Option<BoxTime>,
-    /// From here on it is known which replicas are gone.
+    /// Position from which on all removals are known.
     tombstones_from: TopicPosition,
     listing: Option<PartialListing>,
 }
@@ -87,31 +90,31 @@
         self.known_to
     }
 
-    /// Age of what is known, in milliseconds; `None` before the first listing.
+    /// Age of the knowledge, in milliseconds; `None` before the first listing.
     pub fn age_ms(&self, now: BoxTime) -> Option<u64> {
         self.as_of.map(|at| now.millis_since(at))
     }
 
-    /// Whether the pages of a listing come in.
+    /// Whether pages of a listing are being received.
     pub fn is_listing(&self, now: BoxTime) -> bool {
         let listing = self.listing.as_ref();
         listing.is_some_and(|listing| now.millis_since(listing.received_at) < LISTING_MS)
     }
 
-    /// Notes a listing of all entries before `end`.
+    /// Records a listing of all entries before `end`.
     pub fn record_listing(&mut self, end: TopicPosition) {
         self.known_to = Some(end);
         self.tombstones_from = end;
         self.listing = None;
     }
 
-    /// Notes one that shows as well which replicas are gone from a position on.
+    /// Records a listing that also shows all removals from a position on.
     fn record_received_listing(&mut self, end: TopicPosition, tombstones_from: TopicPosition) {
         self.record_listing(end);
         self.tombstones_from = tombstones_from.min(end);
     }
 
-    /// Notes that all changes before `to` are known, and that there were no others at `as_of`.
+    /// Records that all changes before `to` are known, and that there were no others at `as_of`.
     pub fn record_read(&mut self, to: TopicPosition, as_of: Option<BoxTime>) {
         self.known_to = self.known_to.max(Some(to));
         if self.known_to == Some(to) {
@@ -119,16 +122,16 @@
         }
     }
 
-    /// What this box wants to know.
+    /// What this box requests of the entries.
     pub fn query(&self, has_backends: bool) -> EntryQuery {
         let page_from = self.listing.as_ref().map(|listing| listing.next).unwrap_or_default();
         EntryQuery { known_to: self.known_to, page_from, has_backends }
     }
 
-    /// What is told to a box with this query.
+    /// The response to a query.
     pub fn answer(&self, query: EntryQuery, table: &BackendTable, now: BoxTime) -> EntryAnswer {
         let Some(known_to) = self.known_to else { return EntryAnswer::default() };
-        // A replica that may come back is neither told nor passed over.
+        // A replica in its grace period is neither sent nor skipped.
         let first_expiring = table.first_expiring();
         let settled_to = first_expiring.map_or(known_to, |at| at.min(known_to));
         let tombstones_from = self.tombstones_from.max(table.tombstones_from());
@@ -155,8 +158,8 @@
         EntryAnswer { changes, known_to: Some(known_to), age_ms, page }
     }
 
-    /// Takes what another box told of changes, in answer to a query. Nothing is left out only if that query
-    /// named no more than is known now.
+    /// Applies the changes that another box sent in response to a query. They leave no gap only if
+    /// the query stated no more than is known now.
     pub fn apply_changes(
         &mut self,
         query: EntryQuery,
@@ -172,12 +175,14 @@
         if to >= known {
             self.record_read(to, as_of);
         } else if to.era == known.era {
-            // The other knows less, and nothing was there then that this box does not know.
+            // The other box knows less, and at that time there was nothing that this box does not
+            // know.
             self.as_of = self.as_of.max(as_of);
         }
     }
 
-    /// Takes a page of a listing. Gives the is_listing_page of it, with its end, when the last one has come.
+    /// Applies a page of a listing. Returns the complete listing and its end once the last page has
+    /// arrived.
     pub fn apply_page(
         &mut self,
         query: EntryQuery,
@@ -221,8 +226,8 @@
     }
 }
 
-/// How many of more changes than an answer holds are told in one: up to a position that is the same for all who ask, so that
-/// what follows is packed once for them.
+/// Number of changes to send if there are more than a response holds: up to a position that is the
+/// same for all requests, so that the following changes are packed once for all of them.
 fn aligned_count(changes: &[BackendChange]) -> usize {
     let window =
         |change: &BackendChange| (change.at.era, change.at.offset / CHANGES_PER_MESSAGE as u64);
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -1,5 +1,5 @@
-//! What this box tells the others, and what it takes from them: news of replicas, trials, and how fresh
-//! its knowledge is.
+//! Gossip and sync responses: what this box sends to others, and what it applies from them, namely
+//! changes of replicas, trials, and the freshness of its knowledge.
 
 use std::collections::VecDeque;
 
@@ -16,35 +16,36 @@
 use crate::event::EventStamp;
 use crate::time::BoxTime;
 
-/// News of a replica is told to other boxes for this long, in milliseconds: three notes. Who hears it
-/// tells it on.
+/// A change of a replica is announced for this long, in milliseconds, which is three messages.
+/// Boxes that receive it announce it in turn.
 pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
-/// News of replicas in one message, at most, the newest first; what a box misses it reads itself later.
+/// Upper bound of the changes in one message, the newest first. A box reads the changes that it
+/// misses from the store later.
 pub const CHANGES_PER_ROUND: usize = 40;
 
-/// The notes of a box, and the news that they carry.
+/// Rounds of gossip, and the changes that they announce.
 #[derive(Debug, Default)]
 pub(super) struct GossipRounds {
     /// Number of the last message.
     pub(super) last_number: u64,
     /// When the next round is due.
     pub(super) next_round: BoxTime,
-    /// News of replicas, with when it was learnt.
+    /// Changes of replicas, with the time at which this box learned of them.
     pub(super) changes: VecDeque<(BoxTime, BackendChange)>,
 }
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MessageKind {
-    /// It goes to some boxes by turns.
+    /// Sent to some boxes in each round.
     Round,
-    /// It answers an ask.
+    /// Responds to a sync request.
     Response,
 }
 
 impl RouteState {
-    /// Tells news of a replica to other boxes, at once and for a while.
+    /// Announces a change of a replica at once, and again for a while.
     pub(super) fn announce_change(
         &mut self,
         stamp: EventStamp,
@@ -63,7 +64,7 @@
         self.rounds.next_round = BoxTime::default();
     }
 
-    /// Sends a round of notes, if it is time for one.
+    /// Sends a round of gossip, if one is due.
     pub(super) fn send_gossip(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         if stamp.now < self.rounds.next_round {
             return;
@@ -89,7 +90,8 @@
             Default::default()
         };
         let budgets = self.budget_updates(stamp.now);
-        // Each takes a look at all replicas, and rounds of notes bring them to all: an answer comes too often for that.
+        // Each of these scans all replicas, and rounds of gossip carry them to all boxes anyway:
+        // responses are too frequent for such scans.
         let (loads, down, limits) = if kind == MessageKind::Round || self.peers.gossip_reaches_all()
         {
             let backends = &self.backends;
@@ -141,7 +143,7 @@
         }
     }
 
-    /// This box's further sends, for services that had requests lately.
+    /// Extra attempts of this box, for services with recent requests.
     fn budget_updates(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
         let bounds = self.settings.budget;
         let counts = self.budgets.iter_mut().map(|(service, budget)| BudgetUpdate {
@@ -151,7 +153,7 @@
         counts.filter(|update| update.count != SendCount::default()).collect()
     }
 
-    /// Paces of the models of services that have any.
+    /// Latency estimates of models, for services that have any.
     fn latency_updates(&self) -> Vec<LatencyUpdate> {
         let updates = self.latencies.iter().map(|(service, latency)| LatencyUpdate {
             service: service.clone(),
@@ -160,13 +162,13 @@
         updates.filter(|message| !message.models.is_empty()).collect()
     }
 
-    /// Whether the message of this number tells of other boxes. Boxes that start together all do: they have to find
-    /// each other.
+    /// Whether the message of this number lists other boxes. Boxes that started recently always do,
+    /// because boxes that start together have to find each other.
     fn includes_peers(&self, number: u64, now: BoxTime) -> bool {
         self.started_lately(now) || number % peers::PEERS_EVERY_MESSAGES == 0
     }
 
-    /// What this box says of itself.
+    /// State of this box for other boxes.
     fn own_info(&self, now: BoxTime) -> PeerInfo {
         PeerInfo {
             incarnation: self.settings.incarnation,
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Asks a reader how fresh this box's knowledge is, unless it reads often itself; one that knows nothing
-    /// yet asks anybody, again and again.
+    /// Sends a sync request to a store reader, unless this box is one. A box that knows nothing yet
+    /// sends requests to any box, repeatedly.
     pub(super) fn request_sync(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
         let again = !self.is_starting() && self.sync.unanswered_at.is_some_and(unanswered);
@@ -189,7 +191,7 @@
             return;
         }
         let (own, readers) = self.peers.readers(&self.local_peer(stamp.now), stamp.now);
-        // A box that was started while the store is away knows no replica, reader or not.
+        // A box that started during a store outage knows no replica, even if it is a reader.
         if own && self.knows_replicas() {
             self.sync.unanswered_at = None;
             return;
@@ -205,7 +207,7 @@
         out.push(RouteEffect::SendSyncRequest(reader, self.sync_request(stamp)));
     }
 
-    /// Time until the next ask, in milliseconds.
+    /// Pause before the next sync request, in milliseconds.
     fn sync_pause_ms(&mut self, now: BoxTime) -> u64 {
         let starting = self.is_starting();
         let mostly_open = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Answers another box's ask.
+    /// Responds to the sync request of another box.
     pub(super) fn on_sync_request(
         &mut self,
         stamp: EventStamp,
@@ -257,7 +259,7 @@
             return;
         }
         if self.is_starting() && message.info.open && message.in_reply_to.is_none() {
-            // It has just come to know what this box asks for, and has told few others so.
+            // That box has just become able to respond and has announced it to few others so far.
             self.sync.next_request = stamp.now;
         }
         self.peers.add_addresses(&message.others, &self.settings.gossip_address, stamp.now);
@@ -292,7 +294,8 @@
         self.apply_freshness(stamp, message, out);
     }
 
-    /// Takes what another box says of replicas: news, or the answer to an ask.
+    /// Applies what another box sent about replicas: recent changes, or the response to a sync
+    /// request.
     fn apply_entries(
         &mut self,
         stamp: EventStamp,
@@ -301,8 +304,8 @@
     ) {
         let changes = message.changes.clone();
         let Some(request) = own_request(message, self.settings.incarnation, stamp.now) else {
-            // Only what is gone for good is told: that this box lost the store says nothing against it, and a
-            // replica must get nothing two seconds after the store's word.
+            // Gossip carries final removals only. They apply even if this box has lost the store,
+            // because a replica must receive nothing two seconds after the store shows its removal.
             return self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
         };
         self.sync.unanswered_at = None;
@@ -313,12 +316,12 @@
         let EntryCoverage { known_to, age_ms, page } = message.entries;
         let as_of = age_ms.map(|age| request.asked_at.minus_millis(age));
         let Some(page) = page else {
-            // An answer that is no word of all there is has more behind it.
+            // A response that does not cover all changes leaves more to request.
             let more = age_ms.is_none() && known_to > request.entries.known_to;
             self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
             self.entries.apply_changes(request.entries, known_to, as_of);
             if more {
-                // Where replicas come in thousands, an ask now and then does not keep up with them.
+                // Periodic requests do not keep up with thousands of replicas.
                 out.push(RouteEffect::SendSyncRequest(
                     message.info.gossip_address.clone(),
                     self.sync_request(stamp),
@@ -338,7 +341,7 @@
         }
     }
 
-    /// Relies on what another box read, as of when it says, if this box has read as far.
+    /// Renews the freshness of the plan by what another box has read, if this box has read as far.
     fn apply_freshness(
         &mut self,
         stamp: EventStamp,
@@ -347,8 +350,9 @@
     ) {
         if message.known > self.plan_position() {
             self.sync.behind_since.get_or_insert(stamp.now);
-            // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
-            // one, asking again gives the same.
+            // A response contains the requested records unless they are too large, alone or beside
+            // a page of replicas. If they are missing without a page, the same request would be
+            // answered in the same way.
             let answers = own_request(message, self.settings.incarnation, stamp.now)
                 .is_some_and(|request| request.known == self.plan_position());
             self.sync.lagging |= answers && message.entries.page.is_none();
@@ -367,15 +371,15 @@
         }
     }
 
-    /// As of when, on this box's clock, another one knew what its message says; `None` if the message
-    /// answers no ask of this life of the process, or one that is too old.
+    /// Time on this box's clock as of which another box knew the content of its message. `None`
+    /// unless the message answers a recent sync request of this process.
     pub fn message_as_of(&self, message: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
         let request = own_request(message, self.settings.incarnation, now)?;
         Some(request.asked_at.minus_millis(message.read_age_ms?))
     }
 }
 
-/// The ask that a message answers, if it was made in this life of the process and not too long ago.
+/// The sync request that a message answers, if this process sent it recently.
 fn own_request(message: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
     let request =
         message.in_reply_to.as_ref().filter(|request| request.incarnation == incarnation)?;
--- a/crates/core/src/route/peers/duties.rs
+++ b/crates/core/src/route/peers/duties.rs
@@ -1,8 +1,9 @@
-//! Which boxes have duties for all: reading the store, writing what is due there.
+//! Which boxes have duties for the fleet: reading the store, and writing records that are due.
 //!
-//! Load pattern: hundreds of boxes of which each hears any other but now and then. Each box orders all that
-//! live by the same keys, and notes tell of those in front, so that all agree within some rounds; two views
-//! that differ by a few boxes cost a call to the store and no more. Whose calls fail goes behind.
+//! Load pattern: hundreds of boxes, each of which receives messages from any other only now and
+//! then. All boxes order the live boxes by the same keys, and gossip names the first ones, so that
+//! they agree within a few rounds. Two views that differ by a few boxes cost a call to the store
+//! and nothing more. A box whose calls fail moves to the end.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,13 +12,13 @@
 use super::{PeerSummary, CLIENTS_PER_READER, READERS_MIN, SPARE_DUTY_HOLDERS};
 use crate::time::BoxTime;
 
-/// Processor time of a box that answers many others, in cores.
+/// Processor time of a box that can respond to many others, in cores.
 pub const STRONG_CORES: f64 = 0.5;
 
-/// Link of a box that answers many others, in megabits a second.
+/// Link of a box that can respond to many others, in megabits a second.
 pub const STRONG_LINK_MBPS: f64 = 100.0;
 
-/// What a box has for its work, as its settings say.
+/// Resources of a box, from its settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct BoxCapacity {
     /// Processor time, in cores.
@@ -27,37 +28,40 @@
 }
 
 impl BoxCapacity {
-    /// Whether the box can answer many others. Where boxes differ, a reader costs a small one much of what it has.
+    /// Whether the box can respond to many others. In a mixed fleet, reading the store for others
+    /// would take a large part of a small box's resources.
     pub fn is_strong(self) -> bool {
         self.cores >= STRONG_CORES && self.link_mbps >= STRONG_LINK_MBPS
     }
 }
 
-/// This box among the candidates for a duty.
+/// This box as a candidate for a duty.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalPeer<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Whether callers may be sent to it, or it reads the store for the others.
+    /// Whether callers may be directed to it, or it is a store reader.
     pub serves: bool,
-    /// Whether it can't reach the store.
+    /// Whether it cannot reach the store.
     pub store_unreachable: bool,
-    /// Whether it can answer many others.
+    /// Whether it can respond to many others.
     pub strong: bool,
-    /// Since when callers may be sent to it; others that have said nothing since may have come as far.
+    /// Since when callers may be directed to it. Other boxes without a message since then may have
+    /// become open as well.
     pub open_since: Option<BoxTime>,
 }
 
 impl LocalPeer<'_> {
-    /// Whether another box serves or reads, or may do so by now.
+    /// Whether another box is open or a reader, or may be by now.
     fn may_serve(&self, other: &PeerState) -> bool {
         other.info.serves() || self.open_since.is_some_and(|since| other.seen_at < since)
     }
 }
 
-/// By what boxes come one after the other in a duty: those that reach the store first, of these those that serve or read
-/// already (where the plan grows old on all, the readers stay), then those that can answer many others, then by a hash
-/// of their names, so that they lie in different availability zones.
+/// Order of candidates for a duty. Boxes that reach the store come first. Among them, boxes that
+/// are open or readers come first: if the plan grows old on all boxes, the readers remain the same.
+/// Then come boxes that can respond to many others, then the order is by a hash of the names, which
+/// spreads duties over availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateKey {
     store_unreachable: bool,
@@ -83,11 +87,11 @@
     }
 }
 
-/// A box that may have a duty; without a name, this one.
+/// A candidate for a duty; this box has no name here.
 type Candidate<'a> = (CandidateKey, Option<&'a str>);
 
 impl PeerTable {
-    /// Boxes that may have duties, this one included, in their order.
+    /// Candidates for duties, including this box, in order.
     fn candidates(&self, me: &LocalPeer, now: BoxTime) -> Vec<Candidate<'_>> {
         let key = |name: &str, row: &PeerState| CandidateKey::of_other(me, name, row);
         let others = self.live_rows(now).map(|(name, row)| (key(name, row), Some(name.as_str())));
@@ -96,7 +100,8 @@
         all
     }
 
-    /// Other boxes that live: where notes reach all, who did not speak is silent; else word of it may be under way.
+    /// Other live boxes. If gossip reaches all boxes directly, a box without a message is silent;
+    /// otherwise its message may still be in transit.
     fn live_rows(&self, now: BoxTime) -> impl Iterator<Item = (&String, &PeerState)> {
         let few = self.gossip_reaches_all();
         let live =
@@ -104,12 +109,12 @@
         self.rows.iter().filter(move |(_, row)| live(row))
     }
 
-    /// How many boxes read the store for the others.
+    /// Number of store readers.
     fn reader_count(&self, now: BoxTime) -> usize {
         READERS_MIN.max(self.fleet_count(now).div_ceil(CLIENTS_PER_READER))
     }
 
-    /// Whether this box is one of the readers, and where the others of them hear notes.
+    /// Whether this box is a store reader, and the gossip addresses of the other readers.
     pub fn readers(&self, me: &LocalPeer, now: BoxTime) -> (bool, Vec<String>) {
         let mut all = self.candidates(me, now);
         all.truncate(self.reader_count(now));
@@ -118,7 +123,7 @@
         (own, others.map(|row| row.info.gossip_address.clone()).collect())
     }
 
-    /// What to tell of the boxes with duties, and of those next in their place; nothing where notes reach all.
+    /// Duty holders and their successors, for gossip; empty if gossip reaches all boxes directly.
     pub fn duty_holders(&self, me: &LocalPeer, now: BoxTime) -> Vec<PeerSummary> {
         if self.gossip_reaches_all() {
             return Vec::new();
@@ -134,12 +139,12 @@
         .collect()
     }
 
-    /// Whether another box lives that reaches the store and serves or reads for the others.
+    /// Whether another live box reaches the store and is open or a reader.
     pub fn any_serves(&self, now: BoxTime) -> bool {
         self.live_rows(now).any(|(_, row)| row.info.serves() && !row.info.store_unreachable)
     }
 
-    /// How many boxes come before this one in a duty that one box has.
+    /// Number of boxes that come before this one in a duty of a single box.
     pub fn rank(&self, me: &LocalPeer, now: BoxTime) -> usize {
         let own = CandidateKey::of_own(me);
         let before =
--- a/crates/core/src/route/peers/table.rs
+++ b/crates/core/src/route/peers/table.rs
@@ -1,4 +1,4 @@
-//! The other boxes as this one knows them, and the addresses where others may be.
+//! The other boxes as this one knows them, and addresses at which other boxes may be.
 
 use std::collections::BTreeMap;
 
@@ -11,26 +11,26 @@
 };
 use crate::time::BoxTime;
 
-/// What is known of another box.
+/// What this box knows of another one.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerState {
-    /// What it says of itself.
+    /// State as that box reported it.
     #[serde(flatten)]
     pub info: PeerInfo,
-    /// Number of its last message; 0 if it was only heard of.
+    /// Number of its last message; 0 if it is known through others only.
     pub number: u64,
-    /// When it was heard last.
+    /// When it sent its last message.
     #[serde(rename = "heard_at")]
     pub seen_at: BoxTime,
 }
 
 impl PeerState {
-    /// Whether it was heard lately.
+    /// Whether it sent a message recently.
     pub(super) fn is_live(&self, now: BoxTime) -> bool {
         now.millis_since(self.seen_at) < SILENT_MS
     }
 
-    /// Whether it was heard lately, or others have lately heard it.
+    /// Whether it sent a message recently, to this box or to another one.
     pub(super) fn may_hold_duty(&self, now: BoxTime) -> bool {
         now.millis_since(self.seen_at) < INDIRECT_SILENT_MS
     }
@@ -40,7 +40,7 @@
 #[derive(Debug, Default)]
 pub struct PeerTable {
     pub(super) rows: BTreeMap<String, PeerState>,
-    /// Addresses that were only heard of, with when.
+    /// Addresses from which no message was received, with the time when they became known.
     unverified: BTreeMap<String, BoxTime>,
 }
 
@@ -50,7 +50,8 @@
         self.rows.iter()
     }
 
-    /// Takes a message. Returns false if it is older than one that was taken.
+    /// Applies the state in a message. Returns false if the message is older than one that was
+    /// received.
     pub fn merge(&mut self, message: &GossipMessage, now: BoxTime) -> bool {
         let known = self.rows.get(&message.name);
         let same = known.filter(|row| row.info.incarnation == message.info.incarnation);
@@ -62,7 +63,7 @@
         true
     }
 
-    /// Takes what another box told of boxes with duties.
+    /// Applies what another box reported of duty holders.
     pub fn apply_duty_holders(&mut self, duty_holders: &[PeerSummary], me: &str, now: BoxTime) {
         for peer in
             duty_holders.iter().filter(|peer| peer.name != me && peer.age_ms < INDIRECT_SILENT_MS)
@@ -71,11 +72,11 @@
         }
     }
 
-    /// Takes what was told of a box that spoke at `seen_at`.
+    /// Applies what was reported of a box that sent a message at `seen_at`.
     fn apply_duty_holder(&mut self, peer: &PeerSummary, seen_at: BoxTime) {
         let here = |row: &PeerState| row.info.gossip_address == peer.info.gossip_address;
         let later = |row: &PeerState| row.seen_at >= seen_at;
-        // An address has one box, and who was heard there last is it.
+        // An address belongs to one box: the one that sent the last message from it.
         let stands =
             |(name, row): (&String, &PeerState)| (*name == peer.name || here(row)) && later(row);
         if self.rows.iter().any(stands) {
@@ -83,13 +84,14 @@
         }
         let known = self.rows.get(&peer.name);
         let same = known.filter(|row| row.info.incarnation == peer.info.incarnation);
-        // Only its own notes are numbered: one that is still under way must not look old.
+        // Only messages of the box itself are numbered: one that is still in transit must not
+        // appear outdated.
         let number = same.map_or(0, |row| row.number);
         let state = PeerState { info: peer.info.clone(), number, seen_at };
         self.put(&peer.name, state);
     }
 
-    /// Notes a box, in place of any other at its address.
+    /// Stores a box, in place of any other at its address.
     fn put(&mut self, name: &str, state: PeerState) {
         let address = &state.info.gossip_address;
         self.unverified.remove(address);
@@ -97,7 +99,7 @@
         self.rows.insert(name.to_owned(), state);
     }
 
-    /// Notes addresses that may have a box.
+    /// Adds addresses at which other boxes may be.
     pub fn add_addresses(&mut self, addresses: &[String], own: &str, now: BoxTime) {
         for address in addresses {
             let known = self.rows.values().any(|row| row.info.gossip_address == *address);
@@ -107,19 +109,20 @@
         }
     }
 
-    /// Forgets boxes that were silent for long, and addresses where nobody answered.
+    /// Removes boxes that were silent for long, and addresses that did not respond.
     pub fn forget(&mut self, now: BoxTime) {
         self.rows.retain(|_, row| now.millis_since(row.seen_at) < PEER_EXPIRY_MS);
         self.unverified.retain(|_, at| now.millis_since(*at) < PEER_EXPIRY_MS);
     }
 
-    /// Boxes that live, this one included.
+    /// Number of live boxes, including this one.
     pub fn live_count(&self, now: BoxTime) -> usize {
         1 + self.rows.values().filter(|row| row.is_live(now)).count()
     }
 
-    /// Addresses for the next round of notes of a box in `zone`: all if they are few, else some by chance, of
-    /// these most in the same availability zone. Who was only heard of may be anywhere.
+    /// Addresses for the next round of gossip of a box in `zone`: all if they are few, otherwise
+    /// random ones, most of them in the same availability zone. The zone of an unverified address
+    /// is unknown.
     pub fn gossip_targets(&self, zone: &str, random: u64) -> Vec<String> {
         let near = |row: &&PeerState| row.info.zone == zone;
         let known = |row: &PeerState| row.info.gossip_address.clone();
@@ -137,8 +140,9 @@
         targets
     }
 
-    /// Boxes of the fleet, this one included: where notes reach all, those that live; else all that were
-    /// heard or heard of within [`PEER_EXPIRY_MS`], since each box hears the others but now and then.
+    /// Number of boxes in the fleet, including this one. If gossip reaches all boxes directly,
+    /// these are the live ones; otherwise all that are known since [`PEER_EXPIRY_MS`], because each
+    /// box receives messages from any other only now and then.
     pub fn fleet_count(&self, now: BoxTime) -> usize {
         let live = self.live_count(now);
         if self.gossip_reaches_all() {
@@ -147,25 +151,27 @@
         1 + self.rows.len() + self.unverified.len()
     }
 
-    /// Names of the fleet's other boxes: those that [`Self::fleet_count`] counts and whose names are known.
+    /// Names of the fleet's other boxes: those that [`Self::fleet_count`] counts and whose names
+    /// are known.
     pub fn fleet_names(&self, now: BoxTime) -> impl Iterator<Item = &str> {
         let all = !self.gossip_reaches_all();
         let rows = self.rows.iter().filter(move |(_, row)| all || row.is_live(now));
         rows.map(|(name, _)| name.as_str())
     }
 
-    /// Whether the boxes that are known are so few that each message reaches all.
+    /// Whether so few boxes are known that each message goes to all of them.
     pub fn gossip_reaches_all(&self) -> bool {
         self.rows.len() + self.unverified.len() <= GOSSIP_FANOUT
     }
 
-    /// All addresses that have, or may have, another box.
+    /// All addresses at which other boxes are or may be.
     pub fn addresses(&self) -> Vec<String> {
         let known = self.rows.values().map(|row| &row.info.gossip_address);
         known.chain(self.unverified.keys()).cloned().collect()
     }
 
-    /// An open box, by chance, of an availability zone if it has any: what a box that knows nothing asks first.
+    /// A random open box, if possible in the given availability zone: a box that knows nothing
+    /// requests state from it first.
     pub fn any_open(&self, zone: &str, now: BoxTime, random: u64) -> Option<String> {
         let (near, far): (Vec<&PeerState>, Vec<&PeerState>) =
             self.open_rows(now).partition(|row| row.info.zone == zone);
@@ -174,7 +180,7 @@
         rows.get(index as usize).map(|row| row.info.gossip_address.clone())
     }
 
-    /// An address that may have a box, by chance: what a box asks that knows nobody yet.
+    /// A random address at which a box may be, for a box that knows no other box yet.
     pub fn any_address(&self, random: u64) -> Option<String> {
         let known = self.rows.values().map(|row| &row.info.gossip_address);
         let all: Vec<&String> = known.chain(self.unverified.keys()).collect();
@@ -182,7 +188,7 @@
         all.get(index as usize).map(|address| (*address).clone())
     }
 
-    /// Addresses of a few other boxes, by chance.
+    /// Random addresses of a few other boxes.
     pub fn some_addresses(&self, random: u64) -> Vec<String> {
         let first = (random % self.rows.len().max(1) as u64) as usize;
         let rows = self.rows.values().chain(self.rows.values()).skip(first);
@@ -190,7 +196,7 @@
         some.map(|row| row.info.gossip_address.clone()).collect()
     }
 
-    /// Live boxes that callers may be sent to.
+    /// Live boxes that callers may be directed to.
     pub fn open_rows(&self, now: BoxTime) -> impl Iterator<Item = &PeerState> {
         self.rows.values().filter(move |row| row.info.open && row.is_live(now))
     }
