--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -6,7 +6,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
-    ask, at, entry, head, is_refused, new_box, note_in, order_in, plan, ready_box, refusal_in,
+    ask, at, entry, gossip_in, head, is_refused, new_box, order_in, plan, ready_box, refusal_in,
     TestBox,
 };
 
@@ -157,7 +157,7 @@
     let mut subject = zoned_box();
     read_orders(&mut teller, None, 7, &[("east", true), ("north", true)]);
     teller.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note");
+    let note = gossip_in(&teller.feed(RouteEvent::Tick)).expect("a note");
 
     let note = ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..note };
     subject.feed(RouteEvent::GossipReceived(Box::new(note)));
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -222,7 +222,7 @@
     })
 }
 
-pub fn note_in(effects: &[RouteEffect]) -> Option<GossipMessage> {
+pub fn gossip_in(effects: &[RouteEffect]) -> Option<GossipMessage> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendGossip(_, note) => Some((**note).clone()),
         _ => None,
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -4,7 +4,7 @@
 use ravenspoke_core::route::event::{AnswerHead, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 
-use crate::fixture::{ask, at, entry, head, note_in, ready_box, TestBox};
+use crate::fixture::{ask, at, entry, gossip_in, head, ready_box, TestBox};
 
 /// Requests of which some would go to a replica of two, by chance.
 const REQUESTS: usize = 40;
@@ -33,7 +33,7 @@
         if leaving {
             let said = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
             assert!(effects.iter().any(said));
-            let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+            let note = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
             return (subject, note);
         }
     }
@@ -62,7 +62,7 @@
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
     assert!(effects.iter().any(news));
     assert!(!uses_a(&mut other));
-    let told = note_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
+    let told = gossip_in(&other.feed(RouteEvent::Tick)).expect("a note at once").changes;
     assert!(told.iter().any(|change| change.id == "a"));
 }
 
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
 
-use crate::fixture::{ask, head, note_in, ready_box, TestBox};
+use crate::fixture::{ask, gossip_in, head, ready_box, TestBox};
 
 /// The replica that holds the parts of `affinity`, as this box sends a first request for them.
 fn holder(subject: &mut TestBox, affinity: u64) -> String {
@@ -62,10 +62,10 @@
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
+    let note = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a note");
     assert_eq!(note.loads, [LoadUpdate { age_ms: 800, ..load }]);
     subject.now += 500;
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note");
+    let note = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a note");
     assert_eq!(note.loads, [], "it is too old to help");
 }
 
@@ -77,7 +77,7 @@
     let (ticket, order) = teller.sent(ask("/read/x"));
     teller.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     teller.now += UNREACHABLE_DELAY_MS;
-    let note = note_in(&teller.feed(RouteEvent::Tick)).expect("a note, before the next is due");
+    let note = gossip_in(&teller.feed(RouteEvent::Tick)).expect("a note, before the next is due");
     let note = GossipMessage { name: "box-9".to_owned(), ..note };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -11,7 +11,7 @@
 use ravenspoke_core::route::{ADVERTISED_AGE_MS, EXPIRY_GRACE_MS};
 use ravenspoke_core::time::BoxTime;
 
-use crate::fixture::{ask, at, entry, new_box, note_in, plan, ready_box, TestBox};
+use crate::fixture::{ask, at, entry, gossip_in, new_box, plan, ready_box, TestBox};
 
 /// Lets `from` tell `to` what it knows.
 pub fn tell(from: &mut TestBox, to: &mut TestBox) -> Vec<RouteEffect> {
@@ -19,7 +19,7 @@
     from.feed(RouteEvent::PeersDiscovered(vec![address]));
     from.now += 500;
     to.now = from.now;
-    let note = note_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
+    let note = gossip_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
     to.feed(RouteEvent::GossipReceived(Box::new(note)))
 }
 
@@ -58,7 +58,7 @@
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     tell(&mut second, &mut first);
-    let note = note_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
+    let note = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
@@ -94,8 +94,8 @@
     second.read_plan(Some(plan(1)));
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.now += 500;
-    let early = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let late = note_in(&second.feed(RouteEvent::StopRequested)).expect("a note");
+    let early = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
+    let late = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("a note");
     first.feed(RouteEvent::GossipReceived(Box::new(late)));
     first.feed(RouteEvent::GossipReceived(Box::new(early)));
     assert_eq!(named(&first), ["box-1:80"]);
@@ -143,7 +143,7 @@
             has_backends: asker.state.backends().rows().next().is_some(),
         },
     };
-    note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer")
+    gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer")
 }
 
 fn age(subject: &TestBox) -> Option<u64> {
@@ -219,10 +219,10 @@
     second.put(entry("c", "v1"));
     second.drop_entry("c");
     second.put(entry("d", "v1"));
-    let note = note_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
+    let note = gossip_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
     first.feed(RouteEvent::PeersDiscovered(vec!["box-3:90".to_owned()]));
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
-    let note = note_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
+    let note = gossip_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
     third.feed(RouteEvent::GossipReceived(Box::new(note)));
     let note = answer(&mut first, &third);
     third.feed(RouteEvent::GossipReceived(Box::new(note)));
@@ -360,7 +360,7 @@
 fn a_box_that_was_told_everything_when_it_started_calls_the_store_for_nothing() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
     let ask = ask_in(&started.feed(RouteEvent::Tick)).expect("it asks");
-    let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
+    let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
     let as_of = started.state.message_as_of(&note, clock(&started)).expect("a word");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
@@ -424,7 +424,7 @@
     let mut pages = 1;
     while let Some(ask) = ask_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
-        let note = note_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
+        let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
         assert!(note.changes.len() <= CHANGES_PER_MESSAGE);
         effects = asker.feed(RouteEvent::GossipReceived(Box::new(note)));
         pages += 1;
@@ -493,7 +493,7 @@
     let (mut first, mut second) = (ready_box(), second_ready_box());
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
-    let note = note_in(&second.feed(RouteEvent::Tick)).expect("a note");
+    let note = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
     let lead = PeerSummary { name: "box-2".to_owned(), info: note.info.clone(), age_ms: 0 };
     let leads = vec![lead];
     let name = "box-3".to_owned();
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -11,7 +11,7 @@
     CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, FATAL_BINDS_MS, FATAL_ENDS, UNHEARD_MS,
 };
 
-use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
+use crate::fixture::{ask, at, entry, gossip_in, head, is_refused, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, RATE};
 
 /// Boxes, and replicas before them.
@@ -262,7 +262,7 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(told(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    let note = note_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
+    let note = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a note at once");
     let word = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
     assert_eq!(note.contents, vec![word]);
 }
@@ -314,9 +314,9 @@
     let mut subject = box_of_six();
     let order = end_under(&mut subject, "one");
     subject.now += 500;
-    let note = note_in(&subject.feed(told(Vec::new()))).or_else(|| {
+    let note = gossip_in(&subject.feed(told(Vec::new()))).or_else(|| {
         subject.now += 500;
-        note_in(&subject.feed(RouteEvent::Tick))
+        gossip_in(&subject.feed(RouteEvent::Tick))
     });
     let crashes = note.expect("a note").crashes;
     assert_eq!(crashes.len(), 1);
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -15,7 +15,7 @@
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
-use crate::fixture::{ask, at, entry, head, note_in, plan, session, settings};
+use crate::fixture::{ask, at, entry, gossip_in, head, plan, session, settings};
 
 /// Boxes, and replicas before them, as deployments have them.
 pub const SIZES: [(usize, usize); 3] = [(9, 16), (84, 140), (300, 500)];
@@ -217,7 +217,7 @@
     fn told_down(&mut self) -> Vec<Vec<UnreachableUpdate>> {
         let mut told = Vec::new();
         for number in 0..self.boxes.len() {
-            let note = note_in(&self.feed(number, RouteEvent::Tick));
+            let note = gossip_in(&self.feed(number, RouteEvent::Tick));
             told.push(note.map(|note| note.down).unwrap_or_default());
         }
         told
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -34,7 +34,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
-    ask, at, entry, head, is_refused, new_box, note_in, plan, ready_box, session, TestBox,
+    ask, at, entry, gossip_in, head, is_refused, new_box, plan, ready_box, session, TestBox,
 };
 use crate::plan_fleet::site;
 
@@ -85,7 +85,7 @@
 fn told_by(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
-    note_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
+    gossip_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
 }
 
 /// Version that a session's request is answered by.
@@ -131,7 +131,7 @@
 
     let (mut given, mut notes) = (Vec::new(), Vec::new());
     for step in 1..=15 {
-        notes.extend(note_in(&veteran.feed(RouteEvent::Tick)));
+        notes.extend(gossip_in(&veteran.feed(RouteEvent::Tick)));
         if step == 5 {
             let told = notes.drain(..).map(|note| RouteEvent::GossipReceived(Box::new(note)));
             told.for_each(|event| drop(starter.feed(event)));
@@ -375,7 +375,8 @@
         asked_at: BoxTime::from_millis(starter.now),
         ..SyncRequest::default()
     };
-    let told = note_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
+    let told =
+        gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
 
     let as_of = starter.state.message_as_of(&told, BoxTime::from_millis(starter.now));
     let asked_at = as_of.expect("it answers this box's ask");
