--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -337,7 +337,7 @@
     BoxTime::from_millis(subject.now)
 }
 
-pub fn ask_in(effects: &[RouteEffect]) -> Option<SyncRequest> {
+pub fn sync_request_in(effects: &[RouteEffect]) -> Option<SyncRequest> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::SendSyncRequest(_, ask) => Some(ask.clone()),
         _ => None,
@@ -348,7 +348,7 @@
 fn a_box_that_starts_asks_others_and_reads_the_store_only_if_nobody_knows() {
     let (mut started, latest) = started_box();
     let effects = started.feed(RouteEvent::Tick);
-    assert!(ask_in(&effects).is_some(), "it asks at once");
+    assert!(sync_request_in(&effects).is_some(), "it asks at once");
     assert!(!started.state.must_read_plan(clock(&started)));
     assert!(!started.state.must_read_entries(clock(&started)));
     started.now = latest - 1;
@@ -359,7 +359,7 @@
 #[test]
 fn a_box_that_was_told_everything_when_it_started_calls_the_store_for_nothing() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
-    let ask = ask_in(&started.feed(RouteEvent::Tick)).expect("it asks");
+    let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it asks");
     let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
     let as_of = started.state.message_as_of(&note, clock(&started)).expect("a word");
     started.feed(RouteEvent::PlanRead {
@@ -422,7 +422,7 @@
     }
     let mut effects = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     let mut pages = 1;
-    while let Some(ask) = ask_in(&effects) {
+    while let Some(ask) = sync_request_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
         let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
         assert!(note.changes.len() <= CHANGES_PER_MESSAGE);
@@ -537,6 +537,6 @@
     let first = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     let second = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
 
-    assert!(ask_in(&first).is_none() || ask_in(&second).is_none());
-    assert!(ask_in(&second).is_none(), "it was told the same again");
+    assert!(sync_request_in(&first).is_none() || sync_request_in(&second).is_none());
+    assert!(sync_request_in(&second).is_none(), "it was told the same again");
 }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -5,7 +5,7 @@
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo, BEHIND_MS, START_SETTLE_MS};
 
 use crate::fixture::{at, new_box, plan, ready_box, TestBox};
-use crate::membership::{answer, ask_in, clock, tell};
+use crate::membership::{answer, clock, sync_request_in, tell};
 
 /// Three other boxes speak, which callers may be sent to or not.
 fn hear_three_others(subject: &mut TestBox, open: bool) {
@@ -125,7 +125,7 @@
     let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
 
     assert!(!subject.state.must_read_plan(clock(&subject)), "the next answer may hold it");
-    assert!(ask_in(&effects).is_some());
+    assert!(sync_request_in(&effects).is_some());
 }
 
 #[test]
