--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -1,4 +1,4 @@
-//! Which boxes callers are sent to, and what boxes tell each other.
+//! Which boxes callers are sent to, and what boxes deliver_gossip each other.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
@@ -13,8 +13,8 @@
 
 use crate::fixture::{ask, at, entry, gossip_in, new_box, plan, ready_box, TestBox};
 
-/// Lets `from` tell `to` what it knows.
-pub fn tell(from: &mut TestBox, to: &mut TestBox) -> Vec<RouteEffect> {
+/// Lets `from` deliver_gossip `to` what it knows.
+pub fn deliver_gossip(from: &mut TestBox, to: &mut TestBox) -> Vec<RouteEffect> {
     let address = to.state.dump(BoxTime::default()).name.to_owned() + ":90";
     from.feed(RouteEvent::PeersDiscovered(vec![address]));
     from.now += 500;
@@ -47,7 +47,7 @@
 fn callers_are_sent_to_boxes_that_live() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     assert_eq!(named(&first), ["box-2:80", "box-1:80"]);
     first.now += 1_900;
     assert_eq!(named(&first), ["box-1:80"], "it has said nothing for too long");
@@ -57,7 +57,7 @@
 fn a_stopping_box_is_no_longer_named_at_once() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     let note = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
     first.feed(RouteEvent::GossipReceived(Box::new(note)));
     assert_eq!(named(&first), ["box-1:80"]);
@@ -70,11 +70,11 @@
     first.now += ADVERTISED_AGE_MS;
     second.now = first.now;
     second.read_plan(None);
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     assert_eq!(named(&first), ["box-2:80"]);
     first.now += 1_900;
     second.now = first.now;
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     first.now += 400;
     second.now = first.now;
     first.read_plan(None);
@@ -111,7 +111,7 @@
     let leaving =
         ravenspoke_core::route::backend::BackendEntry { leaving: true, ..entry("a", "v1") };
     second.put(leaving);
-    let effects = tell(&mut second, &mut first);
+    let effects = deliver_gossip(&mut second, &mut first);
     assert!(effects.contains(&RouteEffect::BackendLeaving("a".to_owned())));
     let (_, order) = first.sent(ask("/read/x"));
     assert_eq!(order.replica_id, "b");
@@ -121,7 +121,7 @@
 fn a_newer_plan_elsewhere_is_asked_for_and_else_read() {
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(2)));
-    let effects = tell(&mut second, &mut first);
+    let effects = deliver_gossip(&mut second, &mut first);
     let asked = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(to, _) if to == "box-2:90");
     assert!(effects.iter().any(asked), "it asks who told it");
     let now = |subject: &TestBox| BoxTime::from_millis(subject.now);
@@ -206,7 +206,7 @@
     first.now += 1_000;
     second.now = first.now;
     second.read_plan(Some(plan(1)));
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     assert_eq!(age(&first), Some(1_500));
 }
 
@@ -262,11 +262,11 @@
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(1)));
     second.put(entry("a", "v1"));
-    let (_, stale) = (second.now, tell(&mut second, &mut first));
+    let (_, stale) = (second.now, deliver_gossip(&mut second, &mut first));
     assert!(stale.is_empty(), "what it has is newer or the same");
     first.offset = 20;
     first.drop_entry("a");
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     let known: Vec<String> =
         first.state.backends().rows().map(|(_, row)| row.entry.id.clone()).collect();
     assert_eq!(known, ["b"], "a word from before does not bring it back");
@@ -311,7 +311,7 @@
 fn a_box_that_was_cut_off_takes_the_others_word_on_what_is_gone() {
     let (mut cut, mut other) = box_cut_off_and_another();
     other.drop_entry("a");
-    tell(&mut other, &mut cut);
+    deliver_gossip(&mut other, &mut cut);
     assert!(!uses(&cut, "a") && uses(&cut, "b"));
 }
 
@@ -321,7 +321,7 @@
     cut.drop_entry("a");
     assert!(uses(&cut, "a"), "it may come back: the store may have been away for all");
     other.drop_entry("a");
-    tell(&mut other, &mut cut);
+    deliver_gossip(&mut other, &mut cut);
     assert!(!uses(&cut, "a") && uses(&cut, "b"));
 }
 
@@ -507,7 +507,7 @@
 #[test]
 fn old_word_of_a_box_does_not_make_it_live() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
-    tell(&mut second, &mut first);
+    deliver_gossip(&mut second, &mut first);
     let info = PeerInfo {
         entry_address: "box-2:80".to_owned(),
         gossip_address: "box-2:90".to_owned(),
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -1,11 +1,11 @@
-//! When a box reads the store itself: duties, what others could not tell it, and how old its plan is.
+//! When a box reads the store itself: duties, what others could not deliver_gossip it, and how old its plan is.
 
 use ravenspoke_core::route::entry_sync::ListingPage;
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo, BEHIND_MS, START_SETTLE_MS};
 
 use crate::fixture::{at, new_box, plan, ready_box, TestBox};
-use crate::membership::{answer, clock, sync_request_in, tell};
+use crate::membership::{answer, clock, deliver_gossip, sync_request_in};
 
 /// Three other boxes speak, which callers may be sent to or not.
 fn hear_three_others(subject: &mut TestBox, open: bool) {
@@ -75,7 +75,7 @@
 
 // In a fleet of 91 boxes 40 ran requests by a plan that had been replaced, and refused others, for 20 s. The new plan was
 // too long for a datagram, so that answers of other boxes came without it and each box read it from the store. On those
-// 40 that one read failed; from then on they left the store to the boxes that answered them, which could not tell them
+// 40 that one read failed; from then on they left the store to the boxes that answered them, which could not deliver_gossip them
 // the plan: "store_lost keyed.op" at 66.5 s, "plan=14 plan_age_ms=10932" at 74.5 s, no call to the store before 86 s.
 #[test]
 fn a_box_that_is_not_told_what_others_know_reads_it_though_it_lost_the_store() {
@@ -100,13 +100,13 @@
     let mut reader = new_box("box-3");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    tell(&mut reader, &mut subject);
+    deliver_gossip(&mut reader, &mut subject);
     assert!(!subject.state.must_read_plan(clock(&subject)), "an answer may hold it");
 
     hear_bare_answer(&mut subject);
 
     assert!(subject.state.must_read_plan(clock(&subject)));
-    let effects = tell(&mut reader, &mut subject);
+    let effects = deliver_gossip(&mut reader, &mut subject);
     let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
     assert!(!effects.iter().any(asks));
     subject.read_plan(Some(plan(2)));
