--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -224,7 +224,7 @@
 
 pub fn gossip_in(effects: &[RouteEffect]) -> Option<GossipMessage> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::SendGossip(_, note) => Some((**note).clone()),
+        RouteEffect::SendGossip(_, message) => Some((**message).clone()),
         _ => None,
     })
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -19,8 +19,8 @@
     from.feed(RouteEvent::PeersDiscovered(vec![address]));
     from.now += 500;
     to.now = from.now;
-    let note = gossip_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
-    to.feed(RouteEvent::GossipReceived(Box::new(note)))
+    let message = gossip_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
+    to.feed(RouteEvent::GossipReceived(Box::new(message)))
 }
 
 /// Another box that knows a replica and no plan.
@@ -58,8 +58,8 @@
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     deliver_gossip(&mut second, &mut first);
-    let note = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
-    first.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
+    first.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
 
@@ -157,9 +157,9 @@
     reader.read_plan(Some(plan(1)));
     reader.now += 300;
     asker.now += 2_000;
-    let note = answer(&mut reader, &asker);
+    let message = answer(&mut reader, &asker);
     asker.now += 700;
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(age(&asker), Some(1_000), "700 ms under way and 300 ms old when it was given");
 }
 
@@ -168,8 +168,8 @@
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(2)));
     asker.now += 2_000;
-    let note = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, &asker);
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(age(&asker), Some(2_000));
 }
 
@@ -179,8 +179,8 @@
     asker.read_plan(Some(plan(2)));
     reader.read_plan(Some(plan(1)));
     asker.now += 2_000;
-    let note = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, &asker);
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(age(&asker), Some(2_000));
 }
 
@@ -219,13 +219,13 @@
     second.put(entry("c", "v1"));
     second.drop_entry("c");
     second.put(entry("d", "v1"));
-    let note = gossip_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
+    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
     first.feed(RouteEvent::PeersDiscovered(vec!["box-3:90".to_owned()]));
-    first.feed(RouteEvent::GossipReceived(Box::new(note)));
-    let note = gossip_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
-    third.feed(RouteEvent::GossipReceived(Box::new(note)));
-    let note = answer(&mut first, &third);
-    third.feed(RouteEvent::GossipReceived(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(message)));
+    let message = gossip_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
+    third.feed(RouteEvent::GossipReceived(Box::new(message)));
+    let message = answer(&mut first, &third);
+    third.feed(RouteEvent::GossipReceived(Box::new(message)));
     let known: Vec<String> =
         third.state.backends().rows().map(|(_, row)| row.entry.id.clone()).collect();
     assert!(known.contains(&"d".to_owned()) && !known.contains(&"c".to_owned()), "{known:?}");
@@ -244,8 +244,8 @@
                 ..GossipMessage::default()
             })
             .collect();
-        for note in notes {
-            subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+        for message in notes {
+            subject.feed(RouteEvent::GossipReceived(Box::new(message)));
         }
     }
     for subject in &mut boxes {
@@ -278,8 +278,8 @@
     let mut started = new_box("box-2");
     started.read_plan(Some(plan(1)));
     assert!(!started.state.open(BoxTime::from_millis(started.now)), "it could serve nobody");
-    let note = answer(&mut reader, &started);
-    let effects = started.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, &started);
+    let effects = started.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(effects, [RouteEffect::AcceptCallers], "what it asked for is no news to others");
     assert!(started.state.open(BoxTime::from_millis(started.now)));
     started.sent(ask("/read/x"));
@@ -360,14 +360,14 @@
 fn a_box_that_was_told_everything_when_it_started_calls_the_store_for_nothing() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
     let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it asks");
-    let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
-    let as_of = started.state.message_as_of(&note, clock(&started)).expect("a word");
+    let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
+    let as_of = started.state.message_as_of(&message, clock(&started)).expect("a word");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
-        read_to: note.known.read_to,
+        read_to: message.known.read_to,
         plan: Some(plan(1)),
     });
-    started.feed(RouteEvent::GossipReceived(Box::new(note)));
+    started.feed(RouteEvent::GossipReceived(Box::new(message)));
     started.now = latest - 1;
     started.feed(RouteEvent::Tick);
     assert!(!started.state.must_read_plan(clock(&started)));
@@ -392,10 +392,10 @@
     assert!(uses(&asker, "a") && uses(&asker, "b"), "the first answer is a listing");
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
-    let note = answer(&mut reader, &asker);
-    let told: Vec<&str> = note.changes.iter().map(|change| change.id.as_str()).collect();
+    let message = answer(&mut reader, &asker);
+    let told: Vec<&str> = message.changes.iter().map(|change| change.id.as_str()).collect();
     assert_eq!(told, ["a", "c"]);
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&asker, "a") && uses(&asker, "b") && uses(&asker, "c"));
     assert!(answer(&mut reader, &asker).changes.is_empty());
 }
@@ -424,9 +424,9 @@
     let mut pages = 1;
     while let Some(ask) = sync_request_in(&effects) {
         assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
-        let note = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
-        assert!(note.changes.len() <= CHANGES_PER_MESSAGE);
-        effects = asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+        let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
+        assert!(message.changes.len() <= CHANGES_PER_MESSAGE);
+        effects = asker.feed(RouteEvent::GossipReceived(Box::new(message)));
         pages += 1;
     }
     assert_eq!(pages, 3);
@@ -465,9 +465,9 @@
     let kept = BackendChange { id: "b".to_owned(), at: at(2), entry: Some(entry("b", "v1")) };
     reader.feed(RouteEvent::BackendsListed { end, listed: vec![kept] });
     reader.feed(RouteEvent::EntriesRead { as_of: clock(&reader), to: end });
-    let note = answer(&mut reader, &asker);
-    assert!(note.entries.page.is_some(), "it does not know what went before it listed");
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, &asker);
+    assert!(message.entries.page.is_some(), "it does not know what went before it listed");
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&asker, "a") && uses(&asker, "b"));
     assert_eq!(asker.state.entries_to(), Some(end));
 }
@@ -477,9 +477,9 @@
     let (mut reader, mut asker) = (second_ready_box(), ready_box());
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
-    let note = answer(&mut reader, &asker);
-    assert_eq!(note.entries.age_ms, None, "not all is settled");
-    asker.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, &asker);
+    assert_eq!(message.entries.age_ms, None, "not all is settled");
+    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(uses(&asker, "a"));
     reader.now += EXPIRY_GRACE_MS;
     asker.now = reader.now;
@@ -493,14 +493,14 @@
     let (mut first, mut second) = (ready_box(), second_ready_box());
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
-    let note = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let lead = PeerSummary { name: "box-2".to_owned(), info: note.info.clone(), age_ms: 0 };
+    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
+    let lead = PeerSummary { name: "box-2".to_owned(), info: message.info.clone(), age_ms: 0 };
     let leads = vec![lead];
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
     assert!(named(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
-    first.feed(RouteEvent::GossipReceived(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&first, "a"), "what it says itself is taken");
 }
 
@@ -516,13 +516,13 @@
     };
     let lead = PeerSummary { name: "box-2".to_owned(), info, age_ms: 1_900 };
     first.now += 1_900;
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-3".to_owned(),
         number: 1,
         duty_holders: vec![lead],
         ..GossipMessage::default()
     };
-    first.feed(RouteEvent::GossipReceived(Box::new(note)));
+    first.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(named(&first), ["box-1:80"]);
 }
 
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -275,15 +275,15 @@
             self.boxes[to].state.apply(EventStamp { now, wall: WallTime(0), random }, event);
         for effect in effects {
             match effect {
-                RouteEffect::SendGossip(targets, note) => {
+                RouteEffect::SendGossip(targets, message) => {
                     for target in targets {
                         let far = number_of(&target) % ZONES != to % ZONES;
-                        self.notes[usize::from(far)] += u64::from(note.in_reply_to.is_none());
-                        let entries = note.entries.page.map_or(0, |_| note.changes.len());
+                        self.notes[usize::from(far)] += u64::from(message.in_reply_to.is_none());
+                        let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.told_entries += entries as u64;
-                        let bytes = NOTE_BYTES + TOLD_BYTES * note.changes.len() as u64;
+                        let bytes = NOTE_BYTES + TOLD_BYTES * message.changes.len() as u64;
                         let way = self.link_way(to, bytes);
-                        self.send(&target, way, RouteEvent::GossipReceived(note.clone()));
+                        self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
                 RouteEffect::SendSyncRequest(target, ask) => {
@@ -390,8 +390,8 @@
                 self.push(self.now + 60_000, to, Step::LookForBoxes);
             }
             Step::Hear(event) => {
-                if let RouteEvent::GossipReceived(note) = &*event {
-                    self.take_records(to, note);
+                if let RouteEvent::GossipReceived(message) = &*event {
+                    self.take_records(to, message);
                 }
                 let asked = matches!(*event, RouteEvent::SyncRequested(_));
                 if asked && self.link_way(to, 0) > ANSWER_WAIT_MS {
@@ -500,14 +500,15 @@
     }
 
     /// The operator's records that an answer brings with it.
-    fn take_records(&mut self, to: usize, note: &GossipMessage) {
+    fn take_records(&mut self, to: usize, message: &GossipMessage) {
         let state = &self.boxes[to].state;
-        let as_of = state.message_as_of(note, BoxTime::from_millis(self.now));
+        let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
         let known = state.plan_position();
-        let follows = note.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
-        if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
-            let plan = Some(plan(note.known.version)).filter(|plan| plan.version > known.version);
-            self.feed(to, RouteEvent::PlanReceived { as_of, known: note.known, plan });
+        let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
+        if let Some(as_of) = as_of.filter(|_| follows && message.known > known) {
+            let plan =
+                Some(plan(message.known.version)).filter(|plan| plan.version > known.version);
+            self.feed(to, RouteEvent::PlanReceived { as_of, known: message.known, plan });
         }
     }
 
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -203,12 +203,12 @@
         }
     }
 
-    /// A note goes to its targets.
+    /// A message goes to its targets.
     fn deliver(&mut self, effect: RouteEffect) {
-        let RouteEffect::SendGossip(targets, note) = effect else { return };
+        let RouteEffect::SendGossip(targets, message) = effect else { return };
         for target in targets.iter().filter_map(|target| number_of(target)) {
             if !self.frozen.contains(&target) {
-                self.feed(target, RouteEvent::GossipReceived(note.clone()));
+                self.feed(target, RouteEvent::GossipReceived(message.clone()));
             }
         }
     }
@@ -217,8 +217,8 @@
     fn told_down(&mut self) -> Vec<Vec<UnreachableUpdate>> {
         let mut told = Vec::new();
         for number in 0..self.boxes.len() {
-            let note = gossip_in(&self.feed(number, RouteEvent::Tick));
-            told.push(note.map(|note| note.down).unwrap_or_default());
+            let message = gossip_in(&self.feed(number, RouteEvent::Tick));
+            told.push(message.map(|message| message.down).unwrap_or_default());
         }
         told
     }
@@ -230,9 +230,9 @@
             let gossip_address = format!("{name}:90");
             let info = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
             let down = down[other].clone();
-            let note =
+            let message =
                 GossipMessage { name, number: self.now, info, down, ..GossipMessage::default() };
-            self.feed(number, RouteEvent::GossipReceived(Box::new(note)));
+            self.feed(number, RouteEvent::GossipReceived(Box::new(message)));
         }
     }
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -81,7 +81,7 @@
     subject
 }
 
-/// The note that a box sends next.
+/// The message that a box sends next.
 fn told_by(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
@@ -133,7 +133,7 @@
     for step in 1..=15 {
         notes.extend(gossip_in(&veteran.feed(RouteEvent::Tick)));
         if step == 5 {
-            let told = notes.drain(..).map(|note| RouteEvent::GossipReceived(Box::new(note)));
+            let told = notes.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
             told.for_each(|event| drop(starter.feed(event)));
         }
         let versions = [&mut veteran, &mut starter].map(|subject| {
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -289,7 +289,7 @@
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.feed(RouteEvent::EraObserved(2));
     let verdicts = vec![verdict(TrialState::Done)];
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
         era: 1,
@@ -297,7 +297,7 @@
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
 }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -11,9 +11,9 @@
 fn hear_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
         let info = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
-        let note =
+        let message =
             GossipMessage { name: name.to_owned(), number: 1, info, ..GossipMessage::default() };
-        subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+        subject.feed(RouteEvent::GossipReceived(Box::new(message)));
     }
 }
 
@@ -69,8 +69,8 @@
     let mut reader = new_box("box-2");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    let note = answer(&mut reader, subject);
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, subject);
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 }
 
 // In a fleet of 91 boxes 40 ran requests by a plan that had been replaced, and refused others, for 20 s. The new plan was
@@ -119,10 +119,10 @@
     let mut reader = new_box("box-2");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    let mut note = answer(&mut reader, &subject);
-    note.entries.page = Some(ListingPage { end: at(9), next: None, tombstones_from: at(9) });
+    let mut message = answer(&mut reader, &subject);
+    message.entries.page = Some(ListingPage { end: at(9), next: None, tombstones_from: at(9) });
 
-    let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let effects = subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
     assert!(!subject.state.must_read_plan(clock(&subject)), "the next answer may hold it");
     assert!(sync_request_in(&effects).is_some());
