--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -39,7 +39,7 @@
     subject
 }
 
-fn named(subject: &TestBox) -> Vec<String> {
+fn advertised(subject: &TestBox) -> Vec<String> {
     subject.state.advertised_addresses(BoxTime::from_millis(subject.now))
 }
 
@@ -48,9 +48,9 @@
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     deliver_gossip(&mut second, &mut first);
-    assert_eq!(named(&first), ["box-2:80", "box-1:80"]);
+    assert_eq!(advertised(&first), ["box-2:80", "box-1:80"]);
     first.now += 1_900;
-    assert_eq!(named(&first), ["box-1:80"], "it has said nothing for too long");
+    assert_eq!(advertised(&first), ["box-1:80"], "it has said nothing for too long");
 }
 
 #[test]
@@ -60,7 +60,7 @@
     deliver_gossip(&mut second, &mut first);
     let message = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(named(&first), ["box-1:80"]);
+    assert_eq!(advertised(&first), ["box-1:80"]);
 }
 
 #[test]
@@ -71,21 +71,21 @@
     second.now = first.now;
     second.read_plan(None);
     deliver_gossip(&mut second, &mut first);
-    assert_eq!(named(&first), ["box-2:80"]);
+    assert_eq!(advertised(&first), ["box-2:80"]);
     first.now += 1_900;
     second.now = first.now;
     deliver_gossip(&mut second, &mut first);
     first.now += 400;
     second.now = first.now;
     first.read_plan(None);
-    assert_eq!(named(&first), ["box-2:80", "box-1:80"]);
+    assert_eq!(advertised(&first), ["box-2:80", "box-1:80"]);
 }
 
 #[test]
 fn where_no_box_can_read_the_plan_those_that_serve_on_are_named() {
     let mut subject = ready_box();
     subject.now += ADVERTISED_AGE_MS;
-    assert_eq!(named(&subject), ["box-1:80"]);
+    assert_eq!(advertised(&subject), ["box-1:80"]);
 }
 
 #[test]
@@ -98,7 +98,7 @@
     let late = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("a note");
     first.feed(RouteEvent::GossipReceived(Box::new(late)));
     first.feed(RouteEvent::GossipReceived(Box::new(early)));
-    assert_eq!(named(&first), ["box-1:80"]);
+    assert_eq!(advertised(&first), ["box-1:80"]);
 }
 
 #[test]
@@ -499,7 +499,7 @@
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
-    assert!(named(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
+    assert!(advertised(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&first, "a"), "what it says itself is taken");
 }
@@ -523,7 +523,7 @@
         ..GossipMessage::default()
     };
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(named(&first), ["box-1:80"]);
+    assert_eq!(advertised(&first), ["box-1:80"]);
 }
 
 #[test]
