--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -494,8 +494,8 @@
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
     let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let lead = PeerSummary { name: "box-2".to_owned(), info: message.info.clone(), age_ms: 0 };
-    let leads = vec![lead];
+    let peer = PeerSummary { name: "box-2".to_owned(), info: message.info.clone(), age_ms: 0 };
+    let leads = vec![peer];
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
@@ -514,12 +514,12 @@
         open: true,
         ..PeerInfo::default()
     };
-    let lead = PeerSummary { name: "box-2".to_owned(), info, age_ms: 1_900 };
+    let peer = PeerSummary { name: "box-2".to_owned(), info, age_ms: 1_900 };
     first.now += 1_900;
     let message = GossipMessage {
         name: "box-3".to_owned(),
         number: 1,
-        duty_holders: vec![lead],
+        duty_holders: vec![peer],
         ..GossipMessage::default()
     };
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
