--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -495,9 +495,9 @@
     second.drop_entry("a");
     let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
     let peer = PeerSummary { name: "box-2".to_owned(), info: message.info.clone(), age_ms: 0 };
-    let leads = vec![peer];
+    let peers = vec![peer];
     let name = "box-3".to_owned();
-    let other = GossipMessage { name, number: 1, duty_holders: leads, ..GossipMessage::default() };
+    let other = GossipMessage { name, number: 1, duty_holders: peers, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
     assert!(advertised(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
