--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -8,7 +8,7 @@
 use crate::membership::{answer, clock, deliver_gossip, sync_request_in};
 
 /// Three other boxes speak, which callers may be sent to or not.
-fn hear_three_others(subject: &mut TestBox, open: bool) {
+fn receive_from_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
         let info = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
         let message =
@@ -20,7 +20,7 @@
 #[test]
 fn a_box_whose_calls_to_the_store_fail_goes_behind_the_others_in_reading_it() {
     let mut subject = ready_box();
-    hear_three_others(&mut subject, false);
+    receive_from_three_others(&mut subject, false);
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
@@ -58,7 +58,7 @@
 /// A box that lost the store and knows three that have it.
 fn box_without_the_store() -> TestBox {
     let mut subject = ready_box();
-    hear_three_others(&mut subject, true);
+    receive_from_three_others(&mut subject, true);
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::Tick);
     subject
