--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -51,7 +51,7 @@
 /// A box that lost the store, knows three that have it, and was answered by one that has read further.
 fn box_behind_without_the_store() -> TestBox {
     let mut subject = box_without_the_store();
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
     subject
 }
 
@@ -65,7 +65,7 @@
 }
 
 /// Another box answers an ask, and its answer lacks the operator's records.
-fn hear_bare_answer(subject: &mut TestBox) {
+fn receive_response_without_plan(subject: &mut TestBox) {
     let mut reader = new_box("box-2");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
@@ -85,7 +85,7 @@
     subject.now += BEHIND_MS;
 
     assert!(subject.state.must_read_plan(clock(&subject)));
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
     assert!(
         subject.state.must_read_plan(clock(&subject)),
         "an answer without the plan changes nothing"
@@ -103,7 +103,7 @@
     deliver_gossip(&mut reader, &mut subject);
     assert!(!subject.state.must_read_plan(clock(&subject)), "an answer may hold it");
 
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
 
     assert!(subject.state.must_read_plan(clock(&subject)));
     let effects = deliver_gossip(&mut reader, &mut subject);
