--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -286,7 +286,7 @@
 }
 
 /// A box that has had the store back for 150 ms, and another that never lost it and knows the same.
-fn box_cut_off_and_another() -> (TestBox, TestBox) {
+fn box_after_outage_and_another() -> (TestBox, TestBox) {
     let (mut cut, mut other) = (ready_box(), new_box("box-2"));
     other.read_plan(Some(plan(1)));
     other.put(entry("a", "v1"));
@@ -309,7 +309,7 @@
 
 #[test]
 fn a_box_that_was_cut_off_takes_the_others_word_on_what_is_gone() {
-    let (mut cut, mut other) = box_cut_off_and_another();
+    let (mut cut, mut other) = box_after_outage_and_another();
     other.drop_entry("a");
     deliver_gossip(&mut other, &mut cut);
     assert!(!uses(&cut, "a") && uses(&cut, "b"));
@@ -317,7 +317,7 @@
 
 #[test]
 fn what_a_box_that_was_cut_off_read_as_gone_is_gone_when_the_others_say_so() {
-    let (mut cut, mut other) = box_cut_off_and_another();
+    let (mut cut, mut other) = box_after_outage_and_another();
     cut.drop_entry("a");
     assert!(uses(&cut, "a"), "it may come back: the store may have been away for all");
     other.drop_entry("a");
