--- a/crates/core/tests/route/lives.rs
+++ b/crates/core/tests/route/lives.rs
@@ -5,20 +5,20 @@
 
 use crate::fixture::{ask, at, entry, is_refused, new_box, plan, refusal_in, TestBox};
 
-/// The entry of a life of replica `a` that began at `born`.
-fn life(born: u64) -> BackendEntry {
+/// The entry of a incarnation of replica `a` that began at `born`.
+fn incarnation(born: u64) -> BackendEntry {
     BackendEntry { born: Some(born), ..entry("a", "v1") }
 }
 
-/// A box that knows one replica, in the life that began at 5,000.
+/// A box that knows one replica, in the incarnation that began at 5,000.
 fn box_with_one_life() -> TestBox {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
-    subject.put(life(5_000));
+    subject.put(incarnation(5_000));
     subject
 }
 
-/// Whether replica `a` says that it leaves, by its newest life.
+/// Whether replica `a` says that it leaves, by its newest incarnation.
 fn leaves(subject: &TestBox) -> Option<bool> {
     let mut rows = subject.state.backends().rows();
     rows.find(|(_, row)| row.entry.id == "a").map(|(_, row)| row.entry.leaving)
@@ -31,7 +31,7 @@
         let mut subject = box_with_one_life();
         let (_, order) = subject.sent(ask("/read/x"));
 
-        subject.put(life(born));
+        subject.put(incarnation(born));
 
         assert!(subject.state.backends().get(order.replica).is_none(), "the former life is gone");
         let row = subject.state.backends().rows().next().expect("a replica").1.clone();
@@ -42,11 +42,11 @@
 #[test]
 fn a_new_life_is_not_leaving_though_the_former_one_left() {
     let mut subject = box_with_one_life();
-    subject.put(BackendEntry { leaving: true, ..life(5_000) });
-    subject.put(life(5_000));
+    subject.put(BackendEntry { leaving: true, ..incarnation(5_000) });
+    subject.put(incarnation(5_000));
     assert_eq!(leaves(&subject), Some(true), "one life takes its leaving back never");
 
-    subject.put(life(6_000));
+    subject.put(incarnation(6_000));
 
     assert_eq!(leaves(&subject), Some(false));
     subject.sent(ask("/read/x"));
@@ -56,9 +56,9 @@
 fn old_news_of_a_former_life_changes_nothing() {
     let mut subject = box_with_one_life();
     let offset = subject.offset;
-    subject.put(life(6_000));
+    subject.put(incarnation(6_000));
 
-    let entry = Some(BackendEntry { leaving: true, ..life(5_000) });
+    let entry = Some(BackendEntry { leaving: true, ..incarnation(5_000) });
     let late = BackendChange { id: "a".to_owned(), at: at(offset), entry };
     subject.feed(RouteEvent::BackendsChanged(vec![late]));
 
@@ -73,7 +73,7 @@
     subject.put(entry("a", "v1"));
 
     assert!(subject.state.backends().get(order.replica).is_some());
-    subject.put(life(6_000));
+    subject.put(incarnation(6_000));
     assert!(subject.state.backends().get(order.replica).is_none(), "its life was kept in mind");
 }
 
@@ -81,7 +81,7 @@
 fn a_run_of_a_former_life_is_not_said_not_to_have_run() {
     let mut subject = box_with_one_life();
     let (ticket, _) = subject.sent(ask("/file/x"));
-    subject.put(life(6_000));
+    subject.put(incarnation(6_000));
 
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
 
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -73,7 +73,7 @@
     at: u64,
     number: u64,
     to: usize,
-    life: u32,
+    incarnation: u32,
     step: Step,
 }
 
@@ -99,7 +99,7 @@
 
 pub struct FleetBox {
     pub state: RouteState,
-    life: u32,
+    incarnation: u32,
     pub dead: bool,
     calls: u32,
     /// Where its next read of the plan begins.
@@ -116,7 +116,7 @@
     fn new(state: RouteState) -> Self {
         Self {
             state,
-            life: 0,
+            incarnation: 0,
             dead: false,
             calls: 0,
             next: TopicPosition::default(),
@@ -199,9 +199,9 @@
         fleet
     }
 
-    fn settings(&self, number: usize, life: u32) -> RouteSettings {
+    fn settings(&self, number: usize, incarnation: u32) -> RouteSettings {
         RouteSettings {
-            incarnation: u64::from(life) + 1,
+            incarnation: u64::from(incarnation) + 1,
             is_seed: number < SEEDS,
             zone: format!("zone-{}", number % ZONES),
             ..settings(&format!("box-{number}"))
@@ -215,8 +215,8 @@
 
     fn push(&mut self, at: u64, to: usize, step: Step) {
         let number = self.steps.len() as u64 + (self.now << 24) + self.draw(1 << 20);
-        let life = self.boxes[to].life;
-        self.steps.push(Due { at, number, to, life, step });
+        let incarnation = self.boxes[to].incarnation;
+        self.steps.push(Due { at, number, to, incarnation, step });
     }
 
     /// Starts a box's tasks.
@@ -230,7 +230,7 @@
 
     pub fn kill(&mut self, number: usize) {
         self.boxes[number].dead = true;
-        self.boxes[number].life += 1;
+        self.boxes[number].incarnation += 1;
     }
 
     /// Kills all boxes and starts them anew within 300 ms.
@@ -241,10 +241,10 @@
     /// Kills a box and starts it anew within 300 ms.
     pub fn restart(&mut self, number: usize) {
         self.kill(number);
-        let life = self.boxes[number].life;
-        let state = RouteState::new(self.settings(number, life));
+        let incarnation = self.boxes[number].incarnation;
+        let state = RouteState::new(self.settings(number, incarnation));
         let subject = &mut self.boxes[number];
-        *subject = FleetBox { life, calls: subject.calls, ..FleetBox::new(state) };
+        *subject = FleetBox { incarnation, calls: subject.calls, ..FleetBox::new(state) };
         let at = self.now + self.draw(300);
         self.launch(number, at);
     }
@@ -261,7 +261,7 @@
             let due = self.steps.pop().expect("a step is due");
             self.now = due.at;
             let subject = &self.boxes[due.to];
-            if !subject.dead && subject.life == due.life {
+            if !subject.dead && subject.incarnation == due.incarnation {
                 self.take(due.to, due.step);
             }
         }
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -444,9 +444,9 @@
     address.strip_prefix("box-")?.split(':').next()?.parse().ok()
 }
 
-fn new_state(number: usize, life: u64) -> RouteState {
+fn new_state(number: usize, incarnation: u64) -> RouteState {
     let name = format!("box-{number}");
     let zone = format!("zone-{}", number % ZONES);
-    let incarnation = session(life + number as u64 + 1);
+    let incarnation = session(incarnation + number as u64 + 1);
     RouteState::new(RouteSettings { zone, incarnation, ..settings(&name) })
 }
