--- a/crates/core/tests/route/lives.rs
+++ b/crates/core/tests/route/lives.rs
@@ -11,7 +11,7 @@
 }
 
 /// A box that knows one replica, in the incarnation that began at 5,000.
-fn box_with_one_life() -> TestBox {
+fn box_with_one_incarnation() -> TestBox {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     subject.put(incarnation(5_000));
@@ -28,7 +28,7 @@
 fn a_new_life_of_a_replica_has_no_work_and_no_failures_of_the_former_one() {
     // The clock of a replica may have been set back between two of its lives: the store's order tells which is the later.
     for born in [9_000, 1_000] {
-        let mut subject = box_with_one_life();
+        let mut subject = box_with_one_incarnation();
         let (_, order) = subject.sent(ask("/read/x"));
 
         subject.put(incarnation(born));
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_new_life_is_not_leaving_though_the_former_one_left() {
-    let mut subject = box_with_one_life();
+    let mut subject = box_with_one_incarnation();
     subject.put(BackendEntry { leaving: true, ..incarnation(5_000) });
     subject.put(incarnation(5_000));
     assert_eq!(leaves(&subject), Some(true), "one life takes its leaving back never");
@@ -54,7 +54,7 @@
 
 #[test]
 fn old_news_of_a_former_life_changes_nothing() {
-    let mut subject = box_with_one_life();
+    let mut subject = box_with_one_incarnation();
     let offset = subject.offset;
     subject.put(incarnation(6_000));
 
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_entry_that_does_not_say_when_its_life_began_goes_on_as_that_life() {
-    let mut subject = box_with_one_life();
+    let mut subject = box_with_one_incarnation();
     let (_, order) = subject.sent(ask("/read/x"));
 
     subject.put(entry("a", "v1"));
@@ -79,7 +79,7 @@
 
 #[test]
 fn a_run_of_a_former_life_is_not_said_not_to_have_run() {
-    let mut subject = box_with_one_life();
+    let mut subject = box_with_one_incarnation();
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.put(incarnation(6_000));
 
@@ -91,7 +91,7 @@
 
 #[test]
 fn an_entry_that_names_no_replica_ends_the_use_of_what_it_replaced_though_the_store_was_away() {
-    let mut subject = box_with_one_life();
+    let mut subject = box_with_one_incarnation();
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::StoreRecovered);
 
