--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -189,11 +189,12 @@
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(1)));
     asker.now += 500;
-    let mut other_life = answer(&mut reader, &asker);
-    other_life.in_reply_to =
-        other_life.in_reply_to.map(|in_reply_to| SyncRequest { incarnation: 2, ..in_reply_to });
+    let mut other_incarnation = answer(&mut reader, &asker);
+    other_incarnation.in_reply_to = other_incarnation
+        .in_reply_to
+        .map(|in_reply_to| SyncRequest { incarnation: 2, ..in_reply_to });
     let old = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(other_life)));
+    asker.feed(RouteEvent::GossipReceived(Box::new(other_incarnation)));
     assert_eq!(age(&asker), Some(500));
     asker.now += 3_100;
     asker.feed(RouteEvent::GossipReceived(Box::new(old)));
