--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -17,7 +17,7 @@
 
 /// Whether about as many boxes read as should: each box counts the fleet by what it has heard, so that
 /// views differ by a few boxes, which costs a call and no more.
-fn agreed(fleet: &Fleet, count: usize) -> bool {
+fn readers_agree(fleet: &Fleet, count: usize) -> bool {
     fleet.readers().abs_diff(wanted(count)) <= usize::from(count > CLIENTS_PER_READER)
 }
 
@@ -29,7 +29,7 @@
         assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes know the site after {open:?} ms");
         let start = fleet.calls();
         fleet.run_until(6_000);
-        assert!(agreed(&fleet, count), "{} readers of {count}", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}", fleet.readers());
         let settling = fleet.calls();
         // Readers call up to six times a second; the others need nothing.
         let limit = count.max(12) as u32 / 2;
@@ -40,7 +40,7 @@
         let calm = f64::from(fleet.calls()) / 10.0 / wanted(count) as f64;
         assert!(calm < 6.0, "{count} boxes: {calm} calls a second and reader");
         assert_eq!(fleet.open(), count);
-        assert!(agreed(&fleet, count), "{} readers of {count}, later", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}, later", fleet.readers());
     }
 }
 
@@ -98,7 +98,7 @@
             (0..count).filter(|number| fleet.boxes[*number].state.is_reader(now)).collect();
         readers.iter().for_each(|number| fleet.kill(*number));
         fleet.run_until(12_000);
-        assert!(agreed(&fleet, count), "{} readers of {count}", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}", fleet.readers());
         assert_eq!(fleet.open(), count - readers.len());
         fleet.write_plan(2);
         let took = fleet.until_all(4_000, |state| state.plan().version == 2);
