--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -11,14 +11,14 @@
 use crate::plan_fleet::{site, Fleet, FleetBox, FleetSize};
 
 /// Readers that a fleet of this size should have.
-fn wanted(count: usize) -> usize {
+fn expected_readers(count: usize) -> usize {
     READERS_MIN.max(count.div_ceil(CLIENTS_PER_READER))
 }
 
 /// Whether about as many boxes read as should: each box counts the fleet by what it has heard, so that
 /// views differ by a few boxes, which costs a call and no more.
 fn readers_agree(fleet: &Fleet, count: usize) -> bool {
-    fleet.readers().abs_diff(wanted(count)) <= usize::from(count > CLIENTS_PER_READER)
+    fleet.readers().abs_diff(expected_readers(count)) <= usize::from(count > CLIENTS_PER_READER)
 }
 
 #[test]
@@ -34,10 +34,10 @@
         // Readers call up to six times a second; the others need nothing.
         let limit = count.max(12) as u32 / 2;
         assert!(start <= limit, "{count} boxes: {start} calls at the start");
-        let reads = 36 * (wanted(count) as u32 + 1);
+        let reads = 36 * (expected_readers(count) as u32 + 1);
         assert!(settling <= limit + reads, "{count} boxes: {settling} calls afterwards");
         fleet.run_until(16_000);
-        let calm = f64::from(fleet.calls()) / 10.0 / wanted(count) as f64;
+        let calm = f64::from(fleet.calls()) / 10.0 / expected_readers(count) as f64;
         assert!(calm < 6.0, "{count} boxes: {calm} calls a second and reader");
         assert_eq!(fleet.open(), count);
         assert!(readers_agree(&fleet, count), "{} readers of {count}, later", fleet.readers());
@@ -117,7 +117,7 @@
         fleet.run_until(fleet.away_until);
 
         // Readers try three times a second, any other box once.
-        let readers = 3 * 2 * 8 * (wanted(count) as u32 + 1);
+        let readers = 3 * 2 * 8 * (expected_readers(count) as u32 + 1);
         let calls = fleet.calls();
         assert!(calls <= readers + count as u32, "{count} boxes: {calls} calls");
         fleet.write_plan(2);
