--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -8,7 +8,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::at;
-use crate::plan_fleet::{site, Fleet, FleetBox, FleetSize};
+use crate::plan_fleet::{fleet_with_replicas, Fleet, FleetBox, FleetSize};
 
 /// Readers that a fleet of this size should have.
 fn expected_readers(count: usize) -> usize {
@@ -24,7 +24,7 @@
 #[test]
 fn boxes_that_start_together_make_few_calls_and_agree_on_who_reads() {
     for count in [9, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         let open = fleet.until_all(2_000, RouteState::is_synced);
         assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes know the site after {open:?} ms");
         let start = fleet.calls();
@@ -47,7 +47,7 @@
 #[test]
 fn all_boxes_know_a_new_plan_and_a_leaving_replica_soon() {
     for count in [9, 100] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
         fleet.write_plan(2);
         let took = fleet.until_all(4_000, |state| state.plan().version == 2);
@@ -64,7 +64,7 @@
 #[test]
 fn a_fleet_whose_boxes_were_all_killed_is_back_at_once_without_storming_the_store() {
     for count in [9, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
         fleet.calls();
         fleet.restart_all();
@@ -77,7 +77,7 @@
 
 #[test]
 fn most_notes_of_a_large_fleet_stay_within_an_availability_zone() {
-    let mut fleet = site(100);
+    let mut fleet = fleet_with_replicas(100);
     fleet.run_until(5_000);
     fleet.notes = [0; 2];
 
@@ -91,7 +91,7 @@
 #[test]
 fn where_the_readers_die_others_read_in_their_place() {
     for count in [9, 100] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
         let now = BoxTime::from_millis(fleet.now);
         let readers: Vec<usize> =
@@ -109,7 +109,7 @@
 #[test]
 fn while_the_store_is_away_few_boxes_try_it_and_all_are_back_soon_after_it() {
     for count in [9, 100, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
         fleet.calls();
 
@@ -192,7 +192,7 @@
 
 #[test]
 fn boxes_keep_up_with_replicas_that_come_in_thousands() {
-    let mut fleet = site(30);
+    let mut fleet = fleet_with_replicas(30);
     fleet.run_until(5_000);
     fleet.calls();
 
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -557,7 +557,7 @@
 }
 
 /// A fleet before a store with twenty replicas.
-pub fn site(count: usize) -> Fleet {
+pub fn fleet_with_replicas(count: usize) -> Fleet {
     let mut fleet = Fleet::start(count);
     fleet.put_replicas(20);
     fleet
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -36,7 +36,7 @@
 use crate::fixture::{
     ask, at, entry, gossip_in, head, is_refused, new_box, plan, ready_box, session, TestBox,
 };
-use crate::plan_fleet::site;
+use crate::plan_fleet::fleet_with_replicas;
 
 /// How long the order of these tests gives, in milliseconds.
 const ORDER_MS: u64 = 10_000;
@@ -150,7 +150,7 @@
 
 /// Time until all of `count` boxes know from when on the version carries all, once one does, in milliseconds.
 fn settled_by_all_after(count: usize) -> Option<u64> {
-    let mut fleet = site(count);
+    let mut fleet = fleet_with_replicas(count);
     fleet.run_until(10_000);
     for number in 0..count {
         let read_to = TopicPosition::new(1, 1);
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -13,7 +13,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, at, entry, new_box, plan, ready_box, TestBox, KEY};
-use crate::plan_fleet::{site, Fleet};
+use crate::plan_fleet::{fleet_with_replicas, Fleet};
 
 /// A confirmed plan is in force everywhere within this, in milliseconds.
 const APPLY_MS: u64 = 2_000;
@@ -323,7 +323,7 @@
 
 /// A fleet in calm, with plan 4 written at 6 s, 5 at 7.5 s and 6 at 8.5 s; it is 10 s.
 fn fleet_at_plan_6(count: usize) -> Fleet {
-    let mut fleet = site(count);
+    let mut fleet = fleet_with_replicas(count);
     for (at, version) in [(6_000, 4), (7_500, 5), (8_500, 6)] {
         fleet.run_until(at);
         fleet.write_plan(version);
