--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -66,7 +66,7 @@
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
     BoxesRead,
-    Hear(Box<RouteEvent>),
+    Receive(Box<RouteEvent>),
 }
 
 struct Due {
@@ -222,7 +222,7 @@
     /// Starts a box's tasks.
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
-        self.push(at, number, Step::Hear(Box::new(RouteEvent::PeersDiscovered(seeds))));
+        self.push(at, number, Step::Receive(Box::new(RouteEvent::PeersDiscovered(seeds))));
         for step in [Step::Tick, Step::LookForPlan, Step::LookForEntries, Step::LookForBoxes] {
             self.push(at + 1, number, step);
         }
@@ -309,7 +309,7 @@
         let number = number_of(target);
         let lost = self.draw(100) < LOST;
         if !lost {
-            self.push(self.now + way + WAY_MS, number, Step::Hear(Box::new(event)));
+            self.push(self.now + way + WAY_MS, number, Step::Receive(Box::new(event)));
         }
     }
 
@@ -389,7 +389,7 @@
                 self.feed(to, RouteEvent::PeersDiscovered(self.listed.clone()));
                 self.push(self.now + 60_000, to, Step::LookForBoxes);
             }
-            Step::Hear(event) => {
+            Step::Receive(event) => {
                 if let RouteEvent::GossipReceived(message) = &*event {
                     self.take_records(to, message);
                 }
