--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Tick,
-    LookForPlan,
+    PollPlan,
     LookForEntries,
     LookForBoxes,
     PlanRead { asked_at: u64, shown_at: u64 },
@@ -223,7 +223,7 @@
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
         self.push(at, number, Step::Receive(Box::new(RouteEvent::PeersDiscovered(seeds))));
-        for step in [Step::Tick, Step::LookForPlan, Step::LookForEntries, Step::LookForBoxes] {
+        for step in [Step::Tick, Step::PollPlan, Step::LookForEntries, Step::LookForBoxes] {
             self.push(at + 1, number, step);
         }
     }
@@ -332,11 +332,11 @@
                 self.feed(to, RouteEvent::Tick);
                 self.push(next, to, Step::Tick);
             }
-            Step::LookForPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
+            Step::PollPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
             Step::LookForEntries if state.must_read_entries(now) && self.is_away() => {
                 self.fail(to, step);
             }
-            Step::LookForPlan if state.must_read_plan(now) => {
+            Step::PollPlan if state.must_read_plan(now) => {
                 let waits = state.long_polls_plan(now);
                 let from = state.read_to().max(self.boxes[to].next);
                 // The test writes to the store only between two runs, at a time it knows by then.
@@ -363,11 +363,11 @@
                 self.listed.push(format!("box-{to}:90"));
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
             }
-            Step::LookForPlan | Step::LookForEntries | Step::LookForBoxes => {
+            Step::PollPlan | Step::LookForEntries | Step::LookForBoxes => {
                 self.push(look, to, step);
             }
             // A read that waits is cut when the store goes away.
-            Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::LookForPlan),
+            Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
             Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::LookForEntries),
             Step::PlanRead { asked_at, shown_at } => {
                 self.regain(to);
@@ -378,7 +378,7 @@
                 let renewed = as_of >= Some(BoxTime::from_millis(shown_at));
                 let reader = self.boxes[to].state.is_reader(now);
                 let pause = if renewed { 1 } else { RETRIES_MS[usize::from(!reader)].0 };
-                self.push(self.now + pause, to, Step::LookForPlan);
+                self.push(self.now + pause, to, Step::PollPlan);
             }
             Step::EntriesRead { asked_at, listing } => {
                 self.regain(to);
