--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -61,7 +61,7 @@
 enum Step {
     Tick,
     PollPlan,
-    LookForEntries,
+    PollEntries,
     LookForBoxes,
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
@@ -223,7 +223,7 @@
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
         self.push(at, number, Step::Receive(Box::new(RouteEvent::PeersDiscovered(seeds))));
-        for step in [Step::Tick, Step::PollPlan, Step::LookForEntries, Step::LookForBoxes] {
+        for step in [Step::Tick, Step::PollPlan, Step::PollEntries, Step::LookForBoxes] {
             self.push(at + 1, number, step);
         }
     }
@@ -333,7 +333,7 @@
                 self.push(next, to, Step::Tick);
             }
             Step::PollPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
-            Step::LookForEntries if state.must_read_entries(now) && self.is_away() => {
+            Step::PollEntries if state.must_read_entries(now) && self.is_away() => {
                 self.fail(to, step);
             }
             Step::PollPlan if state.must_read_plan(now) => {
@@ -347,7 +347,7 @@
                 let shown_at = self.now + held;
                 self.push(at, to, Step::PlanRead { asked_at: self.now, shown_at });
             }
-            Step::LookForEntries if state.must_read_entries(now) => {
+            Step::PollEntries if state.must_read_entries(now) => {
                 let listing = state.entries_to().is_none();
                 let known = state.entries_to().filter(|to| to.era == self.era);
                 let listing = listing || known.is_none();
@@ -363,12 +363,12 @@
                 self.listed.push(format!("box-{to}:90"));
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
             }
-            Step::PollPlan | Step::LookForEntries | Step::LookForBoxes => {
+            Step::PollPlan | Step::PollEntries | Step::LookForBoxes => {
                 self.push(look, to, step);
             }
             // A read that waits is cut when the store goes away.
             Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
-            Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::LookForEntries),
+            Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::PollEntries),
             Step::PlanRead { asked_at, shown_at } => {
                 self.regain(to);
                 let shown_at = shown_at.max(asked_at);
@@ -383,7 +383,7 @@
             Step::EntriesRead { asked_at, listing } => {
                 self.regain(to);
                 self.read_entries(to, asked_at, listing);
-                self.push(self.now + 1, to, Step::LookForEntries);
+                self.push(self.now + 1, to, Step::PollEntries);
             }
             Step::BoxesRead => {
                 self.feed(to, RouteEvent::PeersDiscovered(self.listed.clone()));
