--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -62,7 +62,7 @@
     Tick,
     PollPlan,
     PollEntries,
-    LookForBoxes,
+    PollBoxes,
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
     BoxesRead,
@@ -223,7 +223,7 @@
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
         self.push(at, number, Step::Receive(Box::new(RouteEvent::PeersDiscovered(seeds))));
-        for step in [Step::Tick, Step::PollPlan, Step::PollEntries, Step::LookForBoxes] {
+        for step in [Step::Tick, Step::PollPlan, Step::PollEntries, Step::PollBoxes] {
             self.push(at + 1, number, step);
         }
     }
@@ -358,12 +358,12 @@
                 let at = self.now + took + if waits { WAIT_MS / 4 } else { 0 };
                 self.push(at, to, Step::EntriesRead { asked_at: self.now, listing });
             }
-            Step::LookForBoxes if state.must_read_box_list(now) => {
+            Step::PollBoxes if state.must_read_box_list(now) => {
                 self.boxes[to].calls += 2;
                 self.listed.push(format!("box-{to}:90"));
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
             }
-            Step::PollPlan | Step::PollEntries | Step::LookForBoxes => {
+            Step::PollPlan | Step::PollEntries | Step::PollBoxes => {
                 self.push(look, to, step);
             }
             // A read that waits is cut when the store goes away.
@@ -387,7 +387,7 @@
             }
             Step::BoxesRead => {
                 self.feed(to, RouteEvent::PeersDiscovered(self.listed.clone()));
-                self.push(self.now + 60_000, to, Step::LookForBoxes);
+                self.push(self.now + 60_000, to, Step::PollBoxes);
             }
             Step::Receive(event) => {
                 if let RouteEvent::GossipReceived(message) = &*event {
