--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -180,14 +180,14 @@
         fleet.run_until(fleet.now + 100);
         fleet.put_replicas(10);
     }
-    fleet.told_entries = 0;
+    fleet.gossiped_entries = 0;
 
     for _ in 0..60 {
         fleet.run_until(fleet.now + 100);
         fleet.put_replicas(10);
     }
 
-    assert_eq!(fleet.told_entries, 0, "entries of listings");
+    assert_eq!(fleet.gossiped_entries, 0, "entries of listings");
 }
 
 #[test]
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -158,7 +158,7 @@
     /// Entries that listings of the store showed.
     pub listed_entries: u64,
     /// Entries that boxes told each other in listings.
-    pub told_entries: u64,
+    pub gossiped_entries: u64,
     /// Until when the store refuses all calls.
     pub away_until: u64,
     /// Notes that were sent within an availability zone, and to another.
@@ -184,7 +184,7 @@
             listed: Vec::new(),
             size,
             listed_entries: 0,
-            told_entries: 0,
+            gossiped_entries: 0,
             away_until: 0,
             notes: [0; 2],
         };
@@ -280,7 +280,7 @@
                         let far = number_of(&target) % ZONES != to % ZONES;
                         self.notes[usize::from(far)] += u64::from(message.in_reply_to.is_none());
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
-                        self.told_entries += entries as u64;
+                        self.gossiped_entries += entries as u64;
                         let bytes = NOTE_BYTES + TOLD_BYTES * message.changes.len() as u64;
                         let way = self.link_way(to, bytes);
                         self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
