--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -201,7 +201,7 @@
         fleet.put_replicas(200);
     }
 
-    assert_eq!(fleet.others_calls(), 0, "calls of boxes that are told");
+    assert_eq!(fleet.non_reader_calls(), 0, "calls of boxes that are told");
     fleet.run_until(fleet.now + 1_500);
     let all = |subject: &FleetBox| subject.state.backends().rows().count() == 12_020;
     assert!(fleet.boxes.iter().all(all));
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -525,7 +525,7 @@
     }
 
     /// Calls of boxes that don't read for the others.
-    pub fn others_calls(&self) -> u32 {
+    pub fn non_reader_calls(&self) -> u32 {
         let now = BoxTime::from_millis(self.now);
         let others = self.boxes.iter().filter(|subject| !subject.state.is_reader(now));
         others.map(|subject| subject.calls).sum()
