--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -370,7 +370,7 @@
             Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
             Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::PollEntries),
             Step::PlanRead { asked_at, shown_at } => {
-                self.regain(to);
+                self.recover_store(to);
                 let shown_at = shown_at.max(asked_at);
                 self.read_plan(to, shown_at);
                 // A read that renews nothing is followed by a pause.
@@ -381,7 +381,7 @@
                 self.push(self.now + pause, to, Step::PollPlan);
             }
             Step::EntriesRead { asked_at, listing } => {
-                self.regain(to);
+                self.recover_store(to);
                 self.read_entries(to, asked_at, listing);
                 self.push(self.now + 1, to, Step::PollEntries);
             }
@@ -419,7 +419,7 @@
         self.push(self.now + pause + jitter, to, step);
     }
 
-    fn regain(&mut self, to: usize) {
+    fn recover_store(&mut self, to: usize) {
         if std::mem::take(&mut self.boxes[to].retry_ms) > 0 {
             self.feed(to, RouteEvent::StoreRecovered);
         }
