--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -391,7 +391,7 @@
             }
             Step::Receive(event) => {
                 if let RouteEvent::GossipReceived(message) = &*event {
-                    self.take_records(to, message);
+                    self.apply_records(to, message);
                 }
                 let asked = matches!(*event, RouteEvent::SyncRequested(_));
                 if asked && self.link_way(to, 0) > ANSWER_WAIT_MS {
@@ -500,7 +500,7 @@
     }
 
     /// The operator's records that an answer brings with it.
-    fn take_records(&mut self, to: usize, message: &GossipMessage) {
+    fn apply_records(&mut self, to: usize, message: &GossipMessage) {
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
         let known = state.plan_position();
