--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -39,7 +39,7 @@
 const NOTE_BYTES: u64 = 500;
 
 /// Bytes of an entry in a datagram.
-const TOLD_BYTES: u64 = 15;
+const ENTRY_BYTES: u64 = 15;
 
 /// Bytes of an entry in a listing of the store.
 const LISTED_BYTES: u64 = 280;
@@ -281,7 +281,7 @@
                         self.notes[usize::from(far)] += u64::from(message.in_reply_to.is_none());
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
-                        let bytes = NOTE_BYTES + TOLD_BYTES * message.changes.len() as u64;
+                        let bytes = NOTE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
                         let way = self.link_way(to, bytes);
                         self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
                     }
