--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -36,7 +36,7 @@
 const LOST: u64 = 3;
 
 /// Bytes of a datagram without replicas' entries.
-const NOTE_BYTES: u64 = 500;
+const MESSAGE_BYTES: u64 = 500;
 
 /// Bytes of an entry in a datagram.
 const ENTRY_BYTES: u64 = 15;
@@ -281,7 +281,7 @@
                         self.notes[usize::from(far)] += u64::from(message.in_reply_to.is_none());
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
-                        let bytes = NOTE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
+                        let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
                         let way = self.link_way(to, bytes);
                         self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
                     }
