--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -14,7 +14,7 @@
 use crate::fixture::{entry, plan, settings};
 
 /// One way between two boxes, in milliseconds.
-const WAY_MS: u64 = 2;
+const NETWORK_MS: u64 = 2;
 
 /// A call to the store, in milliseconds.
 const CALL_MS: u64 = 4;
@@ -309,7 +309,7 @@
         let number = number_of(target);
         let lost = self.draw(100) < LOST;
         if !lost {
-            self.push(self.now + way + WAY_MS, number, Step::Receive(Box::new(event)));
+            self.push(self.now + way + NETWORK_MS, number, Step::Receive(Box::new(event)));
         }
     }
 
