--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -33,7 +33,7 @@
 const RETRIES_MS: [(u64, u64); 2] = [(250, 500), (1_000, 8_000)];
 
 /// Datagrams lost of 100.
-const LOST: u64 = 3;
+const LOST_PERCENT: u64 = 3;
 
 /// Bytes of a datagram without replicas' entries.
 const MESSAGE_BYTES: u64 = 500;
@@ -307,7 +307,7 @@
 
     fn send(&mut self, target: &str, way: u64, event: RouteEvent) {
         let number = number_of(target);
-        let lost = self.draw(100) < LOST;
+        let lost = self.draw(100) < LOST_PERCENT;
         if !lost {
             self.push(self.now + way + NETWORK_MS, number, Step::Receive(Box::new(event)));
         }
