--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -214,7 +214,7 @@
     }
 
     /// What each box tells of replicas that it could not reach.
-    fn told_down(&mut self) -> Vec<Vec<UnreachableUpdate>> {
+    fn unreachable_updates(&mut self) -> Vec<Vec<UnreachableUpdate>> {
         let mut told = Vec::new();
         for number in 0..self.boxes.len() {
             let message = gossip_in(&self.feed(number, RouteEvent::Tick));
@@ -290,7 +290,7 @@
         if self.notes_go {
             self.pass_notes();
         }
-        let down = if self.notes_go { Vec::new() } else { self.told_down() };
+        let down = if self.notes_go { Vec::new() } else { self.unreachable_updates() };
         for number in
             (0..self.boxes.len()).filter(|number| !self.frozen.contains(number)).collect::<Vec<_>>()
         {
