--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -180,7 +180,7 @@
     }
 
     /// Notes of a round, and asks, go to whom their senders chose.
-    fn pass_notes(&mut self) {
+    fn exchange_gossip(&mut self) {
         for number in 0..self.boxes.len() {
             if !self.frozen.contains(&number) {
                 self.pass_word(number);
@@ -288,7 +288,7 @@
     /// All boxes hear of each other and of the plan, as they do all the time.
     fn keep_up(&mut self) {
         if self.notes_go {
-            self.pass_notes();
+            self.exchange_gossip();
         }
         let down = if self.notes_go { Vec::new() } else { self.unreachable_updates() };
         for number in
