--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -172,7 +172,7 @@
     fn begin(&mut self, number: usize) {
         let others = [1, 2].map(|step| format!("box-{}:90", (number + step) % self.boxes.len()));
         self.feed(number, RouteEvent::PeersDiscovered(others.to_vec()));
-        self.pass_word(number);
+        self.send_gossip(number);
         self.read_plan(number);
         for change in self.entries.clone() {
             self.take_change(number, change);
@@ -183,13 +183,13 @@
     fn exchange_gossip(&mut self) {
         for number in 0..self.boxes.len() {
             if !self.frozen.contains(&number) {
-                self.pass_word(number);
+                self.send_gossip(number);
             }
         }
     }
 
     /// What a box says now goes to whom it chose, and answers come back.
-    fn pass_word(&mut self, number: usize) {
+    fn send_gossip(&mut self, number: usize) {
         for effect in self.feed(number, RouteEvent::Tick) {
             let RouteEffect::SendSyncRequest(target, ask) = effect else {
                 self.deliver(effect);
