--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -36,7 +36,7 @@
 const OWN_TOKENS: u32 = 20_000;
 
 /// Boxes hear of each other this often, in milliseconds.
-const NOTES_MS: u64 = 500;
+const GOSSIP_MS: u64 = 500;
 
 /// A replica ends this long after it got what crashes it, in milliseconds.
 const CRASH_MS: u64 = 80;
@@ -280,7 +280,7 @@
         let end = self.now + length_ms;
         while self.now < end {
             self.keep_up();
-            let until = end.min(self.now + NOTES_MS);
+            let until = end.min(self.now + GOSSIP_MS);
             self.play_until(times, until);
         }
     }
