--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -279,14 +279,14 @@
     pub fn play(&mut self, times: f64, length_ms: u64) {
         let end = self.now + length_ms;
         while self.now < end {
-            self.keep_up();
+            self.refresh();
             let until = end.min(self.now + GOSSIP_MS);
             self.play_until(times, until);
         }
     }
 
     /// All boxes hear of each other and of the plan, as they do all the time.
-    fn keep_up(&mut self) {
+    fn refresh(&mut self) {
         if self.notes_go {
             self.exchange_gossip();
         }
