--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -45,7 +45,7 @@
 const DOWN_MS: u64 = 3_000;
 
 /// What the requests that crash replicas ask for.
-const FATAL_CONTENT: u64 = 77;
+const POISON_CONTENT: u64 = 77;
 
 /// Requests that a replica works on at once.
 const SLOTS: u32 = 16;
@@ -362,7 +362,7 @@
             id: format!("r{ticket}"),
             prompt,
             affinity: session(subject + 1),
-            content: if fatal { FATAL_CONTENT } else { session(ticket) },
+            content: if fatal { POISON_CONTENT } else { session(ticket) },
             ..ask("/chat/x")
         };
         let effects = self.feed(number, RouteEvent::RequestArrived(RequestTicket(ticket), request));
