--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -82,7 +82,7 @@
 }
 
 /// The message that a box sends next.
-fn told_by(subject: &mut TestBox) -> GossipMessage {
+fn next_gossip(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
     gossip_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
@@ -100,7 +100,7 @@
 fn parted_sessions(age_ms: u64) -> Vec<u64> {
     let mut veteran = box_that_ran_through(age_ms);
     let mut starter = started_box("box-2");
-    starter.feed(RouteEvent::GossipReceived(Box::new(told_by(&mut veteran))));
+    starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut veteran))));
     veteran.read_plan(None);
     let parted = |number: &u64| {
         let key = session(*number);
