--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -97,7 +97,7 @@
 }
 
 /// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
-fn parted_sessions(age_ms: u64) -> Vec<u64> {
+fn split_sessions(age_ms: u64) -> Vec<u64> {
     let mut veteran = box_that_ran_through(age_ms);
     let mut starter = started_box("box-2");
     starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut veteran))));
@@ -111,8 +111,8 @@
 
 #[test]
 fn a_box_started_in_a_trial_gives_sessions_to_the_versions_that_the_others_give_them_to() {
-    assert_eq!(parted_sessions(SHARED_AT_MS), [0; 0], "while a share is given");
-    assert_eq!(parted_sessions(CARRIED_AT_MS), [0; 0], "while all are given");
+    assert_eq!(split_sessions(SHARED_AT_MS), [0; 0], "while a share is given");
+    assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while all are given");
 }
 
 // Each box gave all sessions to the version as soon as it had counted enough: one that had started heard the others' counts
