--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -102,11 +102,11 @@
     let mut starter = started_box("box-2");
     starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut veteran))));
     veteran.read_plan(None);
-    let parted = |number: &u64| {
+    let split = |number: &u64| {
         let key = session(*number);
         version_of(&mut veteran, key) != version_of(&mut starter, key)
     };
-    (1..200).filter(parted).collect()
+    (1..200).filter(split).collect()
 }
 
 #[test]
@@ -220,11 +220,11 @@
 
     assert!(subject.state.is_synced());
     let mut veteran = box_that_ran_through(SHARED_AT_MS);
-    let parted = |number: &u64| {
+    let split = |number: &u64| {
         let key = session(*number);
         version_of(&mut veteran, key) != version_of(&mut subject, key)
     };
-    assert_eq!((1..200).filter(parted).count(), 0);
+    assert_eq!((1..200).filter(split).count(), 0);
 }
 
 /// A box whose turn to read the store comes as late as it may: it knows an order and a plan, nothing else.
