--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -98,13 +98,13 @@
 
 /// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
 fn split_sessions(age_ms: u64) -> Vec<u64> {
-    let mut veteran = box_that_ran_through(age_ms);
+    let mut running = box_that_ran_through(age_ms);
     let mut starter = started_box("box-2");
-    starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut veteran))));
-    veteran.read_plan(None);
+    starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut running))));
+    running.read_plan(None);
     let split = |number: &u64| {
         let key = session(*number);
-        version_of(&mut veteran, key) != version_of(&mut starter, key)
+        version_of(&mut running, key) != version_of(&mut starter, key)
     };
     (1..200).filter(split).collect()
 }
@@ -119,24 +119,24 @@
 // later, and moved sessions back meanwhile.
 #[test]
 fn a_box_that_hears_of_enough_answers_later_gives_all_sessions_with_the_others() {
-    let (mut veteran, mut starter) = (started_box("box-1"), started_box("box-2"));
-    for subject in [&mut veteran, &mut starter] {
+    let (mut running, mut starter) = (started_box("box-1"), started_box("box-2"));
+    for subject in [&mut running, &mut starter] {
         subject.now += COUNTED_AT_MS;
         subject.read_plan(None);
     }
-    (1..200).for_each(|number| drop(version_of(&mut veteran, session(number))));
-    veteran.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
+    (1..200).for_each(|number| drop(version_of(&mut running, session(number))));
+    running.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     let on_old = |number: &u64| version_of(&mut starter, session(*number)) == "v1";
     let kept: Vec<u64> = (1..20).filter(on_old).collect();
 
     let (mut given, mut notes) = (Vec::new(), Vec::new());
     for step in 1..=15 {
-        notes.extend(gossip_in(&veteran.feed(RouteEvent::Tick)));
+        notes.extend(gossip_in(&running.feed(RouteEvent::Tick)));
         if step == 5 {
             let told = notes.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
             told.for_each(|event| drop(starter.feed(event)));
         }
-        let versions = [&mut veteran, &mut starter].map(|subject| {
+        let versions = [&mut running, &mut starter].map(|subject| {
             subject.now += 100;
             subject.read_plan(None);
             subject.feed(RouteEvent::Tick);
@@ -219,10 +219,10 @@
     subject.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints });
 
     assert!(subject.state.is_synced());
-    let mut veteran = box_that_ran_through(SHARED_AT_MS);
+    let mut running = box_that_ran_through(SHARED_AT_MS);
     let split = |number: &u64| {
         let key = session(*number);
-        version_of(&mut veteran, key) != version_of(&mut subject, key)
+        version_of(&mut running, key) != version_of(&mut subject, key)
     };
     assert_eq!((1..200).filter(split).count(), 0);
 }
