--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -99,12 +99,12 @@
 /// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
 fn split_sessions(age_ms: u64) -> Vec<u64> {
     let mut running = box_that_ran_through(age_ms);
-    let mut starter = started_box("box-2");
-    starter.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut running))));
+    let mut started = started_box("box-2");
+    started.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut running))));
     running.read_plan(None);
     let split = |number: &u64| {
         let key = session(*number);
-        version_of(&mut running, key) != version_of(&mut starter, key)
+        version_of(&mut running, key) != version_of(&mut started, key)
     };
     (1..200).filter(split).collect()
 }
@@ -119,14 +119,14 @@
 // later, and moved sessions back meanwhile.
 #[test]
 fn a_box_that_hears_of_enough_answers_later_gives_all_sessions_with_the_others() {
-    let (mut running, mut starter) = (started_box("box-1"), started_box("box-2"));
-    for subject in [&mut running, &mut starter] {
+    let (mut running, mut started) = (started_box("box-1"), started_box("box-2"));
+    for subject in [&mut running, &mut started] {
         subject.now += COUNTED_AT_MS;
         subject.read_plan(None);
     }
     (1..200).for_each(|number| drop(version_of(&mut running, session(number))));
     running.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let on_old = |number: &u64| version_of(&mut starter, session(*number)) == "v1";
+    let on_old = |number: &u64| version_of(&mut started, session(*number)) == "v1";
     let kept: Vec<u64> = (1..20).filter(on_old).collect();
 
     let (mut given, mut notes) = (Vec::new(), Vec::new());
@@ -134,9 +134,9 @@
         notes.extend(gossip_in(&running.feed(RouteEvent::Tick)));
         if step == 5 {
             let told = notes.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
-            told.for_each(|event| drop(starter.feed(event)));
+            told.for_each(|event| drop(started.feed(event)));
         }
-        let versions = [&mut running, &mut starter].map(|subject| {
+        let versions = [&mut running, &mut started].map(|subject| {
             subject.now += 100;
             subject.read_plan(None);
             subject.feed(RouteEvent::Tick);
@@ -367,28 +367,28 @@
     let mut reader = new_box("box-1");
     reader.read_plan(Some(plan(1)));
     reader.now += 4_500;
-    let mut starter = new_box("box-2");
-    starter.now = 200;
+    let mut started = new_box("box-2");
+    started.now = 200;
     let ask_of_starter = SyncRequest {
         gossip_address: "box-2:90".to_owned(),
         incarnation: 1,
-        asked_at: BoxTime::from_millis(starter.now),
+        asked_at: BoxTime::from_millis(started.now),
         ..SyncRequest::default()
     };
     let told =
         gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
 
-    let as_of = starter.state.message_as_of(&told, BoxTime::from_millis(starter.now));
+    let as_of = started.state.message_as_of(&told, BoxTime::from_millis(started.now));
     let asked_at = as_of.expect("it answers this box's ask");
-    starter.feed(RouteEvent::PlanRead {
+    started.feed(RouteEvent::PlanRead {
         asked_at,
         read_to: told.known.read_to,
         plan: Some(plan(1)),
     });
-    starter.put(entry("a", "v1"));
-    starter.now += 200;
+    started.put(entry("a", "v1"));
+    started.now += 200;
 
     // 4.7 s old: a key that the plan holds may have been taken away by now.
-    let refusal = starter.refused(ask("/file/x"));
+    let refusal = started.refused(ask("/file/x"));
     assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
 }
