--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -156,7 +156,7 @@
         let read_to = TopicPosition::new(1, 1);
         fleet.feed(number, RouteEvent::OrdersRead { read_to, orders: vec![order()] });
     }
-    let mut settled = mark(TrialPhase::Shared, SHARED_AT_MS);
+    let mut settled = checkpoint(TrialPhase::Shared, SHARED_AT_MS);
     settled.progress.carries_at_ms = Some(CARRIED_AT_MS);
     fleet.feed(count / 2, RouteEvent::CheckpointStored(settled));
 
@@ -176,13 +176,13 @@
 /// What the store would be given of a trial's progress.
 fn mark_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::WriteCheckpoint(mark) => Some(mark.progress),
+        RouteEffect::WriteCheckpoint(checkpoint) => Some(checkpoint.progress),
         _ => None,
     })
 }
 
-/// A mark of the trial of these tests.
-fn mark(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
+/// A checkpoint of the trial of these tests.
+fn checkpoint(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
     let progress = TrialProgress { phase, age_ms, ..TrialProgress::default() };
     TrialCheckpoint { service: "pool".to_owned(), version: "v2".to_owned(), progress }
 }
@@ -195,7 +195,7 @@
         subject.now += 200;
         subject.read_plan(None);
         if let Some(progress) = mark_in(&subject.feed(RouteEvent::Tick)) {
-            subject.feed(RouteEvent::CheckpointStored(mark(progress.phase, progress.age_ms)));
+            subject.feed(RouteEvent::CheckpointStored(checkpoint(progress.phase, progress.age_ms)));
             marks.push((progress.phase, progress.age_ms));
         }
     }
@@ -215,7 +215,7 @@
     assert!(subject.state.has_unread_checkpoints() && !subject.state.is_synced());
 
     let asked_at = BoxTime::from_millis(subject.now);
-    let checkpoints = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
+    let checkpoints = vec![checkpoint(TrialPhase::Shared, SHARED_AT_MS)];
     subject.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints });
 
     assert!(subject.state.is_synced());
