--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -174,7 +174,7 @@
 }
 
 /// What the store would be given of a trial's progress.
-fn mark_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
+fn checkpoint_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::WriteCheckpoint(checkpoint) => Some(checkpoint.progress),
         _ => None,
@@ -194,7 +194,7 @@
     for _ in 0..30 {
         subject.now += 200;
         subject.read_plan(None);
-        if let Some(progress) = mark_in(&subject.feed(RouteEvent::Tick)) {
+        if let Some(progress) = checkpoint_in(&subject.feed(RouteEvent::Tick)) {
             subject.feed(RouteEvent::CheckpointStored(checkpoint(progress.phase, progress.age_ms)));
             marks.push((progress.phase, progress.age_ms));
         }
