--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -190,20 +190,20 @@
 #[test]
 fn progress_is_marked_after_each_twelfth_of_the_time_and_at_each_phase() {
     let mut subject = started_box("box-1");
-    let mut marks = Vec::new();
+    let mut checkpoints = Vec::new();
     for _ in 0..30 {
         subject.now += 200;
         subject.read_plan(None);
         if let Some(progress) = checkpoint_in(&subject.feed(RouteEvent::Tick)) {
             subject.feed(RouteEvent::CheckpointStored(checkpoint(progress.phase, progress.age_ms)));
-            marks.push((progress.phase, progress.age_ms));
+            checkpoints.push((progress.phase, progress.age_ms));
         }
     }
     let (held, shared) = (TrialPhase::Held, TrialPhase::Shared);
     let while_held = [800, 1_600, 2_400, 3_200, 4_000, 4_800].map(|age_ms| (held, age_ms));
-    assert_eq!(marks[..6], while_held);
+    assert_eq!(checkpoints[..6], while_held);
     assert_eq!(
-        marks[6..],
+        checkpoints[6..],
         [(shared, 5_200), (shared, 6_000)],
         "the share is given from 5,150 ms on"
     );
