--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -322,7 +322,7 @@
 }
 
 /// Answers that a box tells of, none of them failed.
-fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
+fn gossip_with_stats(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let fresh = VersionStats { runs, ..VersionStats::default() };
     let tally = TrialStats { fresh, ..TrialStats::default() };
     let trial = TrialUpdate {
@@ -345,7 +345,7 @@
     let mut subject = started_box("box-1");
     subject.now += CARRIED_AT_MS - CARRY_LEAD_MS;
     subject.read_plan(None);
-    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 1, 30.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(gossip_with_stats("box-2", 1, 30.0))));
     subject.feed(RouteEvent::Tick);
     subject.now += CARRY_LEAD_MS;
     subject.read_plan(None);
@@ -356,7 +356,7 @@
     };
     assert_eq!(carried(&mut subject), 14, "it is proven by what the other box saw");
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 2, 0.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(gossip_with_stats("box-2", 2, 0.0))));
     subject.feed(RouteEvent::Tick);
 
     assert_eq!(carried(&mut subject), 14, "no session is moved back");
