--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -149,7 +149,7 @@
 }
 
 /// Time until all of `count` boxes know from when on the version carries all, once one does, in milliseconds.
-fn settled_by_all_after(count: usize) -> Option<u64> {
+fn ms_until_all_settled(count: usize) -> Option<u64> {
     let mut fleet = fleet_with_replicas(count);
     fleet.run_until(10_000);
     for number in 0..count {
@@ -168,7 +168,7 @@
 #[test]
 fn boxes_know_from_when_on_a_version_carries_all_before_it_does() {
     for count in [3, 84, 295] {
-        let after = settled_by_all_after(count);
+        let after = ms_until_all_settled(count);
         assert!(after.is_some_and(|after_ms| after_ms < CARRY_LEAD_MS), "{count}: {after:?}");
     }
 }
