--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -71,7 +71,7 @@
 }
 
 /// A box that has served from the order until `age_ms` after it.
-fn box_that_ran_through(age_ms: u64) -> TestBox {
+fn box_without_restart(age_ms: u64) -> TestBox {
     let mut subject = started_box("box-1");
     subject.now += age_ms;
     subject.read_plan(None);
@@ -98,7 +98,7 @@
 
 /// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
 fn split_sessions(age_ms: u64) -> Vec<u64> {
-    let mut running = box_that_ran_through(age_ms);
+    let mut running = box_without_restart(age_ms);
     let mut started = started_box("box-2");
     started.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut running))));
     running.read_plan(None);
@@ -219,7 +219,7 @@
     subject.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints });
 
     assert!(subject.state.is_synced());
-    let mut running = box_that_ran_through(SHARED_AT_MS);
+    let mut running = box_without_restart(SHARED_AT_MS);
     let split = |number: &u64| {
         let key = session(*number);
         version_of(&mut running, key) != version_of(&mut subject, key)
