--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -338,7 +338,7 @@
 }
 
 /// Whether a box knows the store's second era, and relies on what it shows.
-fn relies_on_second_era(state: &RouteState) -> bool {
+fn reads_second_era(state: &RouteState) -> bool {
     state.read_to().era == 2
 }
 
@@ -356,7 +356,7 @@
     fleet.run_until(fleet.away_until);
     fleet.calls();
 
-    let took = fleet.until_all(4_000, relies_on_second_era);
+    let took = fleet.until_all(4_000, reads_second_era);
 
     let label = format!("{count} boxes, away {away_ms} ms, copy of {copied_at}: {took:?}");
     assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{label}");
@@ -414,7 +414,7 @@
         assert!(none_behind(&fleet, 6));
         assert!(calls <= 60.0, "{count} boxes: {calls} calls a second");
         fleet.write_again(lost);
-        let took = fleet.until_all(4_000, relies_on_second_era);
+        let took = fleet.until_all(4_000, reads_second_era);
         assert!(took.is_some_and(|ms| ms <= APPLY_MS), "{count} boxes: {took:?}");
     }
 }
@@ -439,7 +439,7 @@
         }
         fleet.write_again(lost);
 
-        let took = fleet.until_all(4_000, relies_on_second_era);
+        let took = fleet.until_all(4_000, reads_second_era);
         assert!(took.is_some_and(|ms| ms <= APPLY_MS), "{count} boxes: {took:?}");
         assert!(none_behind(&fleet, 6));
     }
