--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -343,7 +343,7 @@
 }
 
 /// Whether no box has fallen back behind a plan.
-fn none_behind(fleet: &Fleet, version: u64) -> bool {
+fn none_regressed(fleet: &Fleet, version: u64) -> bool {
     fleet.boxes.iter().all(|subject| subject.dead || subject.state.plan().version >= version)
 }
 
@@ -360,7 +360,7 @@
 
     let label = format!("{count} boxes, away {away_ms} ms, copy of {copied_at}: {took:?}");
     assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{label}");
-    assert!(none_behind(&fleet, 6), "{label}");
+    assert!(none_regressed(&fleet, 6), "{label}");
     let calls = fleet.calls() as usize;
     assert!(calls <= 60 + count / 2, "{label}: {calls} calls");
     fleet.write_plan(7);
@@ -411,7 +411,7 @@
         fleet.run_until(fleet.now + 6_000);
 
         let calls = f64::from(fleet.calls()) / 6.0;
-        assert!(none_behind(&fleet, 6));
+        assert!(none_regressed(&fleet, 6));
         assert!(calls <= 60.0, "{count} boxes: {calls} calls a second");
         fleet.write_again(lost);
         let took = fleet.until_all(4_000, reads_second_era);
@@ -441,7 +441,7 @@
 
         let took = fleet.until_all(4_000, reads_second_era);
         assert!(took.is_some_and(|ms| ms <= APPLY_MS), "{count} boxes: {took:?}");
-        assert!(none_behind(&fleet, 6));
+        assert!(none_regressed(&fleet, 6));
     }
 }
 
