--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -19,7 +19,7 @@
 const APPLY_MS: u64 = 2_000;
 
 /// Readers' longest pause between two tries, and the notes' way, in milliseconds.
-const FIND_MS: u64 = 1_200;
+const RETRY_MS: u64 = 1_200;
 
 /// A position after the store came back from a copy.
 fn restored(offset: u64) -> TopicPosition {
@@ -359,7 +359,7 @@
     let took = fleet.until_all(4_000, reads_second_era);
 
     let label = format!("{count} boxes, away {away_ms} ms, copy of {copied_at}: {took:?}");
-    assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{label}");
+    assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{label}");
     assert!(none_regressed(&fleet, 6), "{label}");
     let calls = fleet.calls() as usize;
     assert!(calls <= 60 + count / 2, "{label}: {calls} calls");
@@ -396,7 +396,7 @@
 
         let took = fleet.until_all(4_000, has_plan(9));
 
-        assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{count} boxes: {took:?}");
+        assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{count} boxes: {took:?}");
     }
 }
 
@@ -461,7 +461,7 @@
 
         let third = |state: &RouteState| state.read_to().era == 3 && state.plan().version == 7;
         let took = fleet.until_all(6_000, third);
-        assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{count} boxes: {took:?}");
+        assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{count} boxes: {took:?}");
     }
 }
 
