--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn boxes_that_start_together_make_few_calls_and_agree_on_who_reads() {
+fn boxes_that_start_together_make_few_calls_and_agree_on_readers() {
     for count in [9, 300] {
         let mut fleet = fleet_with_replicas(count);
         let open = fleet.until_all(2_000, RouteState::is_synced);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn all_boxes_know_a_new_plan_and_a_leaving_replica_soon() {
+fn new_plan_and_leaving_replica_reach_all_boxes_in_time() {
     for count in [9, 100] {
         let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_fleet_whose_boxes_were_all_killed_is_back_at_once_without_storming_the_store() {
+fn restart_of_all_boxes_recovers_fast_without_overloading_the_store() {
     for count in [9, 300] {
         let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn most_notes_of_a_large_fleet_stay_within_an_availability_zone() {
+fn most_gossip_of_a_large_fleet_stays_within_an_availability_zone() {
     let mut fleet = fleet_with_replicas(100);
     fleet.run_until(5_000);
     fleet.notes = [0; 2];
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn where_the_readers_die_others_read_in_their_place() {
+fn other_boxes_replace_readers_that_fail() {
     for count in [9, 100] {
         let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn while_the_store_is_away_few_boxes_try_it_and_all_are_back_soon_after_it() {
+fn store_outage_causes_few_calls_and_all_boxes_recover_after_it() {
     for count in [9, 100, 300] {
         let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
@@ -131,7 +131,7 @@
 /// Word of emptied zones comes to all with notes alone, each some bytes: 300 boxes, half of which can't reach the store,
 /// 3 of 100 datagrams lost.
 #[test]
-fn all_boxes_know_an_emptied_zone_and_that_it_is_back_within_two_seconds() {
+fn evacuation_of_a_zone_and_its_end_reach_all_boxes_within_two_seconds() {
     let mut fleet = Fleet::start(300);
     fleet.run_until(8_000);
     for (known_to, evacuated) in [(50, true), (51, false)] {
@@ -155,7 +155,7 @@
 const LARGE_REPLICAS: usize = 1_000;
 
 #[test]
-fn boxes_that_start_before_many_replicas_learn_of_them_from_each_other() {
+fn boxes_that_start_with_many_replicas_learn_them_from_each_other() {
     for count in [30, 100, 300] {
         let mut fleet = Fleet::start_with(count, LARGE);
         fleet.put_replicas(LARGE_REPLICAS);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn boxes_that_know_all_replicas_are_not_told_all_of_them_again_as_others_come() {
+fn boxes_that_know_all_replicas_get_no_listing_as_others_are_added() {
     let mut fleet = Fleet::start_with(100, LARGE);
     fleet.put_replicas(LARGE_REPLICAS / 2);
     let known = |fleet: &Fleet| fleet.boxes.iter().all(|subject| subject.state.is_synced());
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn boxes_keep_up_with_replicas_that_come_in_thousands() {
+fn gossip_keeps_up_with_thousands_of_new_replicas() {
     let mut fleet = fleet_with_replicas(30);
     fleet.run_until(5_000);
     fleet.calls();
