--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn callers_are_sent_to_boxes_that_live() {
+fn callers_are_directed_to_live_boxes() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     deliver_gossip(&mut second, &mut first);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_stopping_box_is_no_longer_named_at_once() {
+fn stopping_box_is_no_longer_advertised_at_once() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     deliver_gossip(&mut second, &mut first);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_box_that_can_not_read_the_plan_is_named_only_if_none_can() {
+fn box_that_cannot_read_the_plan_is_advertised_only_if_no_box_can() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     first.now += ADVERTISED_AGE_MS;
@@ -82,14 +82,14 @@
 }
 
 #[test]
-fn where_no_box_can_read_the_plan_those_that_serve_on_are_named() {
+fn boxes_with_an_old_plan_are_advertised_if_no_box_has_a_newer_one() {
     let mut subject = ready_box();
     subject.now += ADVERTISED_AGE_MS;
     assert_eq!(advertised(&subject), ["box-1:80"]);
 }
 
 #[test]
-fn an_old_note_changes_nothing() {
+fn outdated_gossip_is_ignored() {
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_leaving_replica_is_known_to_a_box_that_can_not_read_the_store() {
+fn box_without_the_store_learns_of_a_leaving_replica() {
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(1)));
     for id in ["a", "b"] {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_newer_plan_elsewhere_is_asked_for_and_else_read() {
+fn newer_plan_is_requested_and_read_if_there_is_no_response() {
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(2)));
     let effects = deliver_gossip(&mut second, &mut first);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_readers_word_counts_from_the_askers_clock_and_as_of_when_it_read() {
+fn response_ages_on_the_clock_of_the_requesting_box_from_the_read_of_the_reader() {
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     reader.now = 500_000;
     reader.read_plan(Some(plan(1)));
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_word_of_a_reader_that_has_read_further_renews_nothing() {
+fn response_of_a_reader_that_is_ahead_does_not_renew_the_plan() {
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(2)));
     asker.now += 2_000;
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_word_of_a_reader_that_has_read_less_renews_nothing() {
+fn response_of_a_reader_that_is_behind_does_not_renew_the_plan() {
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     asker.read_plan(Some(plan(2)));
     reader.read_plan(Some(plan(1)));
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_answer_to_an_earlier_life_or_to_an_old_ask_renews_nothing() {
+fn response_to_an_earlier_process_or_an_old_request_does_not_renew_the_plan() {
     let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(1)));
     asker.now += 500;
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_word_without_an_ask_renews_nothing() {
+fn gossip_without_a_request_does_not_renew_the_plan() {
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     first.now += 1_000;
     second.now = first.now;
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_leaves_is_told_on_by_who_heard_it_and_the_rest_to_who_asks() {
+fn removals_are_forwarded_and_other_changes_are_sent_on_request() {
     let (mut first, mut second, mut third) = (ready_box(), new_box("box-2"), new_box("box-3"));
     third.read_plan(Some(plan(1)));
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn few_boxes_read_and_each_knows_which() {
+fn only_a_few_boxes_are_readers() {
     let mut boxes: Vec<TestBox> = (0..60).map(|n| new_box(&format!("box-{n}"))).collect();
     for (number, subject) in boxes.iter_mut().enumerate() {
         let notes: Vec<GossipMessage> = (0..60)
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn of_two_changes_the_later_counts_however_late_it_comes() {
+fn later_of_two_changes_counts_whichever_arrives_first() {
     let (mut first, mut second) = (ready_box(), new_box("box-2"));
     second.read_plan(Some(plan(1)));
     second.put(entry("a", "v1"));
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_box_that_was_started_while_the_store_is_away_learns_the_replicas_from_others() {
+fn box_started_during_a_store_outage_learns_the_replicas_from_others() {
     let mut reader = ready_box();
     let mut started = new_box("box-2");
     started.read_plan(Some(plan(1)));
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn a_box_that_was_cut_off_takes_the_others_word_on_what_is_gone() {
+fn box_after_a_store_outage_applies_removals_from_other_boxes() {
     let (mut cut, mut other) = box_after_outage_and_another();
     other.drop_entry("a");
     deliver_gossip(&mut other, &mut cut);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn what_a_box_that_was_cut_off_read_as_gone_is_gone_when_the_others_say_so() {
+fn grace_period_ends_when_another_box_confirms_the_removal() {
     let (mut cut, mut other) = box_after_outage_and_another();
     cut.drop_entry("a");
     assert!(uses(&cut, "a"), "it may come back: the store may have been away for all");
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn a_box_that_starts_asks_others_and_reads_the_store_only_if_nobody_knows() {
+fn starting_box_reads_the_store_only_if_no_other_box_responds() {
     let (mut started, latest) = started_box();
     let effects = started.feed(RouteEvent::Tick);
     assert!(sync_request_in(&effects).is_some(), "it asks at once");
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn a_box_that_was_told_everything_when_it_started_calls_the_store_for_nothing() {
+fn starting_box_that_received_everything_does_not_call_the_store() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
     let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it asks");
     let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn who_read_the_store_at_its_start_reads_on_at_once() {
+fn box_that_read_the_store_at_its_start_is_a_reader_at_once() {
     let (mut started, latest) = started_box();
     started.now = latest - 1;
     started.read_plan(Some(plan(1)));
@@ -387,7 +387,7 @@
 }
 
 #[test]
-fn an_answer_holds_what_differs_and_nothing_else() {
+fn response_contains_only_the_differences() {
     let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     assert!(uses(&asker, "a") && uses(&asker, "b"), "the first answer is a listing");
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_made_good_by_the_next() {
+fn next_response_replaces_a_lost_one() {
     let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     reader.drop_entry("a");
@@ -415,7 +415,7 @@
 }
 
 #[test]
-fn more_replicas_than_a_datagram_holds_are_told_in_pages() {
+fn listing_larger_than_a_datagram_is_sent_in_pages() {
     let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
     for number in 0..2 * CHANGES_PER_MESSAGE + 7 {
@@ -436,7 +436,7 @@
 }
 
 #[test]
-fn a_box_that_is_told_all_replicas_page_by_page_does_not_list_them_in_the_store_as_well() {
+fn box_that_receives_a_listing_does_not_list_the_store_as_well() {
     let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
     for number in 0..2 * CHANGES_PER_MESSAGE {
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn a_listing_takes_away_what_is_not_in_it() {
+fn listing_removes_replicas_that_it_does_not_contain() {
     let (mut reader, mut asker) = (new_box("box-2"), ready_box());
     reader.read_plan(Some(plan(1)));
     let end = at(50);
@@ -474,7 +474,7 @@
 }
 
 #[test]
-fn what_may_come_back_is_not_told_as_gone_and_told_when_it_is() {
+fn removal_is_sent_only_after_its_grace_period() {
     let (mut reader, mut asker) = (second_ready_box(), ready_box());
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
@@ -490,7 +490,7 @@
 }
 
 #[test]
-fn a_note_that_comes_after_word_of_its_sender_is_still_taken() {
+fn message_that_arrives_after_a_report_about_its_sender_is_applied() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
@@ -506,7 +506,7 @@
 }
 
 #[test]
-fn old_word_of_a_box_does_not_make_it_live() {
+fn old_report_about_a_box_does_not_make_it_live() {
     let (mut first, mut second) = (ready_box(), second_ready_box());
     deliver_gossip(&mut second, &mut first);
     let info = PeerInfo {
@@ -528,7 +528,7 @@
 }
 
 #[test]
-fn who_is_told_nothing_further_while_an_entry_may_come_back_does_not_ask_on_at_once() {
+fn response_without_progress_is_not_followed_by_a_request_at_once() {
     let (mut reader, mut asker) = (second_ready_box(), ready_box());
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     reader.feed(RouteEvent::StoreFailed);
