--- a/crates/core/tests/route/plan.rs
+++ b/crates/core/tests/route/plan.rs
@@ -6,7 +6,7 @@
 use crate::fixture::{ask, is_refused, new_box, plan, ready_box, route, HOST};
 
 #[test]
-fn a_box_without_a_plan_says_not_run_and_never_denies() {
+fn box_without_a_plan_refuses_with_503_and_denies_nothing() {
     let mut subject = new_box("box-1");
     let refusal = subject.refused(ask("/read/x"));
     assert!(is_refused(refusal, 503, RefusalReason::NoPlan), "{refusal:?}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_key_is_not_honoured_once_it_may_have_been_taken_away() {
+fn key_is_not_accepted_once_it_may_have_been_revoked() {
     let mut subject = ready_box();
     subject.now += 4_500;
     subject.sent(ask("/read/x"));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_older_plan_renews_nothing() {
+fn older_plan_does_not_renew_the_freshness() {
     let mut subject = ready_box();
     subject.read_plan(Some(plan(3)));
     subject.now += 4_000;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_taken_away_key_is_refused_at_once_by_who_knows() {
+fn revoked_key_is_refused_at_once_by_a_box_that_read_it() {
     let mut subject = ready_box();
     let mut next = plan(2);
     next.holders = Some(Vec::new());
