--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_box_whose_calls_to_the_store_fail_goes_behind_the_others_in_reading_it() {
+fn box_whose_store_calls_fail_ranks_behind_the_others_as_reader() {
     let mut subject = ready_box();
     receive_from_three_others(&mut subject, false);
     subject.feed(RouteEvent::Tick);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_reader_whose_plan_is_old_reads_without_waiting_for_news() {
+fn reader_with_an_old_plan_reads_without_a_long_poll() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
@@ -78,7 +78,7 @@
 // 40 that one read failed; from then on they left the store to the boxes that answered them, which could not deliver_gossip them
 // the plan: "store_lost keyed.op" at 66.5 s, "plan=14 plan_age_ms=10932" at 74.5 s, no call to the store before 86 s.
 #[test]
-fn a_box_that_is_not_told_what_others_know_reads_it_though_it_lost_the_store() {
+fn box_that_is_behind_reads_the_store_even_after_a_failed_call() {
     let mut subject = box_behind_without_the_store();
     assert!(!subject.state.is_reader(clock(&subject)));
 
@@ -95,7 +95,7 @@
 // 88 of 91 boxes read a plan of 890 KB from the store that no answer could hold. Each waited half a second for an answer that
 // holds it, and asked again meanwhile.
 #[test]
-fn a_box_that_was_answered_without_what_it_asked_for_reads_it_at_once_and_asks_no_more() {
+fn response_without_the_plan_leads_to_a_read_and_no_further_request() {
     let mut subject = box_without_the_store();
     let mut reader = new_box("box-3");
     reader.now = subject.now;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_answer_whose_page_of_replicas_left_no_room_for_the_plan_is_asked_for_again() {
+fn plan_is_requested_again_if_a_page_of_replicas_left_no_room_for_it() {
     let mut subject = box_without_the_store();
     let mut reader = new_box("box-2");
     reader.now = subject.now;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_reader_whose_plan_is_half_a_second_old_reads_without_waiting_for_news() {
+fn reader_with_a_plan_of_half_a_second_reads_without_a_long_poll() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
