--- a/crates/core/tests/route/lives.rs
+++ b/crates/core/tests/route/lives.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_new_life_of_a_replica_has_no_work_and_no_failures_of_the_former_one() {
+fn new_incarnation_inherits_no_requests_and_no_failures() {
     // The clock of a replica may have been set back between two of its lives: the store's order tells which is the later.
     for born in [9_000, 1_000] {
         let mut subject = box_with_one_incarnation();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_new_life_is_not_leaving_though_the_former_one_left() {
+fn new_incarnation_is_not_leaving_after_the_former_one_left() {
     let mut subject = box_with_one_incarnation();
     subject.put(BackendEntry { leaving: true, ..incarnation(5_000) });
     subject.put(incarnation(5_000));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn old_news_of_a_former_life_changes_nothing() {
+fn late_change_of_a_former_incarnation_is_ignored() {
     let mut subject = box_with_one_incarnation();
     let offset = subject.offset;
     subject.put(incarnation(6_000));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn an_entry_that_does_not_say_when_its_life_began_goes_on_as_that_life() {
+fn entry_without_a_start_time_continues_the_incarnation() {
     let mut subject = box_with_one_incarnation();
     let (_, order) = subject.sent(ask("/read/x"));
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_run_of_a_former_life_is_not_said_not_to_have_run() {
+fn request_at_a_former_incarnation_is_not_reported_as_not_executed() {
     let mut subject = box_with_one_incarnation();
     let (ticket, _) = subject.sent(ask("/file/x"));
     subject.put(incarnation(6_000));
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_entry_that_names_no_replica_ends_the_use_of_what_it_replaced_though_the_store_was_away() {
+fn invalidated_entry_is_removed_even_after_a_store_outage() {
     let mut subject = box_with_one_incarnation();
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::StoreRecovered);
