--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_box_started_in_a_trial_gives_sessions_to_the_versions_that_the_others_give_them_to() {
+fn box_started_during_a_trial_routes_sessions_like_the_others() {
     assert_eq!(split_sessions(SHARED_AT_MS), [0; 0], "while a share is given");
     assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while all are given");
 }
@@ -118,7 +118,7 @@
 // Each box gave all sessions to the version as soon as it had counted enough: one that had started heard the others' counts
 // later, and moved sessions back meanwhile.
 #[test]
-fn a_box_that_hears_of_enough_answers_later_gives_all_sessions_with_the_others() {
+fn boxes_move_all_sessions_at_the_same_time_despite_late_statistics() {
     let (mut running, mut started) = (started_box("box-1"), started_box("box-2"));
     for subject in [&mut running, &mut started] {
         subject.now += COUNTED_AT_MS;
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn boxes_know_from_when_on_a_version_carries_all_before_it_does() {
+fn all_boxes_know_the_time_of_full_traffic_before_it_comes() {
     for count in [3, 84, 295] {
         let after = ms_until_all_settled(count);
         assert!(after.is_some_and(|after_ms| after_ms < CARRY_LEAD_MS), "{count}: {after:?}");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn progress_is_marked_after_each_twelfth_of_the_time_and_at_each_phase() {
+fn checkpoints_are_written_at_each_twelfth_of_the_time_and_at_each_phase() {
     let mut subject = started_box("box-1");
     let mut checkpoints = Vec::new();
     for _ in 0..30 {
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_box_that_starts_in_a_trial_reads_how_far_it_has_come_before_it_serves() {
+fn box_started_during_a_trial_reads_its_checkpoint_before_it_serves() {
     let mut subject = started_box("box-2");
     assert!(subject.state.has_unread_checkpoints() && !subject.state.is_synced());
 
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_box_that_read_the_plan_late_waits_with_callers_for_the_rest() {
+fn box_that_read_the_plan_late_accepts_callers_only_when_synced() {
     let mut subject = box_that_read_late();
     let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
     assert!(!takes(&subject), "it knows no replica, and not how far the trial has come");
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_box_that_is_told_no_more_takes_callers_some_time_after_it_learnt_the_plan() {
+fn box_with_only_a_plan_accepts_callers_after_a_delay() {
     let mut subject = box_that_read_late();
 
     subject.now += ACCEPT_AFTER_PLAN_MS;
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_box_that_was_told_the_plan_alone_waits_with_callers_for_its_own_listing_of_replicas() {
+fn box_that_received_only_the_plan_lists_replicas_before_it_accepts_callers() {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
     subject.read_plan(Some(plan(1)));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_box_that_nobody_tells_a_plan_keeps_callers_waiting_no_longer_than_its_own_read_may_take() {
+fn box_without_a_plan_accepts_callers_after_its_own_read_is_due() {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
 
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_trial_that_a_box_heard_of_when_it_began_has_no_mark_to_read() {
+fn trial_known_from_its_beginning_has_no_checkpoint_to_read() {
     let mut subject = ready_box();
     subject.give_order(order());
     let asked_at = BoxTime::from_millis(subject.now);
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_box_that_has_only_heard_news_of_one_replica_waits_with_callers_for_all_of_them() {
+fn box_that_knows_one_replica_from_gossip_waits_for_the_others() {
     let mut subject = new_box("box-2");
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_version_that_carries_all_goes_on_when_the_evidence_for_it_is_lost_with_a_box() {
+fn version_with_full_traffic_keeps_it_when_evidence_is_lost_with_a_box() {
     let mut subject = started_box("box-1");
     subject.now += CARRIED_AT_MS - CARRY_LEAD_MS;
     subject.read_plan(None);
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn what_another_box_knew_before_this_one_started_is_as_old_as_it_was() {
+fn knowledge_from_before_the_start_of_a_box_keeps_its_age() {
     let mut reader = new_box("box-1");
     reader.read_plan(Some(plan(1)));
     reader.now += 4_500;
