--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_older_plan_in_a_restored_store_makes_nothing_fresh_until_what_was_lost_is_written_again() {
+fn older_plan_in_a_restored_store_does_not_renew_until_the_lost_one_is_written_again() {
     let mut subject = ready_box();
     subject.read_plan(Some(plan(9)));
     subject.now += 1_000;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_read_of_a_former_era_that_comes_late_changes_nothing() {
+fn late_read_of_a_former_era_is_ignored() {
     let mut subject = ready_box();
     read_plan_at(&mut subject, restored(3), Some(9));
 
@@ -106,8 +106,7 @@
 }
 
 #[test]
-fn a_box_that_read_the_copy_takes_the_plan_that_the_store_lost_and_waits_for_it_to_be_written_again(
-) {
+fn box_that_read_the_copy_applies_the_lost_plan_from_another_box() {
     let mut subject = ready_box();
     subject.now += 5_000;
     read_plan_at(&mut subject, restored(4), Some(7));
@@ -123,7 +122,7 @@
 }
 
 #[test]
-fn word_that_the_plan_is_the_same_in_a_new_era_is_taken_without_the_plan() {
+fn unchanged_plan_in_a_new_era_is_confirmed_without_the_plan() {
     let mut subject = ready_box();
     subject.now += 1_000;
     let as_of = BoxTime::from_millis(subject.now);
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn word_of_a_newer_plan_that_was_too_long_to_be_told_is_not_taken_for_the_plan() {
+fn position_of_a_newer_plan_without_the_plan_is_not_applied() {
     let mut subject = ready_box();
     let as_of = BoxTime::from_millis(subject.now);
     let known = PlanPosition { version: 2, read_to: at(6) };
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn an_order_to_empty_a_zone_that_the_store_lost_binds_until_it_is_written_again_or_ten_seconds() {
+fn lost_evacuation_stays_in_force_until_it_is_written_again_or_for_ten_seconds() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, at(8), &[("east", true), ("west", true)]);
 
@@ -162,7 +161,7 @@
 }
 
 #[test]
-fn an_order_that_is_not_written_again_ends_after_ten_seconds_and_a_withdrawn_one_at_once() {
+fn lost_evacuation_ends_after_ten_seconds_and_a_withdrawn_one_at_once() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, at(8), &[("east", true), ("west", true)]);
     read_zones(&mut subject, None, restored(5), &[]);
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn a_box_that_read_the_copy_hears_of_an_emptied_zone_from_one_of_a_former_era() {
+fn box_that_read_the_copy_learns_of_an_evacuation_from_a_former_era() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, restored(5), &[]);
     let word = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
@@ -187,7 +186,7 @@
 }
 
 #[test]
-fn a_replica_that_had_left_is_not_used_again_because_a_copy_still_has_it() {
+fn replica_that_had_left_is_not_used_because_a_copy_still_has_it() {
     let mut subject = ready_box();
     subject.put(BackendEntry { leaving: true, ..entry("a", "v1") });
     subject.drop_entry("a");
@@ -198,7 +197,7 @@
 }
 
 #[test]
-fn another_life_of_a_replica_that_had_left_is_used() {
+fn another_incarnation_of_a_replica_that_had_left_is_used() {
     let mut subject = ready_box();
     let born = |ms| BackendEntry { born: Some(ms), ..entry("c", "v1") };
     subject.put(BackendEntry { leaving: true, ..born(100) });
@@ -210,7 +209,7 @@
 }
 
 #[test]
-fn a_leaving_mark_that_the_store_lost_binds() {
+fn leaving_mark_that_the_store_lost_stays_in_force() {
     let mut subject = ready_box();
     subject.put(BackendEntry { leaving: true, ..entry("a", "v1") });
 
@@ -221,7 +220,7 @@
 }
 
 #[test]
-fn a_replica_that_came_after_the_copy_is_used_until_it_must_be_written_again() {
+fn replica_added_after_the_copy_is_used_for_the_grace_period() {
     let mut subject = ready_box();
 
     list_restored(&mut subject, &[entry("a", "v1")]);
@@ -233,7 +232,7 @@
 }
 
 #[test]
-fn news_of_a_former_era_does_not_bring_back_what_a_listing_did_not_show() {
+fn change_of_a_former_era_does_not_restore_an_unlisted_replica() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     list_restored(&mut subject, &[entry("a", "v1")]);
@@ -264,7 +263,7 @@
 }
 
 #[test]
-fn a_verdict_that_the_store_lost_stands_and_is_written_again() {
+fn verdict_that_the_store_lost_is_kept_and_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
@@ -283,7 +282,7 @@
 }
 
 #[test]
-fn word_of_a_former_era_that_a_verdict_stands_does_not_keep_it_from_being_written_again() {
+fn verdict_known_from_a_former_era_is_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
@@ -303,7 +302,7 @@
 }
 
 #[test]
-fn an_order_that_another_had_replaced_does_not_begin_anew_because_a_copy_still_shows_it() {
+fn replaced_order_does_not_restart_because_a_copy_still_shows_it() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.give_order(order("v3"));
@@ -369,7 +368,7 @@
 }
 
 #[test]
-fn fleets_rely_on_a_restored_store_soon_and_fall_back_nowhere() {
+fn fleets_rely_on_a_restored_store_in_time_and_never_regress() {
     for count in [9, 84, 300] {
         rely_on_restored_store(count, 0, 8_400);
         rely_on_restored_store(count, 1_000, 7_000);
@@ -380,12 +379,12 @@
 }
 
 #[test]
-fn three_hundred_boxes_rely_on_a_store_that_was_away_for_five_seconds_without_storming_it() {
+fn restored_store_is_not_overloaded_by_three_hundred_boxes_after_an_outage_of_five_seconds() {
     rely_on_restored_store(300, 5_000, 0);
 }
 
 #[test]
-fn fleets_serve_the_newest_plan_where_the_store_has_grown_past_its_former_end() {
+fn fleets_serve_the_newest_plan_of_a_store_that_grew_past_its_former_end() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         drop(fleet.restore(1_000, 7_000));
@@ -401,7 +400,7 @@
 }
 
 #[test]
-fn while_a_restored_store_lacks_the_plan_few_boxes_ask_it() {
+fn few_boxes_poll_a_restored_store_that_lacks_the_plan() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
@@ -420,7 +419,7 @@
 }
 
 #[test]
-fn boxes_that_start_while_the_store_shows_an_older_plan_take_the_newer_one_before_they_serve() {
+fn boxes_started_while_the_store_shows_an_older_plan_serve_only_the_newer_one() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
@@ -446,7 +445,7 @@
 }
 
 #[test]
-fn a_second_return_from_a_copy_before_the_first_is_known_to_all_is_borne() {
+fn second_restore_before_all_boxes_know_the_first_is_handled() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
@@ -466,7 +465,7 @@
 }
 
 #[test]
-fn a_key_of_a_lost_plan_is_honoured_again_once_that_is_written_again() {
+fn key_of_a_lost_plan_is_accepted_again_once_the_plan_is_written_again() {
     let mut subject = ready_box();
     subject.read_plan(Some(plan(9)));
     subject.now += 5_000;
@@ -480,7 +479,7 @@
 }
 
 #[test]
-fn a_box_says_once_that_the_store_came_back_from_a_copy_and_not_as_it_first_hears_of_an_era() {
+fn restore_of_the_store_is_reported_once_and_not_for_the_first_era() {
     let mut subject = new_box("box-1");
     assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty());
 
