--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -1,25 +1,10 @@
-//! Boxes that start in the middle of something: what began before their own start keeps its age.
+//! Boxes that start during a trial: what began before their start keeps its age.
 //!
-//! **Symptom.** Four requests ran on the old version although the request before them in their session
-//! had run on the new one; the new version was good, and its roll-out in its last quarter.
-//!
-//! **Sequence.** A roll-out of 24 s. Shortly before its second half six of seven boxes were killed and
-//! started again. The one that ran through gave a share of the sessions to the new version, and later
-//! all; the six gave it none. Sessions whose requests went now to the one, now to the others, were
-//! moved to and fro. The verdict came 1.7 s late, from the one box that knew that it was due.
-//!
-//! **Cause.** Boxes tell each other how long ago the order was given. A box's clock counted from its own
-//! start and knew nothing before it, so what lay further back was rounded to the start, and a box that
-//! had started took the order for as old as itself. The same rounding made another box's old knowledge
-//! of keys young again.
-//!
-//! **What settled it.** At one and the same moment, 22 s after the order, of the box that ran through and
-//! of one that had started 9.3 s before; evidence and replicas were the same on both:
-//!
-//! ```text
-//! 701 request_sent version=v2 trial_share=1.0 trial_age_ms=22004 trial_gave_way=false
-//! 701 request_sent version=v1 trial_share=0.0 trial_age_ms=9319  trial_gave_way=false
-//! ```
+//! Six of seven boxes restarted shortly before the second half of a roll-out of 24 s. Ages that
+//! reached back beyond the start of a box were cut at its start, so that those boxes took the order
+//! for as old as themselves: 22 s after the order one of them counted 9.3 s. They gave the new
+//! version no sessions while the seventh box gave it all, which moved sessions back and forth, and
+//! the verdict came 1.7 s late. The same error made old knowledge of keys appear fresh.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
@@ -38,14 +23,15 @@
 };
 use crate::plan_fleet::fleet_with_replicas;
 
-/// How long the order of these tests gives, in milliseconds.
+/// Duration of the trial, in milliseconds.
 const ORDER_MS: u64 = 10_000;
 
-/// When its share of the sessions is given, and when all, in milliseconds after the order.
+/// When the version gets its share of the sessions, and when it gets all, in milliseconds after the
+/// order.
 const SHARED_AT_MS: u64 = 7_000;
 const CARRIED_AT_MS: u64 = 8_300;
 
-/// When the first of two boxes has counted enough answers, in milliseconds after the order.
+/// When the first of two boxes has counted enough responses, in milliseconds after the order.
 const COUNTED_AT_MS: u64 = 7_900;
 
 fn order() -> TrialOrder {
@@ -53,11 +39,11 @@
     TrialOrder { service, version, duration_ms: ORDER_MS }
 }
 
-/// A box that has just started and has read the store: a plan, two replicas of each version, the order,
-/// and that its trial runs.
+/// A box that has just started and has read the store: a plan, two replicas of each version, the
+/// order, and that its trial is running.
 fn started_box(name: &str) -> TestBox {
     let mut subject = new_box(name);
-    // The orders come with the plan: what a box knew before it read them would date them.
+    // The orders come before the plan, because earlier knowledge would date them.
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
     for (id, version) in [("a", "v1"), ("b", "v1"), ("c", "v2"), ("d", "v2")] {
@@ -81,14 +67,14 @@
     subject
 }
 
-/// The message that a box sends next.
+/// Next gossip message of a box.
 fn next_gossip(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
-    gossip_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
+    gossip_in(&subject.feed(RouteEvent::Tick)).expect("it sends gossip")
 }
 
-/// Version that a session's request is answered by.
+/// Version of the replica that serves a request of the session.
 fn version_of(subject: &mut TestBox, session: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { session, ..ask("/file/x") });
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
@@ -96,7 +82,8 @@
     order.version
 }
 
-/// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
+/// Sessions that a box without a restart and a restarted one route to different versions, `age_ms`
+/// after the order.
 fn split_sessions(age_ms: u64) -> Vec<u64> {
     let mut running = box_without_restart(age_ms);
     let mut started = started_box("box-2");
@@ -111,12 +98,12 @@
 
 #[test]
 fn box_started_during_a_trial_routes_sessions_like_the_others() {
-    assert_eq!(split_sessions(SHARED_AT_MS), [0; 0], "while a share is given");
-    assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while all are given");
+    assert_eq!(split_sessions(SHARED_AT_MS), [0; 0], "while the version gets a share");
+    assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while the version gets all sessions");
 }
 
-// Each box gave all sessions to the version as soon as it had counted enough: one that had started heard the others' counts
-// later, and moved sessions back meanwhile.
+// Each box once moved all sessions as soon as it had counted enough responses. A restarted box
+// received the statistics of the others later, and moved sessions back meanwhile.
 #[test]
 fn boxes_move_all_sessions_at_the_same_time_despite_late_statistics() {
     let (mut running, mut started) = (started_box("box-1"), started_box("box-2"));
@@ -148,7 +135,8 @@
     assert!(!given[0] && given[14], "{given:?}");
 }
 
-/// Time until all of `count` boxes know from when on the version carries all, once one does, in milliseconds.
+/// Time until all of `count` boxes know when the version gets full traffic, once one box knows it,
+/// in milliseconds.
 fn ms_until_all_settled(count: usize) -> Option<u64> {
     let mut fleet = fleet_with_replicas(count);
     fleet.run_until(10_000);
@@ -173,7 +161,7 @@
     }
 }
 
-/// What the store would be given of a trial's progress.
+/// Progress of a trial that is written to the store.
 fn checkpoint_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
     effects.iter().find_map(|effect| match effect {
         RouteEffect::WriteCheckpoint(checkpoint) => Some(checkpoint.progress),
@@ -181,7 +169,7 @@
     })
 }
 
-/// A checkpoint of the trial of these tests.
+/// A checkpoint of the trial.
 fn checkpoint(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
     let progress = TrialProgress { phase, age_ms, ..TrialProgress::default() };
     TrialCheckpoint { service: "pool".to_owned(), version: "v2".to_owned(), progress }
@@ -205,7 +193,7 @@
     assert_eq!(
         checkpoints[6..],
         [(shared, 5_200), (shared, 6_000)],
-        "the share is given from 5,150 ms on"
+        "the version gets its share from 5,150 ms on"
     );
 }
 
@@ -227,7 +215,8 @@
     assert_eq!((1..200).filter(split).count(), 0);
 }
 
-/// A box whose turn to read the store comes as late as it may: it knows an order and a plan, nothing else.
+/// A box whose turn to read the store comes as late as possible: it knows an order and a plan, and
+/// nothing else.
 fn box_that_read_late() -> TestBox {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
@@ -241,14 +230,14 @@
 fn box_that_read_the_plan_late_accepts_callers_only_when_synced() {
     let mut subject = box_that_read_late();
     let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
-    assert!(!takes(&subject), "it knows no replica, and not how far the trial has come");
+    assert!(!takes(&subject), "it knows neither a replica nor the progress of the trial");
 
     subject.now += 60;
     subject.put(entry("a", "v1"));
     let asked_at = BoxTime::from_millis(subject.now);
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
 
-    assert!(takes(&subject), "it knows all there is");
+    assert!(takes(&subject), "it is synced");
 }
 
 #[test]
@@ -270,11 +259,11 @@
     let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
 
     while !lists(&subject) {
-        assert!(!takes(&subject), "{} ms after the start it knows no replica", subject.now);
+        assert!(!takes(&subject), "{} ms: it knows no replica", subject.now);
         subject.now += 1;
     }
 
-    assert!(!takes(&subject), "the listing is under way");
+    assert!(!takes(&subject), "the listing is in progress");
     subject.now += ACCEPT_AFTER_PLAN_MS;
     assert!(takes(&subject));
 }
@@ -315,13 +304,13 @@
     subject.feed(RouteEvent::GossipReceived(Box::new(news)));
 
     let now = BoxTime::from_millis(subject.now);
-    assert!(!subject.state.takes_callers(now) && !subject.state.open(now), "others may be there");
+    assert!(!subject.state.takes_callers(now) && !subject.state.open(now), "there may be others");
     let other = BackendChange { id: "b".to_owned(), at: at(4), entry: Some(entry("b", "v1")) };
     subject.feed(RouteEvent::BackendsListed { end: at(10), listed: vec![other, change] });
     assert!(subject.state.takes_callers(now) && subject.state.open(now));
 }
 
-/// Answers that a box tells of, none of them failed.
+/// Gossip with statistics of responses, none of which failed.
 fn gossip_with_stats(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let fresh = VersionStats { runs, ..VersionStats::default() };
     let tally = TrialStats { fresh, ..TrialStats::default() };
@@ -354,7 +343,7 @@
         let moved = |number: &u64| version_of(subject, session(*number)) == "v2";
         (1..15).filter(moved).count()
     };
-    assert_eq!(carried(&mut subject), 14, "it is proven by what the other box saw");
+    assert_eq!(carried(&mut subject), 14, "the statistics of the other box prove it");
 
     subject.feed(RouteEvent::GossipReceived(Box::new(gossip_with_stats("box-2", 2, 0.0))));
     subject.feed(RouteEvent::Tick);
@@ -376,10 +365,10 @@
         ..SyncRequest::default()
     };
     let told =
-        gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
+        gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("a response");
 
     let as_of = started.state.message_as_of(&told, BoxTime::from_millis(started.now));
-    let asked_at = as_of.expect("it answers this box's ask");
+    let asked_at = as_of.expect("it responds to this box");
     started.feed(RouteEvent::PlanRead {
         asked_at,
         read_to: told.known.read_to,
@@ -388,7 +377,7 @@
     started.put(entry("a", "v1"));
     started.now += 200;
 
-    // 4.7 s old: a key that the plan holds may have been taken away by now.
+    // The plan is 4.7 s old, so that the key may have been revoked.
     let refusal = started.refused(ask("/file/x"));
     assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
 }
