--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from an older copy of its data: what was confirmed goes on to bind, and what was lost is there
-//! again, on one box and in fleets.
+//! A store that is restored from an older copy of its data: confirmed state stays in force, and
+//! lost records are written again, on one box and in fleets.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
@@ -15,13 +15,13 @@
 use crate::fixture::{ask, at, entry, new_box, plan, ready_box, TestBox, KEY};
 use crate::plan_fleet::{fleet_with_replicas, Fleet};
 
-/// A confirmed plan is in force everywhere within this, in milliseconds.
+/// Time within which a confirmed plan is in force on all boxes, in milliseconds.
 const APPLY_MS: u64 = 2_000;
 
-/// Readers' longest pause between two tries, and the notes' way, in milliseconds.
+/// Longest pause between two retries of a reader, plus the latency of gossip, in milliseconds.
 const RETRY_MS: u64 = 1_200;
 
-/// A position after the store came back from a copy.
+/// A position after the restore.
 fn restored(offset: u64) -> TopicPosition {
     TopicPosition::new(2, offset)
 }
@@ -57,7 +57,7 @@
     ids
 }
 
-/// A listing after the store came back from a copy.
+/// Delivers a listing after the restore.
 fn list_restored(subject: &mut TestBox, listed: &[BackendEntry]) {
     subject.feed(RouteEvent::EraObserved(2));
     let end = restored(listed.len() as u64);
@@ -118,7 +118,7 @@
     read_plan_at(&mut subject, restored(4), None);
 
     assert_eq!(subject.state.plan().version, 9);
-    assert_eq!(plan_age_ms(&subject), Some(2_000), "its own reads showed too little");
+    assert_eq!(plan_age_ms(&subject), Some(2_000), "its own reads were incomplete");
 }
 
 #[test]
@@ -205,7 +205,7 @@
 
     list_restored(&mut subject, &[entry("b", "v1"), born(200)]);
 
-    assert_eq!(replicas(&subject), ["a", "b", "c"], "a may be written again yet");
+    assert_eq!(replicas(&subject), ["a", "b", "c"], "a may still be written again");
 }
 
 #[test]
@@ -278,7 +278,7 @@
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.now += 5_000;
-    assert_eq!(written(&subject.feed(RouteEvent::Tick)), None, "once is enough");
+    assert_eq!(written(&subject.feed(RouteEvent::Tick)), None, "it is written only once");
 }
 
 #[test]
@@ -317,10 +317,10 @@
 
     let read_to = restored(6);
     subject.feed(RouteEvent::OrdersRead { read_to, orders: vec![order("v2")] });
-    assert_eq!(version(&subject), "v2", "what is ordered later counts");
+    assert_eq!(version(&subject), "v2", "the later order counts");
 }
 
-/// A fleet in calm, with plan 4 written at 6 s, 5 at 7.5 s and 6 at 8.5 s; it is 10 s.
+/// A fleet at 10 s, with plan 4 written at 6 s, plan 5 at 7.5 s and plan 6 at 8.5 s.
 fn fleet_at_plan_6(count: usize) -> Fleet {
     let mut fleet = fleet_with_replicas(count);
     for (at, version) in [(6_000, 4), (7_500, 5), (8_500, 6)] {
@@ -336,18 +336,18 @@
     move |state| state.plan().version >= version
 }
 
-/// Whether a box knows the store's second era, and relies on what it shows.
+/// Whether a box has read the store in its second era.
 fn reads_second_era(state: &RouteState) -> bool {
     state.read_to().era == 2
 }
 
-/// Whether no box has fallen back behind a plan.
+/// Whether every running box has at least this version of the plan.
 fn none_regressed(fleet: &Fleet, version: u64) -> bool {
     fleet.boxes.iter().all(|subject| subject.dead || subject.state.plan().version >= version)
 }
 
-/// A fleet whose store comes back from a copy with all that was lost written again: it is relied on soon, nobody falls
-/// back, and few call it for that.
+/// Restores the store and writes all lost records again. The fleet must rely on the store in time,
+/// no box may go back to an older plan, and few calls may be made for it.
 fn rely_on_restored_store(count: usize, away_ms: u64, copied_at: u64) {
     let mut fleet = fleet_at_plan_6(count);
     let lost = fleet.restore(away_ms, copied_at);
@@ -487,5 +487,5 @@
 
     assert_eq!(effects, [RouteEffect::StoreRestored { era: 2, former: 1 }]);
     assert!(subject.feed(RouteEvent::EraObserved(2)).is_empty());
-    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty(), "an answer of before");
+    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty(), "a late response");
 }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -1,4 +1,5 @@
-//! When a box reads the store itself: duties, what others could not deliver_gossip it, and how old its plan is.
+//! When a box reads the store itself: duties, records that others could not send, and the age of
+//! its plan.
 
 use ravenspoke_core::route::entry_sync::ListingPage;
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
@@ -7,7 +8,7 @@
 use crate::fixture::{at, new_box, plan, ready_box, TestBox};
 use crate::membership::{answer, clock, deliver_gossip, sync_request_in};
 
-/// Three other boxes speak, which callers may be sent to or not.
+/// Delivers messages of three other boxes, which are open or not.
 fn receive_from_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
         let info = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
@@ -24,7 +25,7 @@
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
-    assert!(subject.state.is_reader(clock(&subject)), "it serves, and the others do not");
+    assert!(subject.state.is_reader(clock(&subject)), "it is open, and the others are not");
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::Tick);
     assert!(!subject.state.is_reader(clock(&subject)));
@@ -48,14 +49,15 @@
     assert!(subject.state.long_polls_plan(clock(&subject)));
 }
 
-/// A box that lost the store, knows three that have it, and was answered by one that has read further.
+/// A box that cannot reach the store, knows three boxes that can, and received a response from one
+/// that has read further.
 fn box_behind_without_the_store() -> TestBox {
     let mut subject = box_without_the_store();
     receive_response_without_plan(&mut subject);
     subject
 }
 
-/// A box that lost the store and knows three that have it.
+/// A box that cannot reach the store and knows three that can.
 fn box_without_the_store() -> TestBox {
     let mut subject = ready_box();
     receive_from_three_others(&mut subject, true);
@@ -64,7 +66,7 @@
     subject
 }
 
-/// Another box answers an ask, and its answer lacks the operator's records.
+/// Delivers a sync response that lacks the operator's records.
 fn receive_response_without_plan(subject: &mut TestBox) {
     let mut reader = new_box("box-2");
     reader.now = subject.now;
@@ -73,10 +75,9 @@
     subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 }
 
-// In a fleet of 91 boxes 40 ran requests by a plan that had been replaced, and refused others, for 20 s. The new plan was
-// too long for a datagram, so that answers of other boxes came without it and each box read it from the store. On those
-// 40 that one read failed; from then on they left the store to the boxes that answered them, which could not deliver_gossip them
-// the plan: "store_lost keyed.op" at 66.5 s, "plan=14 plan_age_ms=10932" at 74.5 s, no call to the store before 86 s.
+// The new plan was too large for a datagram, so that responses came without it and each box read
+// the store. On 40 of 91 boxes that read failed. They then left the store to boxes that responded
+// but could not send the plan, and served the replaced plan for 20 s.
 #[test]
 fn box_that_is_behind_reads_the_store_even_after_a_failed_call() {
     let mut subject = box_behind_without_the_store();
@@ -88,12 +89,12 @@
     receive_response_without_plan(&mut subject);
     assert!(
         subject.state.must_read_plan(clock(&subject)),
-        "an answer without the plan changes nothing"
+        "a response without the plan changes nothing"
     );
 }
 
-// 88 of 91 boxes read a plan of 890 KB from the store that no answer could hold. Each waited half a second for an answer that
-// holds it, and asked again meanwhile.
+// A plan of 890 KB did not fit into a response. 88 of 91 boxes waited half a second for a response
+// with it, and sent more requests meanwhile.
 #[test]
 fn response_without_the_plan_leads_to_a_read_and_no_further_request() {
     let mut subject = box_without_the_store();
@@ -101,7 +102,7 @@
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
     deliver_gossip(&mut reader, &mut subject);
-    assert!(!subject.state.must_read_plan(clock(&subject)), "an answer may hold it");
+    assert!(!subject.state.must_read_plan(clock(&subject)), "a response may contain it");
 
     receive_response_without_plan(&mut subject);
 
@@ -124,7 +125,7 @@
 
     let effects = subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
-    assert!(!subject.state.must_read_plan(clock(&subject)), "the next answer may hold it");
+    assert!(!subject.state.must_read_plan(clock(&subject)), "the next response may contain it");
     assert!(sync_request_in(&effects).is_some());
 }
 
