--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -1,4 +1,4 @@
-//! A routing box with a plan and replicas, and what a test needs to drive it.
+//! A routing box with a plan and replicas, and helpers that drive it.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
     TopicPosition::new(1, offset)
 }
 
-/// A box under test with its clock.
+/// A box under test and its clock.
 pub struct TestBox {
     pub state: RouteState,
     pub now: u64,
@@ -152,12 +152,12 @@
         self.state.apply(EventStamp { now, wall: WallTime(0), random: self.random }, event)
     }
 
-    /// The operator's order to bring a version in.
+    /// Delivers an order to roll out a version.
     pub fn give_order(&mut self, order: TrialOrder) -> Vec<RouteEffect> {
         self.feed(RouteEvent::OrdersRead { read_to: at(1), orders: vec![order] })
     }
 
-    /// A read of the store that began now.
+    /// Delivers a read of the store that began now.
     pub fn read_plan(&mut self, plan: Option<RoutePlan>) -> Vec<RouteEffect> {
         let asked_at = BoxTime::from_millis(self.now);
         let read_to = at(plan.as_ref().map_or(0, |plan| plan.version));
@@ -176,11 +176,11 @@
         self.note_entries_read();
     }
 
-    /// All changes so far were read now.
+    /// Records that all changes so far were read now.
     pub fn note_entries_read(&mut self) {
         let now = BoxTime::from_millis(self.now);
         let event = RouteEvent::EntriesRead { as_of: now, to: at(self.offset + 1) };
-        // It takes no random number: what is drawn afterwards stays the same.
+        // This draws no random number, so that later draws stay the same.
         self.state.apply(EventStamp { now, wall: WallTime(0), random: self.random }, event);
     }
 
@@ -196,7 +196,7 @@
         (ticket, self.feed(RouteEvent::RequestArrived(ticket, ask)))
     }
 
-    /// A request that was sent, with its order.
+    /// Sends a request and returns its send order.
     pub fn sent(&mut self, ask: CallerRequest) -> (RequestTicket, SendOrder) {
         let (ticket, effects) = self.arrive(ask);
         (ticket, order_in(&effects).expect("the request is sent"))
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -1,5 +1,5 @@
-//! Many boxes that start together, in virtual time: who reads the store, how often it is called, and how
-//! soon all know what changes.
+//! Many boxes that start together, in virtual time: which of them read the store, how often they
+//! call it, and how soon all know a change.
 
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::RouteEvent;
@@ -10,13 +10,13 @@
 use crate::fixture::at;
 use crate::plan_fleet::{fleet_with_replicas, Fleet, FleetBox, FleetSize};
 
-/// Readers that a fleet of this size should have.
+/// Number of readers that a fleet of this size should have.
 fn expected_readers(count: usize) -> usize {
     READERS_MIN.max(count.div_ceil(CLIENTS_PER_READER))
 }
 
-/// Whether about as many boxes read as should: each box counts the fleet by what it has heard, so that
-/// views differ by a few boxes, which costs a call and no more.
+/// Whether about as many boxes are readers as should be. Each box counts the fleet by the messages
+/// that it received, so that views differ by a few boxes, which costs a call and nothing more.
 fn readers_agree(fleet: &Fleet, count: usize) -> bool {
     fleet.readers().abs_diff(expected_readers(count)) <= usize::from(count > CLIENTS_PER_READER)
 }
@@ -26,12 +26,12 @@
     for count in [9, 300] {
         let mut fleet = fleet_with_replicas(count);
         let open = fleet.until_all(2_000, RouteState::is_synced);
-        assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes know the site after {open:?} ms");
+        assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes are synced after {open:?} ms");
         let start = fleet.calls();
         fleet.run_until(6_000);
         assert!(readers_agree(&fleet, count), "{} readers of {count}", fleet.readers());
         let settling = fleet.calls();
-        // Readers call up to six times a second; the others need nothing.
+        // Readers make up to six calls a second; other boxes make none.
         let limit = count.max(12) as u32 / 2;
         assert!(start <= limit, "{count} boxes: {start} calls at the start");
         let reads = 36 * (expected_readers(count) as u32 + 1);
@@ -124,12 +124,12 @@
         let took = fleet.until_all(5_000, |state| state.plan().version == 2);
         assert!(took.is_some_and(|ms| ms <= 2_500), "{count} boxes: the plan after {took:?} ms");
         fleet.run_until(fleet.now + 1_500);
-        assert_eq!(fleet.open(), count, "callers are sent to all again");
+        assert_eq!(fleet.open(), count, "callers are directed to all again");
     }
 }
 
-/// Word of emptied zones comes to all with notes alone, each some bytes: 300 boxes, half of which can't reach the store,
-/// 3 of 100 datagrams lost.
+/// Gossip alone carries the evacuation to 300 boxes, half of which cannot reach the store, with 3
+/// of 100 datagrams lost.
 #[test]
 fn evacuation_of_a_zone_and_its_end_reach_all_boxes_within_two_seconds() {
     let mut fleet = Fleet::start(300);
@@ -149,8 +149,8 @@
     }
 }
 
-/// Boxes with slow links, so that to list all replicas takes a box longer than its turn to read the store, and twenty times as
-/// long as to tell them.
+/// Slow links: a listing of all replicas takes a box longer than its turn to read the store, and
+/// twenty times as long as a listing that it sends to another box.
 const LARGE: FleetSize = FleetSize { link: 250, page: 20 };
 const LARGE_REPLICAS: usize = 1_000;
 
@@ -164,7 +164,8 @@
 
         let (calls, listings) = (fleet.calls(), fleet.listed_entries / LARGE_REPLICAS as u64);
         let label = format!("{count} boxes: after {took:?} ms, {calls} calls, {listings} listings");
-        // Some who know nobody in time, or think that they come first, list as well.
+        // Boxes that know no other in time, or that see themselves first in the order, list the
+        // store as well.
         assert!(listings <= 12, "{label}");
         assert!(calls <= 50 * 12 + 2 * count as u32, "{label}");
         assert!(took.is_some_and(|ms| ms <= 4_000), "{label}");
@@ -201,7 +202,7 @@
         fleet.put_replicas(200);
     }
 
-    assert_eq!(fleet.non_reader_calls(), 0, "calls of boxes that are told");
+    assert_eq!(fleet.non_reader_calls(), 0, "calls of boxes that are not readers");
     fleet.run_until(fleet.now + 1_500);
     let all = |subject: &FleetBox| subject.state.backends().rows().count() == 12_020;
     assert!(fleet.boxes.iter().all(all));
--- a/crates/core/tests/route/incarnations.rs
+++ b/crates/core/tests/route/incarnations.rs
@@ -1,16 +1,16 @@
-//! Replicas that start again under the id that they had, and entries that name none.
+//! Replicas that restart under the same id, and entries that name no replica.
 
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
 use ravenspoke_core::route::event::{AttemptFailure, RefusalReason, RouteEvent};
 
 use crate::fixture::{ask, at, entry, is_refused, new_box, plan, refusal_in, TestBox};
 
-/// The entry of a incarnation of replica `a` that began at `born`.
+/// Entry of the incarnation of replica `a` that started at `born`.
 fn incarnation(born: u64) -> BackendEntry {
     BackendEntry { born: Some(born), ..entry("a", "v1") }
 }
 
-/// A box that knows one replica, in the incarnation that began at 5,000.
+/// A box that knows one replica, whose incarnation started at 5,000.
 fn box_with_one_incarnation() -> TestBox {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
@@ -18,7 +18,7 @@
     subject
 }
 
-/// Whether replica `a` says that it leaves, by its newest incarnation.
+/// Whether the latest incarnation of replica `a` is leaving.
 fn leaves(subject: &TestBox) -> Option<bool> {
     let mut rows = subject.state.backends().rows();
     rows.find(|(_, row)| row.entry.id == "a").map(|(_, row)| row.entry.leaving)
@@ -26,14 +26,18 @@
 
 #[test]
 fn new_incarnation_inherits_no_requests_and_no_failures() {
-    // The clock of a replica may have been set back between two of its lives: the store's order tells which is the later.
+    // The clock of a replica may be set back between two incarnations: the order of the store
+    // decides which is later.
     for born in [9_000, 1_000] {
         let mut subject = box_with_one_incarnation();
         let (_, order) = subject.sent(ask("/read/x"));
 
         subject.put(incarnation(born));
 
-        assert!(subject.state.backends().get(order.replica).is_none(), "the former life is gone");
+        assert!(
+            subject.state.backends().get(order.replica).is_none(),
+            "the former incarnation was removed"
+        );
         let row = subject.state.backends().rows().next().expect("a replica").1.clone();
         assert_eq!((row.entry.born, row.outstanding, row.since_report), (Some(born), 0, 0));
     }
@@ -44,7 +48,7 @@
     let mut subject = box_with_one_incarnation();
     subject.put(BackendEntry { leaving: true, ..incarnation(5_000) });
     subject.put(incarnation(5_000));
-    assert_eq!(leaves(&subject), Some(true), "one life takes its leaving back never");
+    assert_eq!(leaves(&subject), Some(true), "an incarnation never withdraws its leaving mark");
 
     subject.put(incarnation(6_000));
 
@@ -74,7 +78,10 @@
 
     assert!(subject.state.backends().get(order.replica).is_some());
     subject.put(incarnation(6_000));
-    assert!(subject.state.backends().get(order.replica).is_none(), "its life was kept in mind");
+    assert!(
+        subject.state.backends().get(order.replica).is_none(),
+        "its incarnation is still known"
+    );
 }
 
 #[test]
@@ -85,7 +92,7 @@
 
     let effects = subject.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::Broken));
 
-    let refusal = refusal_in(&effects).expect("it may run once");
+    let refusal = refusal_in(&effects).expect("it may be executed only once");
     assert!(is_refused(refusal, 502, RefusalReason::Failed), "{refusal:?}");
 }
 
--- a/crates/core/tests/route/main.rs
+++ b/crates/core/tests/route/main.rs
@@ -1,4 +1,4 @@
-//! The rules of routing by host and prefix, each on the real reducer in virtual time.
+//! Tests of request routing by host and path prefix, on the real reducer in virtual time.
 
 mod backoff;
 mod calls;
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -1,4 +1,4 @@
-//! Which boxes callers are sent to, and what boxes deliver_gossip each other.
+//! Which boxes callers are directed to, and the state that boxes exchange.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
@@ -13,24 +13,24 @@
 
 use crate::fixture::{ask, at, entry, gossip_in, new_box, plan, ready_box, TestBox};
 
-/// Lets `from` deliver_gossip `to` what it knows.
+/// Delivers the next message of `from` to `to`.
 pub fn deliver_gossip(from: &mut TestBox, to: &mut TestBox) -> Vec<RouteEffect> {
     let address = to.state.dump(BoxTime::default()).name.to_owned() + ":90";
     from.feed(RouteEvent::PeersDiscovered(vec![address]));
     from.now += 500;
     to.now = from.now;
-    let message = gossip_in(&from.feed(RouteEvent::Tick)).expect("a note is sent");
+    let message = gossip_in(&from.feed(RouteEvent::Tick)).expect("a message is sent");
     to.feed(RouteEvent::GossipReceived(Box::new(message)))
 }
 
-/// Another box that knows a replica and no plan.
+/// Another box, which knows a replica and no plan.
 fn second_box() -> TestBox {
     let mut subject = new_box("box-2");
     subject.put(entry("a", "v1"));
     subject
 }
 
-/// Another box that knows what [`ready_box`] knows.
+/// Another box, which knows the same as [`ready_box`].
 fn second_ready_box() -> TestBox {
     let mut subject = new_box("box-2");
     subject.read_plan(Some(plan(1)));
@@ -50,7 +50,7 @@
     deliver_gossip(&mut second, &mut first);
     assert_eq!(advertised(&first), ["box-2:80", "box-1:80"]);
     first.now += 1_900;
-    assert_eq!(advertised(&first), ["box-1:80"], "it has said nothing for too long");
+    assert_eq!(advertised(&first), ["box-1:80"], "it was silent for too long");
 }
 
 #[test]
@@ -58,7 +58,8 @@
     let (mut first, mut second) = (ready_box(), second_box());
     second.read_plan(Some(plan(1)));
     deliver_gossip(&mut second, &mut first);
-    let message = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it tells at once");
+    let message =
+        gossip_in(&second.feed(RouteEvent::StopRequested)).expect("it sends gossip at once");
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert_eq!(advertised(&first), ["box-1:80"]);
 }
@@ -94,8 +95,8 @@
     second.read_plan(Some(plan(1)));
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.now += 500;
-    let early = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
-    let late = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("a note");
+    let early = gossip_in(&second.feed(RouteEvent::Tick)).expect("a message");
+    let late = gossip_in(&second.feed(RouteEvent::StopRequested)).expect("a message");
     first.feed(RouteEvent::GossipReceived(Box::new(late)));
     first.feed(RouteEvent::GossipReceived(Box::new(early)));
     assert_eq!(advertised(&first), ["box-1:80"]);
@@ -123,14 +124,14 @@
     second.read_plan(Some(plan(2)));
     let effects = deliver_gossip(&mut second, &mut first);
     let asked = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(to, _) if to == "box-2:90");
-    assert!(effects.iter().any(asked), "it asks who told it");
+    assert!(effects.iter().any(asked), "it requests the plan from the sender");
     let now = |subject: &TestBox| BoxTime::from_millis(subject.now);
     assert!(!first.state.must_read_plan(now(&first)) || first.state.is_reader(now(&first)));
     first.now += 600;
-    assert!(first.state.must_read_plan(now(&first)), "and reads the store where it gets no answer");
+    assert!(first.state.must_read_plan(now(&first)), "it reads the store without a response");
 }
 
-/// Asks `reader` now, and gives its answer.
+/// Sends a sync request to `reader` now and returns the response.
 pub fn answer(reader: &mut TestBox, asker: &TestBox) -> GossipMessage {
     let ask = SyncRequest {
         gossip_address: "box-1:90".to_owned(),
@@ -143,7 +144,7 @@
             has_backends: asker.state.backends().rows().next().is_some(),
         },
     };
-    gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer")
+    gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response")
 }
 
 fn age(subject: &TestBox) -> Option<u64> {
@@ -160,7 +161,7 @@
     let message = answer(&mut reader, &asker);
     asker.now += 700;
     asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(age(&asker), Some(1_000), "700 ms under way and 300 ms old when it was given");
+    assert_eq!(age(&asker), Some(1_000), "700 ms in transit and 300 ms old when it was sent");
 }
 
 #[test]
@@ -220,10 +221,10 @@
     second.put(entry("c", "v1"));
     second.drop_entry("c");
     second.put(entry("d", "v1"));
-    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("it tells at once");
+    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("it sends gossip at once");
     first.feed(RouteEvent::PeersDiscovered(vec!["box-3:90".to_owned()]));
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
-    let message = gossip_in(&first.feed(RouteEvent::Tick)).expect("it tells at once");
+    let message = gossip_in(&first.feed(RouteEvent::Tick)).expect("it sends gossip at once");
     third.feed(RouteEvent::GossipReceived(Box::new(message)));
     let message = answer(&mut first, &third);
     third.feed(RouteEvent::GossipReceived(Box::new(message)));
@@ -264,13 +265,13 @@
     second.read_plan(Some(plan(1)));
     second.put(entry("a", "v1"));
     let (_, stale) = (second.now, deliver_gossip(&mut second, &mut first));
-    assert!(stale.is_empty(), "what it has is newer or the same");
+    assert!(stale.is_empty(), "its state is newer or the same");
     first.offset = 20;
     first.drop_entry("a");
     deliver_gossip(&mut second, &mut first);
     let known: Vec<String> =
         first.state.backends().rows().map(|(_, row)| row.entry.id.clone()).collect();
-    assert_eq!(known, ["b"], "a word from before does not bring it back");
+    assert_eq!(known, ["b"], "an earlier change does not restore it");
 }
 
 #[test]
@@ -278,15 +279,15 @@
     let mut reader = ready_box();
     let mut started = new_box("box-2");
     started.read_plan(Some(plan(1)));
-    assert!(!started.state.open(BoxTime::from_millis(started.now)), "it could serve nobody");
+    assert!(!started.state.open(BoxTime::from_millis(started.now)), "it cannot serve any request");
     let message = answer(&mut reader, &started);
     let effects = started.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(effects, [RouteEffect::AcceptCallers], "what it asked for is no news to others");
+    assert_eq!(effects, [RouteEffect::AcceptCallers], "requested changes are not announced");
     assert!(started.state.open(BoxTime::from_millis(started.now)));
     started.sent(ask("/read/x"));
 }
 
-/// A box that has had the store back for 150 ms, and another that never lost it and knows the same.
+/// A box 150 ms after the end of a store outage, and another one with the same state that had none.
 fn box_after_outage_and_another() -> (TestBox, TestBox) {
     let (mut cut, mut other) = (ready_box(), new_box("box-2"));
     other.read_plan(Some(plan(1)));
@@ -320,13 +321,14 @@
 fn grace_period_ends_when_another_box_confirms_the_removal() {
     let (mut cut, mut other) = box_after_outage_and_another();
     cut.drop_entry("a");
-    assert!(uses(&cut, "a"), "it may come back: the store may have been away for all");
+    assert!(uses(&cut, "a"), "it may come back: the outage may have affected all");
     other.drop_entry("a");
     deliver_gossip(&mut other, &mut cut);
     assert!(!uses(&cut, "a") && uses(&cut, "b"));
 }
 
-/// A box that has just started, and when it reads the store at the latest if nobody tells it anything.
+/// A box that has just started, and the latest time at which it reads the store if it receives
+/// nothing.
 fn started_box() -> (TestBox, u64) {
     let mut started = new_box("box-2");
     started.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
@@ -349,7 +351,7 @@
 fn starting_box_reads_the_store_only_if_no_other_box_responds() {
     let (mut started, latest) = started_box();
     let effects = started.feed(RouteEvent::Tick);
-    assert!(sync_request_in(&effects).is_some(), "it asks at once");
+    assert!(sync_request_in(&effects).is_some(), "it sends a request at once");
     assert!(!started.state.must_read_plan(clock(&started)));
     assert!(!started.state.must_read_entries(clock(&started)));
     started.now = latest - 1;
@@ -360,9 +362,9 @@
 #[test]
 fn starting_box_that_received_everything_does_not_call_the_store() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
-    let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it asks");
-    let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
-    let as_of = started.state.message_as_of(&message, clock(&started)).expect("a word");
+    let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it sends a request");
+    let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response");
+    let as_of = started.state.message_as_of(&message, clock(&started)).expect("a time");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
         read_to: message.known.read_to,
@@ -383,14 +385,14 @@
     started.now = latest - 1;
     started.read_plan(Some(plan(1)));
     started.put(entry("a", "v1"));
-    assert!(started.state.is_reader(clock(&started)), "what comes next is seen by somebody");
+    assert!(started.state.is_reader(clock(&started)), "some box sees what follows");
 }
 
 #[test]
 fn response_contains_only_the_differences() {
     let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
-    assert!(uses(&asker, "a") && uses(&asker, "b"), "the first answer is a listing");
+    assert!(uses(&asker, "a") && uses(&asker, "b"), "the first response is a listing");
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
     let message = answer(&mut reader, &asker);
@@ -411,7 +413,7 @@
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     assert!(!uses(&asker, "a") && uses(&asker, "c"));
     asker.feed(RouteEvent::GossipReceived(Box::new(lost)));
-    assert!(uses(&asker, "c"), "one that comes late takes nothing back");
+    assert!(uses(&asker, "c"), "a late response reverts nothing");
 }
 
 #[test]
@@ -424,8 +426,8 @@
     let mut effects = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
     let mut pages = 1;
     while let Some(ask) = sync_request_in(&effects) {
-        assert_eq!(asker.state.entries_to(), None, "what is not whole is not relied on");
-        let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("an answer");
+        assert_eq!(asker.state.entries_to(), None, "an incomplete listing is not relied on");
+        let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response");
         assert!(message.changes.len() <= CHANGES_PER_MESSAGE);
         effects = asker.feed(RouteEvent::GossipReceived(Box::new(message)));
         pages += 1;
@@ -444,7 +446,7 @@
     }
     asker.feed(RouteEvent::Tick);
     let lists = |asker: &TestBox| asker.state.must_read_entries(BoxTime::from_millis(asker.now));
-    // Its turn to read comes; it is no reader for half a second more.
+    // Its turn to read comes half a second before it may be a reader.
     while !lists(&asker) {
         asker.now += 1;
     }
@@ -452,10 +454,10 @@
 
     asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
 
-    assert!(!lists(&asker), "the first page came, and the second is asked for");
+    assert!(!lists(&asker), "the first page arrived, and the second was requested");
     asker.now += LISTING_MS;
     assert!(!asker.state.is_reader(BoxTime::from_millis(asker.now)));
-    assert!(lists(&asker), "no more came");
+    assert!(lists(&asker), "no further page arrived");
 }
 
 #[test]
@@ -467,7 +469,7 @@
     reader.feed(RouteEvent::BackendsListed { end, listed: vec![kept] });
     reader.feed(RouteEvent::EntriesRead { as_of: clock(&reader), to: end });
     let message = answer(&mut reader, &asker);
-    assert!(message.entries.page.is_some(), "it does not know what went before it listed");
+    assert!(message.entries.page.is_some(), "it does not know removals before its listing");
     asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&asker, "a") && uses(&asker, "b"));
     assert_eq!(asker.state.entries_to(), Some(end));
@@ -479,7 +481,7 @@
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
     let message = answer(&mut reader, &asker);
-    assert_eq!(message.entries.age_ms, None, "not all is settled");
+    assert_eq!(message.entries.age_ms, None, "a removal is not final yet");
     asker.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(uses(&asker, "a"));
     reader.now += EXPIRY_GRACE_MS;
@@ -494,15 +496,15 @@
     let (mut first, mut second) = (ready_box(), second_ready_box());
     second.feed(RouteEvent::PeersDiscovered(vec!["box-1:90".to_owned()]));
     second.drop_entry("a");
-    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("a note");
+    let message = gossip_in(&second.feed(RouteEvent::Tick)).expect("a message");
     let peer = PeerSummary { name: "box-2".to_owned(), info: message.info.clone(), age_ms: 0 };
     let peers = vec![peer];
     let name = "box-3".to_owned();
     let other = GossipMessage { name, number: 1, duty_holders: peers, ..GossipMessage::default() };
     first.feed(RouteEvent::GossipReceived(Box::new(other)));
-    assert!(advertised(&first).contains(&"box-2:80".to_owned()), "word of it is believed");
+    assert!(advertised(&first).contains(&"box-2:80".to_owned()), "a report about it is applied");
     first.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert!(!uses(&first, "a"), "what it says itself is taken");
+    assert!(!uses(&first, "a"), "its own message is applied");
 }
 
 #[test]
@@ -539,5 +541,5 @@
     let second = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
 
     assert!(sync_request_in(&first).is_none() || sync_request_in(&second).is_none());
-    assert!(sync_request_in(&second).is_none(), "it was told the same again");
+    assert!(sync_request_in(&second).is_none(), "the response was the same again");
 }
--- a/crates/core/tests/route/plan.rs
+++ b/crates/core/tests/route/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, keys and freshness.
+//! Plans, API keys and freshness.
 
 use ravenspoke_core::route::event::{RefusalReason, RouteEffect};
 use ravenspoke_core::route::plan::{RouteKind, RoutePlan, RouteTable};
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of boxes before a store, in virtual time. Datagrams take a while and some are lost; the store answers after
-//! 4 ms, may be away, and may come back from an older copy of its data.
+//! A simulated fleet of boxes and a store, in virtual time. Datagrams are delayed and some are
+//! lost. The store responds after 4 ms, may be unreachable, and may be restored from an older copy
+//! of its data.
 
 use std::collections::BinaryHeap;
 
@@ -13,50 +14,50 @@
 
 use crate::fixture::{entry, plan, settings};
 
-/// One way between two boxes, in milliseconds.
+/// Latency between two boxes, in milliseconds.
 const NETWORK_MS: u64 = 2;
 
-/// A call to the store, in milliseconds.
+/// Duration of a store call, in milliseconds.
 const CALL_MS: u64 = 4;
 
-/// A reader's read waits so long for a record, in milliseconds.
+/// Longest time that a reader's long poll waits for a record, in milliseconds.
 const WAIT_MS: u64 = 1_000;
 
-/// Boxes that all others are told to ask first.
+/// Number of boxes that all others contact first.
 const SEEDS: usize = 3;
 
-/// Availability zones that the boxes lie in.
+/// Number of availability zones.
 const ZONES: usize = 6;
 
-/// Pauses between two tries of a store that is away, in milliseconds: the least and the most of a reader, then of
-/// any other box.
+/// Shortest and longest pause between retries of an unreachable store, in milliseconds: of a
+/// reader, then of any other box.
 const RETRIES_MS: [(u64, u64); 2] = [(250, 500), (1_000, 8_000)];
 
-/// Datagrams lost of 100.
+/// Lost datagrams, in percent.
 const LOST_PERCENT: u64 = 3;
 
-/// Bytes of a datagram without replicas' entries.
+/// Size of a datagram without replicas' entries, in bytes.
 const MESSAGE_BYTES: u64 = 500;
 
-/// Bytes of an entry in a datagram.
+/// Size of an entry in a datagram, in bytes.
 const ENTRY_BYTES: u64 = 15;
 
-/// Bytes of an entry in a listing of the store.
+/// Size of an entry in a listing of the store, in bytes.
 const LISTED_BYTES: u64 = 280;
 
-/// Answers wait at a box for so long, at most, in milliseconds; further ones are dropped.
+/// Longest time that a response waits at a box, in milliseconds; later ones are dropped.
 const ANSWER_WAIT_MS: u64 = 250;
 
-/// Links and pages of a fleet.
+/// Links and listing pages of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Bytes that pass a box's link in a millisecond; 0 without a bound.
+    /// Bytes a millisecond on a box's link; 0 without a limit.
     pub link: u64,
-    /// Entries in a page of a listing; 0 for all in one.
+    /// Entries in a page of a listing; 0 for all entries in one page.
     pub page: usize,
 }
 
-/// What happens to a box.
+/// A step of a box's tasks.
 #[derive(Clone, Debug)]
 enum Step {
     Tick,
@@ -104,11 +105,11 @@
     calls: u32,
     /// Where its next read of the plan begins.
     next: TopicPosition,
-    /// Its link is taken until then, in microseconds.
+    /// Its link is busy until then, in microseconds.
     link_until: u64,
-    /// The store's era in its last answer.
+    /// The store's era in its last response.
     era: u64,
-    /// Pause before its next try of the store, while that is away, in milliseconds.
+    /// Pause before the next retry of an unreachable store, in milliseconds.
     retry_ms: u64,
 }
 
@@ -134,14 +135,14 @@
     written_at: u64,
 }
 
-/// What the store lost as it came back from a copy.
+/// Records that the store lost when it was restored from a copy.
 #[derive(Debug)]
 pub struct LostRows {
     plans: Vec<PlanRow>,
     entries: Vec<BackendChange>,
 }
 
-/// A fleet before a store.
+/// A fleet of boxes and a store.
 pub struct Fleet {
     pub boxes: Vec<FleetBox>,
     steps: BinaryHeap<Due>,
@@ -149,29 +150,29 @@
     random: u64,
     /// The store's era.
     era: u64,
-    /// Versions of the plan; the offset is the index.
+    /// Versions of the plan; the index is the offset.
     plans: Vec<PlanRow>,
-    /// Entries of replicas and when the store took them; the offset is the index.
+    /// Entries of replicas and the times at which they were written; the index is the offset.
     entries: Vec<(u64, BackendChange)>,
     listed: Vec<String>,
     size: FleetSize,
-    /// Entries that listings of the store showed.
+    /// Entries in listings of the store.
     pub listed_entries: u64,
-    /// Entries that boxes told each other in listings.
+    /// Entries in listings that boxes sent each other.
     pub gossiped_entries: u64,
-    /// Until when the store refuses all calls.
+    /// The store is unreachable until then.
     pub away_until: u64,
-    /// Notes that were sent within an availability zone, and to another.
+    /// Messages within an availability zone, and between zones.
     pub notes: [u64; 2],
 }
 
 impl Fleet {
-    /// A fleet of `count` boxes that are told of three of them, started within a tenth of a second.
+    /// Starts `count` boxes within a tenth of a second; all know the addresses of three of them.
     pub fn start(count: usize) -> Self {
         Self::start_with(count, FleetSize { link: 0, page: 0 })
     }
 
-    /// The same with links and listings of a size.
+    /// Starts a fleet with the given links and listing pages.
     pub fn start_with(count: usize, size: FleetSize) -> Self {
         let mut fleet = Self {
             boxes: Vec::new(),
@@ -233,12 +234,12 @@
         self.boxes[number].incarnation += 1;
     }
 
-    /// Kills all boxes and starts them anew within 300 ms.
+    /// Kills all boxes and starts them again within 300 ms.
     pub fn restart_all(&mut self) {
         (0..self.boxes.len()).for_each(|number| self.restart(number));
     }
 
-    /// Kills a box and starts it anew within 300 ms.
+    /// Kills a box and starts it again within 300 ms.
     pub fn restart(&mut self, number: usize) {
         self.kill(number);
         let incarnation = self.boxes[number].incarnation;
@@ -294,7 +295,7 @@
         }
     }
 
-    /// Until a box's link has taken so many bytes, in milliseconds.
+    /// Time until a box's link has sent this many bytes, in milliseconds.
     fn link_way(&mut self, from: usize, bytes: u64) -> u64 {
         if self.size.link == 0 {
             return 0;
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Calls that a listing takes, and how long, in milliseconds.
+    /// Number of calls for a listing, and its duration in milliseconds.
     fn listing_cost(&mut self) -> (u32, u64) {
         let rows = self.entries.len();
         self.listed_entries += rows as u64;
@@ -339,9 +340,10 @@
             Step::PollPlan if state.must_read_plan(now) => {
                 let waits = state.long_polls_plan(now);
                 let from = state.read_to().max(self.boxes[to].next);
-                // The test writes to the store only between two runs, at a time it knows by then.
+                // Tests write to the store only between two runs, so that the end of a long poll is
+                // known.
                 let held = if waits && from == self.plans_end() { WAIT_MS } else { 0 };
-                // A position of a former era is refused, and all listed.
+                // A position of a former era is refused, and a second call lists everything.
                 self.boxes[to].calls += 1 + u32::from(from.era > 0 && from.era != self.era);
                 let at = self.now + held + CALL_MS;
                 let shown_at = self.now + held;
@@ -366,14 +368,14 @@
             Step::PollPlan | Step::PollEntries | Step::PollBoxes => {
                 self.push(look, to, step);
             }
-            // A read that waits is cut when the store goes away.
+            // A store outage aborts long polls.
             Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
             Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::PollEntries),
             Step::PlanRead { asked_at, shown_at } => {
                 self.recover_store(to);
                 let shown_at = shown_at.max(asked_at);
                 self.read_plan(to, shown_at);
-                // A read that renews nothing is followed by a pause.
+                // A read that does not renew the plan is followed by a pause.
                 let as_of = self.boxes[to].state.plan_as_of();
                 let renewed = as_of >= Some(BoxTime::from_millis(shown_at));
                 let reader = self.boxes[to].state.is_reader(now);
@@ -406,7 +408,7 @@
         self.now < self.away_until
     }
 
-    /// A call that the store refused; it is tried again after a pause.
+    /// Handles a failed call, which is retried after a pause.
     fn fail(&mut self, to: usize, step: Step) {
         self.feed(to, RouteEvent::StoreFailed);
         let reader = self.boxes[to].state.is_reader(BoxTime::from_millis(self.now));
@@ -433,8 +435,8 @@
         self.plans.push(PlanRow { version, written_at: self.now });
     }
 
-    /// The store is away for `away_ms`, and comes back from a copy of its data as they were at `copied_at`. Gives what is
-    /// lost.
+    /// Makes the store unreachable for `away_ms` and restores it from a copy of its data at
+    /// `copied_at`. Returns the lost records.
     pub fn restore(&mut self, away_ms: u64, copied_at: u64) -> LostRows {
         self.away_until = self.now + away_ms;
         self.era += 1;
@@ -448,7 +450,7 @@
         LostRows { plans, entries }
     }
 
-    /// The operator and the replicas write again what was lost: the newest of each.
+    /// Writes the lost records again as the operator and the replicas would: the newest of each.
     pub fn write_again(&mut self, lost: LostRows) {
         if let Some(newest) = lost.plans.last() {
             self.write_plan(newest.version);
@@ -463,7 +465,7 @@
         TopicPosition::new(self.era, self.plans.len() as u64)
     }
 
-    /// A read of the plan that shows the store as it was at `shown_at`.
+    /// Reads the plan as the store showed it at `shown_at`.
     fn read_plan(&mut self, to: usize, shown_at: u64) {
         let shown: Vec<PlanRow> =
             self.plans.iter().filter(|row| row.written_at <= shown_at).copied().collect();
@@ -499,7 +501,7 @@
         self.feed(to, RouteEvent::EntriesRead { as_of, to: end });
     }
 
-    /// The operator's records that an answer brings with it.
+    /// Applies the operator's records that come with a response.
     fn apply_records(&mut self, to: usize, message: &GossipMessage) {
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
@@ -524,7 +526,7 @@
         alive.filter(|subject| subject.state.open(now)).count()
     }
 
-    /// Calls of boxes that don't read for the others.
+    /// Calls of boxes that are not readers.
     pub fn non_reader_calls(&self) -> u32 {
         let now = BoxTime::from_millis(self.now);
         let others = self.boxes.iter().filter(|subject| !subject.state.is_reader(now));
@@ -537,7 +539,7 @@
         calls
     }
 
-    /// How long it takes from now until all living boxes are as `holds` says, in milliseconds.
+    /// Time from now until all running boxes satisfy `holds`, in milliseconds.
     pub fn until_all(&mut self, limit: u64, holds: impl Fn(&RouteState) -> bool) -> Option<u64> {
         let began = self.now;
         while self.now < began + limit {
@@ -550,13 +552,13 @@
     }
 }
 
-/// Number of the box that hears notes at an address.
+/// Number of the box with this gossip address.
 fn number_of(address: &str) -> usize {
     let number = address.strip_prefix("box-").and_then(|rest| rest.strip_suffix(":90"));
     number.and_then(|number| number.parse().ok()).expect("an address")
 }
 
-/// A fleet before a store with twenty replicas.
+/// A fleet whose store holds twenty replicas.
 pub fn fleet_with_replicas(count: usize) -> Fleet {
     let mut fleet = Fleet::start(count);
     fleet.put_replicas(20);
@@ -564,7 +566,7 @@
 }
 
 impl Fleet {
-    /// Writes entries of so many replicas.
+    /// Writes the entries of this many replicas.
     pub fn put_replicas(&mut self, count: usize) {
         for _ in 0..count {
             let number = self.entries.len();
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -1,4 +1,5 @@
-//! Many boxes before the same replicas, in virtual time: what each replica gets, from all boxes together.
+//! A simulated fleet of boxes that share the same replicas, in virtual time: the load of each
+//! replica from all boxes together.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -17,37 +18,38 @@
 
 use crate::fixture::{ask, at, entry, gossip_in, head, plan, session, settings};
 
-/// Boxes, and replicas before them, as deployments have them.
+/// Numbers of boxes and replicas, as in deployments.
 pub const SIZES: [(usize, usize); 3] = [(9, 16), (84, 140), (300, 500)];
 
-/// Zones, each with a part of the replicas.
+/// Number of zones, each with a part of the replicas.
 pub const ZONES: usize = 4;
 
-/// Requests a second for each replica, before a burst.
+/// Requests a second for each replica before a burst.
 pub const RATE: f64 = 3.4;
 
-/// Times the usual rate in a burst: warm replicas have requests waiting.
+/// Factor of the rate in a burst: requests queue even at warm replicas.
 pub const BURST: f64 = 2.2;
 
-/// An answer begins, and ends, this long after its request was sent, in milliseconds.
+/// Times from the request to the begin and to the end of its response, in milliseconds.
 const ANSWER_MS: (u64, u64) = (100, 2_500);
 
-/// Tokens of a prompt that no other has: reading them takes long enough that a replica where others wait is avoided.
+/// Prompt tokens that no other request shares. Processing them takes so long that boxes avoid a
+/// replica with a queue.
 const OWN_TOKENS: u32 = 20_000;
 
-/// Boxes hear of each other this often, in milliseconds.
+/// Interval of gossip, in milliseconds.
 const GOSSIP_MS: u64 = 500;
 
-/// A replica ends this long after it got what crashes it, in milliseconds.
+/// Time from a poison request to the crash of its replica, in milliseconds.
 const CRASH_MS: u64 = 80;
 
-/// It is back after this, in milliseconds.
+/// Time from a crash until the replica is back, in milliseconds.
 const DOWN_MS: u64 = 3_000;
 
-/// What the requests that crash replicas ask for.
+/// Content of poison requests.
 const POISON_CONTENT: u64 = 77;
 
-/// Requests that a replica works on at once.
+/// Requests that a replica processes at once.
 const SLOTS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,46 +61,46 @@
     Up(usize),
 }
 
-/// Boxes before the same replicas. They tell each other which replicas they could not reach, and where `notes_go` all that
-/// their notes hold, to whom they choose.
+/// Boxes that share the same replicas. They gossip which replicas were unreachable; with `notes_go`
+/// they send complete messages to the targets that they choose.
 pub struct ReplicaFleet {
     pub boxes: Vec<RouteState>,
     keys: Vec<BTreeMap<ReplicaKey, usize>>,
     replicas: usize,
     in_flight: Vec<u32>,
-    /// When each replica was last put, in milliseconds.
+    /// When the entry of each replica was last written, in milliseconds.
     pub cold_at: Vec<u64>,
-    /// When each replica got requests, in milliseconds.
+    /// When each replica received requests, in milliseconds.
     pub got: Vec<Vec<u64>>,
     steps: BinaryHeap<std::cmp::Reverse<(u64, u64, Step)>>,
     pub now: u64,
     random: u64,
     number: u64,
     pub refused: usize,
-    /// Replicas to which no connection comes about.
+    /// Replicas that refuse connections.
     pub down: Vec<bool>,
-    /// When the next request comes, in milliseconds.
+    /// When the next request arrives, in milliseconds.
     next_arrival: f64,
-    /// Requests a second that each replica names in its answers.
+    /// Rate limit that each replica states in its responses, in requests a second.
     pub limits: Vec<Option<f64>>,
-    /// When each replica first named a limit, in milliseconds.
+    /// When each replica first stated a limit, in milliseconds.
     pub named_at: Vec<Option<u64>>,
-    /// Part of the requests that ask for what crashes replicas.
+    /// Share of poison requests.
     pub fatal_part: f64,
-    /// Whether one number more is drawn for each request, so that all that is drawn afterwards is another.
+    /// Whether one more random number is drawn for each request, which changes all later draws.
     pub other_luck: bool,
-    /// Crashes so far.
+    /// Number of crashes so far.
     pub crashes: usize,
-    /// Requests at each replica: box, ticket, and whether it crashes replicas.
+    /// Requests at each replica: box, ticket, and whether it is a poison request.
     running: Vec<Vec<(usize, u64, bool)>>,
-    /// Whether whole notes go where boxes send them.
+    /// Whether complete messages go to the targets that boxes choose.
     pub notes_go: bool,
-    /// Boxes that stand still: they get no callers, hear nothing and do nothing.
+    /// Suspended boxes, which get no callers, receive nothing and do nothing.
     pub frozen: BTreeSet<usize>,
     plan: RoutePlan,
     /// Changes in the store, the oldest first.
     entries: Vec<BackendChange>,
-    /// Boxes that started again so far.
+    /// Number of restarts so far.
     restarts: u64,
 }
 
@@ -146,20 +148,20 @@
         self.feed(number, RouteEvent::PlanRead { asked_at, read_to: at(1), plan });
     }
 
-    /// A box starts again, and knows nothing but the addresses of two others until one of them has answered it. Then it
-    /// reads the store.
+    /// Restarts a box, which knows only the addresses of two others until one of them responds.
+    /// Then it reads the store.
     pub fn restart(&mut self, number: usize) {
         self.lose(number);
         self.begin(number);
     }
 
-    /// All boxes start again at once.
+    /// Restarts all boxes at once.
     pub fn restart_all(&mut self) {
         (0..self.boxes.len()).for_each(|number| self.lose(number));
         (0..self.boxes.len()).for_each(|number| self.begin(number));
     }
 
-    /// A box loses all that it knew, and its requests.
+    /// Discards the state of a box and its requests.
     fn lose(&mut self, number: usize) {
         self.restarts += 1;
         self.boxes[number] = new_state(number, self.restarts * 1_000);
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Notes of a round, and asks, go to whom their senders chose.
+    /// All boxes that are not suspended exchange gossip and sync requests.
     fn exchange_gossip(&mut self) {
         for number in 0..self.boxes.len() {
             if !self.frozen.contains(&number) {
@@ -188,7 +190,7 @@
         }
     }
 
-    /// What a box says now goes to whom it chose, and answers come back.
+    /// Sends the gossip and the sync requests of a box, and delivers the responses.
     fn send_gossip(&mut self, number: usize) {
         for effect in self.feed(number, RouteEvent::Tick) {
             let RouteEffect::SendSyncRequest(target, ask) = effect else {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// A message goes to its targets.
+    /// Delivers a message to its targets.
     fn deliver(&mut self, effect: RouteEffect) {
         let RouteEffect::SendGossip(targets, message) = effect else { return };
         for target in targets.iter().filter_map(|target| number_of(target)) {
@@ -213,7 +215,7 @@
         }
     }
 
-    /// What each box tells of replicas that it could not reach.
+    /// Unreachable replicas that each box reports.
     fn unreachable_updates(&mut self) -> Vec<Vec<UnreachableUpdate>> {
         let mut told = Vec::new();
         for number in 0..self.boxes.len() {
@@ -223,7 +225,7 @@
         told
     }
 
-    /// A box hears of all others.
+    /// Delivers messages of all other boxes to a box.
     pub fn meet(&mut self, number: usize, down: &[Vec<UnreachableUpdate>]) {
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
@@ -236,7 +238,7 @@
         }
     }
 
-    /// All boxes read a replica's entry.
+    /// Writes the entry of a replica, which all boxes read.
     pub fn put(&mut self, replica: usize, offset: u64, cold_ms: u64) {
         self.cold_at[replica] = self.now;
         let id = format!("r{replica}");
@@ -249,7 +251,7 @@
         }
     }
 
-    /// A box reads a replica's entry.
+    /// Lets a box read the entry of a replica.
     fn take_change(&mut self, number: usize, change: BackendChange) {
         let id = change.id.clone();
         self.feed(number, RouteEvent::BackendsChanged(vec![change]));
@@ -275,7 +277,7 @@
         self.steps.push(std::cmp::Reverse((at, self.number, step)));
     }
 
-    /// Plays requests for a time, at `times` the usual rate.
+    /// Simulates requests for a time, at `times` the usual rate.
     pub fn play(&mut self, times: f64, length_ms: u64) {
         let end = self.now + length_ms;
         while self.now < end {
@@ -285,7 +287,7 @@
         }
     }
 
-    /// All boxes hear of each other and of the plan, as they do all the time.
+    /// Delivers gossip and the unchanged plan to all boxes, as happens all the time.
     fn refresh(&mut self) {
         if self.notes_go {
             self.exchange_gossip();
@@ -369,7 +371,7 @@
         self.place(number, ticket, fatal, crate::fixture::order_in(&effects));
     }
 
-    /// Gives a request to the replica that its box names, if there is one.
+    /// Sends a request to the replica that its box chose, if any.
     fn place(&mut self, number: usize, ticket: u64, fatal: bool, order: Option<SendOrder>) {
         let mut order = order;
         while order.as_ref().is_some_and(|order| self.down[self.keys[number][&order.replica]]) {
@@ -392,12 +394,12 @@
         self.push(self.now + ANSWER_MS.1, Step::End(number, ticket, replica));
     }
 
-    /// Whether a request still runs at a replica.
+    /// Whether a request is still running at a replica.
     fn runs(&self, number: usize, ticket: u64, replica: usize) -> bool {
         self.running[replica].iter().any(|row| (row.0, row.1) == (number, ticket))
     }
 
-    /// A replica ends, with all that runs there, and is back some time later.
+    /// Crashes a replica with all requests that run there; it is back some time later.
     fn crash(&mut self, replica: usize) {
         if !self.running[replica].iter().any(|row| row.2) {
             return;
@@ -413,7 +415,8 @@
         }
     }
 
-    /// Requests that the fullest of these replicas got in its fullest second since it was last put.
+    /// Largest number of requests that any of these replicas received in a second since its entry
+    /// was last written.
     pub fn fullest(&self, cold: impl Fn(usize) -> bool) -> usize {
         let fullest = |replica: usize, times: &Vec<u64>| {
             let from = self.cold_at[replica];
@@ -425,12 +428,12 @@
         rows.map(|(replica, times)| fullest(replica, times)).max().unwrap_or(0)
     }
 
-    /// Requests that a replica got from `from` on.
+    /// Number of requests that a replica received from `from` on.
     pub fn got_since(&self, replica: usize, from: u64) -> usize {
         self.got[replica].iter().filter(|at| **at >= from).count()
     }
 
-    /// Requests that a replica got from `from` on in its fullest span of `span_ms`.
+    /// Largest number of requests that a replica received from `from` on within `span_ms`.
     pub fn fullest_span(&self, replica: usize, from: u64, span_ms: u64) -> usize {
         let times = &self.got[replica];
         let within =
@@ -439,7 +442,7 @@
     }
 }
 
-/// The number in a box's address.
+/// Number of the box with this address.
 fn number_of(address: &str) -> Option<usize> {
     address.strip_prefix("box-")?.split(':').next()?.parse().ok()
 }
