--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -30,7 +30,7 @@
         fleet.play(0.1, 1_000);
         fleet.notes_go = true;
         fleet.play(0.5, 2_000);
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let known = fleet.crashes;
         fleet.play(0.5, 6_000);
@@ -47,7 +47,7 @@
     fleet.play(0.1, 1_000);
     fleet.notes_go = true;
     fleet.play(0.5, 2_000);
-    fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+    fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
     fleet.play(0.5, 3_000 + CRASH_GOSSIP_MS);
     fleet
 }
@@ -79,13 +79,13 @@
         fleet.notes_go = true;
         fleet.play(0.5, 2_000);
         fleet.frozen = (0..boxes).step_by(3).collect();
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 8_000);
-        fleet.fatal_part = 0.0;
+        fleet.poison_share = 0.0;
         fleet.frozen.clear();
         fleet.play(0.5, 500);
         let known = fleet.crashes;
-        fleet.fatal_part = FATAL_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -86,7 +86,7 @@
     /// When each replica first stated a limit, in milliseconds.
     pub named_at: Vec<Option<u64>>,
     /// Share of poison requests.
-    pub fatal_part: f64,
+    pub poison_share: f64,
     /// Whether one more random number is drawn for each request, which changes all later draws.
     pub other_luck: bool,
     /// Number of crashes so far.
@@ -123,7 +123,7 @@
             next_arrival: 0.0,
             limits: vec![None; replicas],
             named_at: vec![None; replicas],
-            fatal_part: 0.0,
+            poison_share: 0.0,
             other_luck: false,
             crashes: 0,
             running: vec![Vec::new(); replicas],
@@ -358,8 +358,8 @@
         let subject = (self.draw() * 800.0) as u64;
         let ticket = self.number;
         let prompt = PromptSize { shared: 300, own: OWN_TOKENS };
-        let drawn = if self.other_luck || self.fatal_part > 0.0 { self.draw() } else { 1.0 };
-        let fatal = drawn < self.fatal_part;
+        let drawn = if self.other_luck || self.poison_share > 0.0 { self.draw() } else { 1.0 };
+        let fatal = drawn < self.poison_share;
         let request = CallerRequest {
             id: format!("r{ticket}"),
             prompt,
