--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -140,9 +140,9 @@
 }
 
 /// The most that a cold replica gets in a second of a burst after a quiet time.
-fn fullest_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
+fn fullest_after_quiet(boxes: usize, replicas: usize, extra_draw: bool) -> usize {
     let mut fleet = start(boxes, replicas);
-    fleet.other_luck = other_luck;
+    fleet.extra_draw = extra_draw;
     for replica in 0..replicas {
         fleet.put(replica, 10_000 + replica as u64, 2 * WARM_UP.lasts_ms);
     }
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -71,9 +71,9 @@
 
 /// With none but limited replicas: what the fullest got in its fullest span, and the part of what all limits allow that
 /// was used.
-fn all_limited(boxes: usize, replicas: usize, other_luck: bool) -> (usize, f64) {
+fn all_limited(boxes: usize, replicas: usize, extra_draw: bool) -> (usize, f64) {
     let mut fleet = start(boxes, replicas);
-    fleet.other_luck = other_luck;
+    fleet.extra_draw = extra_draw;
     fleet.limits.fill(Some(LIMIT_PER_S));
     let bound_from = fleet.now + TAKES_MS;
     fleet.play(1.0, TAKES_MS + 3 * SPAN_MS);
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -88,7 +88,7 @@
     /// Share of poison requests.
     pub poison_share: f64,
     /// Whether one more random number is drawn for each request, which changes all later draws.
-    pub other_luck: bool,
+    pub extra_draw: bool,
     /// Number of crashes so far.
     pub crashes: usize,
     /// Requests at each replica: box, ticket, and whether it is a poison request.
@@ -124,7 +124,7 @@
             limits: vec![None; replicas],
             named_at: vec![None; replicas],
             poison_share: 0.0,
-            other_luck: false,
+            extra_draw: false,
             crashes: 0,
             running: vec![Vec::new(); replicas],
             notes_go: false,
@@ -358,7 +358,7 @@
         let subject = (self.draw() * 800.0) as u64;
         let ticket = self.number;
         let prompt = PromptSize { shared: 300, own: OWN_TOKENS };
-        let drawn = if self.other_luck || self.poison_share > 0.0 { self.draw() } else { 1.0 };
+        let drawn = if self.extra_draw || self.poison_share > 0.0 { self.draw() } else { 1.0 };
         let fatal = drawn < self.poison_share;
         let request = CallerRequest {
             id: format!("r{ticket}"),
