--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -38,7 +38,7 @@
 
 /// Requests that the fullest of the replicas that named a limit got in its fullest span since that binds.
 fn fullest_limited(fleet: &ReplicaFleet) -> usize {
-    let rows = fleet.named_at.iter().enumerate();
+    let rows = fleet.limited_at.iter().enumerate();
     let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + TAKES_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
 }
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -84,7 +84,7 @@
     /// Rate limit that each replica states in its responses, in requests a second.
     pub limits: Vec<Option<f64>>,
     /// When each replica first stated a limit, in milliseconds.
-    pub named_at: Vec<Option<u64>>,
+    pub limited_at: Vec<Option<u64>>,
     /// Share of poison requests.
     pub poison_share: f64,
     /// Whether one more random number is drawn for each request, which changes all later draws.
@@ -122,7 +122,7 @@
             down: vec![false; replicas],
             next_arrival: 0.0,
             limits: vec![None; replicas],
-            named_at: vec![None; replicas],
+            limited_at: vec![None; replicas],
             poison_share: 0.0,
             extra_draw: false,
             crashes: 0,
@@ -334,7 +334,7 @@
                 let load = BackendLoad { running: running - waiting, waiting, slots: SLOTS };
                 let limit_per_s = self.limits[replica];
                 if limit_per_s.is_some() {
-                    self.named_at[replica].get_or_insert(self.now);
+                    self.limited_at[replica].get_or_insert(self.now);
                 }
                 let answer = AnswerHead { load: Some(load), limit_per_s, ..head(200) };
                 self.feed(number, RouteEvent::HeadReceived(RequestTicket(ticket), answer));
