--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -28,7 +28,7 @@
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
-        fleet.notes_go = true;
+        fleet.full_gossip = true;
         fleet.play(0.5, 2_000);
         fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
@@ -45,7 +45,7 @@
 fn fleet_that_knows(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
-    fleet.notes_go = true;
+    fleet.full_gossip = true;
     fleet.play(0.5, 2_000);
     fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
     fleet.play(0.5, 3_000 + CRASH_GOSSIP_MS);
@@ -76,7 +76,7 @@
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
-        fleet.notes_go = true;
+        fleet.full_gossip = true;
         fleet.play(0.5, 2_000);
         fleet.frozen = (0..boxes).step_by(3).collect();
         fleet.poison_share = FATAL_PER_S / (0.5 * RATE * replicas as f64);
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -47,7 +47,7 @@
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
-    fleet.notes_go = true;
+    fleet.full_gossip = true;
     fleet
 }
 
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -61,7 +61,7 @@
     Up(usize),
 }
 
-/// Boxes that share the same replicas. They gossip which replicas were unreachable; with `notes_go`
+/// Boxes that share the same replicas. They gossip which replicas were unreachable; with `full_gossip`
 /// they send complete messages to the targets that they choose.
 pub struct ReplicaFleet {
     pub boxes: Vec<RouteState>,
@@ -94,7 +94,7 @@
     /// Requests at each replica: box, ticket, and whether it is a poison request.
     running: Vec<Vec<(usize, u64, bool)>>,
     /// Whether complete messages go to the targets that boxes choose.
-    pub notes_go: bool,
+    pub full_gossip: bool,
     /// Suspended boxes, which get no callers, receive nothing and do nothing.
     pub frozen: BTreeSet<usize>,
     plan: RoutePlan,
@@ -127,7 +127,7 @@
             extra_draw: false,
             crashes: 0,
             running: vec![Vec::new(); replicas],
-            notes_go: false,
+            full_gossip: false,
             frozen: BTreeSet::new(),
             plan: RoutePlan { services, ..plan(1) },
             entries: Vec::new(),
@@ -289,17 +289,17 @@
 
     /// Delivers gossip and the unchanged plan to all boxes, as happens all the time.
     fn refresh(&mut self) {
-        if self.notes_go {
+        if self.full_gossip {
             self.exchange_gossip();
         }
-        let down = if self.notes_go { Vec::new() } else { self.unreachable_updates() };
+        let down = if self.full_gossip { Vec::new() } else { self.unreachable_updates() };
         for number in
             (0..self.boxes.len()).filter(|number| !self.frozen.contains(number)).collect::<Vec<_>>()
         {
             let asked_at = BoxTime::from_millis(self.now);
             let same = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
             self.feed(number, same);
-            if !self.notes_go {
+            if !self.full_gossip {
                 self.meet(number, &down);
             }
         }
