--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -359,20 +359,20 @@
         let ticket = self.number;
         let prompt = PromptSize { shared: 300, own: OWN_TOKENS };
         let drawn = if self.extra_draw || self.poison_share > 0.0 { self.draw() } else { 1.0 };
-        let fatal = drawn < self.poison_share;
+        let is_poison = drawn < self.poison_share;
         let request = CallerRequest {
             id: format!("r{ticket}"),
             prompt,
             affinity: session(subject + 1),
-            content: if fatal { POISON_CONTENT } else { session(ticket) },
+            content: if is_poison { POISON_CONTENT } else { session(ticket) },
             ..ask("/chat/x")
         };
         let effects = self.feed(number, RouteEvent::RequestArrived(RequestTicket(ticket), request));
-        self.place(number, ticket, fatal, crate::fixture::order_in(&effects));
+        self.place(number, ticket, is_poison, crate::fixture::order_in(&effects));
     }
 
     /// Sends a request to the replica that its box chose, if any.
-    fn place(&mut self, number: usize, ticket: u64, fatal: bool, order: Option<SendOrder>) {
+    fn place(&mut self, number: usize, ticket: u64, is_poison: bool, order: Option<SendOrder>) {
         let mut order = order;
         while order.as_ref().is_some_and(|order| self.down[self.keys[number][&order.replica]]) {
             let failed =
@@ -380,12 +380,12 @@
             order = crate::fixture::order_in(&self.feed(number, failed));
         }
         let Some(order) = order else {
-            self.refused += usize::from(!fatal);
+            self.refused += usize::from(!is_poison);
             return;
         };
         let replica = self.keys[number][&order.replica];
-        self.running[replica].push((number, ticket, fatal));
-        if fatal {
+        self.running[replica].push((number, ticket, is_poison));
+        if is_poison {
             self.push(self.now + CRASH_MS, Step::Crash(replica));
         }
         self.got[replica].push(self.now);
@@ -408,10 +408,10 @@
         self.down[replica] = true;
         self.in_flight[replica] = 0;
         self.push(self.now + DOWN_MS, Step::Up(replica));
-        for (number, ticket, fatal) in std::mem::take(&mut self.running[replica]) {
+        for (number, ticket, is_poison) in std::mem::take(&mut self.running[replica]) {
             let broken = RouteEvent::AttemptFailed(RequestTicket(ticket), AttemptFailure::Broken);
             let order = crate::fixture::order_in(&self.feed(number, broken));
-            self.place(number, ticket, fatal, order);
+            self.place(number, ticket, is_poison, order);
         }
     }
 
