--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -197,8 +197,8 @@
                 self.deliver(effect);
                 continue;
             };
-            let asked = number_of(&target).filter(|asked| !self.frozen.contains(asked));
-            let answers = asked.map(|asked| self.feed(asked, RouteEvent::SyncRequested(ask)));
+            let target = number_of(&target).filter(|target| !self.frozen.contains(target));
+            let answers = target.map(|target| self.feed(target, RouteEvent::SyncRequested(ask)));
             for answer in answers.unwrap_or_default() {
                 self.deliver(answer);
             }
@@ -217,12 +217,12 @@
 
     /// Unreachable replicas that each box reports.
     fn unreachable_updates(&mut self) -> Vec<Vec<UnreachableUpdate>> {
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         for number in 0..self.boxes.len() {
             let message = gossip_in(&self.feed(number, RouteEvent::Tick));
-            told.push(message.map(|message| message.down).unwrap_or_default());
+            updates.push(message.map(|message| message.down).unwrap_or_default());
         }
-        told
+        updates
     }
 
     /// Delivers messages of all other boxes to a box.
