--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -348,7 +348,7 @@
 
     /// Starts to accept callers, once, when that is due.
     fn start_accepting(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
-        let due = !self.stopping() && self.takes_callers(now);
+        let due = !self.stopping() && self.accepts_callers(now);
         let start = self.start.as_mut().filter(|start| due && !start.entry_opened);
         if let Some(start) = start {
             start.entry_opened = true;
@@ -568,7 +568,7 @@
 
     /// Whether a box that has started may accept callers: it is synced, or there is no more to wait
     /// for.
-    pub fn takes_callers(&self, now: BoxTime) -> bool {
+    pub fn accepts_callers(&self, now: BoxTime) -> bool {
         let due = self.start.is_some_and(|start| now >= start.callers_at());
         due || self.is_synced()
     }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -229,7 +229,8 @@
 #[test]
 fn box_that_read_the_plan_late_accepts_callers_only_when_synced() {
     let mut subject = box_that_read_late();
-    let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
+    let takes =
+        |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
     assert!(!takes(&subject), "it knows neither a replica nor the progress of the trial");
 
     subject.now += 60;
@@ -246,7 +247,7 @@
 
     subject.now += ACCEPT_AFTER_PLAN_MS;
 
-    assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
+    assert!(subject.state.accepts_callers(BoxTime::from_millis(subject.now)));
 }
 
 #[test]
@@ -256,7 +257,8 @@
     subject.read_plan(Some(plan(1)));
     let lists =
         |subject: &TestBox| subject.state.must_read_entries(BoxTime::from_millis(subject.now));
-    let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
+    let takes =
+        |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
 
     while !lists(&subject) {
         assert!(!takes(&subject), "{} ms: it knows no replica", subject.now);
@@ -275,7 +277,7 @@
 
     subject.now += START_WAIT_MS + START_SPREAD_MS + ACCEPT_AFTER_READ_MS;
 
-    assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
+    assert!(subject.state.accepts_callers(BoxTime::from_millis(subject.now)));
 }
 
 #[test]
@@ -304,10 +306,10 @@
     subject.feed(RouteEvent::GossipReceived(Box::new(news)));
 
     let now = BoxTime::from_millis(subject.now);
-    assert!(!subject.state.takes_callers(now) && !subject.state.open(now), "there may be others");
+    assert!(!subject.state.accepts_callers(now) && !subject.state.open(now), "there may be others");
     let other = BackendChange { id: "b".to_owned(), at: at(4), entry: Some(entry("b", "v1")) };
     subject.feed(RouteEvent::BackendsListed { end: at(10), listed: vec![other, change] });
-    assert!(subject.state.takes_callers(now) && subject.state.open(now));
+    assert!(subject.state.accepts_callers(now) && subject.state.open(now));
 }
 
 /// Gossip with statistics of responses, none of which failed.
