--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -264,7 +264,7 @@
         }
         self.peers.add_addresses(&message.others, &self.settings.gossip_address, stamp.now);
         self.peers.apply_duty_holders(&message.duty_holders, &self.settings.name, stamp.now);
-        self.note_era(message.era, stamp.now, out);
+        self.observe_era(message.era, stamp.now, out);
         let evacuations = self.evacuated.merge(&message.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
         self.apply_entries(stamp, message, out);
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -297,7 +297,7 @@
                 self.entries.record_read(to, Some(as_of));
                 self.continue_reading(stamp.now);
             }
-            RouteEvent::EraObserved(era) => self.note_era(era, stamp.now, out),
+            RouteEvent::EraObserved(era) => self.observe_era(era, stamp.now, out),
             RouteEvent::StoreFailed | RouteEvent::StoreRecovered => {
                 let failed = matches!(event, RouteEvent::StoreFailed);
                 self.reader.store_failed_at = failed.then_some(stamp.now);
--- a/crates/core/src/route/plan_state.rs
+++ b/crates/core/src/route/plan_state.rs
@@ -23,7 +23,7 @@
         plan: Option<RoutePlan>,
         out: &mut Vec<RouteEffect>,
     ) {
-        self.note_era(read_to.era, stamp.now, out);
+        self.observe_era(read_to.era, stamp.now, out);
         match plan {
             // A store that was restored from a copy and shows no new plan since may lack confirmed
             // plans.
--- a/crates/core/src/route/store_era.rs
+++ b/crates/core/src/route/store_era.rs
@@ -12,7 +12,7 @@
 
 impl RouteState {
     /// Applies the store's era, as the store or another box reported it.
-    pub(super) fn note_era(&mut self, era: u64, now: BoxTime, out: &mut Vec<RouteEffect>) {
+    pub(super) fn observe_era(&mut self, era: u64, now: BoxTime, out: &mut Vec<RouteEffect>) {
         if era <= self.era {
             return;
         }
