--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -383,6 +383,6 @@
 fn own_request(message: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
     let request =
         message.in_reply_to.as_ref().filter(|request| request.incarnation == incarnation)?;
-    let early = now.millis_since(request.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
-    (request.asked_at <= now && early).then_some(request)
+    let recent = now.millis_since(request.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
+    (request.asked_at <= now && recent).then_some(request)
 }
