--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -101,7 +101,7 @@
 pub struct FleetBox {
     pub state: RouteState,
     incarnation: u32,
-    pub dead: bool,
+    pub killed: bool,
     calls: u32,
     /// Where its next read of the plan begins.
     next: TopicPosition,
@@ -118,7 +118,7 @@
         Self {
             state,
             incarnation: 0,
-            dead: false,
+            killed: false,
             calls: 0,
             next: TopicPosition::default(),
             link_until: 0,
@@ -230,7 +230,7 @@
     }
 
     pub fn kill(&mut self, number: usize) {
-        self.boxes[number].dead = true;
+        self.boxes[number].killed = true;
         self.boxes[number].incarnation += 1;
     }
 
@@ -262,7 +262,7 @@
             let due = self.steps.pop().expect("a step is due");
             self.now = due.at;
             let subject = &self.boxes[due.to];
-            if !subject.dead && subject.incarnation == due.incarnation {
+            if !subject.killed && subject.incarnation == due.incarnation {
                 self.take(due.to, due.step);
             }
         }
@@ -516,13 +516,13 @@
 
     pub fn readers(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
-        let alive = self.boxes.iter().filter(|subject| !subject.dead);
+        let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.is_reader(now)).count()
     }
 
     pub fn open(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
-        let alive = self.boxes.iter().filter(|subject| !subject.dead);
+        let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.open(now)).count()
     }
 
@@ -544,7 +544,7 @@
         let began = self.now;
         while self.now < began + limit {
             self.run_until(self.now + 20);
-            if self.boxes.iter().all(|subject| subject.dead || holds(&subject.state)) {
+            if self.boxes.iter().all(|subject| subject.killed || holds(&subject.state)) {
                 return Some(self.now - began);
             }
         }
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -343,7 +343,7 @@
 
 /// Whether every running box has at least this version of the plan.
 fn none_regressed(fleet: &Fleet, version: u64) -> bool {
-    fleet.boxes.iter().all(|subject| subject.dead || subject.state.plan().version >= version)
+    fleet.boxes.iter().all(|subject| subject.killed || subject.state.plan().version >= version)
 }
 
 /// Restores the store and writes all lost records again. The fleet must rely on the store in time,
