--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -79,11 +79,11 @@
 fn most_gossip_of_a_large_fleet_stays_within_an_availability_zone() {
     let mut fleet = fleet_with_replicas(100);
     fleet.run_until(5_000);
-    fleet.notes = [0; 2];
+    fleet.messages = [0; 2];
 
     fleet.run_until(10_000);
 
-    let [near, far] = fleet.notes;
+    let [near, far] = fleet.messages;
     let share = far as f64 / (near + far) as f64;
     assert!(share <= 0.35, "{share} of {} notes go to another zone", near + far);
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -237,7 +237,7 @@
 fn only_a_few_boxes_are_readers() {
     let mut boxes: Vec<TestBox> = (0..60).map(|n| new_box(&format!("box-{n}"))).collect();
     for (number, subject) in boxes.iter_mut().enumerate() {
-        let notes: Vec<GossipMessage> = (0..60)
+        let messages: Vec<GossipMessage> = (0..60)
             .filter(|other| *other != number)
             .map(|other| GossipMessage {
                 name: format!("box-{other}"),
@@ -246,7 +246,7 @@
                 ..GossipMessage::default()
             })
             .collect();
-        for message in notes {
+        for message in messages {
             subject.feed(RouteEvent::GossipReceived(Box::new(message)));
         }
     }
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -163,7 +163,7 @@
     /// The store is unreachable until then.
     pub away_until: u64,
     /// Messages within an availability zone, and between zones.
-    pub notes: [u64; 2],
+    pub messages: [u64; 2],
 }
 
 impl Fleet {
@@ -187,7 +187,7 @@
             listed_entries: 0,
             gossiped_entries: 0,
             away_until: 0,
-            notes: [0; 2],
+            messages: [0; 2],
         };
         for number in 0..count {
             let state = RouteState::new(fleet.settings(number, 0));
@@ -279,7 +279,7 @@
                 RouteEffect::SendGossip(targets, message) => {
                     for target in targets {
                         let far = number_of(&target) % ZONES != to % ZONES;
-                        self.notes[usize::from(far)] += u64::from(message.in_reply_to.is_none());
+                        self.messages[usize::from(far)] += u64::from(message.in_reply_to.is_none());
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
                         let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -116,11 +116,12 @@
     let on_old = |number: &u64| version_of(&mut started, session(*number)) == "v1";
     let kept: Vec<u64> = (1..20).filter(on_old).collect();
 
-    let (mut given, mut notes) = (Vec::new(), Vec::new());
+    let (mut given, mut messages) = (Vec::new(), Vec::new());
     for step in 1..=15 {
-        notes.extend(gossip_in(&running.feed(RouteEvent::Tick)));
+        messages.extend(gossip_in(&running.feed(RouteEvent::Tick)));
         if step == 5 {
-            let told = notes.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
+            let told =
+                messages.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
             told.for_each(|event| drop(started.feed(event)));
         }
         let versions = [&mut running, &mut started].map(|subject| {
