--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -46,7 +46,7 @@
 const LISTED_BYTES: u64 = 280;
 
 /// Longest time that a response waits at a box, in milliseconds; later ones are dropped.
-const ANSWER_WAIT_MS: u64 = 250;
+const RESPONSE_WAIT_MS: u64 = 250;
 
 /// Links and listing pages of a fleet.
 #[derive(Clone, Copy, Debug)]
@@ -396,7 +396,7 @@
                     self.apply_records(to, message);
                 }
                 let asked = matches!(*event, RouteEvent::SyncRequested(_));
-                if asked && self.link_way(to, 0) > ANSWER_WAIT_MS {
+                if asked && self.link_way(to, 0) > RESPONSE_WAIT_MS {
                     return;
                 }
                 self.feed(to, *event);
