--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -283,7 +283,7 @@
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
                         let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
-                        let way = self.link_way(to, bytes);
+                        let way = self.link_delay(to, bytes);
                         self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
@@ -296,7 +296,7 @@
     }
 
     /// Time until a box's link has sent this many bytes, in milliseconds.
-    fn link_way(&mut self, from: usize, bytes: u64) -> u64 {
+    fn link_delay(&mut self, from: usize, bytes: u64) -> u64 {
         if self.size.link == 0 {
             return 0;
         }
@@ -396,7 +396,7 @@
                     self.apply_records(to, message);
                 }
                 let asked = matches!(*event, RouteEvent::SyncRequested(_));
-                if asked && self.link_way(to, 0) > RESPONSE_WAIT_MS {
+                if asked && self.link_delay(to, 0) > RESPONSE_WAIT_MS {
                     return;
                 }
                 self.feed(to, *event);
