--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -283,8 +283,8 @@
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
                         let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
-                        let way = self.link_delay(to, bytes);
-                        self.send(&target, way, RouteEvent::GossipReceived(message.clone()));
+                        let delay = self.link_delay(to, bytes);
+                        self.send(&target, delay, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
                 RouteEffect::SendSyncRequest(target, ask) => {
@@ -306,11 +306,11 @@
         subject.link_until / 1_000 - self.now
     }
 
-    fn send(&mut self, target: &str, way: u64, event: RouteEvent) {
+    fn send(&mut self, target: &str, delay: u64, event: RouteEvent) {
         let number = number_of(target);
         let lost = self.draw(100) < LOST_PERCENT;
         if !lost {
-            self.push(self.now + way + NETWORK_MS, number, Step::Receive(Box::new(event)));
+            self.push(self.now + delay + NETWORK_MS, number, Step::Receive(Box::new(event)));
         }
     }
 
@@ -319,8 +319,8 @@
         let rows = self.entries.len();
         self.listed_entries += rows as u64;
         let pages = rows.checked_div(self.size.page).unwrap_or(0).max(1) as u64;
-        let way = (LISTED_BYTES * rows as u64).checked_div(self.size.link).unwrap_or(0);
-        (pages as u32, pages * CALL_MS + way)
+        let delay = (LISTED_BYTES * rows as u64).checked_div(self.size.link).unwrap_or(0);
+        (pages as u32, pages * CALL_MS + delay)
     }
 
     fn take(&mut self, to: usize, step: Step) {
