--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -326,7 +326,7 @@
     fn take(&mut self, to: usize, step: Step) {
         let now = BoxTime::from_millis(self.now);
         let state = &self.boxes[to].state;
-        let look = self.now + if state.is_synced() { 200 } else { 20 };
+        let next_poll = self.now + if state.is_synced() { 200 } else { 20 };
         match step {
             Step::Tick => {
                 let next = self.now + if state.is_synced() { 200 } else { 40 };
@@ -366,7 +366,7 @@
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
             }
             Step::PollPlan | Step::PollEntries | Step::PollBoxes => {
-                self.push(look, to, step);
+                self.push(next_poll, to, step);
             }
             // A store outage aborts long polls.
             Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
