--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -395,8 +395,8 @@
                 if let RouteEvent::GossipReceived(message) = &*event {
                     self.apply_records(to, message);
                 }
-                let asked = matches!(*event, RouteEvent::SyncRequested(_));
-                if asked && self.link_delay(to, 0) > RESPONSE_WAIT_MS {
+                let is_request = matches!(*event, RouteEvent::SyncRequested(_));
+                if is_request && self.link_delay(to, 0) > RESPONSE_WAIT_MS {
                     return;
                 }
                 self.feed(to, *event);
