--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -37,8 +37,8 @@
         let reads = 36 * (expected_readers(count) as u32 + 1);
         assert!(settling <= limit + reads, "{count} boxes: {settling} calls afterwards");
         fleet.run_until(16_000);
-        let calm = f64::from(fleet.calls()) / 10.0 / expected_readers(count) as f64;
-        assert!(calm < 6.0, "{count} boxes: {calm} calls a second and reader");
+        let call_rate = f64::from(fleet.calls()) / 10.0 / expected_readers(count) as f64;
+        assert!(call_rate < 6.0, "{count} boxes: {calm} calls a second and reader");
         assert_eq!(fleet.open(), count);
         assert!(readers_agree(&fleet, count), "{} readers of {count}, later", fleet.readers());
     }
