--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -132,16 +132,16 @@
 }
 
 /// Sends a sync request to `reader` now and returns the response.
-pub fn answer(reader: &mut TestBox, asker: &TestBox) -> GossipMessage {
+pub fn answer(reader: &mut TestBox, requester: &TestBox) -> GossipMessage {
     let ask = SyncRequest {
         gossip_address: "box-1:90".to_owned(),
         incarnation: 1,
-        asked_at: BoxTime::from_millis(asker.now),
-        known: asker.state.plan_position(),
+        asked_at: BoxTime::from_millis(requester.now),
+        known: requester.state.plan_position(),
         entries: EntryQuery {
-            known_to: asker.state.entries_to(),
+            known_to: requester.state.entries_to(),
             page_from: TopicPosition::default(),
-            has_backends: asker.state.backends().rows().next().is_some(),
+            has_backends: requester.state.backends().rows().next().is_some(),
         },
     };
     gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response")
@@ -153,53 +153,53 @@
 
 #[test]
 fn response_ages_on_the_clock_of_the_requesting_box_from_the_read_of_the_reader() {
-    let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
+    let (mut requester, mut reader) = (ready_box(), new_box("box-2"));
     reader.now = 500_000;
     reader.read_plan(Some(plan(1)));
     reader.now += 300;
-    asker.now += 2_000;
-    let message = answer(&mut reader, &asker);
-    asker.now += 700;
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(age(&asker), Some(1_000), "700 ms in transit and 300 ms old when it was sent");
+    requester.now += 2_000;
+    let message = answer(&mut reader, &requester);
+    requester.now += 700;
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert_eq!(age(&requester), Some(1_000), "700 ms in transit and 300 ms old when it was sent");
 }
 
 #[test]
 fn response_of_a_reader_that_is_ahead_does_not_renew_the_plan() {
-    let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
+    let (mut requester, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(2)));
-    asker.now += 2_000;
-    let message = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(age(&asker), Some(2_000));
+    requester.now += 2_000;
+    let message = answer(&mut reader, &requester);
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert_eq!(age(&requester), Some(2_000));
 }
 
 #[test]
 fn response_of_a_reader_that_is_behind_does_not_renew_the_plan() {
-    let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
-    asker.read_plan(Some(plan(2)));
+    let (mut requester, mut reader) = (ready_box(), new_box("box-2"));
+    requester.read_plan(Some(plan(2)));
     reader.read_plan(Some(plan(1)));
-    asker.now += 2_000;
-    let message = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert_eq!(age(&asker), Some(2_000));
+    requester.now += 2_000;
+    let message = answer(&mut reader, &requester);
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert_eq!(age(&requester), Some(2_000));
 }
 
 #[test]
 fn response_to_an_earlier_process_or_an_old_request_does_not_renew_the_plan() {
-    let (mut asker, mut reader) = (ready_box(), new_box("box-2"));
+    let (mut requester, mut reader) = (ready_box(), new_box("box-2"));
     reader.read_plan(Some(plan(1)));
-    asker.now += 500;
-    let mut other_incarnation = answer(&mut reader, &asker);
+    requester.now += 500;
+    let mut other_incarnation = answer(&mut reader, &requester);
     other_incarnation.in_reply_to = other_incarnation
         .in_reply_to
         .map(|in_reply_to| SyncRequest { incarnation: 2, ..in_reply_to });
-    let old = answer(&mut reader, &asker);
-    asker.feed(RouteEvent::GossipReceived(Box::new(other_incarnation)));
-    assert_eq!(age(&asker), Some(500));
-    asker.now += 3_100;
-    asker.feed(RouteEvent::GossipReceived(Box::new(old)));
-    assert_eq!(age(&asker), Some(3_600));
+    let old = answer(&mut reader, &requester);
+    requester.feed(RouteEvent::GossipReceived(Box::new(other_incarnation)));
+    assert_eq!(age(&requester), Some(500));
+    requester.now += 3_100;
+    requester.feed(RouteEvent::GossipReceived(Box::new(old)));
+    assert_eq!(age(&requester), Some(3_600));
 }
 
 #[test]
@@ -390,105 +390,108 @@
 
 #[test]
 fn response_contains_only_the_differences() {
-    let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
-    assert!(uses(&asker, "a") && uses(&asker, "b"), "the first response is a listing");
+    let (mut reader, mut requester) = (ready_box(), new_box("box-3"));
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
+    assert!(uses(&requester, "a") && uses(&requester, "b"), "the first response is a listing");
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
-    let message = answer(&mut reader, &asker);
+    let message = answer(&mut reader, &requester);
     let told: Vec<&str> = message.changes.iter().map(|change| change.id.as_str()).collect();
     assert_eq!(told, ["a", "c"]);
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert!(!uses(&asker, "a") && uses(&asker, "b") && uses(&asker, "c"));
-    assert!(answer(&mut reader, &asker).changes.is_empty());
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert!(!uses(&requester, "a") && uses(&requester, "b") && uses(&requester, "c"));
+    assert!(answer(&mut reader, &requester).changes.is_empty());
 }
 
 #[test]
 fn next_response_replaces_a_lost_one() {
-    let (mut reader, mut asker) = (ready_box(), new_box("box-3"));
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    let (mut reader, mut requester) = (ready_box(), new_box("box-3"));
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
     reader.drop_entry("a");
-    let lost = answer(&mut reader, &asker);
+    let lost = answer(&mut reader, &requester);
     reader.put(entry("c", "v1"));
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
-    assert!(!uses(&asker, "a") && uses(&asker, "c"));
-    asker.feed(RouteEvent::GossipReceived(Box::new(lost)));
-    assert!(uses(&asker, "c"), "a late response reverts nothing");
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
+    assert!(!uses(&requester, "a") && uses(&requester, "c"));
+    requester.feed(RouteEvent::GossipReceived(Box::new(lost)));
+    assert!(uses(&requester, "c"), "a late response reverts nothing");
 }
 
 #[test]
 fn listing_larger_than_a_datagram_is_sent_in_pages() {
-    let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
+    let (mut reader, mut requester) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
     for number in 0..2 * CHANGES_PER_MESSAGE + 7 {
         reader.put(entry(&format!("r{number}"), "v1"));
     }
-    let mut effects = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    let mut effects =
+        requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
     let mut pages = 1;
     while let Some(ask) = sync_request_in(&effects) {
-        assert_eq!(asker.state.entries_to(), None, "an incomplete listing is not relied on");
+        assert_eq!(requester.state.entries_to(), None, "an incomplete listing is not relied on");
         let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response");
         assert!(message.changes.len() <= CHANGES_PER_MESSAGE);
-        effects = asker.feed(RouteEvent::GossipReceived(Box::new(message)));
+        effects = requester.feed(RouteEvent::GossipReceived(Box::new(message)));
         pages += 1;
     }
     assert_eq!(pages, 3);
-    assert_eq!(asker.state.backends().rows().count(), 2 * CHANGES_PER_MESSAGE + 7);
-    assert_eq!(asker.state.entries_to(), reader.state.entries_to());
+    assert_eq!(requester.state.backends().rows().count(), 2 * CHANGES_PER_MESSAGE + 7);
+    assert_eq!(requester.state.entries_to(), reader.state.entries_to());
 }
 
 #[test]
 fn box_that_receives_a_listing_does_not_list_the_store_as_well() {
-    let (mut reader, mut asker) = (new_box("box-1"), new_box("box-3"));
+    let (mut reader, mut requester) = (new_box("box-1"), new_box("box-3"));
     reader.read_plan(Some(plan(1)));
     for number in 0..2 * CHANGES_PER_MESSAGE {
         reader.put(entry(&format!("r{number}"), "v1"));
     }
-    asker.feed(RouteEvent::Tick);
-    let lists = |asker: &TestBox| asker.state.must_read_entries(BoxTime::from_millis(asker.now));
+    requester.feed(RouteEvent::Tick);
+    let lists = |requester: &TestBox| {
+        requester.state.must_read_entries(BoxTime::from_millis(requester.now))
+    };
     // Its turn to read comes half a second before it may be a reader.
-    while !lists(&asker) {
-        asker.now += 1;
+    while !lists(&requester) {
+        requester.now += 1;
     }
-    asker.feed(RouteEvent::Tick);
+    requester.feed(RouteEvent::Tick);
 
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
 
-    assert!(!lists(&asker), "the first page arrived, and the second was requested");
-    asker.now += LISTING_MS;
-    assert!(!asker.state.is_reader(BoxTime::from_millis(asker.now)));
-    assert!(lists(&asker), "no further page arrived");
+    assert!(!lists(&requester), "the first page arrived, and the second was requested");
+    requester.now += LISTING_MS;
+    assert!(!requester.state.is_reader(BoxTime::from_millis(requester.now)));
+    assert!(lists(&requester), "no further page arrived");
 }
 
 #[test]
 fn listing_removes_replicas_that_it_does_not_contain() {
-    let (mut reader, mut asker) = (new_box("box-2"), ready_box());
+    let (mut reader, mut requester) = (new_box("box-2"), ready_box());
     reader.read_plan(Some(plan(1)));
     let end = at(50);
     let kept = BackendChange { id: "b".to_owned(), at: at(2), entry: Some(entry("b", "v1")) };
     reader.feed(RouteEvent::BackendsListed { end, listed: vec![kept] });
     reader.feed(RouteEvent::EntriesRead { as_of: clock(&reader), to: end });
-    let message = answer(&mut reader, &asker);
+    let message = answer(&mut reader, &requester);
     assert!(message.entries.page.is_some(), "it does not know removals before its listing");
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert!(!uses(&asker, "a") && uses(&asker, "b"));
-    assert_eq!(asker.state.entries_to(), Some(end));
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert!(!uses(&requester, "a") && uses(&requester, "b"));
+    assert_eq!(requester.state.entries_to(), Some(end));
 }
 
 #[test]
 fn removal_is_sent_only_after_its_grace_period() {
-    let (mut reader, mut asker) = (second_ready_box(), ready_box());
+    let (mut reader, mut requester) = (second_ready_box(), ready_box());
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
-    let message = answer(&mut reader, &asker);
+    let message = answer(&mut reader, &requester);
     assert_eq!(message.entries.age_ms, None, "a removal is not final yet");
-    asker.feed(RouteEvent::GossipReceived(Box::new(message)));
-    assert!(uses(&asker, "a"));
+    requester.feed(RouteEvent::GossipReceived(Box::new(message)));
+    assert!(uses(&requester, "a"));
     reader.now += EXPIRY_GRACE_MS;
-    asker.now = reader.now;
+    requester.now = reader.now;
     reader.feed(RouteEvent::Tick);
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
-    assert!(!uses(&asker, "a") && uses(&asker, "b"));
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
+    assert!(!uses(&requester, "a") && uses(&requester, "b"));
 }
 
 #[test]
@@ -531,14 +534,16 @@
 
 #[test]
 fn response_without_progress_is_not_followed_by_a_request_at_once() {
-    let (mut reader, mut asker) = (second_ready_box(), ready_box());
-    asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    let (mut reader, mut requester) = (second_ready_box(), ready_box());
+    requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
     reader.feed(RouteEvent::StoreFailed);
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
 
-    let first = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
-    let second = asker.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &asker))));
+    let first =
+        requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
+    let second =
+        requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
 
     assert!(sync_request_in(&first).is_none() || sync_request_in(&second).is_none());
     assert!(sync_request_in(&second).is_none(), "the response was the same again");
