--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -289,17 +289,17 @@
 
 /// A box 150 ms after the end of a store outage, and another one with the same state that had none.
 fn box_after_outage_and_another() -> (TestBox, TestBox) {
-    let (mut cut, mut other) = (ready_box(), new_box("box-2"));
+    let (mut recovered, mut other) = (ready_box(), new_box("box-2"));
     other.read_plan(Some(plan(1)));
     other.put(entry("a", "v1"));
     other.put(entry("b", "v1"));
-    cut.feed(RouteEvent::StoreFailed);
-    cut.now += 5_000;
-    cut.feed(RouteEvent::StoreRecovered);
-    cut.now += 150;
-    other.now = cut.now;
-    cut.read_plan(None);
-    (cut, other)
+    recovered.feed(RouteEvent::StoreFailed);
+    recovered.now += 5_000;
+    recovered.feed(RouteEvent::StoreRecovered);
+    recovered.now += 150;
+    other.now = recovered.now;
+    recovered.read_plan(None);
+    (recovered, other)
 }
 
 /// Whether the box still uses a replica.
@@ -311,20 +311,20 @@
 
 #[test]
 fn box_after_a_store_outage_applies_removals_from_other_boxes() {
-    let (mut cut, mut other) = box_after_outage_and_another();
+    let (mut recovered, mut other) = box_after_outage_and_another();
     other.drop_entry("a");
-    deliver_gossip(&mut other, &mut cut);
-    assert!(!uses(&cut, "a") && uses(&cut, "b"));
+    deliver_gossip(&mut other, &mut recovered);
+    assert!(!uses(&recovered, "a") && uses(&recovered, "b"));
 }
 
 #[test]
 fn grace_period_ends_when_another_box_confirms_the_removal() {
-    let (mut cut, mut other) = box_after_outage_and_another();
-    cut.drop_entry("a");
-    assert!(uses(&cut, "a"), "it may come back: the outage may have affected all");
+    let (mut recovered, mut other) = box_after_outage_and_another();
+    recovered.drop_entry("a");
+    assert!(uses(&recovered, "a"), "it may come back: the outage may have affected all");
     other.drop_entry("a");
-    deliver_gossip(&mut other, &mut cut);
-    assert!(!uses(&cut, "a") && uses(&cut, "b"));
+    deliver_gossip(&mut other, &mut recovered);
+    assert!(!uses(&recovered, "a") && uses(&recovered, "b"));
 }
 
 /// A box that has just started, and the latest time at which it reads the store if it receives
