--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -396,8 +396,8 @@
     reader.drop_entry("a");
     reader.put(entry("c", "v1"));
     let message = answer(&mut reader, &requester);
-    let told: Vec<&str> = message.changes.iter().map(|change| change.id.as_str()).collect();
-    assert_eq!(told, ["a", "c"]);
+    let ids: Vec<&str> = message.changes.iter().map(|change| change.id.as_str()).collect();
+    assert_eq!(ids, ["a", "c"]);
     requester.feed(RouteEvent::GossipReceived(Box::new(message)));
     assert!(!uses(&requester, "a") && uses(&requester, "b") && uses(&requester, "c"));
     assert!(answer(&mut reader, &requester).changes.is_empty());
