--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -120,9 +120,9 @@
     for step in 1..=15 {
         messages.extend(gossip_in(&running.feed(RouteEvent::Tick)));
         if step == 5 {
-            let told =
+            let events =
                 messages.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
-            told.for_each(|event| drop(started.feed(event)));
+            events.for_each(|event| drop(started.feed(event)));
         }
         let versions = [&mut running, &mut started].map(|subject| {
             subject.now += 100;
@@ -230,16 +230,16 @@
 #[test]
 fn box_that_read_the_plan_late_accepts_callers_only_when_synced() {
     let mut subject = box_that_read_late();
-    let takes =
+    let accepts =
         |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
-    assert!(!takes(&subject), "it knows neither a replica nor the progress of the trial");
+    assert!(!accepts(&subject), "it knows neither a replica nor the progress of the trial");
 
     subject.now += 60;
     subject.put(entry("a", "v1"));
     let asked_at = BoxTime::from_millis(subject.now);
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
 
-    assert!(takes(&subject), "it is synced");
+    assert!(accepts(&subject), "it is synced");
 }
 
 #[test]
@@ -258,17 +258,17 @@
     subject.read_plan(Some(plan(1)));
     let lists =
         |subject: &TestBox| subject.state.must_read_entries(BoxTime::from_millis(subject.now));
-    let takes =
+    let accepts =
         |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
 
     while !lists(&subject) {
-        assert!(!takes(&subject), "{} ms: it knows no replica", subject.now);
+        assert!(!accepts(&subject), "{} ms: it knows no replica", subject.now);
         subject.now += 1;
     }
 
-    assert!(!takes(&subject), "the listing is in progress");
+    assert!(!accepts(&subject), "the listing is in progress");
     subject.now += ACCEPT_AFTER_PLAN_MS;
-    assert!(takes(&subject));
+    assert!(accepts(&subject));
 }
 
 #[test]
@@ -296,7 +296,7 @@
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
     let info = PeerInfo { gossip_address: "box-1:90".to_owned(), ..PeerInfo::default() };
-    let news = GossipMessage {
+    let message = GossipMessage {
         name: "box-1".to_owned(),
         number: 1,
         info,
@@ -304,7 +304,7 @@
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(news)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
     let now = BoxTime::from_millis(subject.now);
     assert!(!subject.state.accepts_callers(now) && !subject.state.open(now), "there may be others");
@@ -367,14 +367,14 @@
         asked_at: BoxTime::from_millis(started.now),
         ..SyncRequest::default()
     };
-    let told =
+    let message =
         gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("a response");
 
-    let as_of = started.state.message_as_of(&told, BoxTime::from_millis(started.now));
+    let as_of = started.state.message_as_of(&message, BoxTime::from_millis(started.now));
     let asked_at = as_of.expect("it responds to this box");
     started.feed(RouteEvent::PlanRead {
         asked_at,
-        read_to: told.known.read_to,
+        read_to: message.known.read_to,
         plan: Some(plan(1)),
     });
     started.put(entry("a", "v1"));
