--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -178,9 +178,9 @@
 fn box_that_read_the_copy_learns_of_an_evacuation_from_a_former_era() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, restored(5), &[]);
-    let word = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
+    let digest = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
 
-    subject.feed(RouteEvent::EvacuationsReceived(word));
+    subject.feed(RouteEvent::EvacuationsReceived(digest));
 
     assert_eq!(zones(&subject), ["east"]);
 }
