--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -108,8 +108,8 @@
 
     assert!(subject.state.must_read_plan(clock(&subject)));
     let effects = deliver_gossip(&mut reader, &mut subject);
-    let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
-    assert!(!effects.iter().any(asks));
+    let is_request = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
+    assert!(!effects.iter().any(is_request));
     subject.read_plan(Some(plan(2)));
     assert!(!subject.state.must_read_plan(clock(&subject)));
 }
