--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -38,7 +38,7 @@
         assert!(settling <= limit + reads, "{count} boxes: {settling} calls afterwards");
         fleet.run_until(16_000);
         let call_rate = f64::from(fleet.calls()) / 10.0 / expected_readers(count) as f64;
-        assert!(call_rate < 6.0, "{count} boxes: {calm} calls a second and reader");
+        assert!(call_rate < 6.0, "{count} boxes: {call_rate} calls a second and reader");
         assert_eq!(fleet.open(), count);
         assert!(readers_agree(&fleet, count), "{} readers of {count}, later", fleet.readers());
     }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -33,8 +33,8 @@
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
-    let heard = subject.state.peers().live_count(clock(&subject));
-    assert!(subject.state.is_reader(clock(&subject)), "{heard} live");
+    let live = subject.state.peers().live_count(clock(&subject));
+    assert!(subject.state.is_reader(clock(&subject)), "{live} live");
 }
 
 #[test]
