--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -80,6 +80,7 @@
         }
     }
 
+    /// Builds a message. A response gets its changes and its coverage from [`Self::on_sync_request`].
     fn message(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
@@ -220,6 +221,7 @@
         }
     }
 
+    /// A request for what this box lacks as of now.
     fn sync_request(&self, stamp: EventStamp) -> SyncRequest {
         SyncRequest {
             gossip_address: self.settings.gossip_address.clone(),
@@ -249,6 +251,7 @@
         out.push(RouteEffect::SendGossip(to, Box::new(message)));
     }
 
+    /// Applies a gossip message or a sync response, unless it is outdated or this box sent it.
     pub(super) fn on_gossip(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -513,7 +513,7 @@
         self.fresh.is_unknown() || self.entries.known_to().is_none()
     }
 
-    /// Whether the box started so recently that it has not heard of all others yet.
+    /// Whether the box started so recently that it does not know all others yet.
     fn started_lately(&self, now: BoxTime) -> bool {
         self.start.is_none_or(|start| now.millis_since(start.at) < peers::STARTED_LATELY_MS)
     }
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -85,7 +85,7 @@
 
     let [near, far] = fleet.messages;
     let share = far as f64 / (near + far) as f64;
-    assert!(share <= 0.35, "{share} of {} notes go to another zone", near + far);
+    assert!(share <= 0.35, "{share} of {} messages go to another zone", near + far);
 }
 
 #[test]
