--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -113,8 +113,8 @@
         fleet.run_until(6_000);
         fleet.calls();
 
-        fleet.away_until = fleet.now + 8_000;
-        fleet.run_until(fleet.away_until);
+        fleet.outage_until = fleet.now + 8_000;
+        fleet.run_until(fleet.outage_until);
 
         // Readers try three times a second, any other box once.
         let readers = 3 * 2 * 8 * (expected_readers(count) as u32 + 1);
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -161,7 +161,7 @@
     /// Entries in listings that boxes sent each other.
     pub gossiped_entries: u64,
     /// The store is unreachable until then.
-    pub away_until: u64,
+    pub outage_until: u64,
     /// Messages within an availability zone, and between zones.
     pub messages: [u64; 2],
 }
@@ -186,7 +186,7 @@
             size,
             listed_entries: 0,
             gossiped_entries: 0,
-            away_until: 0,
+            outage_until: 0,
             messages: [0; 2],
         };
         for number in 0..count {
@@ -405,7 +405,7 @@
     }
 
     fn is_away(&self) -> bool {
-        self.now < self.away_until
+        self.now < self.outage_until
     }
 
     /// Handles a failed call, which is retried after a pause.
@@ -438,7 +438,7 @@
     /// Makes the store unreachable for `away_ms` and restores it from a copy of its data at
     /// `copied_at`. Returns the lost records.
     pub fn restore(&mut self, away_ms: u64, copied_at: u64) -> LostRows {
-        self.away_until = self.now + away_ms;
+        self.outage_until = self.now + away_ms;
         self.era += 1;
         let kept = self.plans.iter().filter(|row| row.written_at <= copied_at).count();
         let plans = self.plans.split_off(kept);
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -352,7 +352,7 @@
     let mut fleet = fleet_at_plan_6(count);
     let lost = fleet.restore(away_ms, copied_at);
     fleet.write_again(lost);
-    fleet.run_until(fleet.away_until);
+    fleet.run_until(fleet.outage_until);
     fleet.calls();
 
     let took = fleet.until_all(4_000, reads_second_era);
@@ -391,7 +391,7 @@
         for version in [7, 8, 9] {
             fleet.write_plan(version);
         }
-        fleet.run_until(fleet.away_until);
+        fleet.run_until(fleet.outage_until);
 
         let took = fleet.until_all(4_000, has_plan(9));
 
@@ -404,7 +404,7 @@
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
-        fleet.run_until(fleet.away_until + 1_000);
+        fleet.run_until(fleet.outage_until + 1_000);
         fleet.calls();
 
         fleet.run_until(fleet.now + 6_000);
@@ -423,7 +423,7 @@
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
-        fleet.run_until(fleet.away_until + 500);
+        fleet.run_until(fleet.outage_until + 500);
 
         for number in (0..count).step_by(4) {
             fleet.restart(number);
@@ -450,13 +450,13 @@
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
         fleet.write_again(lost);
-        fleet.run_until(fleet.away_until + 300);
+        fleet.run_until(fleet.outage_until + 300);
         fleet.write_plan(7);
         fleet.run_until(fleet.now + 100);
 
         let lost = fleet.restore(500, fleet.now - 200);
         fleet.write_again(lost);
-        fleet.run_until(fleet.away_until);
+        fleet.run_until(fleet.outage_until);
 
         let third = |state: &RouteState| state.read_to().era == 3 && state.plan().version == 7;
         let took = fleet.until_all(6_000, third);
