--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -333,8 +333,10 @@
                 self.feed(to, RouteEvent::Tick);
                 self.push(next, to, Step::Tick);
             }
-            Step::PollPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
-            Step::PollEntries if state.must_read_entries(now) && self.is_away() => {
+            Step::PollPlan if state.must_read_plan(now) && self.store_unreachable() => {
+                self.fail(to, step)
+            }
+            Step::PollEntries if state.must_read_entries(now) && self.store_unreachable() => {
                 self.fail(to, step);
             }
             Step::PollPlan if state.must_read_plan(now) => {
@@ -369,8 +371,10 @@
                 self.push(next_poll, to, step);
             }
             // A store outage aborts long polls.
-            Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::PollPlan),
-            Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::PollEntries),
+            Step::PlanRead { .. } if self.store_unreachable() => self.fail(to, Step::PollPlan),
+            Step::EntriesRead { .. } if self.store_unreachable() => {
+                self.fail(to, Step::PollEntries)
+            }
             Step::PlanRead { asked_at, shown_at } => {
                 self.recover_store(to);
                 let shown_at = shown_at.max(asked_at);
@@ -404,7 +408,7 @@
         }
     }
 
-    fn is_away(&self) -> bool {
+    fn store_unreachable(&self) -> bool {
         self.now < self.outage_until
     }
 
