--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -278,8 +278,9 @@
             match effect {
                 RouteEffect::SendGossip(targets, message) => {
                     for target in targets {
-                        let far = number_of(&target) % ZONES != to % ZONES;
-                        self.messages[usize::from(far)] += u64::from(message.in_reply_to.is_none());
+                        let other_zone = number_of(&target) % ZONES != to % ZONES;
+                        self.messages[usize::from(other_zone)] +=
+                            u64::from(message.in_reply_to.is_none());
                         let entries = message.entries.page.map_or(0, |_| message.changes.len());
                         self.gossiped_entries += entries as u64;
                         let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
