--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -263,7 +263,7 @@
             self.now = due.at;
             let subject = &self.boxes[due.to];
             if !subject.killed && subject.incarnation == due.incarnation {
-                self.take(due.to, due.step);
+                self.run_step(due.to, due.step);
             }
         }
         self.now = until;
@@ -324,7 +324,7 @@
         (pages as u32, pages * CALL_MS + delay)
     }
 
-    fn take(&mut self, to: usize, step: Step) {
+    fn run_step(&mut self, to: usize, step: Step) {
         let now = BoxTime::from_millis(self.now);
         let state = &self.boxes[to].state;
         let next_poll = self.now + if state.is_synced() { 200 } else { 20 };
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -314,13 +314,13 @@
                 break;
             }
             self.now = at;
-            self.take(step, times);
+            self.run_step(step, times);
         }
         self.steps.retain(|row| row.0 .2 != Step::Arrive);
         self.now = until;
     }
 
-    fn take(&mut self, step: Step, times: f64) {
+    fn run_step(&mut self, step: Step, times: f64) {
         match step {
             Step::Arrive => {
                 let gap = -self.draw().max(1e-9).ln() / (RATE * times * self.replicas as f64);
