--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -102,8 +102,8 @@
     assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while the version gets all sessions");
 }
 
-// Each box once moved all sessions as soon as it had counted enough responses. A restarted box
-// received the statistics of the others later, and moved sessions back meanwhile.
+// If each box moved all sessions as soon as it had counted enough responses, a restarted box, which
+// receives the statistics of the others later, would move sessions back meanwhile.
 #[test]
 fn boxes_move_all_sessions_at_the_same_time_despite_late_statistics() {
     let (mut running, mut started) = (started_box("box-1"), started_box("box-2"));
