--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Builds a message. A response gets its changes and its coverage from [`Self::on_sync_request`].
+    /// Builds a message. [`Self::on_sync_request`] fills in the changes of a response.
     fn message(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
         self.rounds.last_number += 1;
         let number = self.rounds.last_number;
