--- a/crates/box/src/gateway/driver.rs
+++ b/crates/box/src/gateway/driver.rs
@@ -65,7 +65,7 @@
     /// Expected length in bytes, if this is a sync response.
     pub fn sync_response_bytes(&self) -> Option<usize> {
         match self {
-            Self::Gossip(_, message) if message.echo.is_some() => {
+            Self::Gossip(_, message) if message.in_reply_to.is_some() => {
                 Some(SyncPacer::expected_bytes(message))
             }
             _ => None,
@@ -75,7 +75,7 @@
     /// Kind of the datagram, for statistics.
     pub fn kind(&self) -> DatagramKind {
         match self {
-            Self::Gossip(_, message) if message.echo.is_some() => DatagramKind::SyncResponse,
+            Self::Gossip(_, message) if message.in_reply_to.is_some() => DatagramKind::SyncResponse,
             Self::Gossip(..) => DatagramKind::Gossip,
             Self::Placement(..) => DatagramKind::Placement,
             Self::SyncRequest(..) => DatagramKind::SyncRequest,
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -132,7 +132,8 @@
 ) -> Vec<u8> {
     let page = pages.get_or_pack(message);
     let without_records = encode_gossip(message, None, page);
-    let Some(request) = message.echo.as_ref().filter(|request| request.known < message.known)
+    let Some(request) =
+        message.in_reply_to.as_ref().filter(|request| request.known < message.known)
     else {
         return without_records;
     };
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -56,7 +56,7 @@
     #[prost(uint64, tag = "3")]
     number: u64,
     #[prost(message, optional, tag = "4")]
-    card: Option<WirePeerInfo>,
+    info: Option<WirePeerInfo>,
     #[prost(message, optional, tag = "25")]
     known: Option<WirePlanPosition>,
     #[prost(uint64, tag = "26")]
@@ -72,7 +72,7 @@
     #[prost(uint64, optional, tag = "13")]
     read_age_ms: Option<u64>,
     #[prost(message, optional, tag = "14")]
-    echo: Option<WireSyncRequest>,
+    in_reply_to: Option<WireSyncRequest>,
     #[prost(message, repeated, tag = "15")]
     loads: Vec<WireLoad>,
     #[prost(message, repeated, tag = "16")]
@@ -82,7 +82,7 @@
     #[prost(message, repeated, tag = "18")]
     budgets: Vec<WireBudget>,
     #[prost(message, repeated, tag = "19")]
-    paces: Vec<WireLatency>,
+    latencies: Vec<WireLatency>,
     #[prost(message, optional, tag = "20")]
     evacuation: Option<WireEvacuation>,
     #[prost(message, repeated, tag = "21")]
@@ -90,7 +90,7 @@
     #[prost(message, repeated, tag = "22")]
     limits: Vec<WireLimit>,
     #[prost(message, repeated, tag = "23")]
-    ends: Vec<WireCrash>,
+    crashes: Vec<WireCrash>,
     #[prost(message, repeated, tag = "24")]
     contents: Vec<WirePoison>,
 }
@@ -218,7 +218,7 @@
     WireGossip {
         name: gossip.name.clone(),
         number: gossip.number,
-        card: Some(write_peer_info(&gossip.card)),
+        info: Some(write_peer_info(&gossip.info)),
         known: Some(write_plan_position(gossip.known)),
         era: gossip.era,
         changes: changes.iter().map(write_change).collect(),
@@ -227,16 +227,16 @@
         others: gossip.others.clone(),
         read_age_ms: gossip.read_age_ms,
         evacuation: Some(write_evacuation(&gossip.evacuation)),
-        echo: gossip.echo.as_ref().map(write_sync_request),
+        in_reply_to: gossip.in_reply_to.as_ref().map(write_sync_request),
         loads: gossip.loads.iter().map(write_load).collect(),
         duty_holders: gossip.duty_holders.iter().map(write_summary).collect(),
-        entries: gossip.echo.as_ref().map(|_| write_coverage(gossip.entries)),
+        entries: gossip.in_reply_to.as_ref().map(|_| write_coverage(gossip.entries)),
         down: gossip.down.iter().map(write_unreachable).collect(),
         limits: gossip.limits.iter().map(write_limit).collect(),
-        ends: gossip.ends.iter().map(write_crash).collect(),
+        crashes: gossip.crashes.iter().map(write_crash).collect(),
         contents: gossip.contents.iter().map(write_poison).collect(),
         budgets: gossip.budgets.iter().map(write_budget).collect(),
-        paces: gossip.paces.iter().map(write_latency).collect(),
+        latencies: gossip.latencies.iter().map(write_latency).collect(),
     }
 }
 
@@ -244,12 +244,12 @@
     GossipMessage {
         name: wire.name,
         number: wire.number,
-        card: wire.card.map(read_peer_info).unwrap_or_default(),
+        info: wire.info.map(read_peer_info).unwrap_or_default(),
         known: read_plan_position(wire.known),
         era: wire.era,
         read_age_ms: wire.read_age_ms,
         evacuation: wire.evacuation.map(read_evacuation).unwrap_or_default(),
-        echo: wire.echo.map(read_sync_request),
+        in_reply_to: wire.in_reply_to.map(read_sync_request),
         changes: wire.changes.into_iter().map(read_change).collect(),
         trials: wire.trials.into_iter().map(read_trial).collect(),
         verdicts: wire.verdicts.into_iter().map(read_verdict).collect(),
@@ -259,9 +259,9 @@
         entries: wire.entries.map(read_coverage).unwrap_or_default(),
         down: wire.down.into_iter().map(read_unreachable).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
-        ends: wire.ends.into_iter().map(read_crash).collect(),
+        crashes: wire.crashes.into_iter().map(read_crash).collect(),
         contents: wire.contents.into_iter().map(read_poison).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
-        paces: wire.paces.into_iter().map(read_latency).collect(),
+        latencies: wire.latencies.into_iter().map(read_latency).collect(),
     }
 }
--- a/crates/box/src/gateway/gossip_wire/pages.rs
+++ b/crates/box/src/gateway/gossip_wire/pages.rs
@@ -47,7 +47,7 @@
 impl PackedPages {
     /// The packed entries of a sync response, if there are enough to cache.
     pub fn get_or_pack(&mut self, message: &GossipMessage) -> Option<&[u8]> {
-        message.echo.as_ref().filter(|_| message.changes.len() >= CACHED_FROM_ENTRIES)?;
+        message.in_reply_to.as_ref().filter(|_| message.changes.len() >= CACHED_FROM_ENTRIES)?;
         let key = PageKey::of(&message.changes)?;
         let index = match self.0.iter().position(|(known, _)| *known == key) {
             Some(index) => index,
--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -77,11 +77,11 @@
     GossipMessage {
         name: "front-1".to_owned(),
         number: 5,
-        card: peer_info("front-1"),
+        info: peer_info("front-1"),
         era: 3,
         known: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
-        echo: Some(sync_request()),
+        in_reply_to: Some(sync_request()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
         entries: EntryCoverage {
             known_to: Some(at(43)),
@@ -97,13 +97,13 @@
             service: "pool".to_owned(),
             count: SendCount { requests: 21, sends: 9 },
         }],
-        paces: vec![LatencyUpdate {
+        latencies: vec![LatencyUpdate {
             service: "pool".to_owned(),
             models: vec![latency(0.25), latency(1.5)],
         }],
         duty_holders: vec![PeerSummary {
             name: "f-2".to_owned(),
-            card: peer_info("f-2"),
+            info: peer_info("f-2"),
             age_ms: 900,
         }],
         ..GossipMessage::default()
@@ -120,7 +120,7 @@
 #[test]
 fn gossip_message_without_a_request_has_no_entry_coverage() {
     let message =
-        GossipMessage { echo: None, entries: EntryCoverage::default(), ..sync_response() };
+        GossipMessage { in_reply_to: None, entries: EntryCoverage::default(), ..sync_response() };
     let decoded = decode_datagram(&encode_gossip(&message, None, None)).expect("a datagram");
     assert_eq!(decoded, DecodedDatagram::Gossip(Box::new(message), None));
 }
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -23,7 +23,7 @@
         let Some(request) = self.requests.get(&ticket) else { return };
         let Some(work) = self.prompt_work(request, request.size) else { return };
         let work_ms = pick.work_ms;
-        let latency = self.paces.entry(request.service.clone()).or_default();
+        let latency = self.latencies.entry(request.service.clone()).or_default();
         latency.sent(work_ms);
         let expected_ms = pick.expected_ms + latency.begin_ms(request.size.unwrap_or(0));
         self.backends.placed(pick.key, &work, work_ms, expected_ms, stamp.now);
@@ -56,7 +56,7 @@
             let shared = if attempt.cached { 0 } else { prompt.shared };
             let tokens = f64::from(prompt.own) + f64::from(shared);
             let took_ms = stamp.now.millis_since(attempt.began) as f64;
-            let latency = self.paces.entry(request.service.clone()).or_default();
+            let latency = self.latencies.entry(request.service.clone()).or_default();
             latency.learn(request.size.unwrap_or(0), tokens, took_ms);
         }
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -1,5 +1,5 @@
-//! What this box tells the others, and what it takes from them: news of replicas, trials, and how fresh
-//! its knowledge is.
+//! Gossip and sync responses: what this box sends to others, and what it applies from them, namely
+//! changes of replicas, trials, and the freshness of its knowledge.
 
 use std::collections::VecDeque;
 
@@ -16,81 +16,85 @@
 use crate::event::EventStamp;
 use crate::time::BoxTime;
 
-/// News of a replica is told to other boxes for this long, in milliseconds: three notes. Who hears it
-/// tells it on.
+/// A change of a replica is announced for this long, in milliseconds, which is three messages.
+/// Boxes that receive it announce it in turn.
 pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
-/// News of replicas in one note, at most, the newest first; what a box misses it reads itself later.
-pub const NEWS_LIMIT: usize = 40;
+/// Upper bound of the changes in one message, the newest first. A box reads the changes that it
+/// misses from the store later.
+pub const CHANGES_PER_ROUND: usize = 40;
 
-/// The notes of a box, and the news that they carry.
+/// Rounds of gossip, and the changes that they announce.
 #[derive(Debug, Default)]
 pub(super) struct GossipRounds {
-    /// Number of the last note.
-    pub(super) note_number: u64,
+    /// Number of the last message.
+    pub(super) last_number: u64,
     /// When the next round is due.
-    pub(super) next_note: BoxTime,
-    /// News of replicas, with when it was learnt.
+    pub(super) next_round: BoxTime,
+    /// Changes of replicas, with the time at which this box learned of them.
     pub(super) changes: VecDeque<(BoxTime, BackendChange)>,
 }
 
-/// What a note is for.
+/// Purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoteKind {
-    /// It goes to some boxes by turns.
+enum MessageKind {
+    /// Sent to some boxes in each round.
     Round,
-    /// It answers an ask.
-    Answer,
+    /// Responds to a sync request.
+    Response,
 }
 
 impl RouteState {
-    /// Tells news of a replica to other boxes, at once and for a while.
+    /// Announces a change of a replica at once, and again for a while.
     pub(super) fn announce_change(
         &mut self,
         stamp: EventStamp,
         change: BackendChange,
-        news: ChangeKind,
+        kind: ChangeKind,
         out: &mut Vec<RouteEffect>,
     ) {
-        if news == ChangeKind::None {
+        if kind == ChangeKind::None {
             return;
         }
-        if news == ChangeKind::Leaving {
+        if kind == ChangeKind::Leaving {
             out.push(RouteEffect::BackendLeaving(change.id.clone()));
         }
         self.rounds.changes.retain(|(_, other)| other.id != change.id);
         self.rounds.changes.push_back((stamp.now, change));
-        self.rounds.next_note = BoxTime::default();
+        self.rounds.next_round = BoxTime::default();
     }
 
-    /// Sends a round of notes, if it is time for one.
+    /// Sends a round of gossip, if one is due.
     pub(super) fn send_gossip(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
-        if stamp.now < self.rounds.next_note {
+        if stamp.now < self.rounds.next_round {
             return;
         }
-        self.rounds.next_note = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
+        self.rounds.next_round = stamp.now.plus_millis(peers::GOSSIP_INTERVAL_MS);
         self.peers.forget(stamp.now);
-        let told = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
-        self.rounds.changes.retain(|(at, _)| told(*at));
+        let recent = |at: BoxTime| stamp.now.millis_since(at) < CHANGE_GOSSIP_MS;
+        self.rounds.changes.retain(|(at, _)| recent(*at));
         let targets = self.peers.gossip_targets(&self.settings.zone, stamp.random);
         if !targets.is_empty() {
-            let note = self.note(stamp, NoteKind::Round);
-            out.push(RouteEffect::SendGossip(targets, Box::new(note)));
+            let message = self.message(stamp, MessageKind::Round);
+            out.push(RouteEffect::SendGossip(targets, Box::new(message)));
         }
     }
 
-    fn note(&mut self, stamp: EventStamp, kind: NoteKind) -> GossipMessage {
-        self.rounds.note_number += 1;
-        let number = self.rounds.note_number;
-        let (others, leads, paces) = if self.tells_of_others(number, stamp.now) {
-            let leads = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
-            (self.peers.some_addresses(stamp.random), leads, self.told_paces())
+    /// Builds a message. [`Self::on_sync_request`] fills in the changes of a response.
+    fn message(&mut self, stamp: EventStamp, kind: MessageKind) -> GossipMessage {
+        self.rounds.last_number += 1;
+        let number = self.rounds.last_number;
+        let (others, duty_holders, latencies) = if self.includes_peers(number, stamp.now) {
+            let duty_holders = self.peers.duty_holders(&self.local_peer(stamp.now), stamp.now);
+            (self.peers.some_addresses(stamp.random), duty_holders, self.latency_updates())
         } else {
             Default::default()
         };
-        let budgets = self.told_budgets(stamp.now);
-        // Each takes a look at all replicas, and rounds of notes bring them to all: an answer comes too often for that.
-        let (loads, down, limits) = if kind == NoteKind::Round || self.peers.gossip_reaches_all() {
+        let budgets = self.budget_updates(stamp.now);
+        // Each of these scans all replicas, and rounds of gossip carry them to all boxes anyway:
+        // responses are too frequent for such scans.
+        let (loads, down, limits) = if kind == MessageKind::Round || self.peers.gossip_reaches_all()
+        {
             let backends = &self.backends;
             let now = stamp.now;
             (
@@ -111,113 +115,114 @@
         GossipMessage {
             name: self.settings.name.clone(),
             number,
-            card: self.card(stamp.now),
+            info: self.own_info(stamp.now),
             era: self.era,
             known: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
             evacuation: self.evacuated.digest(),
-            echo: None,
+            in_reply_to: None,
             entries: EntryCoverage::default(),
             changes: self
                 .rounds
                 .changes
                 .iter()
                 .rev()
-                .take(NEWS_LIMIT)
+                .take(CHANGES_PER_ROUND)
                 .map(|row| row.1.clone())
                 .collect(),
             loads,
             down,
             limits,
-            ends: self.crash_updates(stamp.now),
+            crashes: self.crash_updates(stamp.now),
             contents: self.poison_updates(number, stamp.now),
             budgets,
-            paces,
+            latencies,
             trials: trials.collect(),
             verdicts: self.verdicts(),
             others,
-            duty_holders: leads,
+            duty_holders,
         }
     }
 
-    /// This box's further sends, for services that had requests lately.
-    fn told_budgets(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
+    /// Extra attempts of this box, for services with recent requests.
+    fn budget_updates(&mut self, now: BoxTime) -> Vec<BudgetUpdate> {
         let bounds = self.settings.budget;
         let counts = self.budgets.iter_mut().map(|(service, budget)| BudgetUpdate {
             service: service.clone(),
             count: budget.count(bounds, now),
         });
-        counts.filter(|told| told.count != SendCount::default()).collect()
+        counts.filter(|update| update.count != SendCount::default()).collect()
     }
 
-    /// Paces of the models of services that have any.
-    fn told_paces(&self) -> Vec<LatencyUpdate> {
-        let told = self.paces.iter().map(|(service, pace)| LatencyUpdate {
+    /// Latency estimates of models, for services that have any.
+    fn latency_updates(&self) -> Vec<LatencyUpdate> {
+        let updates = self.latencies.iter().map(|(service, latency)| LatencyUpdate {
             service: service.clone(),
-            models: pace.estimates(),
+            models: latency.estimates(),
         });
-        told.filter(|note| !note.models.is_empty()).collect()
+        updates.filter(|message| !message.models.is_empty()).collect()
     }
 
-    /// Whether the note of this number tells of other boxes. Boxes that start together all do: they have to find
-    /// each other.
-    fn tells_of_others(&self, number: u64, now: BoxTime) -> bool {
-        self.started_lately(now) || number % peers::OTHERS_EVERY == 0
+    /// Whether the message of this number lists other boxes. Boxes that started recently always do,
+    /// because boxes that start together have to find each other.
+    fn includes_peers(&self, number: u64, now: BoxTime) -> bool {
+        self.started_lately(now) || number % peers::PEERS_EVERY_MESSAGES == 0
     }
 
-    /// What this box says of itself.
-    fn card(&self, now: BoxTime) -> PeerInfo {
+    /// State of this box for other boxes.
+    fn own_info(&self, now: BoxTime) -> PeerInfo {
         PeerInfo {
             incarnation: self.settings.incarnation,
             gossip_address: self.settings.gossip_address.clone(),
             entry_address: self.settings.entry_address.clone(),
             zone: self.settings.zone.clone(),
             open: self.open(now),
-            store_unreachable: self.is_cut(now),
+            store_unreachable: self.store_unreachable(now),
             reads: self.reads_for_others(now) || self.reads_at_start(),
             strong: self.settings.capacity.is_strong(),
         }
     }
 
-    /// Asks a reader how fresh this box's knowledge is, unless it reads often itself; one that knows nothing
-    /// yet asks anybody, again and again.
-    pub(super) fn ask_reader(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
+    /// Sends a sync request to a store reader, unless this box is one. A box that knows nothing yet
+    /// sends requests to any box, repeatedly.
+    pub(super) fn request_sync(&mut self, stamp: EventStamp, out: &mut Vec<RouteEffect>) {
         let unanswered = |at: BoxTime| stamp.now.millis_since(at) >= peers::SYNC_RETRY_MS;
-        let again = !self.is_starting() && self.asks.unanswered_at.is_some_and(unanswered);
-        if stamp.now < self.asks.next_ask && !again {
+        let again = !self.is_starting() && self.sync.unanswered_at.is_some_and(unanswered);
+        if stamp.now < self.sync.next_request && !again {
             return;
         }
         let (own, readers) = self.peers.readers(&self.local_peer(stamp.now), stamp.now);
-        // A box that was started while the store is away knows no replica, reader or not.
+        // A box that started during a store outage knows no replica, even if it is a reader.
         if own && self.knows_replicas() {
-            self.asks.unanswered_at = None;
+            self.sync.unanswered_at = None;
             return;
         }
         let first = stamp.random.checked_rem(readers.len() as u64).unwrap_or(0) as usize;
         let reader = readers.get(first).filter(|_| !self.is_starting()).cloned();
-        let knowing = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
-        let reader = reader.or_else(knowing).or_else(|| self.peers.any_address(stamp.random));
+        let any_open = || self.peers.any_open(&self.settings.zone, stamp.now, stamp.random);
+        let reader = reader.or_else(any_open).or_else(|| self.peers.any_address(stamp.random));
         let Some(reader) = reader else { return };
-        let pause_ms = self.ask_pause_ms(stamp.now);
-        self.asks.next_ask = stamp.now.plus_millis(pause_ms);
-        self.asks.unanswered_at = Some(stamp.now);
-        out.push(RouteEffect::SendSyncRequest(reader, self.ask(stamp)));
+        let pause_ms = self.sync_pause_ms(stamp.now);
+        self.sync.next_request = stamp.now.plus_millis(pause_ms);
+        self.sync.unanswered_at = Some(stamp.now);
+        out.push(RouteEffect::SendSyncRequest(reader, self.sync_request(stamp)));
     }
 
-    /// Time until the next ask, in milliseconds.
-    fn ask_pause_ms(&mut self, now: BoxTime) -> u64 {
-        let starts = self.is_starting();
-        let many_know = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
-        let start = self.start.as_mut().filter(|_| starts);
-        let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::note_ask);
-        if starts && many_know {
+    /// Pause before the next sync request, in milliseconds.
+    fn sync_pause_ms(&mut self, now: BoxTime) -> u64 {
+        let starting = self.is_starting();
+        let mostly_open = 4 * self.peers.open_rows(now).count() >= self.peers.live_count(now);
+        let start = self.start.as_mut().filter(|_| starting);
+        let pause_ms = start.map_or(peers::SYNC_INTERVAL_MS, StartupState::count_request);
+        if starting && mostly_open {
             pause_ms.min(peers::SYNC_RETRY_MS)
         } else {
             pause_ms
         }
     }
 
-    fn ask(&self, stamp: EventStamp) -> SyncRequest {
+    /// A request for what this box lacks as of now.
+    fn sync_request(&self, stamp: EventStamp) -> SyncRequest {
         SyncRequest {
             gossip_address: self.settings.gossip_address.clone(),
             incarnation: self.settings.incarnation,
@@ -227,156 +232,160 @@
         }
     }
 
-    /// Answers another box's ask.
+    /// Responds to the sync request of another box.
     pub(super) fn on_sync_request(
         &mut self,
         stamp: EventStamp,
-        ask: SyncRequest,
+        request: SyncRequest,
         out: &mut Vec<RouteEffect>,
     ) {
-        let to = vec![ask.gossip_address.clone()];
+        let to = vec![request.gossip_address.clone()];
         self.peers.add_addresses(&to, &self.settings.gossip_address, stamp.now);
-        let mut note = self.note(stamp, NoteKind::Answer);
+        let mut message = self.message(stamp, MessageKind::Response);
         let EntryAnswer { changes, known_to, age_ms, page } =
-            self.entries.answer(ask.entries, &self.backends, stamp.now);
-        note.changes = changes;
-        note.contents = self.poison_response(note.number, stamp.now);
-        note.entries = EntryCoverage { known_to, age_ms, page };
-        note.echo = Some(ask);
-        out.push(RouteEffect::SendGossip(to, Box::new(note)));
+            self.entries.answer(request.entries, &self.backends, stamp.now);
+        message.changes = changes;
+        message.contents = self.poison_response(message.number, stamp.now);
+        message.entries = EntryCoverage { known_to, age_ms, page };
+        message.in_reply_to = Some(request);
+        out.push(RouteEffect::SendGossip(to, Box::new(message)));
     }
 
+    /// Applies a gossip message or a sync response, unless it is outdated or this box sent it.
     pub(super) fn on_gossip(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.name == self.settings.name || !self.peers.merge(note, stamp.now) {
+        if message.name == self.settings.name || !self.peers.merge(message, stamp.now) {
             return;
         }
-        if self.is_starting() && note.card.open && note.echo.is_none() {
-            // It has just come to know what this box asks for, and has told few others so.
-            self.asks.next_ask = stamp.now;
+        if self.is_starting() && message.info.open && message.in_reply_to.is_none() {
+            // That box has just become able to respond and has announced it to few others so far.
+            self.sync.next_request = stamp.now;
         }
-        self.peers.add_addresses(&note.others, &self.settings.gossip_address, stamp.now);
-        self.peers.apply_duty_holders(&note.duty_holders, &self.settings.name, stamp.now);
-        self.note_era(note.era, stamp.now, out);
-        let evacuations = self.evacuated.merge(&note.evacuation, stamp.now);
+        self.peers.add_addresses(&message.others, &self.settings.gossip_address, stamp.now);
+        self.peers.apply_duty_holders(&message.duty_holders, &self.settings.name, stamp.now);
+        self.observe_era(message.era, stamp.now, out);
+        let evacuations = self.evacuated.merge(&message.evacuation, stamp.now);
         self.apply_evacuations(stamp, evacuations, out);
-        self.apply_entries(stamp, note, out);
-        let paces = &self.paces;
-        let mean_ms = |service: &str| paces.get(service).map_or(0.0, ServiceLatency::mean_ms);
-        for told in &note.loads {
-            self.backends.apply_load(told, &mean_ms, stamp.now);
+        self.apply_entries(stamp, message, out);
+        let latencies = &self.latencies;
+        let mean_ms = |service: &str| latencies.get(service).map_or(0.0, ServiceLatency::mean_ms);
+        for update in &message.loads {
+            self.backends.apply_load(update, &mean_ms, stamp.now);
         }
-        for told in &note.down {
-            if let Some(key) = self.backends.apply_unreachable(told, stamp.now) {
+        for update in &message.down {
+            if let Some(key) = self.backends.apply_unreachable(update, stamp.now) {
                 self.mark_unreachable_cold(key);
             }
         }
-        self.apply_limits(stamp, &note.limits, out);
-        self.apply_crashes(stamp, &note.ends, &note.contents);
-        for told in &note.paces {
-            if self.backends.serves(&told.service) {
-                self.paces.entry(told.service.clone()).or_default().merge(&told.models);
+        self.apply_limits(stamp, &message.limits, out);
+        self.apply_crashes(stamp, &message.crashes, &message.contents);
+        for update in &message.latencies {
+            if self.backends.serves(&update.service) {
+                self.latencies.entry(update.service.clone()).or_default().merge(&update.models);
             }
         }
-        for told in &note.budgets {
-            if let Some(budget) = self.budgets.get_mut(&told.service) {
-                budget.merge(&note.name, told.count, stamp.now);
+        for update in &message.budgets {
+            if let Some(budget) = self.budgets.get_mut(&update.service) {
+                budget.merge(&message.name, update.count, stamp.now);
             }
         }
-        self.apply_trials(stamp, note, out);
-        self.apply_freshness(stamp, note, out);
+        self.apply_trials(stamp, message, out);
+        self.apply_freshness(stamp, message, out);
     }
 
-    /// Takes what another box says of replicas: news, or the answer to an ask.
+    /// Applies what another box sent about replicas: recent changes, or the response to a sync
+    /// request.
     fn apply_entries(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        let changes = note.changes.clone();
-        let Some(asked) = own_ask(note, self.settings.incarnation, stamp.now) else {
-            // Only what is gone for good is told: that this box lost the store says nothing against it, and a
-            // replica must get nothing two seconds after the store's word.
-            return self.apply_backends(stamp, changes, BackendSource::Told, None, out);
+        let changes = message.changes.clone();
+        let Some(request) = own_request(message, self.settings.incarnation, stamp.now) else {
+            // Gossip carries final removals only. They apply even if this box has lost the store,
+            // because a replica must receive nothing two seconds after the store shows its removal.
+            return self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
         };
-        self.asks.unanswered_at = None;
-        self.asks.answered_at = Some(stamp.now);
-        if note.card.reads {
-            self.asks.reader_answered_at = Some(stamp.now);
+        self.sync.unanswered_at = None;
+        self.sync.answered_at = Some(stamp.now);
+        if message.info.reads {
+            self.sync.reader_answered_at = Some(stamp.now);
         }
-        let EntryCoverage { known_to, age_ms, page } = note.entries;
-        let as_of = age_ms.map(|age| asked.asked_at.minus_millis(age));
+        let EntryCoverage { known_to, age_ms, page } = message.entries;
+        let as_of = age_ms.map(|age| request.asked_at.minus_millis(age));
         let Some(page) = page else {
-            // An answer that is no word of all there is has more behind it.
-            let more = age_ms.is_none() && known_to > asked.entries.known_to;
-            self.apply_backends(stamp, changes, BackendSource::Told, None, out);
-            self.entries.apply_changes(asked.entries, known_to, as_of);
+            // A response that does not cover all changes leaves more to request.
+            let more = age_ms.is_none() && known_to > request.entries.known_to;
+            self.apply_backends(stamp, changes, BackendSource::Gossip, None, out);
+            self.entries.apply_changes(request.entries, known_to, as_of);
             if more {
-                // Where replicas come in thousands, an ask now and then does not keep up with them.
+                // Periodic requests do not keep up with thousands of replicas.
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
-                    self.ask(stamp),
+                    message.info.gossip_address.clone(),
+                    self.sync_request(stamp),
                 ));
             }
             return;
         };
-        match self.entries.apply_page(asked.entries, page, &changes, as_of, stamp.now) {
+        match self.entries.apply_page(request.entries, page, &changes, as_of, stamp.now) {
             Some((end, listed)) => self.on_listed(stamp, end, listed, None, out),
             None if page.next.is_some() => {
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
-                    self.ask(stamp),
+                    message.info.gossip_address.clone(),
+                    self.sync_request(stamp),
                 ));
             }
             None => {}
         }
     }
 
-    /// Relies on what another box read, as of when it says, if this box has read as far.
+    /// Renews the freshness of the plan by what another box has read, if this box has read as far.
     fn apply_freshness(
         &mut self,
         stamp: EventStamp,
-        note: &GossipMessage,
+        message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if note.known > self.plan_position() {
-            self.asks.behind_since.get_or_insert(stamp.now);
-            // An answer holds what was asked for, unless that is too long, alone or beside a page of replicas. Without
-            // one, asking again gives the same.
-            let answers = own_ask(note, self.settings.incarnation, stamp.now)
-                .is_some_and(|ask| ask.known == self.plan_position());
-            self.asks.lagging |= answers && note.entries.page.is_none();
-            if stamp.now >= self.asks.next_behind_ask && !self.asks.lagging {
-                self.asks.next_behind_ask = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
+        if message.known > self.plan_position() {
+            self.sync.behind_since.get_or_insert(stamp.now);
+            // A response contains the requested records unless they are too large, alone or beside
+            // a page of replicas. If they are missing without a page, the same request would be
+            // answered in the same way.
+            let answers = own_request(message, self.settings.incarnation, stamp.now)
+                .is_some_and(|request| request.known == self.plan_position());
+            self.sync.lagging |= answers && message.entries.page.is_none();
+            if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
+                self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
                 out.push(RouteEffect::SendSyncRequest(
-                    note.card.gossip_address.clone(),
-                    self.ask(stamp),
+                    message.info.gossip_address.clone(),
+                    self.sync_request(stamp),
                 ));
             }
             return;
         }
-        let as_of = self.message_as_of(note, stamp.now);
-        if let Some(as_of) = as_of.filter(|_| note.known == self.plan_position()) {
+        let as_of = self.message_as_of(message, stamp.now);
+        if let Some(as_of) = as_of.filter(|_| message.known == self.plan_position()) {
             self.fresh.renew(as_of);
         }
     }
 
-    /// As of when, on this box's clock, another one knew what its note says; `None` if the note
-    /// answers no ask of this life of the process, or one that is too old.
-    pub fn message_as_of(&self, note: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
-        let asked = own_ask(note, self.settings.incarnation, now)?;
-        Some(asked.asked_at.minus_millis(note.read_age_ms?))
+    /// Time on this box's clock as of which another box knew the content of its message. `None`
+    /// unless the message answers a recent sync request of this process.
+    pub fn message_as_of(&self, message: &GossipMessage, now: BoxTime) -> Option<BoxTime> {
+        let request = own_request(message, self.settings.incarnation, now)?;
+        Some(request.asked_at.minus_millis(message.read_age_ms?))
     }
 }
 
-/// The ask that a note answers, if it was made in this life of the process and not too long ago.
-fn own_ask(note: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
-    let asked = note.echo.as_ref().filter(|ask| ask.incarnation == incarnation)?;
-    let early = now.millis_since(asked.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
-    (asked.asked_at <= now && early).then_some(asked)
+/// The sync request that a message answers, if this process sent it recently.
+fn own_request(message: &GossipMessage, incarnation: u64, now: BoxTime) -> Option<&SyncRequest> {
+    let request =
+        message.in_reply_to.as_ref().filter(|request| request.incarnation == incarnation)?;
+    let recent = now.millis_since(request.asked_at) < peers::SYNC_RESPONSE_LIMIT_MS;
+    (request.asked_at <= now && recent).then_some(request)
 }
--- a/crates/core/src/route/pick.rs
+++ b/crates/core/src/route/pick.rs
@@ -176,7 +176,7 @@
         let view = |key: &ReplicaKey| {
             let row = &self.rows[*key];
             let mut view = row.view(query.now);
-            view.cached = row.held.contains(work.shared, query.now);
+            view.cached = row.prefix_cache.contains(work.shared, query.now);
             view.designated = designated == Some(*key);
             view.same_zone = row.entry.zone == query.zone;
             (*key, view)
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -265,7 +265,7 @@
     pub(super) fn clear_content(&mut self, stamp: EventStamp, ticket: RequestTicket) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if self.poison.clear(request.content, stamp.now) {
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
@@ -297,7 +297,7 @@
         self.poison.forget(now);
         if settled {
             // Until other boxes know, each request may crash one more replica.
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
--- a/crates/core/src/route/verdict.rs
+++ b/crates/core/src/route/verdict.rs
@@ -112,7 +112,7 @@
             out.push(state_changed(trial));
             // Gossiped with the next tick: until other boxes have it, they send sessions to other
             // versions.
-            self.rounds.next_note = BoxTime::default();
+            self.rounds.next_round = BoxTime::default();
         }
     }
 
@@ -204,7 +204,7 @@
             let settled = trial.carries_at_ms;
             advance(trial, stamp.now, out);
             if trial.carries_at_ms != settled {
-                self.rounds.next_note = BoxTime::default();
+                self.rounds.next_round = BoxTime::default();
             }
             let share = trial.share(stamp.now, store_away);
             if share == trial.logged_share {
--- a/crates/core/tests/route/cold.rs
+++ b/crates/core/tests/route/cold.rs
@@ -141,9 +141,9 @@
 }
 
 /// Returns the most requests that a cold replica gets in a second of a burst after a quiet time.
-fn peak_after_quiet(boxes: usize, replicas: usize, other_luck: bool) -> usize {
+fn peak_after_quiet(boxes: usize, replicas: usize, extra_draw: bool) -> usize {
     let mut fleet = start(boxes, replicas);
-    fleet.other_luck = other_luck;
+    fleet.extra_draw = extra_draw;
     for replica in 0..replicas {
         fleet.put(replica, 10_000 + replica as u64, 2 * WARM_UP.lasts_ms);
     }
--- a/crates/core/tests/route/evacuations.rs
+++ b/crates/core/tests/route/evacuations.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
-    ask, at, entry, head, is_refused, new_box, note_in, order_in, plan, ready_box, refusal_in,
+    ask, at, entry, gossip_in, head, is_refused, new_box, order_in, plan, ready_box, refusal_in,
     TestBox,
 };
 
@@ -158,7 +158,7 @@
     let mut subject = zoned_box();
     read_orders(&mut sender, None, 7, &[("east", true), ("north", true)]);
     sender.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let message = note_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message");
+    let message = gossip_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message");
 
     let message =
         ravenspoke_core::route::peers::GossipMessage { name: "box-2".to_owned(), ..message };
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -1,5 +1,5 @@
-//! Many boxes that start together, in virtual time: who reads the store, how often it is called, and how
-//! soon all know what changes.
+//! Many boxes that start together, in virtual time: which of them read the store, how often they
+//! call it, and how soon all know a change.
 
 use ravenspoke_core::route::evacuation::{EvacuationRead, ZoneOrder};
 use ravenspoke_core::route::event::RouteEvent;
@@ -8,46 +8,46 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::at;
-use crate::plan_fleet::{site, Fleet, FleetBox, FleetSize};
+use crate::plan_fleet::{fleet_with_replicas, Fleet, FleetBox, FleetSize};
 
-/// Readers that a fleet of this size should have.
-fn wanted(count: usize) -> usize {
+/// Number of readers that a fleet of this size should have.
+fn expected_readers(count: usize) -> usize {
     READERS_MIN.max(count.div_ceil(CLIENTS_PER_READER))
 }
 
-/// Whether about as many boxes read as should: each box counts the fleet by what it has heard, so that
-/// views differ by a few boxes, which costs a call and no more.
-fn agreed(fleet: &Fleet, count: usize) -> bool {
-    fleet.readers().abs_diff(wanted(count)) <= usize::from(count > CLIENTS_PER_READER)
+/// Whether about as many boxes are readers as should be. Each box counts the fleet by the messages
+/// that it received, so that views differ by a few boxes, which costs a call and nothing more.
+fn readers_agree(fleet: &Fleet, count: usize) -> bool {
+    fleet.readers().abs_diff(expected_readers(count)) <= usize::from(count > CLIENTS_PER_READER)
 }
 
 #[test]
-fn boxes_that_start_together_make_few_calls_and_agree_on_who_reads() {
+fn boxes_that_start_together_make_few_calls_and_agree_on_readers() {
     for count in [9, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         let open = fleet.until_all(2_000, RouteState::is_synced);
-        assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes know the site after {open:?} ms");
+        assert!(open.is_some_and(|ms| ms <= 700), "{count} boxes are synced after {open:?} ms");
         let start = fleet.calls();
         fleet.run_until(6_000);
-        assert!(agreed(&fleet, count), "{} readers of {count}", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}", fleet.readers());
         let settling = fleet.calls();
-        // Readers call up to six times a second; the others need nothing.
+        // Readers make up to six calls a second; other boxes make none.
         let limit = count.max(12) as u32 / 2;
         assert!(start <= limit, "{count} boxes: {start} calls at the start");
-        let reads = 36 * (wanted(count) as u32 + 1);
+        let reads = 36 * (expected_readers(count) as u32 + 1);
         assert!(settling <= limit + reads, "{count} boxes: {settling} calls afterwards");
         fleet.run_until(16_000);
-        let calm = f64::from(fleet.calls()) / 10.0 / wanted(count) as f64;
-        assert!(calm < 6.0, "{count} boxes: {calm} calls a second and reader");
+        let call_rate = f64::from(fleet.calls()) / 10.0 / expected_readers(count) as f64;
+        assert!(call_rate < 6.0, "{count} boxes: {call_rate} calls a second and reader");
         assert_eq!(fleet.open(), count);
-        assert!(agreed(&fleet, count), "{} readers of {count}, later", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}, later", fleet.readers());
     }
 }
 
 #[test]
-fn all_boxes_know_a_new_plan_and_a_leaving_replica_soon() {
+fn new_plan_and_leaving_replica_reach_all_boxes_in_time() {
     for count in [9, 100] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
         fleet.write_plan(2);
         let took = fleet.until_all(4_000, |state| state.plan().version == 2);
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn a_fleet_whose_boxes_were_all_killed_is_back_at_once_without_storming_the_store() {
+fn restart_of_all_boxes_recovers_fast_without_overloading_the_store() {
     for count in [9, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(5_000);
         fleet.calls();
         fleet.restart_all();
@@ -76,29 +76,29 @@
 }
 
 #[test]
-fn most_notes_of_a_large_fleet_stay_within_an_availability_zone() {
-    let mut fleet = site(100);
+fn most_gossip_of_a_large_fleet_stays_within_an_availability_zone() {
+    let mut fleet = fleet_with_replicas(100);
     fleet.run_until(5_000);
-    fleet.notes = [0; 2];
+    fleet.messages = [0; 2];
 
     fleet.run_until(10_000);
 
-    let [near, far] = fleet.notes;
-    let share = far as f64 / (near + far) as f64;
-    assert!(share <= 0.35, "{share} of {} notes go to another zone", near + far);
+    let [same_zone, other_zone] = fleet.messages;
+    let share = other_zone as f64 / (same_zone + other_zone) as f64;
+    assert!(share <= 0.35, "{share} of {} messages go to another zone", same_zone + other_zone);
 }
 
 #[test]
-fn where_the_readers_die_others_read_in_their_place() {
+fn other_boxes_replace_readers_that_fail() {
     for count in [9, 100] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
         let now = BoxTime::from_millis(fleet.now);
         let readers: Vec<usize> =
             (0..count).filter(|number| fleet.boxes[*number].state.is_reader(now)).collect();
         readers.iter().for_each(|number| fleet.kill(*number));
         fleet.run_until(12_000);
-        assert!(agreed(&fleet, count), "{} readers of {count}", fleet.readers());
+        assert!(readers_agree(&fleet, count), "{} readers of {count}", fleet.readers());
         assert_eq!(fleet.open(), count - readers.len());
         fleet.write_plan(2);
         let took = fleet.until_all(4_000, |state| state.plan().version == 2);
@@ -107,31 +107,31 @@
 }
 
 #[test]
-fn while_the_store_is_away_few_boxes_try_it_and_all_are_back_soon_after_it() {
+fn store_outage_causes_few_calls_and_all_boxes_recover_after_it() {
     for count in [9, 100, 300] {
-        let mut fleet = site(count);
+        let mut fleet = fleet_with_replicas(count);
         fleet.run_until(6_000);
         fleet.calls();
 
-        fleet.away_until = fleet.now + 8_000;
-        fleet.run_until(fleet.away_until);
+        fleet.outage_until = fleet.now + 8_000;
+        fleet.run_until(fleet.outage_until);
 
         // Readers try three times a second, any other box once.
-        let readers = 3 * 2 * 8 * (wanted(count) as u32 + 1);
+        let readers = 3 * 2 * 8 * (expected_readers(count) as u32 + 1);
         let calls = fleet.calls();
         assert!(calls <= readers + count as u32, "{count} boxes: {calls} calls");
         fleet.write_plan(2);
         let took = fleet.until_all(5_000, |state| state.plan().version == 2);
         assert!(took.is_some_and(|ms| ms <= 2_500), "{count} boxes: the plan after {took:?} ms");
         fleet.run_until(fleet.now + 1_500);
-        assert_eq!(fleet.open(), count, "callers are sent to all again");
+        assert_eq!(fleet.open(), count, "callers are directed to all again");
     }
 }
 
-/// Word of emptied zones comes to all with notes alone, each some bytes: 300 boxes, half of which can't reach the store,
-/// 3 of 100 datagrams lost.
+/// Gossip alone carries the evacuation to 300 boxes, half of which cannot reach the store, with 3
+/// of 100 datagrams lost.
 #[test]
-fn all_boxes_know_an_emptied_zone_and_that_it_is_back_within_two_seconds() {
+fn evacuation_of_a_zone_and_its_end_reach_all_boxes_within_two_seconds() {
     let mut fleet = Fleet::start(300);
     fleet.run_until(8_000);
     for (known_to, evacuated) in [(50, true), (51, false)] {
@@ -149,13 +149,13 @@
     }
 }
 
-/// Boxes with slow links, so that to list all replicas takes a box longer than its turn to read the store, and twenty times as
-/// long as to tell them.
+/// Slow links: a listing of all replicas takes a box longer than its turn to read the store, and
+/// twenty times as long as a listing that it sends to another box.
 const LARGE: FleetSize = FleetSize { link: 250, page: 20 };
 const LARGE_REPLICAS: usize = 1_000;
 
 #[test]
-fn boxes_that_start_before_many_replicas_learn_of_them_from_each_other() {
+fn boxes_that_start_with_many_replicas_learn_them_from_each_other() {
     for count in [30, 100, 300] {
         let mut fleet = Fleet::start_with(count, LARGE);
         fleet.put_replicas(LARGE_REPLICAS);
@@ -164,7 +164,8 @@
 
         let (calls, listings) = (fleet.calls(), fleet.listed_entries / LARGE_REPLICAS as u64);
         let label = format!("{count} boxes: after {took:?} ms, {calls} calls, {listings} listings");
-        // Some who know nobody in time, or think that they come first, list as well.
+        // Boxes that know no other in time, or that see themselves first in the order, list the
+        // store as well.
         assert!(listings <= 12, "{label}");
         assert!(calls <= 50 * 12 + 2 * count as u32, "{label}");
         assert!(took.is_some_and(|ms| ms <= 4_000), "{label}");
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn boxes_that_know_all_replicas_are_not_told_all_of_them_again_as_others_come() {
+fn boxes_that_know_all_replicas_get_no_listing_as_others_are_added() {
     let mut fleet = Fleet::start_with(100, LARGE);
     fleet.put_replicas(LARGE_REPLICAS / 2);
     let known = |fleet: &Fleet| fleet.boxes.iter().all(|subject| subject.state.is_synced());
@@ -180,19 +181,19 @@
         fleet.run_until(fleet.now + 100);
         fleet.put_replicas(10);
     }
-    fleet.told_entries = 0;
+    fleet.gossiped_entries = 0;
 
     for _ in 0..60 {
         fleet.run_until(fleet.now + 100);
         fleet.put_replicas(10);
     }
 
-    assert_eq!(fleet.told_entries, 0, "entries of listings");
+    assert_eq!(fleet.gossiped_entries, 0, "entries of listings");
 }
 
 #[test]
-fn boxes_keep_up_with_replicas_that_come_in_thousands() {
-    let mut fleet = site(30);
+fn gossip_keeps_up_with_thousands_of_new_replicas() {
+    let mut fleet = fleet_with_replicas(30);
     fleet.run_until(5_000);
     fleet.calls();
 
@@ -201,7 +202,7 @@
         fleet.put_replicas(200);
     }
 
-    assert_eq!(fleet.others_calls(), 0, "calls of boxes that are told");
+    assert_eq!(fleet.non_reader_calls(), 0, "calls of boxes that are not readers");
     fleet.run_until(fleet.now + 1_500);
     let all = |subject: &FleetBox| subject.state.backends().rows().count() == 12_020;
     assert!(fleet.boxes.iter().all(all));
--- a/crates/core/tests/route/leaving.rs
+++ b/crates/core/tests/route/leaving.rs
@@ -5,17 +5,17 @@
 use ravenspoke_core::route::event::{AnswerHead, RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo};
 
-use crate::fixture::{ask, at, entry, head, note_in, ready_box, TestBox};
+use crate::fixture::{ask, at, entry, gossip_in, head, ready_box, TestBox};
 
 /// Enough requests that a random choice between two replicas sends some to each.
 const REQUESTS: usize = 40;
 
 fn peer_message(number: u64, changes: Vec<BackendChange>) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         changes,
         ..GossipMessage::default()
     };
@@ -35,7 +35,7 @@
         if leaving {
             let reported = |effect: &RouteEffect| matches!(effect, RouteEffect::LeavingReported(id) if id == "a");
             assert!(effects.iter().any(reported));
-            let message = note_in(&subject.feed(RouteEvent::Tick))
+            let message = gossip_in(&subject.feed(RouteEvent::Tick))
                 .expect("a gossip message in the next tick");
             return (subject, message);
         }
@@ -65,8 +65,9 @@
         |effect: &RouteEffect| matches!(effect, RouteEffect::BackendLeaving(id) if id == "a");
     assert!(effects.iter().any(is_leaving));
     assert!(!sends_to_a(&mut other));
-    let changes =
-        note_in(&other.feed(RouteEvent::Tick)).expect("a gossip message in the next tick").changes;
+    let changes = gossip_in(&other.feed(RouteEvent::Tick))
+        .expect("a gossip message in the next tick")
+        .changes;
     assert!(changes.iter().any(|change| change.id == "a"));
 }
 
--- a/crates/core/tests/route/loads.rs
+++ b/crates/core/tests/route/loads.rs
@@ -7,7 +7,7 @@
 use ravenspoke_core::route::peers::GossipMessage;
 use ravenspoke_core::time::BoxTime;
 
-use crate::fixture::{ask, head, note_in, ready_box, TestBox};
+use crate::fixture::{ask, gossip_in, head, ready_box, TestBox};
 
 /// Returns the replica designated for `affinity`, as this box sends a first request with it.
 fn designated_replica(subject: &mut TestBox, affinity: u64) -> String {
@@ -63,10 +63,10 @@
     let idle = BackendLoad { running: 1, waiting: 0, slots: 4 };
     subject.feed(RouteEvent::HeadReceived(ticket, AnswerHead { load: Some(idle), ..head(200) }));
     subject.now += 500;
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
+    let message = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
     assert_eq!(message.loads, [LoadUpdate { age_ms: 800, ..load }]);
     subject.now += 500;
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
+    let message = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message");
     assert_eq!(message.loads, [], "the report is too old");
 }
 
@@ -80,7 +80,7 @@
     sender.feed(RouteEvent::AttemptFailed(ticket, AttemptFailure::NeverSent));
     sender.now += UNREACHABLE_DELAY_MS;
     let message =
-        note_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message before the next is due");
+        gossip_in(&sender.feed(RouteEvent::Tick)).expect("a gossip message before the next is due");
     let message = GossipMessage { name: "box-9".to_owned(), ..message };
 
     let chosen = |subject: &mut TestBox| -> Vec<String> {
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -1,5 +1,6 @@
-//! A fleet of boxes before a store, in virtual time. Datagrams take a while and some are lost; the store answers after
-//! 4 ms, may be away, and may come back from an older copy of its data.
+//! A simulated fleet of boxes and a store, in virtual time. Datagrams are delayed and some are
+//! lost. The store responds after 4 ms, may be unreachable, and may be restored from an older copy
+//! of its data.
 
 use std::collections::BinaryHeap;
 
@@ -13,67 +14,67 @@
 
 use crate::fixture::{entry, plan, settings};
 
-/// One way between two boxes, in milliseconds.
-const WAY_MS: u64 = 2;
+/// Latency between two boxes, in milliseconds.
+const NETWORK_MS: u64 = 2;
 
-/// A call to the store, in milliseconds.
+/// Duration of a store call, in milliseconds.
 const CALL_MS: u64 = 4;
 
-/// A reader's read waits so long for a record, in milliseconds.
+/// Longest time that a reader's long poll waits for a record, in milliseconds.
 const WAIT_MS: u64 = 1_000;
 
-/// Boxes that all others are told to ask first.
+/// Number of boxes that all others contact first.
 const SEEDS: usize = 3;
 
-/// Availability zones that the boxes lie in.
+/// Number of availability zones.
 const ZONES: usize = 6;
 
-/// Pauses between two tries of a store that is away, in milliseconds: the least and the most of a reader, then of
-/// any other box.
+/// Shortest and longest pause between retries of an unreachable store, in milliseconds: of a
+/// reader, then of any other box.
 const RETRIES_MS: [(u64, u64); 2] = [(250, 500), (1_000, 8_000)];
 
-/// Datagrams lost of 100.
-const LOST: u64 = 3;
+/// Lost datagrams of 100.
+const LOST_PERCENT: u64 = 3;
 
-/// Bytes of a datagram without replicas' entries.
-const NOTE_BYTES: u64 = 500;
+/// Size of a datagram without replicas' entries, in bytes.
+const MESSAGE_BYTES: u64 = 500;
 
-/// Bytes of an entry in a datagram.
-const TOLD_BYTES: u64 = 15;
+/// Size of an entry in a datagram, in bytes.
+const ENTRY_BYTES: u64 = 15;
 
-/// Bytes of an entry in a listing of the store.
+/// Size of an entry in a listing of the store, in bytes.
 const LISTED_BYTES: u64 = 280;
 
-/// Answers wait at a box for so long, at most, in milliseconds; further ones are dropped.
-const ANSWER_WAIT_MS: u64 = 250;
+/// Longest time that a response waits at a box, in milliseconds; later ones are dropped.
+const RESPONSE_WAIT_MS: u64 = 250;
 
-/// Links and pages of a fleet.
+/// Links and listing pages of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
-    /// Bytes that pass a box's link in a millisecond; 0 without a bound.
+    /// Bytes a millisecond on a box's link; 0 without a limit.
     pub link: u64,
-    /// Entries in a page of a listing; 0 for all in one.
+    /// Entries in a page of a listing; 0 for all entries in one page.
     pub page: usize,
 }
 
-/// What happens to a box.
+/// A step of a box's tasks.
 #[derive(Clone, Debug)]
 enum Step {
     Tick,
-    LookForPlan,
-    LookForEntries,
-    LookForBoxes,
+    PollPlan,
+    PollEntries,
+    PollBoxes,
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
     BoxesRead,
-    Hear(Box<RouteEvent>),
+    Receive(Box<RouteEvent>),
 }
 
 struct Due {
     at: u64,
     number: u64,
     to: usize,
-    life: u32,
+    incarnation: u32,
     step: Step,
 }
 
@@ -99,16 +100,16 @@
 
 pub struct FleetBox {
     pub state: RouteState,
-    life: u32,
-    pub dead: bool,
+    incarnation: u32,
+    pub killed: bool,
     calls: u32,
     /// Where its next read of the plan begins.
     next: TopicPosition,
-    /// Its link is taken until then, in microseconds.
+    /// Its link is busy until then, in microseconds.
     link_until: u64,
-    /// The store's era in its last answer.
+    /// The store's era in its last response.
     era: u64,
-    /// Pause before its next try of the store, while that is away, in milliseconds.
+    /// Pause before the next retry of an unreachable store, in milliseconds.
     retry_ms: u64,
 }
 
@@ -116,8 +117,8 @@
     fn new(state: RouteState) -> Self {
         Self {
             state,
-            life: 0,
-            dead: false,
+            incarnation: 0,
+            killed: false,
             calls: 0,
             next: TopicPosition::default(),
             link_until: 0,
@@ -134,14 +135,14 @@
     written_at: u64,
 }
 
-/// What the store lost as it came back from a copy.
+/// Records that the store lost when it was restored from a copy.
 #[derive(Debug)]
 pub struct LostRows {
     plans: Vec<PlanRow>,
     entries: Vec<BackendChange>,
 }
 
-/// A fleet before a store.
+/// A fleet of boxes and a store.
 pub struct Fleet {
     pub boxes: Vec<FleetBox>,
     steps: BinaryHeap<Due>,
@@ -149,29 +150,29 @@
     random: u64,
     /// The store's era.
     era: u64,
-    /// Versions of the plan; the offset is the index.
+    /// Versions of the plan; the index is the offset.
     plans: Vec<PlanRow>,
-    /// Entries of replicas and when the store took them; the offset is the index.
+    /// Entries of replicas and the times at which they were written; the index is the offset.
     entries: Vec<(u64, BackendChange)>,
     listed: Vec<String>,
     size: FleetSize,
-    /// Entries that listings of the store showed.
+    /// Entries in listings of the store.
     pub listed_entries: u64,
-    /// Entries that boxes told each other in listings.
-    pub told_entries: u64,
-    /// Until when the store refuses all calls.
-    pub away_until: u64,
-    /// Notes that were sent within an availability zone, and to another.
-    pub notes: [u64; 2],
+    /// Entries in listings that boxes sent each other.
+    pub gossiped_entries: u64,
+    /// The store is unreachable until then.
+    pub outage_until: u64,
+    /// Messages within an availability zone, and between zones.
+    pub messages: [u64; 2],
 }
 
 impl Fleet {
-    /// A fleet of `count` boxes that are told of three of them, started within a tenth of a second.
+    /// Starts `count` boxes within a tenth of a second; all know the addresses of three of them.
     pub fn start(count: usize) -> Self {
         Self::start_with(count, FleetSize { link: 0, page: 0 })
     }
 
-    /// The same with links and listings of a size.
+    /// Starts a fleet with the given links and listing pages.
     pub fn start_with(count: usize, size: FleetSize) -> Self {
         let mut fleet = Self {
             boxes: Vec::new(),
@@ -184,9 +185,9 @@
             listed: Vec::new(),
             size,
             listed_entries: 0,
-            told_entries: 0,
-            away_until: 0,
-            notes: [0; 2],
+            gossiped_entries: 0,
+            outage_until: 0,
+            messages: [0; 2],
         };
         for number in 0..count {
             let state = RouteState::new(fleet.settings(number, 0));
@@ -199,9 +200,9 @@
         fleet
     }
 
-    fn settings(&self, number: usize, life: u32) -> RouteSettings {
+    fn settings(&self, number: usize, incarnation: u32) -> RouteSettings {
         RouteSettings {
-            incarnation: u64::from(life) + 1,
+            incarnation: u64::from(incarnation) + 1,
             is_seed: number < SEEDS,
             zone: format!("zone-{}", number % ZONES),
             ..settings(&format!("box-{number}"))
@@ -215,36 +216,36 @@
 
     fn push(&mut self, at: u64, to: usize, step: Step) {
         let number = self.steps.len() as u64 + (self.now << 24) + self.draw(1 << 20);
-        let life = self.boxes[to].life;
-        self.steps.push(Due { at, number, to, life, step });
+        let incarnation = self.boxes[to].incarnation;
+        self.steps.push(Due { at, number, to, incarnation, step });
     }
 
     /// Starts a box's tasks.
     fn launch(&mut self, number: usize, at: u64) {
         let seeds = (0..SEEDS).map(|seed| format!("box-{seed}:90")).collect();
-        self.push(at, number, Step::Hear(Box::new(RouteEvent::PeersDiscovered(seeds))));
-        for step in [Step::Tick, Step::LookForPlan, Step::LookForEntries, Step::LookForBoxes] {
+        self.push(at, number, Step::Receive(Box::new(RouteEvent::PeersDiscovered(seeds))));
+        for step in [Step::Tick, Step::PollPlan, Step::PollEntries, Step::PollBoxes] {
             self.push(at + 1, number, step);
         }
     }
 
     pub fn kill(&mut self, number: usize) {
-        self.boxes[number].dead = true;
-        self.boxes[number].life += 1;
+        self.boxes[number].killed = true;
+        self.boxes[number].incarnation += 1;
     }
 
-    /// Kills all boxes and starts them anew within 300 ms.
+    /// Kills all boxes and starts them again within 300 ms.
     pub fn restart_all(&mut self) {
         (0..self.boxes.len()).for_each(|number| self.restart(number));
     }
 
-    /// Kills a box and starts it anew within 300 ms.
+    /// Kills a box and starts it again within 300 ms.
     pub fn restart(&mut self, number: usize) {
         self.kill(number);
-        let life = self.boxes[number].life;
-        let state = RouteState::new(self.settings(number, life));
+        let incarnation = self.boxes[number].incarnation;
+        let state = RouteState::new(self.settings(number, incarnation));
         let subject = &mut self.boxes[number];
-        *subject = FleetBox { life, calls: subject.calls, ..FleetBox::new(state) };
+        *subject = FleetBox { incarnation, calls: subject.calls, ..FleetBox::new(state) };
         let at = self.now + self.draw(300);
         self.launch(number, at);
     }
@@ -261,8 +262,8 @@
             let due = self.steps.pop().expect("a step is due");
             self.now = due.at;
             let subject = &self.boxes[due.to];
-            if !subject.dead && subject.life == due.life {
-                self.take(due.to, due.step);
+            if !subject.killed && subject.incarnation == due.incarnation {
+                self.run_step(due.to, due.step);
             }
         }
         self.now = until;
@@ -275,15 +276,16 @@
             self.boxes[to].state.apply(EventStamp { now, wall: WallTime(0), random }, event);
         for effect in effects {
             match effect {
-                RouteEffect::SendGossip(targets, note) => {
+                RouteEffect::SendGossip(targets, message) => {
                     for target in targets {
-                        let far = number_of(&target) % ZONES != to % ZONES;
-                        self.notes[usize::from(far)] += u64::from(note.echo.is_none());
-                        let entries = note.entries.page.map_or(0, |_| note.changes.len());
-                        self.told_entries += entries as u64;
-                        let bytes = NOTE_BYTES + TOLD_BYTES * note.changes.len() as u64;
-                        let way = self.link_way(to, bytes);
-                        self.send(&target, way, RouteEvent::GossipReceived(note.clone()));
+                        let other_zone = number_of(&target) % ZONES != to % ZONES;
+                        self.messages[usize::from(other_zone)] +=
+                            u64::from(message.in_reply_to.is_none());
+                        let entries = message.entries.page.map_or(0, |_| message.changes.len());
+                        self.gossiped_entries += entries as u64;
+                        let bytes = MESSAGE_BYTES + ENTRY_BYTES * message.changes.len() as u64;
+                        let delay = self.link_delay(to, bytes);
+                        self.send(&target, delay, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
                 RouteEffect::SendSyncRequest(target, ask) => {
@@ -294,8 +296,8 @@
         }
     }
 
-    /// Until a box's link has taken so many bytes, in milliseconds.
-    fn link_way(&mut self, from: usize, bytes: u64) -> u64 {
+    /// Time until a box's link has sent this many bytes, in milliseconds.
+    fn link_delay(&mut self, from: usize, bytes: u64) -> u64 {
         if self.size.link == 0 {
             return 0;
         }
@@ -305,49 +307,52 @@
         subject.link_until / 1_000 - self.now
     }
 
-    fn send(&mut self, target: &str, way: u64, event: RouteEvent) {
+    fn send(&mut self, target: &str, delay: u64, event: RouteEvent) {
         let number = number_of(target);
-        let lost = self.draw(100) < LOST;
+        let lost = self.draw(100) < LOST_PERCENT;
         if !lost {
-            self.push(self.now + way + WAY_MS, number, Step::Hear(Box::new(event)));
+            self.push(self.now + delay + NETWORK_MS, number, Step::Receive(Box::new(event)));
         }
     }
 
-    /// Calls that a listing takes, and how long, in milliseconds.
+    /// Number of calls for a listing, and its duration in milliseconds.
     fn listing_cost(&mut self) -> (u32, u64) {
         let rows = self.entries.len();
         self.listed_entries += rows as u64;
         let pages = rows.checked_div(self.size.page).unwrap_or(0).max(1) as u64;
-        let way = (LISTED_BYTES * rows as u64).checked_div(self.size.link).unwrap_or(0);
-        (pages as u32, pages * CALL_MS + way)
+        let delay = (LISTED_BYTES * rows as u64).checked_div(self.size.link).unwrap_or(0);
+        (pages as u32, pages * CALL_MS + delay)
     }
 
-    fn take(&mut self, to: usize, step: Step) {
+    fn run_step(&mut self, to: usize, step: Step) {
         let now = BoxTime::from_millis(self.now);
         let state = &self.boxes[to].state;
-        let look = self.now + if state.is_synced() { 200 } else { 20 };
+        let next_poll = self.now + if state.is_synced() { 200 } else { 20 };
         match step {
             Step::Tick => {
                 let next = self.now + if state.is_synced() { 200 } else { 40 };
                 self.feed(to, RouteEvent::Tick);
                 self.push(next, to, Step::Tick);
             }
-            Step::LookForPlan if state.must_read_plan(now) && self.is_away() => self.fail(to, step),
-            Step::LookForEntries if state.must_read_entries(now) && self.is_away() => {
+            Step::PollPlan if state.must_read_plan(now) && self.store_unreachable() => {
+                self.fail(to, step)
+            }
+            Step::PollEntries if state.must_read_entries(now) && self.store_unreachable() => {
                 self.fail(to, step);
             }
-            Step::LookForPlan if state.must_read_plan(now) => {
+            Step::PollPlan if state.must_read_plan(now) => {
                 let waits = state.long_polls_plan(now);
                 let from = state.read_to().max(self.boxes[to].next);
-                // The test writes to the store only between two runs, at a time it knows by then.
+                // Tests write to the store only between two runs, so that the end of a long poll is
+                // known.
                 let held = if waits && from == self.plans_end() { WAIT_MS } else { 0 };
-                // A position of a former era is refused, and all listed.
+                // A position of a former era is refused, and a second call lists everything.
                 self.boxes[to].calls += 1 + u32::from(from.era > 0 && from.era != self.era);
                 let at = self.now + held + CALL_MS;
                 let shown_at = self.now + held;
                 self.push(at, to, Step::PlanRead { asked_at: self.now, shown_at });
             }
-            Step::LookForEntries if state.must_read_entries(now) => {
+            Step::PollEntries if state.must_read_entries(now) => {
                 let listing = state.entries_to().is_none();
                 let known = state.entries_to().filter(|to| to.era == self.era);
                 let listing = listing || known.is_none();
@@ -358,43 +363,45 @@
                 let at = self.now + took + if waits { WAIT_MS / 4 } else { 0 };
                 self.push(at, to, Step::EntriesRead { asked_at: self.now, listing });
             }
-            Step::LookForBoxes if state.must_read_box_list(now) => {
+            Step::PollBoxes if state.must_read_box_list(now) => {
                 self.boxes[to].calls += 2;
                 self.listed.push(format!("box-{to}:90"));
                 self.push(self.now + 2 * CALL_MS, to, Step::BoxesRead);
             }
-            Step::LookForPlan | Step::LookForEntries | Step::LookForBoxes => {
-                self.push(look, to, step);
+            Step::PollPlan | Step::PollEntries | Step::PollBoxes => {
+                self.push(next_poll, to, step);
+            }
+            // A store outage aborts long polls.
+            Step::PlanRead { .. } if self.store_unreachable() => self.fail(to, Step::PollPlan),
+            Step::EntriesRead { .. } if self.store_unreachable() => {
+                self.fail(to, Step::PollEntries)
             }
-            // A read that waits is cut when the store goes away.
-            Step::PlanRead { .. } if self.is_away() => self.fail(to, Step::LookForPlan),
-            Step::EntriesRead { .. } if self.is_away() => self.fail(to, Step::LookForEntries),
             Step::PlanRead { asked_at, shown_at } => {
-                self.regain(to);
+                self.recover_store(to);
                 let shown_at = shown_at.max(asked_at);
                 self.read_plan(to, shown_at);
-                // A read that renews nothing is followed by a pause.
+                // A read that does not renew the plan is followed by a pause.
                 let as_of = self.boxes[to].state.plan_as_of();
                 let renewed = as_of >= Some(BoxTime::from_millis(shown_at));
                 let reader = self.boxes[to].state.is_reader(now);
                 let pause = if renewed { 1 } else { RETRIES_MS[usize::from(!reader)].0 };
-                self.push(self.now + pause, to, Step::LookForPlan);
+                self.push(self.now + pause, to, Step::PollPlan);
             }
             Step::EntriesRead { asked_at, listing } => {
-                self.regain(to);
+                self.recover_store(to);
                 self.read_entries(to, asked_at, listing);
-                self.push(self.now + 1, to, Step::LookForEntries);
+                self.push(self.now + 1, to, Step::PollEntries);
             }
             Step::BoxesRead => {
                 self.feed(to, RouteEvent::PeersDiscovered(self.listed.clone()));
-                self.push(self.now + 60_000, to, Step::LookForBoxes);
+                self.push(self.now + 60_000, to, Step::PollBoxes);
             }
-            Step::Hear(event) => {
-                if let RouteEvent::GossipReceived(note) = &*event {
-                    self.take_records(to, note);
+            Step::Receive(event) => {
+                if let RouteEvent::GossipReceived(message) = &*event {
+                    self.apply_records(to, message);
                 }
-                let asked = matches!(*event, RouteEvent::SyncRequested(_));
-                if asked && self.link_way(to, 0) > ANSWER_WAIT_MS {
+                let is_request = matches!(*event, RouteEvent::SyncRequested(_));
+                if is_request && self.link_delay(to, 0) > RESPONSE_WAIT_MS {
                     return;
                 }
                 self.feed(to, *event);
@@ -402,11 +409,11 @@
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.now < self.away_until
+    fn store_unreachable(&self) -> bool {
+        self.now < self.outage_until
     }
 
-    /// A call that the store refused; it is tried again after a pause.
+    /// Handles a failed call, which is retried after a pause.
     fn fail(&mut self, to: usize, step: Step) {
         self.feed(to, RouteEvent::StoreFailed);
         let reader = self.boxes[to].state.is_reader(BoxTime::from_millis(self.now));
@@ -419,7 +426,7 @@
         self.push(self.now + pause + jitter, to, step);
     }
 
-    fn regain(&mut self, to: usize) {
+    fn recover_store(&mut self, to: usize) {
         if std::mem::take(&mut self.boxes[to].retry_ms) > 0 {
             self.feed(to, RouteEvent::StoreRecovered);
         }
@@ -433,10 +440,10 @@
         self.plans.push(PlanRow { version, written_at: self.now });
     }
 
-    /// The store is away for `away_ms`, and comes back from a copy of its data as they were at `copied_at`. Gives what is
-    /// lost.
+    /// Makes the store unreachable for `away_ms` and restores it from a copy of its data at
+    /// `copied_at`. Returns the lost records.
     pub fn restore(&mut self, away_ms: u64, copied_at: u64) -> LostRows {
-        self.away_until = self.now + away_ms;
+        self.outage_until = self.now + away_ms;
         self.era += 1;
         let kept = self.plans.iter().filter(|row| row.written_at <= copied_at).count();
         let plans = self.plans.split_off(kept);
@@ -448,7 +455,7 @@
         LostRows { plans, entries }
     }
 
-    /// The operator and the replicas write again what was lost: the newest of each.
+    /// Writes the lost records again as the operator and the replicas would: the newest of each.
     pub fn write_again(&mut self, lost: LostRows) {
         if let Some(newest) = lost.plans.last() {
             self.write_plan(newest.version);
@@ -463,7 +470,7 @@
         TopicPosition::new(self.era, self.plans.len() as u64)
     }
 
-    /// A read of the plan that shows the store as it was at `shown_at`.
+    /// Reads the plan as the store showed it at `shown_at`.
     fn read_plan(&mut self, to: usize, shown_at: u64) {
         let shown: Vec<PlanRow> =
             self.plans.iter().filter(|row| row.written_at <= shown_at).copied().collect();
@@ -499,32 +506,33 @@
         self.feed(to, RouteEvent::EntriesRead { as_of, to: end });
     }
 
-    /// The operator's records that an answer brings with it.
-    fn take_records(&mut self, to: usize, note: &GossipMessage) {
+    /// Applies the operator's records that come with a response.
+    fn apply_records(&mut self, to: usize, message: &GossipMessage) {
         let state = &self.boxes[to].state;
-        let as_of = state.message_as_of(note, BoxTime::from_millis(self.now));
+        let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
         let known = state.plan_position();
-        let follows = note.echo.as_ref().is_some_and(|ask| ask.known <= known);
-        if let Some(as_of) = as_of.filter(|_| follows && note.known > known) {
-            let plan = Some(plan(note.known.version)).filter(|plan| plan.version > known.version);
-            self.feed(to, RouteEvent::PlanReceived { as_of, known: note.known, plan });
+        let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
+        if let Some(as_of) = as_of.filter(|_| follows && message.known > known) {
+            let plan =
+                Some(plan(message.known.version)).filter(|plan| plan.version > known.version);
+            self.feed(to, RouteEvent::PlanReceived { as_of, known: message.known, plan });
         }
     }
 
     pub fn readers(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
-        let alive = self.boxes.iter().filter(|subject| !subject.dead);
+        let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.is_reader(now)).count()
     }
 
     pub fn open(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
-        let alive = self.boxes.iter().filter(|subject| !subject.dead);
+        let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.open(now)).count()
     }
 
-    /// Calls of boxes that don't read for the others.
-    pub fn others_calls(&self) -> u32 {
+    /// Calls of boxes that are not readers.
+    pub fn non_reader_calls(&self) -> u32 {
         let now = BoxTime::from_millis(self.now);
         let others = self.boxes.iter().filter(|subject| !subject.state.is_reader(now));
         others.map(|subject| subject.calls).sum()
@@ -536,12 +544,12 @@
         calls
     }
 
-    /// How long it takes from now until all living boxes are as `holds` says, in milliseconds.
+    /// Time from now until all running boxes satisfy `holds`, in milliseconds.
     pub fn until_all(&mut self, limit: u64, holds: impl Fn(&RouteState) -> bool) -> Option<u64> {
         let began = self.now;
         while self.now < began + limit {
             self.run_until(self.now + 20);
-            if self.boxes.iter().all(|subject| subject.dead || holds(&subject.state)) {
+            if self.boxes.iter().all(|subject| subject.killed || holds(&subject.state)) {
                 return Some(self.now - began);
             }
         }
@@ -549,21 +557,21 @@
     }
 }
 
-/// Number of the box that hears notes at an address.
+/// Number of the box with this gossip address.
 fn number_of(address: &str) -> usize {
     let number = address.strip_prefix("box-").and_then(|rest| rest.strip_suffix(":90"));
     number.and_then(|number| number.parse().ok()).expect("an address")
 }
 
-/// A fleet before a store with twenty replicas.
-pub fn site(count: usize) -> Fleet {
+/// A fleet whose store holds twenty replicas.
+pub fn fleet_with_replicas(count: usize) -> Fleet {
     let mut fleet = Fleet::start(count);
     fleet.put_replicas(20);
     fleet
 }
 
 impl Fleet {
-    /// Writes entries of so many replicas.
+    /// Writes the entries of this many replicas.
     pub fn put_replicas(&mut self, count: usize) {
         for _ in 0..count {
             let number = self.entries.len();
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -11,7 +11,7 @@
     CrashUpdate, PoisonUpdate, CRASH_GOSSIP_MS, CRASH_SILENCE_MS, POISON_CRASHES, POISON_REFUSED_MS,
 };
 
-use crate::fixture::{ask, at, entry, head, is_refused, note_in, plan, ready_box, TestBox};
+use crate::fixture::{ask, at, entry, gossip_in, head, is_refused, plan, ready_box, TestBox};
 use crate::replica_fleet::{ReplicaFleet, RATE};
 
 /// Numbers of boxes and replicas.
@@ -28,9 +28,9 @@
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
-        fleet.notes_go = true;
+        fleet.full_gossip = true;
         fleet.play(0.5, 2_000);
-        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let known = fleet.crashes;
         fleet.play(0.5, 6_000);
@@ -45,9 +45,9 @@
 fn fleet_that_knows(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
-    fleet.notes_go = true;
+    fleet.full_gossip = true;
     fleet.play(0.5, 2_000);
-    fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
+    fleet.poison_share = POISON_PER_S / (0.5 * RATE * replicas as f64);
     fleet.play(0.5, 3_000 + CRASH_GOSSIP_MS);
     fleet
 }
@@ -76,16 +76,16 @@
     for (boxes, replicas) in SIZES {
         let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
         fleet.play(0.1, 1_000);
-        fleet.notes_go = true;
+        fleet.full_gossip = true;
         fleet.play(0.5, 2_000);
         fleet.frozen = (0..boxes).step_by(3).collect();
-        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 8_000);
-        fleet.fatal_part = 0.0;
+        fleet.poison_share = 0.0;
         fleet.frozen.clear();
         fleet.play(0.5, 500);
         let known = fleet.crashes;
-        fleet.fatal_part = POISON_PER_S / (0.5 * RATE * replicas as f64);
+        fleet.poison_share = POISON_PER_S / (0.5 * RATE * replicas as f64);
         fleet.play(0.5, 3_000);
         let later = fleet.crashes - known;
         println!("{boxes} boxes: {known} crashes, then {later}");
@@ -230,12 +230,12 @@
 
 /// A gossip message of another box about [`CONTENT`].
 fn poison_gossip(number: u64, update: PoisonUpdate) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
     let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         contents,
         ..GossipMessage::default()
     };
@@ -267,7 +267,7 @@
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
     subject.feed(crash_gossip(Vec::new()));
     subject.feed(RouteEvent::ResponseFinished(ticket));
-    let message = note_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message at once");
+    let message = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message at once");
     let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
     assert_eq!(message.contents, vec![update]);
 }
@@ -295,13 +295,13 @@
 }
 
 /// A gossip message of another box with crashes.
-fn crash_gossip(ends: Vec<CrashUpdate>) -> RouteEvent {
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+fn crash_gossip(crashes: Vec<CrashUpdate>) -> RouteEvent {
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let message = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
-        card,
-        ends,
+        info,
+        crashes,
         ..GossipMessage::default()
     };
     RouteEvent::GossipReceived(Box::new(message))
@@ -332,13 +332,16 @@
     let mut subject = box_of_six();
     let order = crash_under(&mut subject, "one");
     subject.now += 500;
-    let message = note_in(&subject.feed(crash_gossip(Vec::new()))).or_else(|| {
+    let message = gossip_in(&subject.feed(crash_gossip(Vec::new()))).or_else(|| {
         subject.now += 500;
-        note_in(&subject.feed(RouteEvent::Tick))
+        gossip_in(&subject.feed(RouteEvent::Tick))
     });
-    let ends = message.expect("a gossip message").ends;
-    assert_eq!(ends.len(), 1);
-    assert_eq!((ends[0].content, ends[0].replica), (CONTENT, backend_hash(&order.replica_id)));
+    let crashes = message.expect("a gossip message").crashes;
+    assert_eq!(crashes.len(), 1);
+    assert_eq!(
+        (crashes[0].content, crashes[0].replica),
+        (CONTENT, backend_hash(&order.replica_id))
+    );
 }
 
 #[test]
--- a/crates/core/tests/route/rate_limit.rs
+++ b/crates/core/tests/route/rate_limit.rs
@@ -40,7 +40,7 @@
 
 /// Returns the most requests that a limited replica got in a period since its limit took effect.
 fn peak_limited(fleet: &ReplicaFleet) -> usize {
-    let rows = fleet.named_at.iter().enumerate();
+    let rows = fleet.limited_at.iter().enumerate();
     let bound = rows.filter_map(|(replica, at)| Some((replica, (*at)? + EFFECT_DELAY_MS)));
     bound.map(|(replica, from)| fleet.fullest_span(replica, from, SPAN_MS)).max().unwrap_or(0)
 }
@@ -49,7 +49,7 @@
 fn start(boxes: usize, replicas: usize) -> ReplicaFleet {
     let mut fleet = ReplicaFleet::start(boxes, replicas, ServicePlan::default());
     fleet.play(0.1, 1_000);
-    fleet.notes_go = true;
+    fleet.full_gossip = true;
     fleet
 }
 
@@ -73,9 +73,9 @@
 
 /// With limited replicas only: the most requests to one replica in a period, and the share of all
 /// limits that was used.
-fn all_limited(boxes: usize, replicas: usize, other_luck: bool) -> (usize, f64) {
+fn all_limited(boxes: usize, replicas: usize, extra_draw: bool) -> (usize, f64) {
     let mut fleet = start(boxes, replicas);
-    fleet.other_luck = other_luck;
+    fleet.extra_draw = extra_draw;
     fleet.limits.fill(Some(LIMIT_PER_S));
     let bound_from = fleet.now + EFFECT_DELAY_MS;
     fleet.play(1.0, EFFECT_DELAY_MS + 3 * SPAN_MS);
@@ -140,12 +140,12 @@
 /// A gossip message of another box with the limit of replica `a`.
 fn limit_gossip(number: u64, per_s: Option<f64>, age_ms: u64) -> RouteEvent {
     let replica = ravenspoke_core::route::backend::backend_hash("a");
-    let card = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
+    let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
     let limits = vec![LimitUpdate { replica, per_s, age_ms }];
     let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
-        card,
+        info,
         limits,
         ..GossipMessage::default()
     };
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -1,4 +1,5 @@
-//! Many boxes before the same replicas, in virtual time: what each replica gets, from all boxes together.
+//! A simulated fleet of boxes that share the same replicas, in virtual time: the load of each
+//! replica from all boxes together.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -15,39 +16,40 @@
 use ravenspoke_core::route::{RouteSettings, RouteState};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
-use crate::fixture::{ask, at, entry, head, note_in, plan, session, settings};
+use crate::fixture::{ask, at, entry, gossip_in, head, plan, session, settings};
 
-/// Boxes, and replicas before them, as deployments have them.
+/// Numbers of boxes and replicas, as in deployments.
 pub const SIZES: [(usize, usize); 3] = [(9, 16), (84, 140), (300, 500)];
 
-/// Zones, each with a part of the replicas.
+/// Number of zones, each with a part of the replicas.
 pub const ZONES: usize = 4;
 
-/// Requests a second for each replica, before a burst.
+/// Requests a second for each replica before a burst.
 pub const RATE: f64 = 3.4;
 
-/// Times the usual rate in a burst: warm replicas have requests waiting.
+/// Factor of the rate in a burst: requests queue even at warm replicas.
 pub const BURST: f64 = 2.2;
 
-/// An answer begins, and ends, this long after its request was sent, in milliseconds.
+/// Times from the request to the begin and to the end of its response, in milliseconds.
 const ANSWER_MS: (u64, u64) = (100, 2_500);
 
-/// Tokens of a prompt that no other has: reading them takes long enough that a replica where others wait is avoided.
+/// Prompt tokens that no other request shares. Processing them takes so long that boxes avoid a
+/// replica with a queue.
 const OWN_TOKENS: u32 = 20_000;
 
-/// Boxes hear of each other this often, in milliseconds.
-const NOTES_MS: u64 = 500;
+/// Interval of gossip, in milliseconds.
+const GOSSIP_MS: u64 = 500;
 
-/// A replica ends this long after it got what crashes it, in milliseconds.
+/// Time from a poison request to the crash of its replica, in milliseconds.
 const CRASH_MS: u64 = 80;
 
-/// It is back after this, in milliseconds.
+/// Time from a crash until the replica is back, in milliseconds.
 const DOWN_MS: u64 = 3_000;
 
-/// What the requests that crash replicas ask for.
-const FATAL_CONTENT: u64 = 77;
+/// Content of poison requests.
+const POISON_CONTENT: u64 = 77;
 
-/// Requests that a replica works on at once.
+/// Requests that a replica processes at once.
 const SLOTS: u32 = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,46 +61,46 @@
     Up(usize),
 }
 
-/// Boxes before the same replicas. They tell each other which replicas they could not reach, and where `notes_go` all that
-/// their notes hold, to whom they choose.
+/// Boxes that share the same replicas. They gossip which replicas were unreachable; with `full_gossip`
+/// they send complete messages to the targets that they choose.
 pub struct ReplicaFleet {
     pub boxes: Vec<RouteState>,
     keys: Vec<BTreeMap<ReplicaKey, usize>>,
     replicas: usize,
     in_flight: Vec<u32>,
-    /// When each replica was last put, in milliseconds.
+    /// When the entry of each replica was last written, in milliseconds.
     pub cold_at: Vec<u64>,
-    /// When each replica got requests, in milliseconds.
+    /// When each replica received requests, in milliseconds.
     pub got: Vec<Vec<u64>>,
     steps: BinaryHeap<std::cmp::Reverse<(u64, u64, Step)>>,
     pub now: u64,
     random: u64,
     number: u64,
     pub refused: usize,
-    /// Replicas to which no connection comes about.
+    /// Replicas that refuse connections.
     pub down: Vec<bool>,
-    /// When the next request comes, in milliseconds.
+    /// When the next request arrives, in milliseconds.
     next_arrival: f64,
-    /// Requests a second that each replica names in its answers.
+    /// Rate limit that each replica states in its responses, in requests a second.
     pub limits: Vec<Option<f64>>,
-    /// When each replica first named a limit, in milliseconds.
-    pub named_at: Vec<Option<u64>>,
-    /// Part of the requests that ask for what crashes replicas.
-    pub fatal_part: f64,
-    /// Whether one number more is drawn for each request, so that all that is drawn afterwards is another.
-    pub other_luck: bool,
-    /// Crashes so far.
+    /// When each replica first stated a limit, in milliseconds.
+    pub limited_at: Vec<Option<u64>>,
+    /// Share of poison requests.
+    pub poison_share: f64,
+    /// Whether one more random number is drawn for each request, which changes all later draws.
+    pub extra_draw: bool,
+    /// Number of crashes so far.
     pub crashes: usize,
-    /// Requests at each replica: box, ticket, and whether it crashes replicas.
+    /// Requests at each replica: box, ticket, and whether it is a poison request.
     running: Vec<Vec<(usize, u64, bool)>>,
-    /// Whether whole notes go where boxes send them.
-    pub notes_go: bool,
-    /// Boxes that stand still: they get no callers, hear nothing and do nothing.
+    /// Whether complete messages go to the targets that boxes choose.
+    pub full_gossip: bool,
+    /// Suspended boxes, which get no callers, receive nothing and do nothing.
     pub frozen: BTreeSet<usize>,
     plan: RoutePlan,
     /// Changes in the store, the oldest first.
     entries: Vec<BackendChange>,
-    /// Boxes that started again so far.
+    /// Number of restarts so far.
     restarts: u64,
 }
 
@@ -120,12 +122,12 @@
             down: vec![false; replicas],
             next_arrival: 0.0,
             limits: vec![None; replicas],
-            named_at: vec![None; replicas],
-            fatal_part: 0.0,
-            other_luck: false,
+            limited_at: vec![None; replicas],
+            poison_share: 0.0,
+            extra_draw: false,
             crashes: 0,
             running: vec![Vec::new(); replicas],
-            notes_go: false,
+            full_gossip: false,
             frozen: BTreeSet::new(),
             plan: RoutePlan { services, ..plan(1) },
             entries: Vec::new(),
@@ -146,20 +148,20 @@
         self.feed(number, RouteEvent::PlanRead { asked_at, read_to: at(1), plan });
     }
 
-    /// A box starts again, and knows nothing but the addresses of two others until one of them has answered it. Then it
-    /// reads the store.
+    /// Restarts a box, which knows only the addresses of two others until one of them responds.
+    /// Then it reads the store.
     pub fn restart(&mut self, number: usize) {
         self.lose(number);
         self.begin(number);
     }
 
-    /// All boxes start again at once.
+    /// Restarts all boxes at once.
     pub fn restart_all(&mut self) {
         (0..self.boxes.len()).for_each(|number| self.lose(number));
         (0..self.boxes.len()).for_each(|number| self.begin(number));
     }
 
-    /// A box loses all that it knew, and its requests.
+    /// Discards the state of a box and its requests.
     fn lose(&mut self, number: usize) {
         self.restarts += 1;
         self.boxes[number] = new_state(number, self.restarts * 1_000);
@@ -172,71 +174,71 @@
     fn begin(&mut self, number: usize) {
         let others = [1, 2].map(|step| format!("box-{}:90", (number + step) % self.boxes.len()));
         self.feed(number, RouteEvent::PeersDiscovered(others.to_vec()));
-        self.pass_word(number);
+        self.send_gossip(number);
         self.read_plan(number);
         for change in self.entries.clone() {
             self.take_change(number, change);
         }
     }
 
-    /// Notes of a round, and asks, go to whom their senders chose.
-    fn pass_notes(&mut self) {
+    /// All boxes that are not suspended exchange gossip and sync requests.
+    fn exchange_gossip(&mut self) {
         for number in 0..self.boxes.len() {
             if !self.frozen.contains(&number) {
-                self.pass_word(number);
+                self.send_gossip(number);
             }
         }
     }
 
-    /// What a box says now goes to whom it chose, and answers come back.
-    fn pass_word(&mut self, number: usize) {
+    /// Sends the gossip and the sync requests of a box, and delivers the responses.
+    fn send_gossip(&mut self, number: usize) {
         for effect in self.feed(number, RouteEvent::Tick) {
             let RouteEffect::SendSyncRequest(target, ask) = effect else {
                 self.deliver(effect);
                 continue;
             };
-            let asked = number_of(&target).filter(|asked| !self.frozen.contains(asked));
-            let answers = asked.map(|asked| self.feed(asked, RouteEvent::SyncRequested(ask)));
+            let target = number_of(&target).filter(|target| !self.frozen.contains(target));
+            let answers = target.map(|target| self.feed(target, RouteEvent::SyncRequested(ask)));
             for answer in answers.unwrap_or_default() {
                 self.deliver(answer);
             }
         }
     }
 
-    /// A note goes to its targets.
+    /// Delivers a message to its targets.
     fn deliver(&mut self, effect: RouteEffect) {
-        let RouteEffect::SendGossip(targets, note) = effect else { return };
+        let RouteEffect::SendGossip(targets, message) = effect else { return };
         for target in targets.iter().filter_map(|target| number_of(target)) {
             if !self.frozen.contains(&target) {
-                self.feed(target, RouteEvent::GossipReceived(note.clone()));
+                self.feed(target, RouteEvent::GossipReceived(message.clone()));
             }
         }
     }
 
-    /// What each box tells of replicas that it could not reach.
-    fn told_down(&mut self) -> Vec<Vec<UnreachableUpdate>> {
-        let mut told = Vec::new();
+    /// Unreachable replicas that each box reports.
+    fn unreachable_updates(&mut self) -> Vec<Vec<UnreachableUpdate>> {
+        let mut updates = Vec::new();
         for number in 0..self.boxes.len() {
-            let note = note_in(&self.feed(number, RouteEvent::Tick));
-            told.push(note.map(|note| note.down).unwrap_or_default());
+            let message = gossip_in(&self.feed(number, RouteEvent::Tick));
+            updates.push(message.map(|message| message.down).unwrap_or_default());
         }
-        told
+        updates
     }
 
-    /// A box hears of all others.
+    /// Delivers messages of all other boxes to a box.
     pub fn meet(&mut self, number: usize, down: &[Vec<UnreachableUpdate>]) {
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
             let gossip_address = format!("{name}:90");
-            let card = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
+            let info = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
             let down = down[other].clone();
-            let note =
-                GossipMessage { name, number: self.now, card, down, ..GossipMessage::default() };
-            self.feed(number, RouteEvent::GossipReceived(Box::new(note)));
+            let message =
+                GossipMessage { name, number: self.now, info, down, ..GossipMessage::default() };
+            self.feed(number, RouteEvent::GossipReceived(Box::new(message)));
         }
     }
 
-    /// All boxes read a replica's entry.
+    /// Writes the entry of a replica, which all boxes read.
     pub fn put(&mut self, replica: usize, offset: u64, cold_ms: u64) {
         self.cold_at[replica] = self.now;
         let id = format!("r{replica}");
@@ -249,7 +251,7 @@
         }
     }
 
-    /// A box reads a replica's entry.
+    /// Lets a box read the entry of a replica.
     fn take_change(&mut self, number: usize, change: BackendChange) {
         let id = change.id.clone();
         self.feed(number, RouteEvent::BackendsChanged(vec![change]));
@@ -275,29 +277,29 @@
         self.steps.push(std::cmp::Reverse((at, self.number, step)));
     }
 
-    /// Plays requests for a time, at `times` the usual rate.
+    /// Simulates requests for a time, at `times` the usual rate.
     pub fn play(&mut self, times: f64, length_ms: u64) {
         let end = self.now + length_ms;
         while self.now < end {
-            self.keep_up();
-            let until = end.min(self.now + NOTES_MS);
+            self.refresh();
+            let until = end.min(self.now + GOSSIP_MS);
             self.play_until(times, until);
         }
     }
 
-    /// All boxes hear of each other and of the plan, as they do all the time.
-    fn keep_up(&mut self) {
-        if self.notes_go {
-            self.pass_notes();
+    /// Delivers gossip and the unchanged plan to all boxes, as happens all the time.
+    fn refresh(&mut self) {
+        if self.full_gossip {
+            self.exchange_gossip();
         }
-        let down = if self.notes_go { Vec::new() } else { self.told_down() };
+        let down = if self.full_gossip { Vec::new() } else { self.unreachable_updates() };
         for number in
             (0..self.boxes.len()).filter(|number| !self.frozen.contains(number)).collect::<Vec<_>>()
         {
             let asked_at = BoxTime::from_millis(self.now);
             let same = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
             self.feed(number, same);
-            if !self.notes_go {
+            if !self.full_gossip {
                 self.meet(number, &down);
             }
         }
@@ -312,13 +314,13 @@
                 break;
             }
             self.now = at;
-            self.take(step, times);
+            self.run_step(step, times);
         }
         self.steps.retain(|row| row.0 .2 != Step::Arrive);
         self.now = until;
     }
 
-    fn take(&mut self, step: Step, times: f64) {
+    fn run_step(&mut self, step: Step, times: f64) {
         match step {
             Step::Arrive => {
                 let gap = -self.draw().max(1e-9).ln() / (RATE * times * self.replicas as f64);
@@ -332,7 +334,7 @@
                 let load = BackendLoad { running: running - waiting, waiting, slots: SLOTS };
                 let limit_per_s = self.limits[replica];
                 if limit_per_s.is_some() {
-                    self.named_at[replica].get_or_insert(self.now);
+                    self.limited_at[replica].get_or_insert(self.now);
                 }
                 let answer = AnswerHead { load: Some(load), limit_per_s, ..head(200) };
                 self.feed(number, RouteEvent::HeadReceived(RequestTicket(ticket), answer));
@@ -356,21 +358,21 @@
         let subject = (self.draw() * 800.0) as u64;
         let ticket = self.number;
         let prompt = PromptSize { shared: 300, own: OWN_TOKENS };
-        let drawn = if self.other_luck || self.fatal_part > 0.0 { self.draw() } else { 1.0 };
-        let fatal = drawn < self.fatal_part;
+        let drawn = if self.extra_draw || self.poison_share > 0.0 { self.draw() } else { 1.0 };
+        let is_poison = drawn < self.poison_share;
         let request = CallerRequest {
             id: format!("r{ticket}"),
             prompt,
             affinity: session(subject + 1),
-            content: if fatal { FATAL_CONTENT } else { session(ticket) },
+            content: if is_poison { POISON_CONTENT } else { session(ticket) },
             ..ask("/chat/x")
         };
         let effects = self.feed(number, RouteEvent::RequestArrived(RequestTicket(ticket), request));
-        self.place(number, ticket, fatal, crate::fixture::order_in(&effects));
+        self.place(number, ticket, is_poison, crate::fixture::order_in(&effects));
     }
 
-    /// Gives a request to the replica that its box names, if there is one.
-    fn place(&mut self, number: usize, ticket: u64, fatal: bool, order: Option<SendOrder>) {
+    /// Sends a request to the replica that its box chose, if any.
+    fn place(&mut self, number: usize, ticket: u64, is_poison: bool, order: Option<SendOrder>) {
         let mut order = order;
         while order.as_ref().is_some_and(|order| self.down[self.keys[number][&order.replica]]) {
             let failed =
@@ -378,12 +380,12 @@
             order = crate::fixture::order_in(&self.feed(number, failed));
         }
         let Some(order) = order else {
-            self.refused += usize::from(!fatal);
+            self.refused += usize::from(!is_poison);
             return;
         };
         let replica = self.keys[number][&order.replica];
-        self.running[replica].push((number, ticket, fatal));
-        if fatal {
+        self.running[replica].push((number, ticket, is_poison));
+        if is_poison {
             self.push(self.now + CRASH_MS, Step::Crash(replica));
         }
         self.got[replica].push(self.now);
@@ -392,12 +394,12 @@
         self.push(self.now + ANSWER_MS.1, Step::End(number, ticket, replica));
     }
 
-    /// Whether a request still runs at a replica.
+    /// Whether a request is still running at a replica.
     fn runs(&self, number: usize, ticket: u64, replica: usize) -> bool {
         self.running[replica].iter().any(|row| (row.0, row.1) == (number, ticket))
     }
 
-    /// A replica ends, with all that runs there, and is back some time later.
+    /// Crashes a replica with all requests that run there; it is back some time later.
     fn crash(&mut self, replica: usize) {
         if !self.running[replica].iter().any(|row| row.2) {
             return;
@@ -406,14 +408,15 @@
         self.down[replica] = true;
         self.in_flight[replica] = 0;
         self.push(self.now + DOWN_MS, Step::Up(replica));
-        for (number, ticket, fatal) in std::mem::take(&mut self.running[replica]) {
+        for (number, ticket, is_poison) in std::mem::take(&mut self.running[replica]) {
             let broken = RouteEvent::AttemptFailed(RequestTicket(ticket), AttemptFailure::Broken);
             let order = crate::fixture::order_in(&self.feed(number, broken));
-            self.place(number, ticket, fatal, order);
+            self.place(number, ticket, is_poison, order);
         }
     }
 
-    /// Requests that the fullest of these replicas got in its fullest second since it was last put.
+    /// Largest number of requests that any of these replicas received in a second since its entry
+    /// was last written.
     pub fn fullest(&self, cold: impl Fn(usize) -> bool) -> usize {
         let fullest = |replica: usize, times: &Vec<u64>| {
             let from = self.cold_at[replica];
@@ -425,12 +428,12 @@
         rows.map(|(replica, times)| fullest(replica, times)).max().unwrap_or(0)
     }
 
-    /// Requests that a replica got from `from` on.
+    /// Number of requests that a replica received from `from` on.
     pub fn got_since(&self, replica: usize, from: u64) -> usize {
         self.got[replica].iter().filter(|at| **at >= from).count()
     }
 
-    /// Requests that a replica got from `from` on in its fullest span of `span_ms`.
+    /// Largest number of requests that a replica received from `from` on within `span_ms`.
     pub fn fullest_span(&self, replica: usize, from: u64, span_ms: u64) -> usize {
         let times = &self.got[replica];
         let within =
@@ -439,14 +442,14 @@
     }
 }
 
-/// The number in a box's address.
+/// Number of the box with this address.
 fn number_of(address: &str) -> Option<usize> {
     address.strip_prefix("box-")?.split(':').next()?.parse().ok()
 }
 
-fn new_state(number: usize, life: u64) -> RouteState {
+fn new_state(number: usize, incarnation: u64) -> RouteState {
     let name = format!("box-{number}");
     let zone = format!("zone-{}", number % ZONES);
-    let incarnation = session(life + number as u64 + 1);
+    let incarnation = session(incarnation + number as u64 + 1);
     RouteState::new(RouteSettings { zone, incarnation, ..settings(&name) })
 }
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -1,25 +1,10 @@
-//! Boxes that start in the middle of something: what began before their own start keeps its age.
+//! Boxes that start during a trial: what began before their start keeps its age.
 //!
-//! **Symptom.** Four requests ran on the old version although the request before them in their session
-//! had run on the new one; the new version was good, and its roll-out in its last quarter.
-//!
-//! **Sequence.** A roll-out of 24 s. Shortly before its second half six of seven boxes were killed and
-//! started again. The one that ran through gave a share of the sessions to the new version, and later
-//! all; the six gave it none. Sessions whose requests went now to the one, now to the others, were
-//! moved to and fro. The verdict came 1.7 s late, from the one box that knew that it was due.
-//!
-//! **Cause.** Boxes tell each other how long ago the order was given. A box's clock counted from its own
-//! start and knew nothing before it, so what lay further back was rounded to the start, and a box that
-//! had started took the order for as old as itself. The same rounding made another box's old knowledge
-//! of keys young again.
-//!
-//! **What settled it.** At one and the same moment, 22 s after the order, of the box that ran through and
-//! of one that had started 9.3 s before; evidence and replicas were the same on both:
-//!
-//! ```text
-//! 701 request_sent version=v2 trial_share=1.0 trial_age_ms=22004 trial_gave_way=false
-//! 701 request_sent version=v1 trial_share=0.0 trial_age_ms=9319  trial_gave_way=false
-//! ```
+//! Six of seven boxes restarted shortly before the second half of a roll-out of 24 s. Ages that
+//! reached back beyond the start of a box were cut at its start, so that those boxes took the order
+//! for as old as themselves: 22 s after the order one of them counted 9.3 s. They gave the new
+//! version no sessions while the seventh box gave it all, which moved sessions back and forth, and
+//! the verdict came 1.7 s late. The same error made old knowledge of keys appear canary.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
@@ -27,25 +12,26 @@
 use ravenspoke_core::route::peers::{
     GossipMessage, PeerInfo, SyncRequest, TrialUpdate, START_SPREAD_MS, START_WAIT_MS,
 };
-use ravenspoke_core::route::startup::{KNOW_OWN_MS, KNOW_REST_MS};
+use ravenspoke_core::route::startup::{ACCEPT_AFTER_PLAN_MS, ACCEPT_AFTER_READ_MS};
 use ravenspoke_core::route::trial::{TrialOrder, TrialState, TrialVerdict, CARRY_LEAD_MS};
 use ravenspoke_core::route::trial_progress::{TrialCheckpoint, TrialPhase, TrialProgress};
 use ravenspoke_core::route::trial_stats::{TrialStats, VersionStats};
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{
-    ask, at, entry, head, is_refused, new_box, note_in, plan, ready_box, session, TestBox,
+    ask, at, entry, gossip_in, head, is_refused, new_box, plan, ready_box, session, TestBox,
 };
-use crate::plan_fleet::site;
+use crate::plan_fleet::fleet_with_replicas;
 
-/// How long the order of these tests gives, in milliseconds.
+/// Duration of the trial, in milliseconds.
 const ORDER_MS: u64 = 10_000;
 
-/// When its share of the sessions is given, and when all, in milliseconds after the order.
+/// When the version gets its share of the sessions, and when it gets all, in milliseconds after the
+/// order.
 const SHARED_AT_MS: u64 = 7_000;
 const CARRIED_AT_MS: u64 = 8_300;
 
-/// When the first of two boxes has counted enough answers, in milliseconds after the order.
+/// When the first of two boxes has counted enough responses, in milliseconds after the order.
 const COUNTED_AT_MS: u64 = 7_900;
 
 fn order() -> TrialOrder {
@@ -53,11 +39,11 @@
     TrialOrder { service, version, duration_ms: ORDER_MS }
 }
 
-/// A box that has just started and has read the store: a plan, two replicas of each version, the order,
-/// and that its trial runs.
+/// A box that has just started and has read the store: a plan, two replicas of each version, the
+/// order, and that its trial is running.
 fn started_box(name: &str) -> TestBox {
     let mut subject = new_box(name);
-    // The orders come with the plan: what a box knew before it read them would date them.
+    // The orders come before the plan, because earlier knowledge would date them.
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
     for (id, version) in [("a", "v1"), ("b", "v1"), ("c", "v2"), ("d", "v2")] {
@@ -71,7 +57,7 @@
 }
 
 /// A box that has served from the order until `age_ms` after it.
-fn box_that_ran_through(age_ms: u64) -> TestBox {
+fn box_without_restart(age_ms: u64) -> TestBox {
     let mut subject = started_box("box-1");
     subject.now += age_ms;
     subject.read_plan(None);
@@ -81,14 +67,14 @@
     subject
 }
 
-/// The note that a box sends next.
-fn told_by(subject: &mut TestBox) -> GossipMessage {
+/// Next gossip message of a box.
+fn next_gossip(subject: &mut TestBox) -> GossipMessage {
     subject.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
     subject.now += 500;
-    note_in(&subject.feed(RouteEvent::Tick)).expect("it tells the others")
+    gossip_in(&subject.feed(RouteEvent::Tick)).expect("it sends gossip")
 }
 
-/// Version that a session's request is answered by.
+/// Version of the replica that serves a request of the session.
 fn version_of(subject: &mut TestBox, session: u64) -> String {
     let (ticket, order) = subject.sent(CallerRequest { session, ..ask("/file/x") });
     subject.feed(RouteEvent::HeadReceived(ticket, head(200)));
@@ -96,47 +82,49 @@
     order.version
 }
 
-/// Sessions that a box of each kind gives to different versions, `age_ms` after the order.
-fn parted_sessions(age_ms: u64) -> Vec<u64> {
-    let mut veteran = box_that_ran_through(age_ms);
-    let mut starter = started_box("box-2");
-    starter.feed(RouteEvent::GossipReceived(Box::new(told_by(&mut veteran))));
-    veteran.read_plan(None);
-    let parted = |number: &u64| {
+/// Sessions that a box without a restart and a restarted one route to different versions, `age_ms`
+/// after the order.
+fn split_sessions(age_ms: u64) -> Vec<u64> {
+    let mut running = box_without_restart(age_ms);
+    let mut started = started_box("box-2");
+    started.feed(RouteEvent::GossipReceived(Box::new(next_gossip(&mut running))));
+    running.read_plan(None);
+    let split = |number: &u64| {
         let key = session(*number);
-        version_of(&mut veteran, key) != version_of(&mut starter, key)
+        version_of(&mut running, key) != version_of(&mut started, key)
     };
-    (1..200).filter(parted).collect()
+    (1..200).filter(split).collect()
 }
 
 #[test]
-fn a_box_started_in_a_trial_gives_sessions_to_the_versions_that_the_others_give_them_to() {
-    assert_eq!(parted_sessions(SHARED_AT_MS), [0; 0], "while a share is given");
-    assert_eq!(parted_sessions(CARRIED_AT_MS), [0; 0], "while all are given");
+fn box_started_during_a_trial_routes_sessions_like_the_others() {
+    assert_eq!(split_sessions(SHARED_AT_MS), [0; 0], "while the version gets a share");
+    assert_eq!(split_sessions(CARRIED_AT_MS), [0; 0], "while the version gets all sessions");
 }
 
-// Each box gave all sessions to the version as soon as it had counted enough: one that had started heard the others' counts
-// later, and moved sessions back meanwhile.
+// If each box moved all sessions as soon as it had counted enough responses, a restarted box, which
+// receives the statistics of the others later, would move sessions back meanwhile.
 #[test]
-fn a_box_that_hears_of_enough_answers_later_gives_all_sessions_with_the_others() {
-    let (mut veteran, mut starter) = (started_box("box-1"), started_box("box-2"));
-    for subject in [&mut veteran, &mut starter] {
+fn boxes_move_all_sessions_at_the_same_time_despite_late_statistics() {
+    let (mut running, mut started) = (started_box("box-1"), started_box("box-2"));
+    for subject in [&mut running, &mut started] {
         subject.now += COUNTED_AT_MS;
         subject.read_plan(None);
     }
-    (1..200).for_each(|number| drop(version_of(&mut veteran, session(number))));
-    veteran.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
-    let on_old = |number: &u64| version_of(&mut starter, session(*number)) == "v1";
+    (1..200).for_each(|number| drop(version_of(&mut running, session(number))));
+    running.feed(RouteEvent::PeersDiscovered(vec!["box-2:90".to_owned()]));
+    let on_old = |number: &u64| version_of(&mut started, session(*number)) == "v1";
     let kept: Vec<u64> = (1..20).filter(on_old).collect();
 
-    let (mut given, mut notes) = (Vec::new(), Vec::new());
+    let (mut given, mut messages) = (Vec::new(), Vec::new());
     for step in 1..=15 {
-        notes.extend(note_in(&veteran.feed(RouteEvent::Tick)));
+        messages.extend(gossip_in(&running.feed(RouteEvent::Tick)));
         if step == 5 {
-            let told = notes.drain(..).map(|note| RouteEvent::GossipReceived(Box::new(note)));
-            told.for_each(|event| drop(starter.feed(event)));
+            let events =
+                messages.drain(..).map(|message| RouteEvent::GossipReceived(Box::new(message)));
+            events.for_each(|event| drop(started.feed(event)));
         }
-        let versions = [&mut veteran, &mut starter].map(|subject| {
+        let versions = [&mut running, &mut started].map(|subject| {
             subject.now += 100;
             subject.read_plan(None);
             subject.feed(RouteEvent::Tick);
@@ -148,15 +136,16 @@
     assert!(!given[0] && given[14], "{given:?}");
 }
 
-/// Time until all of `count` boxes know from when on the version carries all, once one does, in milliseconds.
-fn settled_by_all_after(count: usize) -> Option<u64> {
-    let mut fleet = site(count);
+/// Time until all of `count` boxes know when the version gets full traffic, once one box knows it,
+/// in milliseconds.
+fn ms_until_all_settled(count: usize) -> Option<u64> {
+    let mut fleet = fleet_with_replicas(count);
     fleet.run_until(10_000);
     for number in 0..count {
         let read_to = TopicPosition::new(1, 1);
         fleet.feed(number, RouteEvent::OrdersRead { read_to, orders: vec![order()] });
     }
-    let mut settled = mark(TrialPhase::Shared, SHARED_AT_MS);
+    let mut settled = checkpoint(TrialPhase::Shared, SHARED_AT_MS);
     settled.progress.carries_at_ms = Some(CARRIED_AT_MS);
     fleet.feed(count / 2, RouteEvent::CheckpointStored(settled));
 
@@ -166,68 +155,69 @@
 }
 
 #[test]
-fn boxes_know_from_when_on_a_version_carries_all_before_it_does() {
+fn all_boxes_know_the_time_of_full_traffic_before_it_comes() {
     for count in [3, 84, 295] {
-        let after = settled_by_all_after(count);
+        let after = ms_until_all_settled(count);
         assert!(after.is_some_and(|after_ms| after_ms < CARRY_LEAD_MS), "{count}: {after:?}");
     }
 }
 
-/// What the store would be given of a trial's progress.
-fn mark_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
+/// Progress of a trial that is written to the store.
+fn checkpoint_in(effects: &[RouteEffect]) -> Option<TrialProgress> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::WriteCheckpoint(mark) => Some(mark.progress),
+        RouteEffect::WriteCheckpoint(checkpoint) => Some(checkpoint.progress),
         _ => None,
     })
 }
 
-/// A mark of the trial of these tests.
-fn mark(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
+/// A checkpoint of the trial.
+fn checkpoint(phase: TrialPhase, age_ms: u64) -> TrialCheckpoint {
     let progress = TrialProgress { phase, age_ms, ..TrialProgress::default() };
     TrialCheckpoint { service: "pool".to_owned(), version: "v2".to_owned(), progress }
 }
 
 #[test]
-fn progress_is_marked_after_each_twelfth_of_the_time_and_at_each_phase() {
+fn checkpoints_are_written_at_each_twelfth_of_the_time_and_at_each_phase() {
     let mut subject = started_box("box-1");
-    let mut marks = Vec::new();
+    let mut checkpoints = Vec::new();
     for _ in 0..30 {
         subject.now += 200;
         subject.read_plan(None);
-        if let Some(progress) = mark_in(&subject.feed(RouteEvent::Tick)) {
-            subject.feed(RouteEvent::CheckpointStored(mark(progress.phase, progress.age_ms)));
-            marks.push((progress.phase, progress.age_ms));
+        if let Some(progress) = checkpoint_in(&subject.feed(RouteEvent::Tick)) {
+            subject.feed(RouteEvent::CheckpointStored(checkpoint(progress.phase, progress.age_ms)));
+            checkpoints.push((progress.phase, progress.age_ms));
         }
     }
     let (held, shared) = (TrialPhase::Held, TrialPhase::Shared);
     let while_held = [800, 1_600, 2_400, 3_200, 4_000, 4_800].map(|age_ms| (held, age_ms));
-    assert_eq!(marks[..6], while_held);
+    assert_eq!(checkpoints[..6], while_held);
     assert_eq!(
-        marks[6..],
+        checkpoints[6..],
         [(shared, 5_200), (shared, 6_000)],
-        "the share is given from 5,150 ms on"
+        "the version gets its share from 5,150 ms on"
     );
 }
 
 #[test]
-fn a_box_that_starts_in_a_trial_reads_how_far_it_has_come_before_it_serves() {
+fn box_started_during_a_trial_reads_its_checkpoint_before_it_serves() {
     let mut subject = started_box("box-2");
     assert!(subject.state.has_unread_checkpoints() && !subject.state.is_synced());
 
     let asked_at = BoxTime::from_millis(subject.now);
-    let checkpoints = vec![mark(TrialPhase::Shared, SHARED_AT_MS)];
+    let checkpoints = vec![checkpoint(TrialPhase::Shared, SHARED_AT_MS)];
     subject.feed(RouteEvent::CheckpointsRead { asked_at, checkpoints });
 
     assert!(subject.state.is_synced());
-    let mut veteran = box_that_ran_through(SHARED_AT_MS);
-    let parted = |number: &u64| {
+    let mut running = box_without_restart(SHARED_AT_MS);
+    let split = |number: &u64| {
         let key = session(*number);
-        version_of(&mut veteran, key) != version_of(&mut subject, key)
+        version_of(&mut running, key) != version_of(&mut subject, key)
     };
-    assert_eq!((1..200).filter(parted).count(), 0);
+    assert_eq!((1..200).filter(split).count(), 0);
 }
 
-/// A box whose turn to read the store comes as late as it may: it knows an order and a plan, nothing else.
+/// A box whose turn to read the store comes as late as possible: it knows an order and a plan, and
+/// nothing else.
 fn box_that_read_late() -> TestBox {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
@@ -238,59 +228,61 @@
 }
 
 #[test]
-fn a_box_that_read_the_plan_late_waits_with_callers_for_the_rest() {
+fn box_that_read_the_plan_late_accepts_callers_only_when_synced() {
     let mut subject = box_that_read_late();
-    let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
-    assert!(!takes(&subject), "it knows no replica, and not how far the trial has come");
+    let accepts =
+        |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
+    assert!(!accepts(&subject), "it knows neither a replica nor the progress of the trial");
 
     subject.now += 60;
     subject.put(entry("a", "v1"));
     let asked_at = BoxTime::from_millis(subject.now);
     subject.feed(RouteEvent::VerdictsRead { asked_at, verdicts: Vec::new() });
 
-    assert!(takes(&subject), "it knows all there is");
+    assert!(accepts(&subject), "it is synced");
 }
 
 #[test]
-fn a_box_that_is_told_no_more_takes_callers_some_time_after_it_learnt_the_plan() {
+fn box_with_only_a_plan_accepts_callers_after_a_delay() {
     let mut subject = box_that_read_late();
 
-    subject.now += KNOW_REST_MS;
+    subject.now += ACCEPT_AFTER_PLAN_MS;
 
-    assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
+    assert!(subject.state.accepts_callers(BoxTime::from_millis(subject.now)));
 }
 
 #[test]
-fn a_box_that_was_told_the_plan_alone_waits_with_callers_for_its_own_listing_of_replicas() {
+fn box_that_received_only_the_plan_lists_replicas_before_it_accepts_callers() {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
     subject.read_plan(Some(plan(1)));
     let lists =
         |subject: &TestBox| subject.state.must_read_entries(BoxTime::from_millis(subject.now));
-    let takes = |subject: &TestBox| subject.state.takes_callers(BoxTime::from_millis(subject.now));
+    let accepts =
+        |subject: &TestBox| subject.state.accepts_callers(BoxTime::from_millis(subject.now));
 
     while !lists(&subject) {
-        assert!(!takes(&subject), "{} ms after the start it knows no replica", subject.now);
+        assert!(!accepts(&subject), "{} ms: it knows no replica", subject.now);
         subject.now += 1;
     }
 
-    assert!(!takes(&subject), "the listing is under way");
-    subject.now += KNOW_REST_MS;
-    assert!(takes(&subject));
+    assert!(!accepts(&subject), "the listing is in progress");
+    subject.now += ACCEPT_AFTER_PLAN_MS;
+    assert!(accepts(&subject));
 }
 
 #[test]
-fn a_box_that_nobody_tells_a_plan_keeps_callers_waiting_no_longer_than_its_own_read_may_take() {
+fn box_without_a_plan_accepts_callers_after_its_own_read_is_due() {
     let mut subject = new_box("box-2");
     subject.feed(RouteEvent::Tick);
 
-    subject.now += START_WAIT_MS + START_SPREAD_MS + KNOW_OWN_MS;
+    subject.now += START_WAIT_MS + START_SPREAD_MS + ACCEPT_AFTER_READ_MS;
 
-    assert!(subject.state.takes_callers(BoxTime::from_millis(subject.now)));
+    assert!(subject.state.accepts_callers(BoxTime::from_millis(subject.now)));
 }
 
 #[test]
-fn a_trial_that_a_box_heard_of_when_it_began_has_no_mark_to_read() {
+fn trial_known_from_its_beginning_has_no_checkpoint_to_read() {
     let mut subject = ready_box();
     subject.give_order(order());
     let asked_at = BoxTime::from_millis(subject.now);
@@ -299,30 +291,30 @@
 }
 
 #[test]
-fn a_box_that_has_only_heard_news_of_one_replica_waits_with_callers_for_all_of_them() {
+fn box_that_knows_one_replica_from_gossip_waits_for_the_others() {
     let mut subject = new_box("box-2");
     subject.read_plan(Some(plan(1)));
     let change = BackendChange { id: "a".to_owned(), at: at(9), entry: Some(entry("a", "v1")) };
-    let card = PeerInfo { gossip_address: "box-1:90".to_owned(), ..PeerInfo::default() };
-    let news = GossipMessage {
+    let info = PeerInfo { gossip_address: "box-1:90".to_owned(), ..PeerInfo::default() };
+    let message = GossipMessage {
         name: "box-1".to_owned(),
         number: 1,
-        card,
+        info,
         changes: vec![change.clone()],
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(news)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
     let now = BoxTime::from_millis(subject.now);
-    assert!(!subject.state.takes_callers(now) && !subject.state.open(now), "others may be there");
+    assert!(!subject.state.accepts_callers(now) && !subject.state.open(now), "there may be others");
     let other = BackendChange { id: "b".to_owned(), at: at(4), entry: Some(entry("b", "v1")) };
     subject.feed(RouteEvent::BackendsListed { end: at(10), listed: vec![other, change] });
-    assert!(subject.state.takes_callers(now) && subject.state.open(now));
+    assert!(subject.state.accepts_callers(now) && subject.state.open(now));
 }
 
-/// Answers that a box tells of, none of them failed.
-fn told_answers(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
+/// Gossip with statistics of responses, none of which failed.
+fn gossip_with_stats(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let canary = VersionStats { runs, ..VersionStats::default() };
     let tally = TrialStats { canary, ..TrialStats::default() };
     let trial = TrialUpdate {
@@ -334,18 +326,18 @@
     GossipMessage {
         name: name.to_owned(),
         number: 1,
-        card: PeerInfo { incarnation, gossip_address: format!("{name}:90"), ..PeerInfo::default() },
+        info: PeerInfo { incarnation, gossip_address: format!("{name}:90"), ..PeerInfo::default() },
         trials: vec![trial],
         ..GossipMessage::default()
     }
 }
 
 #[test]
-fn a_version_that_carries_all_goes_on_when_the_evidence_for_it_is_lost_with_a_box() {
+fn version_with_full_traffic_keeps_it_when_evidence_is_lost_with_a_box() {
     let mut subject = started_box("box-1");
     subject.now += CARRIED_AT_MS - CARRY_LEAD_MS;
     subject.read_plan(None);
-    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 1, 30.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(gossip_with_stats("box-2", 1, 30.0))));
     subject.feed(RouteEvent::Tick);
     subject.now += CARRY_LEAD_MS;
     subject.read_plan(None);
@@ -354,40 +346,41 @@
         let moved = |number: &u64| version_of(subject, session(*number)) == "v2";
         (1..15).filter(moved).count()
     };
-    assert_eq!(carried(&mut subject), 14, "it is proven by what the other box saw");
+    assert_eq!(carried(&mut subject), 14, "the statistics of the other box prove it");
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(told_answers("box-2", 2, 0.0))));
+    subject.feed(RouteEvent::GossipReceived(Box::new(gossip_with_stats("box-2", 2, 0.0))));
     subject.feed(RouteEvent::Tick);
 
     assert_eq!(carried(&mut subject), 14, "no session is moved back");
 }
 
 #[test]
-fn what_another_box_knew_before_this_one_started_is_as_old_as_it_was() {
+fn knowledge_from_before_the_start_of_a_box_keeps_its_age() {
     let mut reader = new_box("box-1");
     reader.read_plan(Some(plan(1)));
     reader.now += 4_500;
-    let mut starter = new_box("box-2");
-    starter.now = 200;
+    let mut started = new_box("box-2");
+    started.now = 200;
     let ask_of_starter = SyncRequest {
         gossip_address: "box-2:90".to_owned(),
         incarnation: 1,
-        asked_at: BoxTime::from_millis(starter.now),
+        asked_at: BoxTime::from_millis(started.now),
         ..SyncRequest::default()
     };
-    let told = note_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("an answer");
+    let message =
+        gossip_in(&reader.feed(RouteEvent::SyncRequested(ask_of_starter))).expect("a response");
 
-    let as_of = starter.state.message_as_of(&told, BoxTime::from_millis(starter.now));
-    let asked_at = as_of.expect("it answers this box's ask");
-    starter.feed(RouteEvent::PlanRead {
+    let as_of = started.state.message_as_of(&message, BoxTime::from_millis(started.now));
+    let asked_at = as_of.expect("it responds to this box");
+    started.feed(RouteEvent::PlanRead {
         asked_at,
-        read_to: told.known.read_to,
+        read_to: message.known.read_to,
         plan: Some(plan(1)),
     });
-    starter.put(entry("a", "v1"));
-    starter.now += 200;
+    started.put(entry("a", "v1"));
+    started.now += 200;
 
-    // 4.7 s old: a key that the plan holds may have been taken away by now.
-    let refusal = starter.refused(ask("/file/x"));
+    // The plan is 4.7 s old, so that the key may have been revoked.
+    let refusal = started.refused(ask("/file/x"));
     assert!(is_refused(refusal, 503, RefusalReason::PlanStale), "{refusal:?}");
 }
--- a/crates/core/tests/route/restores.rs
+++ b/crates/core/tests/route/restores.rs
@@ -1,5 +1,5 @@
-//! A store that comes back from an older copy of its data: what was confirmed goes on to bind, and what was lost is there
-//! again, on one box and in fleets.
+//! A store that is restored from an older copy of its data: confirmed state stays in force, and
+//! lost records are written again, on one box and in fleets.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::{BackendChange, BackendEntry};
@@ -13,15 +13,15 @@
 use ravenspoke_core::time::BoxTime;
 
 use crate::fixture::{ask, at, entry, new_box, plan, ready_box, TestBox, KEY};
-use crate::plan_fleet::{site, Fleet};
+use crate::plan_fleet::{fleet_with_replicas, Fleet};
 
-/// A confirmed plan is in force everywhere within this, in milliseconds.
+/// Time within which a confirmed plan is in force on all boxes, in milliseconds.
 const APPLY_MS: u64 = 2_000;
 
-/// Readers' longest pause between two tries, and the notes' way, in milliseconds.
-const FIND_MS: u64 = 1_200;
+/// Longest pause between two retries of a reader, plus the latency of gossip, in milliseconds.
+const RETRY_MS: u64 = 1_200;
 
-/// A position after the store came back from a copy.
+/// A position after the restore.
 fn restored(offset: u64) -> TopicPosition {
     TopicPosition::new(2, offset)
 }
@@ -57,7 +57,7 @@
     ids
 }
 
-/// A listing after the store came back from a copy.
+/// Delivers a listing after the restore.
 fn list_restored(subject: &mut TestBox, listed: &[BackendEntry]) {
     subject.feed(RouteEvent::EraObserved(2));
     let end = restored(listed.len() as u64);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn an_older_plan_in_a_restored_store_makes_nothing_fresh_until_what_was_lost_is_written_again() {
+fn older_plan_in_a_restored_store_does_not_renew_until_the_lost_one_is_written_again() {
     let mut subject = ready_box();
     subject.read_plan(Some(plan(9)));
     subject.now += 1_000;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_read_of_a_former_era_that_comes_late_changes_nothing() {
+fn late_read_of_a_former_era_is_ignored() {
     let mut subject = ready_box();
     read_plan_at(&mut subject, restored(3), Some(9));
 
@@ -106,8 +106,7 @@
 }
 
 #[test]
-fn a_box_that_read_the_copy_takes_the_plan_that_the_store_lost_and_waits_for_it_to_be_written_again(
-) {
+fn box_that_read_the_copy_applies_the_lost_plan_from_another_box() {
     let mut subject = ready_box();
     subject.now += 5_000;
     read_plan_at(&mut subject, restored(4), Some(7));
@@ -119,11 +118,11 @@
     read_plan_at(&mut subject, restored(4), None);
 
     assert_eq!(subject.state.plan().version, 9);
-    assert_eq!(plan_age_ms(&subject), Some(2_000), "its own reads showed too little");
+    assert_eq!(plan_age_ms(&subject), Some(2_000), "its own reads were incomplete");
 }
 
 #[test]
-fn word_that_the_plan_is_the_same_in_a_new_era_is_taken_without_the_plan() {
+fn unchanged_plan_in_a_new_era_is_confirmed_without_the_plan() {
     let mut subject = ready_box();
     subject.now += 1_000;
     let as_of = BoxTime::from_millis(subject.now);
@@ -136,7 +135,7 @@
 }
 
 #[test]
-fn word_of_a_newer_plan_that_was_too_long_to_be_told_is_not_taken_for_the_plan() {
+fn position_of_a_newer_plan_without_the_plan_is_not_applied() {
     let mut subject = ready_box();
     let as_of = BoxTime::from_millis(subject.now);
     let known = PlanPosition { version: 2, read_to: at(6) };
@@ -148,7 +147,7 @@
 }
 
 #[test]
-fn an_order_to_empty_a_zone_that_the_store_lost_binds_until_it_is_written_again_or_ten_seconds() {
+fn lost_evacuation_stays_in_force_until_it_is_written_again_or_for_ten_seconds() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, at(8), &[("east", true), ("west", true)]);
 
@@ -162,7 +161,7 @@
 }
 
 #[test]
-fn an_order_that_is_not_written_again_ends_after_ten_seconds_and_a_withdrawn_one_at_once() {
+fn lost_evacuation_ends_after_ten_seconds_and_a_withdrawn_one_at_once() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, at(8), &[("east", true), ("west", true)]);
     read_zones(&mut subject, None, restored(5), &[]);
@@ -176,18 +175,18 @@
 }
 
 #[test]
-fn a_box_that_read_the_copy_hears_of_an_emptied_zone_from_one_of_a_former_era() {
+fn box_that_read_the_copy_learns_of_an_evacuation_from_a_former_era() {
     let mut subject = ready_box();
     read_zones(&mut subject, None, restored(5), &[]);
-    let word = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
+    let digest = EvacuationDigest { known_to: at(8), zones: vec!["east".to_owned()] };
 
-    subject.feed(RouteEvent::EvacuationsReceived(word));
+    subject.feed(RouteEvent::EvacuationsReceived(digest));
 
     assert_eq!(zones(&subject), ["east"]);
 }
 
 #[test]
-fn a_replica_that_had_left_is_not_used_again_because_a_copy_still_has_it() {
+fn replica_that_had_left_is_not_used_because_a_copy_still_has_it() {
     let mut subject = ready_box();
     subject.put(BackendEntry { leaving: true, ..entry("a", "v1") });
     subject.drop_entry("a");
@@ -198,7 +197,7 @@
 }
 
 #[test]
-fn another_life_of_a_replica_that_had_left_is_used() {
+fn another_incarnation_of_a_replica_that_had_left_is_used() {
     let mut subject = ready_box();
     let born = |ms| BackendEntry { born: Some(ms), ..entry("c", "v1") };
     subject.put(BackendEntry { leaving: true, ..born(100) });
@@ -206,11 +205,11 @@
 
     list_restored(&mut subject, &[entry("b", "v1"), born(200)]);
 
-    assert_eq!(replicas(&subject), ["a", "b", "c"], "a may be written again yet");
+    assert_eq!(replicas(&subject), ["a", "b", "c"], "a may still be written again");
 }
 
 #[test]
-fn a_leaving_mark_that_the_store_lost_binds() {
+fn leaving_mark_that_the_store_lost_stays_in_force() {
     let mut subject = ready_box();
     subject.put(BackendEntry { leaving: true, ..entry("a", "v1") });
 
@@ -221,7 +220,7 @@
 }
 
 #[test]
-fn a_replica_that_came_after_the_copy_is_used_until_it_must_be_written_again() {
+fn replica_added_after_the_copy_is_used_for_the_grace_period() {
     let mut subject = ready_box();
 
     list_restored(&mut subject, &[entry("a", "v1")]);
@@ -233,7 +232,7 @@
 }
 
 #[test]
-fn news_of_a_former_era_does_not_bring_back_what_a_listing_did_not_show() {
+fn change_of_a_former_era_does_not_restore_an_unlisted_replica() {
     let mut subject = new_box("box-1");
     subject.read_plan(Some(plan(1)));
     list_restored(&mut subject, &[entry("a", "v1")]);
@@ -264,7 +263,7 @@
 }
 
 #[test]
-fn a_verdict_that_the_store_lost_stands_and_is_written_again() {
+fn verdict_that_the_store_lost_is_kept_and_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
@@ -279,17 +278,17 @@
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.now += 5_000;
-    assert_eq!(written(&subject.feed(RouteEvent::Tick)), None, "once is enough");
+    assert_eq!(written(&subject.feed(RouteEvent::Tick)), None, "it is written only once");
 }
 
 #[test]
-fn word_of_a_former_era_that_a_verdict_stands_does_not_keep_it_from_being_written_again() {
+fn verdict_known_from_a_former_era_is_written_again() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.feed(RouteEvent::VerdictStored(verdict(TrialState::Done)));
     subject.feed(RouteEvent::EraObserved(2));
     let verdicts = vec![verdict(TrialState::Done)];
-    let note = GossipMessage {
+    let message = GossipMessage {
         name: "box-2".to_owned(),
         number: 1,
         era: 1,
@@ -297,13 +296,13 @@
         ..GossipMessage::default()
     };
 
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
     assert_eq!(written(&subject.feed(RouteEvent::Tick)), Some(TrialState::Done));
 }
 
 #[test]
-fn an_order_that_another_had_replaced_does_not_begin_anew_because_a_copy_still_shows_it() {
+fn replaced_order_does_not_restart_because_a_copy_still_shows_it() {
     let mut subject = ready_box();
     subject.give_order(order("v2"));
     subject.give_order(order("v3"));
@@ -318,12 +317,12 @@
 
     let read_to = restored(6);
     subject.feed(RouteEvent::OrdersRead { read_to, orders: vec![order("v2")] });
-    assert_eq!(version(&subject), "v2", "what is ordered later counts");
+    assert_eq!(version(&subject), "v2", "the later order counts");
 }
 
-/// A fleet in calm, with plan 4 written at 6 s, 5 at 7.5 s and 6 at 8.5 s; it is 10 s.
+/// A fleet at 10 s, with plan 4 written at 6 s, plan 5 at 7.5 s and plan 6 at 8.5 s.
 fn fleet_at_plan_6(count: usize) -> Fleet {
-    let mut fleet = site(count);
+    let mut fleet = fleet_with_replicas(count);
     for (at, version) in [(6_000, 4), (7_500, 5), (8_500, 6)] {
         fleet.run_until(at);
         fleet.write_plan(version);
@@ -337,30 +336,30 @@
     move |state| state.plan().version >= version
 }
 
-/// Whether a box knows the store's second era, and relies on what it shows.
-fn relies_on_second_era(state: &RouteState) -> bool {
+/// Whether a box has read the store in its second era.
+fn reads_second_era(state: &RouteState) -> bool {
     state.read_to().era == 2
 }
 
-/// Whether no box has fallen back behind a plan.
-fn none_behind(fleet: &Fleet, version: u64) -> bool {
-    fleet.boxes.iter().all(|subject| subject.dead || subject.state.plan().version >= version)
+/// Whether every running box has at least this version of the plan.
+fn none_regressed(fleet: &Fleet, version: u64) -> bool {
+    fleet.boxes.iter().all(|subject| subject.killed || subject.state.plan().version >= version)
 }
 
-/// A fleet whose store comes back from a copy with all that was lost written again: it is relied on soon, nobody falls
-/// back, and few call it for that.
+/// Restores the store and writes all lost records again. The fleet must rely on the store in time,
+/// no box may go back to an older plan, and few calls may be made for it.
 fn rely_on_restored_store(count: usize, away_ms: u64, copied_at: u64) {
     let mut fleet = fleet_at_plan_6(count);
     let lost = fleet.restore(away_ms, copied_at);
     fleet.write_again(lost);
-    fleet.run_until(fleet.away_until);
+    fleet.run_until(fleet.outage_until);
     fleet.calls();
 
-    let took = fleet.until_all(4_000, relies_on_second_era);
+    let took = fleet.until_all(4_000, reads_second_era);
 
     let label = format!("{count} boxes, away {away_ms} ms, copy of {copied_at}: {took:?}");
-    assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{label}");
-    assert!(none_behind(&fleet, 6), "{label}");
+    assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{label}");
+    assert!(none_regressed(&fleet, 6), "{label}");
     let calls = fleet.calls() as usize;
     assert!(calls <= 60 + count / 2, "{label}: {calls} calls");
     fleet.write_plan(7);
@@ -369,7 +368,7 @@
 }
 
 #[test]
-fn fleets_rely_on_a_restored_store_soon_and_fall_back_nowhere() {
+fn fleets_rely_on_a_restored_store_in_time_and_never_regress() {
     for count in [9, 84, 300] {
         rely_on_restored_store(count, 0, 8_400);
         rely_on_restored_store(count, 1_000, 7_000);
@@ -380,51 +379,51 @@
 }
 
 #[test]
-fn three_hundred_boxes_rely_on_a_store_that_was_away_for_five_seconds_without_storming_it() {
+fn restored_store_is_not_overloaded_by_three_hundred_boxes_after_an_outage_of_five_seconds() {
     rely_on_restored_store(300, 5_000, 0);
 }
 
 #[test]
-fn fleets_serve_the_newest_plan_where_the_store_has_grown_past_its_former_end() {
+fn fleets_serve_the_newest_plan_of_a_store_that_grew_past_its_former_end() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         drop(fleet.restore(1_000, 7_000));
         for version in [7, 8, 9] {
             fleet.write_plan(version);
         }
-        fleet.run_until(fleet.away_until);
+        fleet.run_until(fleet.outage_until);
 
         let took = fleet.until_all(4_000, has_plan(9));
 
-        assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{count} boxes: {took:?}");
+        assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{count} boxes: {took:?}");
     }
 }
 
 #[test]
-fn while_a_restored_store_lacks_the_plan_few_boxes_ask_it() {
+fn few_boxes_poll_a_restored_store_that_lacks_the_plan() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
-        fleet.run_until(fleet.away_until + 1_000);
+        fleet.run_until(fleet.outage_until + 1_000);
         fleet.calls();
 
         fleet.run_until(fleet.now + 6_000);
 
         let calls = f64::from(fleet.calls()) / 6.0;
-        assert!(none_behind(&fleet, 6));
+        assert!(none_regressed(&fleet, 6));
         assert!(calls <= 60.0, "{count} boxes: {calls} calls a second");
         fleet.write_again(lost);
-        let took = fleet.until_all(4_000, relies_on_second_era);
+        let took = fleet.until_all(4_000, reads_second_era);
         assert!(took.is_some_and(|ms| ms <= APPLY_MS), "{count} boxes: {took:?}");
     }
 }
 
 #[test]
-fn boxes_that_start_while_the_store_shows_an_older_plan_take_the_newer_one_before_they_serve() {
+fn boxes_started_while_the_store_shows_an_older_plan_serve_only_the_newer_one() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
-        fleet.run_until(fleet.away_until + 500);
+        fleet.run_until(fleet.outage_until + 500);
 
         for number in (0..count).step_by(4) {
             fleet.restart(number);
@@ -439,34 +438,34 @@
         }
         fleet.write_again(lost);
 
-        let took = fleet.until_all(4_000, relies_on_second_era);
+        let took = fleet.until_all(4_000, reads_second_era);
         assert!(took.is_some_and(|ms| ms <= APPLY_MS), "{count} boxes: {took:?}");
-        assert!(none_behind(&fleet, 6));
+        assert!(none_regressed(&fleet, 6));
     }
 }
 
 #[test]
-fn a_second_return_from_a_copy_before_the_first_is_known_to_all_is_borne() {
+fn second_restore_before_all_boxes_know_the_first_is_handled() {
     for count in [9, 84, 300] {
         let mut fleet = fleet_at_plan_6(count);
         let lost = fleet.restore(1_000, 7_000);
         fleet.write_again(lost);
-        fleet.run_until(fleet.away_until + 300);
+        fleet.run_until(fleet.outage_until + 300);
         fleet.write_plan(7);
         fleet.run_until(fleet.now + 100);
 
         let lost = fleet.restore(500, fleet.now - 200);
         fleet.write_again(lost);
-        fleet.run_until(fleet.away_until);
+        fleet.run_until(fleet.outage_until);
 
         let third = |state: &RouteState| state.read_to().era == 3 && state.plan().version == 7;
         let took = fleet.until_all(6_000, third);
-        assert!(took.is_some_and(|ms| ms <= FIND_MS + APPLY_MS), "{count} boxes: {took:?}");
+        assert!(took.is_some_and(|ms| ms <= RETRY_MS + APPLY_MS), "{count} boxes: {took:?}");
     }
 }
 
 #[test]
-fn a_key_of_a_lost_plan_is_honoured_again_once_that_is_written_again() {
+fn key_of_a_lost_plan_is_accepted_again_once_the_plan_is_written_again() {
     let mut subject = ready_box();
     subject.read_plan(Some(plan(9)));
     subject.now += 5_000;
@@ -480,7 +479,7 @@
 }
 
 #[test]
-fn a_box_says_once_that_the_store_came_back_from_a_copy_and_not_as_it_first_hears_of_an_era() {
+fn restore_of_the_store_is_reported_once_and_not_for_the_first_era() {
     let mut subject = new_box("box-1");
     assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty());
 
@@ -488,5 +487,5 @@
 
     assert_eq!(effects, [RouteEffect::StoreRestored { era: 2, former: 1 }]);
     assert!(subject.feed(RouteEvent::EraObserved(2)).is_empty());
-    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty(), "an answer of before");
+    assert!(subject.feed(RouteEvent::EraObserved(1)).is_empty(), "a late response");
 }
--- a/crates/core/tests/route/store_readers.rs
+++ b/crates/core/tests/route/store_readers.rs
@@ -1,30 +1,31 @@
-//! When a box reads the store itself: duties, what others could not tell it, and how old its plan is.
+//! When a box reads the store itself: duties, records that others could not send, and the age of
+//! its plan.
 
 use ravenspoke_core::route::entry_sync::ListingPage;
 use ravenspoke_core::route::event::{RouteEffect, RouteEvent};
 use ravenspoke_core::route::peers::{GossipMessage, PeerInfo, BEHIND_MS, START_SETTLE_MS};
 
 use crate::fixture::{at, new_box, plan, ready_box, TestBox};
-use crate::membership::{answer, ask_in, clock, tell};
+use crate::membership::{answer, clock, deliver_gossip, sync_request_in};
 
-/// Three other boxes speak, which callers may be sent to or not.
-fn hear_three_others(subject: &mut TestBox, open: bool) {
+/// Delivers messages of three other boxes, which are open or not.
+fn receive_from_three_others(subject: &mut TestBox, open: bool) {
     for name in ["box-2", "box-3", "box-4"] {
-        let card = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
-        let note =
-            GossipMessage { name: name.to_owned(), number: 1, card, ..GossipMessage::default() };
-        subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+        let info = PeerInfo { gossip_address: format!("{name}:90"), open, ..PeerInfo::default() };
+        let message =
+            GossipMessage { name: name.to_owned(), number: 1, info, ..GossipMessage::default() };
+        subject.feed(RouteEvent::GossipReceived(Box::new(message)));
     }
 }
 
 #[test]
-fn a_box_whose_calls_to_the_store_fail_goes_behind_the_others_in_reading_it() {
+fn box_whose_store_calls_fail_ranks_behind_the_others_as_reader() {
     let mut subject = ready_box();
-    hear_three_others(&mut subject, false);
+    receive_from_three_others(&mut subject, false);
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
-    assert!(subject.state.is_reader(clock(&subject)), "it serves, and the others do not");
+    assert!(subject.state.is_reader(clock(&subject)), "it is open, and the others are not");
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::Tick);
     assert!(!subject.state.is_reader(clock(&subject)));
@@ -32,12 +33,12 @@
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
     subject.feed(RouteEvent::Tick);
-    let heard = subject.state.peers().live_count(clock(&subject));
-    assert!(subject.state.is_reader(clock(&subject)), "{heard} live");
+    let live = subject.state.peers().live_count(clock(&subject));
+    assert!(subject.state.is_reader(clock(&subject)), "{live} live");
 }
 
 #[test]
-fn a_reader_whose_plan_is_old_reads_without_waiting_for_news() {
+fn reader_with_an_old_plan_reads_without_a_long_poll() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
@@ -48,88 +49,88 @@
     assert!(subject.state.long_polls_plan(clock(&subject)));
 }
 
-/// A box that lost the store, knows three that have it, and was answered by one that has read further.
+/// A box that cannot reach the store, knows three boxes that can, and received a response from one
+/// that has read further.
 fn box_behind_without_the_store() -> TestBox {
     let mut subject = box_without_the_store();
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
     subject
 }
 
-/// A box that lost the store and knows three that have it.
+/// A box that cannot reach the store and knows three that can.
 fn box_without_the_store() -> TestBox {
     let mut subject = ready_box();
-    hear_three_others(&mut subject, true);
+    receive_from_three_others(&mut subject, true);
     subject.feed(RouteEvent::StoreFailed);
     subject.feed(RouteEvent::Tick);
     subject
 }
 
-/// Another box answers an ask, and its answer lacks the operator's records.
-fn hear_bare_answer(subject: &mut TestBox) {
+/// Delivers a sync response that lacks the operator's records.
+fn receive_response_without_plan(subject: &mut TestBox) {
     let mut reader = new_box("box-2");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    let note = answer(&mut reader, subject);
-    subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let message = answer(&mut reader, subject);
+    subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 }
 
-// In a fleet of 91 boxes 40 ran requests by a plan that had been replaced, and refused others, for 20 s. The new plan was
-// too long for a datagram, so that answers of other boxes came without it and each box read it from the store. On those
-// 40 that one read failed; from then on they left the store to the boxes that answered them, which could not tell them
-// the plan: "store_lost keyed.op" at 66.5 s, "plan=14 plan_age_ms=10932" at 74.5 s, no call to the store before 86 s.
+// The new plan was too large for a datagram, so that responses came without it and each box read
+// the store. On 40 of 91 boxes that read failed. They then left the store to boxes that responded
+// but could not send the plan, and served the replaced plan for 20 s.
 #[test]
-fn a_box_that_is_not_told_what_others_know_reads_it_though_it_lost_the_store() {
+fn box_that_is_behind_reads_the_store_even_after_a_failed_call() {
     let mut subject = box_behind_without_the_store();
     assert!(!subject.state.is_reader(clock(&subject)));
 
     subject.now += BEHIND_MS;
 
     assert!(subject.state.must_read_plan(clock(&subject)));
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
     assert!(
         subject.state.must_read_plan(clock(&subject)),
-        "an answer without the plan changes nothing"
+        "a response without the plan changes nothing"
     );
 }
 
-// 88 of 91 boxes read a plan of 890 KB from the store that no answer could hold. Each waited half a second for an answer that
-// holds it, and asked again meanwhile.
+// A plan of 890 KB did not fit into a response. 88 of 91 boxes waited half a second for a response
+// with it, and sent more requests meanwhile.
 #[test]
-fn a_box_that_was_answered_without_what_it_asked_for_reads_it_at_once_and_asks_no_more() {
+fn response_without_the_plan_leads_to_a_read_and_no_further_request() {
     let mut subject = box_without_the_store();
     let mut reader = new_box("box-3");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    tell(&mut reader, &mut subject);
-    assert!(!subject.state.must_read_plan(clock(&subject)), "an answer may hold it");
+    deliver_gossip(&mut reader, &mut subject);
+    assert!(!subject.state.must_read_plan(clock(&subject)), "a response may contain it");
 
-    hear_bare_answer(&mut subject);
+    receive_response_without_plan(&mut subject);
 
     assert!(subject.state.must_read_plan(clock(&subject)));
-    let effects = tell(&mut reader, &mut subject);
-    let asks = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
-    assert!(!effects.iter().any(asks));
+    let effects = deliver_gossip(&mut reader, &mut subject);
+    let is_request = |effect: &RouteEffect| matches!(effect, RouteEffect::SendSyncRequest(..));
+    assert!(!effects.iter().any(is_request));
     subject.read_plan(Some(plan(2)));
     assert!(!subject.state.must_read_plan(clock(&subject)));
 }
 
 #[test]
-fn an_answer_whose_page_of_replicas_left_no_room_for_the_plan_is_asked_for_again() {
+fn plan_is_requested_again_if_a_page_of_replicas_left_no_room_for_it() {
     let mut subject = box_without_the_store();
     let mut reader = new_box("box-2");
     reader.now = subject.now;
     reader.read_plan(Some(plan(2)));
-    let mut note = answer(&mut reader, &subject);
-    note.entries.page = Some(ListingPage { end: at(9), next: None, tombstones_from: at(9) });
+    let mut message = answer(&mut reader, &subject);
+    message.entries.page = Some(ListingPage { end: at(9), next: None, tombstones_from: at(9) });
 
-    let effects = subject.feed(RouteEvent::GossipReceived(Box::new(note)));
+    let effects = subject.feed(RouteEvent::GossipReceived(Box::new(message)));
 
-    assert!(!subject.state.must_read_plan(clock(&subject)), "the next answer may hold it");
-    assert!(ask_in(&effects).is_some());
+    assert!(!subject.state.must_read_plan(clock(&subject)), "the next response may contain it");
+    assert!(sync_request_in(&effects).is_some());
 }
 
 #[test]
-fn a_reader_whose_plan_is_half_a_second_old_reads_without_waiting_for_news() {
+fn reader_with_a_plan_of_half_a_second_reads_without_a_long_poll() {
     let mut subject = ready_box();
     subject.feed(RouteEvent::Tick);
     subject.now += START_SETTLE_MS;
