--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -109,13 +109,13 @@
     let limits = context.driver.state().plan().limits;
     if head_bytes(&head) > limits.header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-        return Err(ReadFailure::TooLarge(status, "the request head is too large"));
+        return Err(ReadFailure::TooLarge(status, "the head is too large"));
     }
     match Limited::new(body, limits.body_bytes).collect().await {
         Ok(body) => Ok((head, body.to_bytes())),
         Err(error) if error.is::<LengthLimitError>() => {
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(ReadFailure::TooLarge(status, "the request body is too large"))
+            Err(ReadFailure::TooLarge(status, "the body is too large"))
         }
         Err(_) => {
             let broken = AbortedResponse("the request body was truncated");
--- a/crates/core/src/claims.rs
+++ b/crates/core/src/claims.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// No key was given.
-    #[error("this operation must not be repeated: send an Idempotency-Key header with a UUIDv7")]
+    #[error("this operation may not be repeated: send an Idempotency-Key header with a UUIDv7")]
     Missing,
     /// Not a UUIDv7.
     #[error("the Idempotency-Key is not a UUIDv7")]
     NotUuidV7,
     /// Older than the log's retention.
-    #[error("the Idempotency-Key is older than the log's retention: it is unknown whether an earlier request with it ran")]
+    #[error("the Idempotency-Key is older than the log's retention: whether an earlier request with it ran is not known")]
     Expired,
     /// From the future.
     #[error("the Idempotency-Key's time is in the future")]
--- a/crates/core/src/reason.rs
+++ b/crates/core/src/reason.rs
@@ -38,7 +38,7 @@
     CascadeCheap = 4, "cascade_cheap", "the cheap rung meets the quality target for this request class";
     CascadeGated = 5, "cascade_gated", "the cheap rung first, its answer rated before it is released";
     CascadeStrong = 6, "cascade_strong", "the strong rung: cheaper ones do not meet the target, or would cost more with escalation";
-    CascadeSafe = 7, "cascade_safe", "the safe rung: this request class has too few ratings, and the rating service is down";
+    CascadeSafe = 7, "cascade_safe", "the safe rung: too little is known of this request class, or ratings are down";
     Escalated = 8, "escalated", "the cheap answer was rated too low, so the next rung answered";
     PrefixAffinity = 9, "prefix_affinity", "the replica that holds this prompt prefix, within the load bound";
     TwoChoices = 10, "two_choices", "the less loaded of two replicas";
@@ -48,7 +48,7 @@
     ServiceRoute = 14, "service_route", "a plain service";
     NoHealthy = 15, "all_ejected", "every replica is ejected, so ejection is ignored";
     Queued = 16, "queued", "waited for a replica";
-    CascadeExplore = 17, "cascade_explore", "sent to the cheap rung to collect a rating of it";
+    CascadeExplore = 17, "cascade_explore", "tried on the cheap rung to learn how it does, and rated";
     UnknownKey = 40, "invalid_api_key", "no client account has this caller key";
     NotAllowed = 41, "model_not_allowed", "the bundle does not allow this account the model, version or service";
     Withdrawn = 42, "version_withdrawn", "the version was withdrawn; open a new session";
@@ -58,17 +58,17 @@
     NoBundle = 46, "no_bundle", "no bundle is in force on this box yet";
     CutOff = 47, "box_cut_off", "this box can't tell whether its bundle is current; use another address";
     Stopping = 48, "box_stopping", "this box is stopping; use another address";
-    BadToken = 49, "invalid_session", "the session token is not valid";
+    BadToken = 49, "invalid_session", "the session token is not honoured";
     BadClaimKey = 50, "invalid_idempotency_key", "the operation needs a UUIDv7 Idempotency-Key";
-    KeyExpired = 51, "idempotency_key_expired", "the key is older than the log's retention";
-    AlreadyClaimed = 52, "already_claimed", "an earlier request with this key was allowed to run";
+    KeyExpired = 51, "idempotency_key_expired", "the key is older than the log remembers";
+    AlreadyClaimed = 52, "already_claimed", "an earlier request with this key was let run";
     LogDown = 53, "log_unavailable", "the claim could not be written to the log in time";
     BillBacklog = 54, "bill_backlog", "too many bills wait for the log";
     Deadline = 55, "deadline", "the deadline passed before an answer came";
     ReplicaFailed = 56, "replica_failed", "the replica failed after the request may have run";
     StreamBroken = 57, "stream_broken", "the replica's answer ended before its end marker";
     WrongEcho = 58, "answer_mismatch", "the replica's answer was for another request";
-    Cancelled = 59, "cancelled", "the caller disconnected";
+    Cancelled = 59, "cancelled", "the caller went away";
     SessionDrained = 60, "version_drained", "the version takes no new sessions";
     UnknownTarget = 61, "model_not_found", "the bundle names no such model, version, cascade or service";
 }
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -34,10 +34,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     /// Not a token of this format.
-    #[error("the session token is malformed")]
+    #[error("the session token is not of this format")]
     Malformed,
     /// Its key is not listed, or its tag does not match.
-    #[error("the session token is not authentic, or its key was removed")]
+    #[error("the session token is not from these boxes, or its key was retired")]
     Forged,
 }
 
