--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -144,7 +144,7 @@
                 load: Some(BackendLoad { running, waiting, slots: SLOTS }),
                 confidence: good.then_some(opinion),
                 limit_per_s: None,
-                rest_ms: None,
+                backoff_ms: None,
                 leaving: false,
                 not_run: false,
                 other_replica: false,
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -95,7 +95,7 @@
         waiting = head.load.map(|load| load.waiting),
         running = head.load.map(|load| load.running),
         limit_per_s = head.limit_per_s,
-        rest_ms = head.rest_ms,
+        rest_ms = head.backoff_ms,
         leaving = head.leaving,
         after_ms,
     );
--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -62,9 +62,9 @@
 impl RouteState {
     /// Applies the backoff that the head of a replica's answer asks for.
     pub(super) fn learn_backoff(&mut self, stamp: EventStamp, key: ReplicaKey, head: AnswerHead) {
-        let rest_ms = head.rest_ms.filter(|_| !head.other_replica);
-        if let Some(rest_ms) = rest_ms {
-            self.backends.back_off(key, stamp.now.plus_millis(rest_ms.min(BACKOFF_LIMIT_MS)));
+        let backoff_ms = head.backoff_ms.filter(|_| !head.other_replica);
+        if let Some(backoff_ms) = backoff_ms {
+            self.backends.back_off(key, stamp.now.plus_millis(backoff_ms.min(BACKOFF_LIMIT_MS)));
         }
     }
 }
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -69,7 +69,7 @@
     pub limit_per_s: Option<f64>,
     /// Backoff that the replica asks of this box when it rejects the request, in milliseconds, if
     /// it states one.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
     /// Whether the replica reports that it is leaving.
     pub leaving: bool,
     /// Whether the replica reports that it did not execute the request.
--- a/crates/core/tests/route/backoff.rs
+++ b/crates/core/tests/route/backoff.rs
@@ -25,16 +25,16 @@
 }
 
 /// The head of a refusal that asks for backoff.
-fn refusing_head(rest_ms: u64) -> AnswerHead {
-    AnswerHead { rest_ms: Some(rest_ms), not_run: true, proven: false, ..head(503) }
+fn refusing_head(backoff_ms: u64) -> AnswerHead {
+    AnswerHead { backoff_ms: Some(backoff_ms), not_run: true, proven: false, ..head(503) }
 }
 
 /// Replica `a` refuses a request and asks for backoff.
-fn back_off_a(subject: &mut TestBox, rest_ms: u64) {
+fn back_off_a(subject: &mut TestBox, backoff_ms: u64) {
     for _ in 0..REQUESTS {
         let (ticket, order) = subject.sent(ask("/read/x"));
         if order.replica_id == "a" {
-            subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(rest_ms)));
+            subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(backoff_ms)));
             return;
         }
     }
@@ -61,8 +61,8 @@
     let mut subject = ready_box();
     let (ticket, _) = subject.sent(ask("/read/x"));
     let (other, _) = subject.sent(ask("/read/x"));
-    for (ticket, rest_ms) in [(ticket, u64::MAX), (other, 1)] {
-        subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(rest_ms)));
+    for (ticket, backoff_ms) in [(ticket, u64::MAX), (other, 1)] {
+        subject.feed(RouteEvent::HeadReceived(ticket, refusing_head(backoff_ms)));
     }
     subject.now += BACKOFF_LIMIT_MS - 1;
     subject.read_plan(Some(plan(1)));
--- a/crates/core/tests/route/fixture.rs
+++ b/crates/core/tests/route/fixture.rs
@@ -107,7 +107,7 @@
         load: None,
         confidence: None,
         limit_per_s: None,
-        rest_ms: None,
+        backoff_ms: None,
         leaving: false,
         not_run: false,
         other_replica: false,
