--- a/crates/box/src/exchange.rs
+++ b/crates/box/src/exchange.rs
@@ -265,7 +265,7 @@
             return Some(AttemptEnd::Declined { leaving });
         }
         if response_header(ECHO_HEADER) != Some(self.echo(order).as_str()) {
-            return Some(AttemptEnd::WrongEcho);
+            return Some(AttemptEnd::WrongRequest);
         }
         let streams = matches!(self.call, UpstreamCall::Chat { stream: true, .. });
         if streams && response.status().is_success() {
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -89,7 +89,7 @@
         delivered: u32,
     },
     /// The answer carries the id of another request.
-    WrongEcho,
+    WrongRequest,
 }
 
 /// An event, the input of [`crate::state::BoxState::apply`].
--- a/crates/core/src/state/run.rs
+++ b/crates/core/src/state/run.rs
@@ -127,7 +127,7 @@
                 self.requests[key].delivered += delivered;
                 self.on_failed(stamp, key, attempt, ReasonCode::StreamBroken, out);
             }
-            AttemptEnd::WrongEcho => {
+            AttemptEnd::WrongRequest => {
                 self.replicas.record_failure(replica, stamp.now);
                 self.record_failure_evidence(key);
                 self.on_failed(stamp, key, attempt, ReasonCode::WrongEcho, out);
