--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -133,14 +133,14 @@
     let page = pages.get_or_pack(message);
     let without_records = encode_gossip(message, None, page);
     let Some(request) =
-        message.in_reply_to.as_ref().filter(|request| request.known < message.known)
+        message.in_reply_to.as_ref().filter(|request| request.plan_position < message.plan_position)
     else {
         return without_records;
     };
     let mut operator = driver.operator();
-    let records = operator.records_after(request.known);
+    let records = operator.records_after(request.plan_position);
     if without_records.len() + records.as_bytes().len() + RECORDS_OVERHEAD > DATAGRAM_LIMIT {
-        operator.log_oversized(request.known.read_to, DATAGRAM_LIMIT);
+        operator.log_oversized(request.plan_position.read_to, DATAGRAM_LIMIT);
         return without_records;
     }
     encode_gossip(message, Some(records), page)
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -58,7 +58,7 @@
     #[prost(message, optional, tag = "4")]
     info: Option<WirePeerInfo>,
     #[prost(message, optional, tag = "25")]
-    known: Option<WirePlanPosition>,
+    plan_position: Option<WirePlanPosition>,
     #[prost(uint64, tag = "26")]
     era: u64,
     #[prost(message, repeated, tag = "9")]
@@ -219,7 +219,7 @@
         name: gossip.name.clone(),
         number: gossip.number,
         info: Some(write_peer_info(&gossip.info)),
-        known: Some(write_plan_position(gossip.known)),
+        plan_position: Some(write_plan_position(gossip.plan_position)),
         era: gossip.era,
         changes: changes.iter().map(write_change).collect(),
         trials: gossip.trials.iter().map(write_trial).collect(),
@@ -245,7 +245,7 @@
         name: wire.name,
         number: wire.number,
         info: wire.info.map(read_peer_info).unwrap_or_default(),
-        known: read_plan_position(wire.known),
+        plan_position: read_plan_position(wire.plan_position),
         era: wire.era,
         read_age_ms: wire.read_age_ms,
         evacuation: wire.evacuation.map(read_evacuation).unwrap_or_default(),
--- a/crates/box/src/gateway/gossip_wire/sync.rs
+++ b/crates/box/src/gateway/gossip_wire/sync.rs
@@ -19,7 +19,7 @@
     #[prost(uint64, tag = "3")]
     asked_at: u64,
     #[prost(message, optional, tag = "9")]
-    known: Option<WirePlanPosition>,
+    plan_position: Option<WirePlanPosition>,
     #[prost(message, optional, tag = "10")]
     entries_to: Option<WirePosition>,
     #[prost(message, optional, tag = "11")]
@@ -49,7 +49,7 @@
         gossip_address: request.gossip_address.clone(),
         incarnation: request.incarnation,
         asked_at: request.asked_at.as_micros(),
-        known: Some(write_plan_position(request.known)),
+        plan_position: Some(write_plan_position(request.plan_position)),
         entries_to: request.entries.known_to.map(Into::into),
         page_from: Some(request.entries.page_from.into()),
         has_backends: request.entries.has_backends,
@@ -61,7 +61,7 @@
         gossip_address: request.gossip_address,
         incarnation: request.incarnation,
         asked_at: BoxTime::from_micros(request.asked_at),
-        known: read_plan_position(request.known),
+        plan_position: read_plan_position(request.plan_position),
         entries: EntryQuery {
             known_to: request.entries_to.map(Into::into),
             page_from: read_position(request.page_from),
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -152,15 +152,15 @@
     };
     let Some(as_of) = as_of else { return };
     // The records begin at the position that this box sent in its request, so none is missing.
-    let follows = message.in_reply_to.as_ref().is_some_and(|request| request.known <= known);
-    if follows && message.known > known {
+    let follows = message.in_reply_to.as_ref().is_some_and(|request| request.plan_position <= known);
+    if follows && message.plan_position > known {
         // The records may lack the end of an order that the sender never had; its digest of
         // evacuated zones is complete.
         driver.feed(RouteEvent::EvacuationsReceived(message.evacuation.clone()));
-        if let Some(applied) = apply_records(driver, message.known.read_to, records) {
+        if let Some(applied) = apply_records(driver, message.plan_position.read_to, records) {
             driver.feed(RouteEvent::PlanReceived {
                 as_of,
-                known: message.known,
+                known: message.plan_position,
                 plan: applied.plan,
             });
         }
--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -45,7 +45,7 @@
         gossip_address: "10.1.0.9:7680".to_owned(),
         incarnation: 3,
         asked_at: BoxTime::from_micros(77_001),
-        known: PlanPosition { version: 5, read_to: at(12) },
+        plan_position: PlanPosition { version: 5, read_to: at(12) },
         entries: EntryQuery { known_to: Some(at(40)), page_from: at(7), has_backends: true },
     }
 }
@@ -79,7 +79,7 @@
         number: 5,
         info: peer_info("front-1"),
         era: 3,
-        known: PlanPosition { version: 6, read_to: at(12) },
+        plan_position: PlanPosition { version: 6, read_to: at(12) },
         read_age_ms: Some(400),
         in_reply_to: Some(sync_request()),
         changes: vec![change(41), BackendChange { id: "i-1".to_owned(), at: at(42), entry: None }],
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -117,7 +117,7 @@
             number,
             info: self.own_info(stamp.now),
             era: self.era,
-            known: self.plan_position(),
+            plan_position: self.plan_position(),
             read_age_ms: self.fresh.age_ms(stamp.now),
             evacuation: self.evacuated.digest(),
             in_reply_to: None,
@@ -227,7 +227,7 @@
             gossip_address: self.settings.gossip_address.clone(),
             incarnation: self.settings.incarnation,
             asked_at: stamp.now,
-            known: self.plan_position(),
+            plan_position: self.plan_position(),
             entries: self.entries.query(self.has_backends()),
         }
     }
@@ -351,13 +351,13 @@
         message: &GossipMessage,
         out: &mut Vec<RouteEffect>,
     ) {
-        if message.known > self.plan_position() {
+        if message.plan_position > self.plan_position() {
             self.sync.behind_since.get_or_insert(stamp.now);
             // A response contains the requested records unless they are too large, alone or beside
             // a page of replicas. If they are missing without a page, the same request would be
             // answered in the same way.
             let answers = own_request(message, self.settings.incarnation, stamp.now)
-                .is_some_and(|request| request.known == self.plan_position());
+                .is_some_and(|request| request.plan_position == self.plan_position());
             self.sync.lagging |= answers && message.entries.page.is_none();
             if stamp.now >= self.sync.next_catch_up && !self.sync.lagging {
                 self.sync.next_catch_up = stamp.now.plus_millis(peers::SYNC_RETRY_MS);
@@ -369,7 +369,7 @@
             return;
         }
         let as_of = self.message_as_of(message, stamp.now);
-        if let Some(as_of) = as_of.filter(|_| message.known == self.plan_position()) {
+        if let Some(as_of) = as_of.filter(|_| message.plan_position == self.plan_position()) {
             self.fresh.renew(as_of);
         }
     }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -213,7 +213,7 @@
     /// The store's era as far as the sender knows.
     pub era: u64,
     /// How far the sender knows the operator's records.
-    pub known: PlanPosition,
+    pub plan_position: PlanPosition,
     /// Age of that knowledge, in milliseconds; `None` if the sender has read nothing yet.
     pub read_age_ms: Option<u64>,
     /// Availability zones under evacuation as far as the sender knows.
@@ -290,7 +290,7 @@
     /// Time of the request on the sender's clock.
     pub asked_at: BoxTime,
     /// How far the sender knows the operator's records; it requests what follows.
-    pub known: PlanPosition,
+    pub plan_position: PlanPosition,
     /// What the sender requests of the replicas' entries.
     pub entries: EntryQuery,
 }
--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -137,7 +137,7 @@
         gossip_address: "box-1:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(requester.now),
-        known: requester.state.plan_position(),
+        plan_position: requester.state.plan_position(),
         entries: EntryQuery {
             known_to: requester.state.entries_to(),
             page_from: TopicPosition::default(),
@@ -367,7 +367,7 @@
     let as_of = started.state.message_as_of(&message, clock(&started)).expect("a time");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
-        read_to: message.known.read_to,
+        read_to: message.plan_position.read_to,
         plan: Some(plan(1)),
     });
     started.feed(RouteEvent::GossipReceived(Box::new(message)));
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -511,11 +511,11 @@
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
         let known = state.plan_position();
-        let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.known <= known);
-        if let Some(as_of) = as_of.filter(|_| follows && message.known > known) {
+        let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.plan_position <= known);
+        if let Some(as_of) = as_of.filter(|_| follows && message.plan_position > known) {
             let plan =
-                Some(plan(message.known.version)).filter(|plan| plan.version > known.version);
-            self.feed(to, RouteEvent::PlanReceived { as_of, known: message.known, plan });
+                Some(plan(message.plan_position.version)).filter(|plan| plan.version > known.version);
+            self.feed(to, RouteEvent::PlanReceived { as_of, known: message.plan_position, plan });
         }
     }
 
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -374,7 +374,7 @@
     let asked_at = as_of.expect("it responds to this box");
     started.feed(RouteEvent::PlanRead {
         asked_at,
-        read_to: message.known.read_to,
+        read_to: message.plan_position.read_to,
         plan: Some(plan(1)),
     });
     started.put(entry("a", "v1"));
