--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -276,7 +276,8 @@
     }
     callers.drive(&mut fleet);
     for _ in 0..4 {
-        for (ticket, end) in [(1, AttemptEnd::WrongRequest), (2, AttemptEnd::Aborted { delivered: 3 })]
+        for (ticket, end) in
+            [(1, AttemptEnd::WrongRequest), (2, AttemptEnd::Aborted { delivered: 3 })]
         {
             let key = callers.keys[&(0, ticket)];
             fleet.feed(0, BoxEvent::AttemptEnded(key, end));
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -132,8 +132,10 @@
 ) -> Vec<u8> {
     let page = pages.get_or_pack(message);
     let without_records = encode_gossip(message, None, page);
-    let Some(request) =
-        message.in_reply_to.as_ref().filter(|request| request.plan_position < message.plan_position)
+    let Some(request) = message
+        .in_reply_to
+        .as_ref()
+        .filter(|request| request.plan_position < message.plan_position)
     else {
         return without_records;
     };
--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -86,7 +86,7 @@
     #[prost(message, optional, tag = "20")]
     evacuation: Option<WireEvacuation>,
     #[prost(message, repeated, tag = "21")]
-    down: Vec<WireUnreachable>,
+    unreachable: Vec<WireUnreachable>,
     #[prost(message, repeated, tag = "22")]
     limits: Vec<WireLimit>,
     #[prost(message, repeated, tag = "23")]
@@ -231,7 +231,7 @@
         loads: gossip.loads.iter().map(write_load).collect(),
         duty_holders: gossip.duty_holders.iter().map(write_summary).collect(),
         entries: gossip.in_reply_to.as_ref().map(|_| write_coverage(gossip.entries)),
-        down: gossip.down.iter().map(write_unreachable).collect(),
+        unreachable: gossip.unreachable.iter().map(write_unreachable).collect(),
         limits: gossip.limits.iter().map(write_limit).collect(),
         crashes: gossip.crashes.iter().map(write_crash).collect(),
         contents: gossip.contents.iter().map(write_poison).collect(),
@@ -257,7 +257,7 @@
         loads: wire.loads.into_iter().map(read_load).collect(),
         duty_holders: wire.duty_holders.into_iter().map(read_summary).collect(),
         entries: wire.entries.map(read_coverage).unwrap_or_default(),
-        down: wire.down.into_iter().map(read_unreachable).collect(),
+        unreachable: wire.unreachable.into_iter().map(read_unreachable).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
         crashes: wire.crashes.into_iter().map(read_crash).collect(),
         contents: wire.contents.into_iter().map(read_poison).collect(),
--- a/crates/box/src/gateway/operator_records.rs
+++ b/crates/box/src/gateway/operator_records.rs
@@ -152,7 +152,8 @@
     };
     let Some(as_of) = as_of else { return };
     // The records begin at the position that this box sent in its request, so none is missing.
-    let follows = message.in_reply_to.as_ref().is_some_and(|request| request.plan_position <= known);
+    let follows =
+        message.in_reply_to.as_ref().is_some_and(|request| request.plan_position <= known);
     if follows && message.plan_position > known {
         // The records may lack the end of an order that the sender never had; its digest of
         // evacuated zones is complete.
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -93,18 +93,18 @@
         let budgets = self.budget_updates(stamp.now);
         // Each of these scans all replicas, and rounds of gossip carry them to all boxes anyway:
         // responses are too frequent for such scans.
-        let (loads, down, limits) = if kind == MessageKind::Round || self.peers.gossip_reaches_all()
-        {
-            let backends = &self.backends;
-            let now = stamp.now;
-            (
-                backends.load_updates(now),
-                backends.unreachable_updates(now),
-                backends.limit_updates(now),
-            )
-        } else {
-            Default::default()
-        };
+        let (loads, unreachable, limits) =
+            if kind == MessageKind::Round || self.peers.gossip_reaches_all() {
+                let backends = &self.backends;
+                let now = stamp.now;
+                (
+                    backends.load_updates(now),
+                    backends.unreachable_updates(now),
+                    backends.limit_updates(now),
+                )
+            } else {
+                Default::default()
+            };
         let trials = self.trials.values().map(|trial| TrialUpdate {
             service: trial.order.service.clone(),
             version: trial.order.version.clone(),
@@ -131,7 +131,7 @@
                 .map(|row| row.1.clone())
                 .collect(),
             loads,
-            down,
+            unreachable,
             limits,
             crashes: self.crash_updates(stamp.now),
             contents: self.poison_updates(number, stamp.now),
@@ -276,7 +276,7 @@
         for update in &message.loads {
             self.backends.apply_load(update, &mean_ms, stamp.now);
         }
-        for update in &message.down {
+        for update in &message.unreachable {
             if let Some(key) = self.backends.apply_unreachable(update, stamp.now) {
                 self.mark_unreachable_cold(key);
             }
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -227,7 +227,7 @@
     /// Loads of busy replicas.
     pub loads: Vec<LoadUpdate>,
     /// Replicas that are unreachable.
-    pub down: Vec<UnreachableUpdate>,
+    pub unreachable: Vec<UnreachableUpdate>,
     /// Rate limits that replicas state or have withdrawn.
     pub limits: Vec<LimitUpdate>,
     /// Crashes of replicas while they processed requests.
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -513,8 +513,8 @@
         let known = state.plan_position();
         let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.plan_position <= known);
         if let Some(as_of) = as_of.filter(|_| follows && message.plan_position > known) {
-            let plan =
-                Some(plan(message.plan_position.version)).filter(|plan| plan.version > known.version);
+            let plan = Some(plan(message.plan_position.version))
+                .filter(|plan| plan.version > known.version);
             self.feed(to, RouteEvent::PlanReceived { as_of, known: message.plan_position, plan });
         }
     }
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -220,20 +220,25 @@
         let mut updates = Vec::new();
         for number in 0..self.boxes.len() {
             let message = gossip_in(&self.feed(number, RouteEvent::Tick));
-            updates.push(message.map(|message| message.down).unwrap_or_default());
+            updates.push(message.map(|message| message.unreachable).unwrap_or_default());
         }
         updates
     }
 
     /// Delivers messages of all other boxes to a box.
-    pub fn meet(&mut self, number: usize, down: &[Vec<UnreachableUpdate>]) {
+    pub fn meet(&mut self, number: usize, unreachable: &[Vec<UnreachableUpdate>]) {
         for other in (0..self.boxes.len()).filter(|other| *other != number) {
             let name = format!("box-{other}");
             let gossip_address = format!("{name}:90");
             let info = PeerInfo { incarnation: 1, gossip_address, ..PeerInfo::default() };
-            let down = down[other].clone();
-            let message =
-                GossipMessage { name, number: self.now, info, down, ..GossipMessage::default() };
+            let unreachable = unreachable[other].clone();
+            let message = GossipMessage {
+                name,
+                number: self.now,
+                info,
+                unreachable,
+                ..GossipMessage::default()
+            };
             self.feed(number, RouteEvent::GossipReceived(Box::new(message)));
         }
     }
@@ -292,7 +297,7 @@
         if self.full_gossip {
             self.exchange_gossip();
         }
-        let down = if self.full_gossip { Vec::new() } else { self.unreachable_updates() };
+        let unreachable = if self.full_gossip { Vec::new() } else { self.unreachable_updates() };
         for number in
             (0..self.boxes.len()).filter(|number| !self.frozen.contains(number)).collect::<Vec<_>>()
         {
@@ -300,7 +305,7 @@
             let same = RouteEvent::PlanRead { asked_at, read_to: at(1), plan: None };
             self.feed(number, same);
             if !self.full_gossip {
-                self.meet(number, &down);
+                self.meet(number, &unreachable);
             }
         }
     }
