--- a/crates/box/src/gateway/gossip_wire/mod.rs
+++ b/crates/box/src/gateway/gossip_wire/mod.rs
@@ -92,7 +92,7 @@
     #[prost(message, repeated, tag = "23")]
     crashes: Vec<WireCrash>,
     #[prost(message, repeated, tag = "24")]
-    contents: Vec<WirePoison>,
+    poison: Vec<WirePoison>,
 }
 
 /// A datagram; one of its messages is set.
@@ -234,7 +234,7 @@
         unreachable: gossip.unreachable.iter().map(write_unreachable).collect(),
         limits: gossip.limits.iter().map(write_limit).collect(),
         crashes: gossip.crashes.iter().map(write_crash).collect(),
-        contents: gossip.contents.iter().map(write_poison).collect(),
+        poison: gossip.poison.iter().map(write_poison).collect(),
         budgets: gossip.budgets.iter().map(write_budget).collect(),
         latencies: gossip.latencies.iter().map(write_latency).collect(),
     }
@@ -260,7 +260,7 @@
         unreachable: wire.unreachable.into_iter().map(read_unreachable).collect(),
         limits: wire.limits.into_iter().map(read_limit).collect(),
         crashes: wire.crashes.into_iter().map(read_crash).collect(),
-        contents: wire.contents.into_iter().map(read_poison).collect(),
+        poison: wire.poison.into_iter().map(read_poison).collect(),
         budgets: wire.budgets.into_iter().map(read_budget).collect(),
         latencies: wire.latencies.into_iter().map(read_latency).collect(),
     }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -134,7 +134,7 @@
             unreachable,
             limits,
             crashes: self.crash_updates(stamp.now),
-            contents: self.poison_updates(number, stamp.now),
+            poison: self.poison_updates(number, stamp.now),
             budgets,
             latencies,
             trials: trials.collect(),
@@ -245,7 +245,7 @@
         let EntryAnswer { changes, known_to, age_ms, page } =
             self.entries.answer(request.entries, &self.backends, stamp.now);
         message.changes = changes;
-        message.contents = self.poison_response(message.number, stamp.now);
+        message.poison = self.poison_response(message.number, stamp.now);
         message.entries = EntryCoverage { known_to, age_ms, page };
         message.in_reply_to = Some(request);
         out.push(RouteEffect::SendGossip(to, Box::new(message)));
@@ -282,7 +282,7 @@
             }
         }
         self.apply_limits(stamp, &message.limits, out);
-        self.apply_crashes(stamp, &message.crashes, &message.contents);
+        self.apply_crashes(stamp, &message.crashes, &message.poison);
         for update in &message.latencies {
             if self.backends.serves(&update.service) {
                 self.latencies.entry(update.service.clone()).or_default().merge(&update.models);
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -233,7 +233,7 @@
     /// Crashes of replicas while they processed requests.
     pub crashes: Vec<CrashUpdate>,
     /// Content that crashes replicas, or turned out not to.
-    pub contents: Vec<PoisonUpdate>,
+    pub poison: Vec<PoisonUpdate>,
     /// Extra attempts.
     pub budgets: Vec<BudgetUpdate>,
     /// Latency estimates of models.
--- a/crates/core/tests/route/poison.rs
+++ b/crates/core/tests/route/poison.rs
@@ -231,12 +231,12 @@
 /// A gossip message of another box about [`CONTENT`].
 fn poison_gossip(number: u64, update: PoisonUpdate) -> RouteEvent {
     let info = PeerInfo { gossip_address: "box-2:90".to_owned(), ..PeerInfo::default() };
-    let contents = vec![PoisonUpdate { content: CONTENT, ..update }];
+    let poison = vec![PoisonUpdate { content: CONTENT, ..update }];
     let message = GossipMessage {
         name: "box-2".to_owned(),
         number,
         info,
-        contents,
+        poison,
         ..GossipMessage::default()
     };
     RouteEvent::GossipReceived(Box::new(message))
@@ -269,7 +269,7 @@
     subject.feed(RouteEvent::ResponseFinished(ticket));
     let message = gossip_in(&subject.feed(RouteEvent::Tick)).expect("a gossip message at once");
     let update = PoisonUpdate { content: CONTENT, age_ms: 0, answered: true };
-    assert_eq!(message.contents, vec![update]);
+    assert_eq!(message.poison, vec![update]);
 }
 
 #[test]
