--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -155,10 +155,10 @@
                 .set(f64::from(u8::from(evacuated)));
             info!(event = 739, name = "evacuation_moved", zone, evacuated, %known_to, in_hand = in_flight);
         }
-        RouteEffect::PoisonRefused { content, account, ends, age_ms } => {
+        RouteEffect::PoisonRefused { content, account, crashes, age_ms } => {
             counter!("ravenspoke_fatal_contents_total").increment(1);
             let content = format!("{content:016x}");
-            warn!(event = 742, name = "request_fatal", content, account, ends, age_ms);
+            warn!(event = 742, name = "request_fatal", content, account, ends = crashes, age_ms);
         }
         RouteEffect::LeavingReported(replica) => {
             counter!("ravenspoke_leaving_said_total").increment(1);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -442,7 +442,7 @@
         /// Client account of the request.
         account: Option<String>,
         /// Number of replicas that it crashed, as far as this box knows.
-        ends: usize,
+        crashes: usize,
         /// Time since the last crash, in milliseconds.
         age_ms: Option<u64>,
     },
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -343,6 +343,6 @@
         let account = request.account.clone();
         let Some(row) = self.poison.first_refusal(content) else { return };
         let (crashes, age_ms) = (row.count(stamp.now), row.poison_age_ms(stamp.now));
-        out.push(RouteEffect::PoisonRefused { content, account, ends: crashes, age_ms });
+        out.push(RouteEffect::PoisonRefused { content, account, crashes, age_ms });
     }
 }
