--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -189,7 +189,7 @@
             info!(event = 714, name = "verdict_due", service, version, ?state);
         }
         RouteEffect::VersionRejected { service, version, finding } => {
-            let (route, stats) = (finding.route.as_deref().unwrap_or("all"), &finding.tally);
+            let (route, stats) = (finding.route.as_deref().unwrap_or("all"), &finding.stats);
             warn!(
                 event = 718,
                 name = "version_condemned",
--- a/crates/core/src/route/trial_stats.rs
+++ b/crates/core/src/route/trial_stats.rs
@@ -104,7 +104,8 @@
     /// How the version is worse.
     pub fault: TrialFault,
     /// The statistics that show it.
-    pub tally: TrialStats,
+    #[serde(rename = "tally")]
+    pub stats: TrialStats,
 }
 
 impl TrialStats {
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -316,11 +316,11 @@
 /// Gossip with statistics of responses, none of which failed.
 fn gossip_with_stats(name: &str, incarnation: u64, runs: f64) -> GossipMessage {
     let canary = VersionStats { runs, ..VersionStats::default() };
-    let tally = TrialStats { canary, ..TrialStats::default() };
+    let stats = TrialStats { canary, ..TrialStats::default() };
     let trial = TrialUpdate {
         service: "pool".to_owned(),
         version: "v2".to_owned(),
-        stats: [("file".to_owned(), tally)].into(),
+        stats: [("file".to_owned(), stats)].into(),
         ..TrialUpdate::default()
     };
     GossipMessage {
