--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -134,9 +134,15 @@
             gauge!("ravenspoke_plan_version").set(*version as f64);
             info!(event = 710, name = "plan_in_force", version, routes, age_ms);
         }
-        RouteEffect::ReaderChanged { reads, cut, plan_age_ms } => {
-            gauge!("ravenspoke_reader").set(f64::from(u8::from(*reads)));
-            info!(event = 738, name = "reader_moved", reads, cut, plan_age_ms);
+        RouteEffect::ReaderChanged { is_reader, store_unreachable, plan_age_ms } => {
+            gauge!("ravenspoke_reader").set(f64::from(u8::from(*is_reader)));
+            info!(
+                event = 738,
+                name = "reader_moved",
+                reads = is_reader,
+                cut = store_unreachable,
+                plan_age_ms
+            );
         }
         RouteEffect::PlanTooOld { version } => {
             warn!(event = 711, name = "plan_too_old", version);
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -406,9 +406,9 @@
     /// This box became a store reader, or ceased to be one.
     ReaderChanged {
         /// Whether it reads the store for the other boxes.
-        reads: bool,
+        is_reader: bool,
         /// Whether it cannot reach the store.
-        cut: bool,
+        store_unreachable: bool,
         /// Age of its plan, in milliseconds, if it has one.
         plan_age_ms: Option<u64>,
     },
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -189,12 +189,13 @@
 
     /// Reports when this box becomes a store reader or ceases to be one.
     pub(super) fn report_reader_change(&mut self, now: BoxTime, out: &mut Vec<RouteEffect>) {
-        let reads = self.is_reader(now);
-        if reads == self.reader.reported_reader {
+        let is_reader = self.is_reader(now);
+        if is_reader == self.reader.reported_reader {
             return;
         }
-        self.reader.reported_reader = reads;
-        let (cut, plan_age_ms) = (self.store_unreachable(now), self.fresh.age_ms(now));
-        out.push(RouteEffect::ReaderChanged { reads, cut, plan_age_ms });
+        self.reader.reported_reader = is_reader;
+        let (store_unreachable, plan_age_ms) =
+            (self.store_unreachable(now), self.fresh.age_ms(now));
+        out.push(RouteEffect::ReaderChanged { is_reader, store_unreachable, plan_age_ms });
     }
 }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -215,9 +215,7 @@
         }
         let rows = evidence.into_iter().map(|(route, stats)| (Some(route), stats));
         let mut rows = [(None, all)].into_iter().chain(rows);
-        rows.find_map(|(route, stats)| {
-            Some(TrialFinding { route, fault: stats.fault()?, stats })
-        })
+        rows.find_map(|(route, stats)| Some(TrialFinding { route, fault: stats.fault()?, stats }))
     }
 
     /// Whether there is a finding against the version.
