--- a/crates/box/src/gateway/gossip_wire/peer.rs
+++ b/crates/box/src/gateway/gossip_wire/peer.rs
@@ -33,7 +33,7 @@
     #[prost(bool, tag = "6")]
     store_unreachable: bool,
     #[prost(bool, tag = "7")]
-    reads: bool,
+    reads_store: bool,
     #[prost(bool, tag = "8")]
     strong: bool,
 }
@@ -100,7 +100,7 @@
         zone: info.zone.clone(),
         open: info.open,
         store_unreachable: info.store_unreachable,
-        reads: info.reads,
+        reads_store: info.reads_store,
         strong: info.strong,
     }
 }
@@ -113,7 +113,7 @@
         zone: info.zone,
         open: info.open,
         store_unreachable: info.store_unreachable,
-        reads: info.reads,
+        reads_store: info.reads_store,
         strong: info.strong,
     }
 }
--- a/crates/box/tests/gossip_wire.rs
+++ b/crates/box/tests/gossip_wire.rs
@@ -36,7 +36,7 @@
         open: true,
         store_unreachable: true,
         strong: true,
-        reads: true,
+        reads_store: true,
     }
 }
 
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -178,7 +178,7 @@
             zone: self.settings.zone.clone(),
             open: self.open(now),
             store_unreachable: self.store_unreachable(now),
-            reads: self.reads_for_others(now) || self.reads_at_start(),
+            reads_store: self.reads_for_others(now) || self.reads_at_start(),
             strong: self.settings.capacity.is_strong(),
         }
     }
@@ -313,7 +313,7 @@
         };
         self.sync.unanswered_at = None;
         self.sync.answered_at = Some(stamp.now);
-        if message.info.reads {
+        if message.info.reads_store {
             self.sync.reader_answered_at = Some(stamp.now);
         }
         let EntryCoverage { known_to, age_ms, page } = message.entries;
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -188,16 +188,17 @@
     /// Whether it cannot reach the store.
     #[serde(rename = "cut")]
     pub store_unreachable: bool,
-    /// Whether it is a store reader.
-    pub reads: bool,
+    /// Whether it reads the store, as a store reader or during its start.
+    #[serde(rename = "reads")]
+    pub reads_store: bool,
     /// Whether it has the capacity to respond to many others; see [`BoxCapacity::is_strong`].
     pub strong: bool,
 }
 
 impl PeerInfo {
-    /// Whether callers may be directed to it, or it is a store reader.
+    /// Whether callers may be directed to it, or it reads the store.
     pub fn serves(&self) -> bool {
-        self.open || self.reads
+        self.open || self.reads_store
     }
 }
 
