--- a/crates/box/src/gateway/leader.rs
+++ b/crates/box/src/gateway/leader.rs
@@ -144,8 +144,8 @@
         let next = self.store.begin_epoch(LEADER_TOPIC, epoch).await?;
         self.driver.stats.count_call(LEADER_TOPIC, StoreCall::List);
         let listing = self.store.newest(LEADER_TOPIC).await?;
-        let left = listing.records.iter().filter_map(decode_record).collect();
-        self.driver.feed(RouteEvent::LeaderRecordsRead { token, next, left });
+        let records = listing.records.iter().filter_map(decode_record).collect();
+        self.driver.feed(RouteEvent::LeaderRecordsRead { token, next, records });
         Ok(())
     }
 
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -192,7 +192,7 @@
         /// Number of the next record under this token.
         next: u64,
         /// Records of the former leaders.
-        left: Vec<LeaderRecord>,
+        records: Vec<LeaderRecord>,
     },
     /// The store accepted a leader record of this box.
     RecordStored {
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -311,8 +311,8 @@
             RouteEvent::LeaseAnswered { asked_at, answer } => {
                 self.on_lease(stamp, asked_at, answer, out);
             }
-            RouteEvent::LeaderRecordsRead { token, next, left } => {
-                self.on_leader_records(token, next, left)
+            RouteEvent::LeaderRecordsRead { token, next, records } => {
+                self.on_leader_records(token, next, records)
             }
             RouteEvent::RecordStored { token, number } => self.on_record_stored(token, number),
             RouteEvent::RecordConflict { token } => self.on_record_conflict(token),
--- a/crates/core/tests/route/leader.rs
+++ b/crates/core/tests/route/leader.rs
@@ -222,7 +222,7 @@
 fn a_late_takeover_answer_does_not_reset_the_reports() {
     let left = UsageReport { window: 0, counts: [("alpha".to_owned(), 3)].into() };
     let records_read =
-        |left: Vec<LeaderRecord>| RouteEvent::LeaderRecordsRead { token: 5, next: 0, left };
+        |records: Vec<LeaderRecord>| RouteEvent::LeaderRecordsRead { token: 5, next: 0, records };
     let mut subject = acting_box();
     subject.feed(records_read(vec![LeaderRecord::Usage(left.clone())]));
     let again = sent_reports(&subject.feed(RouteEvent::Tick));
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -482,9 +482,9 @@
                     self.store.epoch = order.token;
                     self.store.next = 0;
                 }
-                let left = self.store.records.values().cloned().collect();
+                let records = self.store.records.values().cloned().collect();
                 let next = self.store.next;
-                let event = RouteEvent::LeaderRecordsRead { token: order.token, next, left };
+                let event = RouteEvent::LeaderRecordsRead { token: order.token, next, records };
                 self.schedule(self.now + 3, Delivery::Event(number, restarts, event));
             }
             LeaderStep::WriteRecord(NumberedRecord { number: count, record }) => {
