--- a/crates/core/tests/route/membership.rs
+++ b/crates/core/tests/route/membership.rs
@@ -133,7 +133,7 @@
 
 /// Sends a sync request to `reader` now and returns the response.
 pub fn answer(reader: &mut TestBox, requester: &TestBox) -> GossipMessage {
-    let ask = SyncRequest {
+    let sync_request = SyncRequest {
         gossip_address: "box-1:90".to_owned(),
         incarnation: 1,
         asked_at: BoxTime::from_millis(requester.now),
@@ -144,7 +144,7 @@
             has_backends: requester.state.backends().rows().next().is_some(),
         },
     };
-    gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response")
+    gossip_in(&reader.feed(RouteEvent::SyncRequested(sync_request))).expect("a response")
 }
 
 fn age(subject: &TestBox) -> Option<u64> {
@@ -342,7 +342,7 @@
 
 pub fn sync_request_in(effects: &[RouteEffect]) -> Option<SyncRequest> {
     effects.iter().find_map(|effect| match effect {
-        RouteEffect::SendSyncRequest(_, ask) => Some(ask.clone()),
+        RouteEffect::SendSyncRequest(_, sync_request) => Some(sync_request.clone()),
         _ => None,
     })
 }
@@ -362,8 +362,10 @@
 #[test]
 fn starting_box_that_received_everything_does_not_call_the_store() {
     let (mut reader, (mut started, latest)) = (ready_box(), started_box());
-    let ask = sync_request_in(&started.feed(RouteEvent::Tick)).expect("it sends a request");
-    let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response");
+    let sync_request =
+        sync_request_in(&started.feed(RouteEvent::Tick)).expect("it sends a request");
+    let message =
+        gossip_in(&reader.feed(RouteEvent::SyncRequested(sync_request))).expect("a response");
     let as_of = started.state.message_as_of(&message, clock(&started)).expect("a time");
     started.feed(RouteEvent::PlanRead {
         asked_at: as_of,
@@ -426,9 +428,10 @@
     let mut effects =
         requester.feed(RouteEvent::GossipReceived(Box::new(answer(&mut reader, &requester))));
     let mut pages = 1;
-    while let Some(ask) = sync_request_in(&effects) {
+    while let Some(sync_request) = sync_request_in(&effects) {
         assert_eq!(requester.state.entries_to(), None, "an incomplete listing is not relied on");
-        let message = gossip_in(&reader.feed(RouteEvent::SyncRequested(ask))).expect("a response");
+        let message =
+            gossip_in(&reader.feed(RouteEvent::SyncRequested(sync_request))).expect("a response");
         assert!(message.changes.len() <= CHANGES_PER_MESSAGE);
         effects = requester.feed(RouteEvent::GossipReceived(Box::new(message)));
         pages += 1;
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -288,8 +288,8 @@
                         self.send(&target, delay, RouteEvent::GossipReceived(message.clone()));
                     }
                 }
-                RouteEffect::SendSyncRequest(target, ask) => {
-                    self.send(&target, 0, RouteEvent::SyncRequested(ask));
+                RouteEffect::SendSyncRequest(target, sync_request) => {
+                    self.send(&target, 0, RouteEvent::SyncRequested(sync_request));
                 }
                 _ => {}
             }
@@ -511,7 +511,8 @@
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
         let known = state.plan_position();
-        let follows = message.in_reply_to.as_ref().is_some_and(|ask| ask.plan_position <= known);
+        let follows =
+            message.in_reply_to.as_ref().is_some_and(|request| request.plan_position <= known);
         if let Some(as_of) = as_of.filter(|_| follows && message.plan_position > known) {
             let plan = Some(plan(message.plan_position.version))
                 .filter(|plan| plan.version > known.version);
--- a/crates/core/tests/route/replica_fleet.rs
+++ b/crates/core/tests/route/replica_fleet.rs
@@ -193,12 +193,13 @@
     /// Sends the gossip and the sync requests of a box, and delivers the responses.
     fn send_gossip(&mut self, number: usize) {
         for effect in self.feed(number, RouteEvent::Tick) {
-            let RouteEffect::SendSyncRequest(target, ask) = effect else {
+            let RouteEffect::SendSyncRequest(target, sync_request) = effect else {
                 self.deliver(effect);
                 continue;
             };
             let target = number_of(&target).filter(|target| !self.frozen.contains(target));
-            let answers = target.map(|target| self.feed(target, RouteEvent::SyncRequested(ask)));
+            let answers =
+                target.map(|target| self.feed(target, RouteEvent::SyncRequested(sync_request)));
             for answer in answers.unwrap_or_default() {
                 self.deliver(answer);
             }
