--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -34,7 +34,7 @@
     /// Most requests in flight at once.
     pub requests: usize,
     /// How long callers may cache the address response, in milliseconds.
-    pub keep_ms: u64,
+    pub address_ttl_ms: u64,
 }
 
 /// The headers of a caller's request that the box uses.
@@ -237,7 +237,7 @@
     let rows = state.members().entries(headers.zone.as_deref(), rand::random(), now);
     let addresses: Vec<Value> =
         rows.iter().map(|row| json!({ "address": row.entry, "zone": row.zone })).collect();
-    Json(json!({ "addresses": addresses, "keep_ms": limits.keep_ms }))
+    Json(json!({ "addresses": addresses, "keep_ms": limits.address_ttl_ms }))
 }
 
 /// Handles all methods of `/services/<name>/<path..>`.
--- a/crates/box/src/gateway/directory.rs
+++ b/crates/box/src/gateway/directory.rs
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 struct ResolveHandler {
     driver: Arc<GatewayDriver>,
-    keep_ms: u64,
+    address_ttl_ms: u64,
 }
 
 #[rocket::async_trait]
@@ -37,7 +37,10 @@
         if addresses.is_empty() {
             return Outcome::from(request, Status::ServiceUnavailable);
         }
-        Outcome::from(request, (ContentType::JSON, addresses_answer(addresses, self.keep_ms)))
+        Outcome::from(
+            request,
+            (ContentType::JSON, addresses_answer(addresses, self.address_ttl_ms)),
+        )
     }
 }
 
@@ -71,8 +74,8 @@
 }
 
 /// Routes by which callers resolve the service to box addresses.
-pub fn resolve_routes(driver: &Arc<GatewayDriver>, keep_ms: u64) -> Vec<Route> {
-    let handler = ResolveHandler { driver: driver.clone(), keep_ms };
+pub fn resolve_routes(driver: &Arc<GatewayDriver>, address_ttl_ms: u64) -> Vec<Route> {
+    let handler = ResolveHandler { driver: driver.clone(), address_ttl_ms };
     vec![Route::new(Method::Get, RESOLVE_PATH, handler)]
 }
 
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -271,7 +271,8 @@
     metrics_port: Option<u16>,
 ) -> Result<(), ProcessError> {
     launch(settings.ready, "ready", ready_routes(driver)).await?;
-    launch(settings.directory, "directory", resolve_routes(driver, settings.keep_ms)).await?;
+    launch(settings.directory, "directory", resolve_routes(driver, settings.address_ttl_ms))
+        .await?;
     if let Some(port) = metrics_port {
         let address = SocketAddr::new(settings.entry.ip(), port);
         launch(address, "metrics", metrics_routes(driver, metrics)).await?;
@@ -305,7 +306,7 @@
     let stop = StopWait { driver, callers: entry.callers.clone(), began: driver.now() };
     let limit_ms = settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
     // Callers cache addresses for the TTL, some of them longer, and then look for another box.
-    let advertised_ms = (settings.keep_ms + ADDRESS_MARGIN_MS).min(limit_ms);
+    let advertised_ms = (settings.address_ttl_ms + ADDRESS_MARGIN_MS).min(limit_ms);
     stop.wait_until(advertised_ms).await;
     entry.close_idle();
     stop.wait_until_empty(STOP_ACCEPT_MS.max(advertised_ms).min(limit_ms)).await;
--- a/crates/box/src/process.rs
+++ b/crates/box/src/process.rs
@@ -99,7 +99,7 @@
     let limits = EntryLimits {
         body_bytes: settings.limits.body_bytes,
         requests: settings.limits.connections,
-        keep_ms: settings.limits.entry_keep_ms,
+        address_ttl_ms: settings.limits.entry_keep_ms,
     };
     let entry =
         server(settings.listen.entry).manage(tools).manage(limits).mount("/", entry_routes());
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -36,7 +36,7 @@
     /// Time between the stop signal and the kill, in milliseconds.
     pub grace_ms: u64,
     /// How long callers may cache an address response, in milliseconds.
-    pub keep_ms: u64,
+    pub address_ttl_ms: u64,
     /// Limit on open file descriptors of the process.
     pub descriptors: usize,
     /// CPU and network capacity of the box.
