--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -95,8 +95,8 @@
     let driver = Arc::new(GatewayDriver::new(state, sinks, clock, sync_pacer));
     let store = StoreClient::new(&settings.store, settings.entry.ip())?;
 
-    let socket = UdpSocket::bind(settings.notes).await;
-    let socket = socket.map_err(|error| listen_error(settings.notes, "notes", &error))?;
+    let socket = UdpSocket::bind(settings.gossip).await;
+    let socket = socket.map_err(|error| listen_error(settings.gossip, "notes", &error))?;
     let listener = ListeningEntry::bind(settings.entry).await;
     let listener = listener.map_err(|error| listen_error(settings.entry, "entry", &error))?;
 
@@ -193,7 +193,7 @@
         driver.clone(),
         store.clone(),
         settings.name.clone(),
-        settings.notes.to_string(),
+        settings.gossip.to_string(),
     ));
     let seeds = settings.seeds.iter().map(SocketAddr::to_string).collect();
     driver.feed(RouteEvent::PeersDiscovered(seeds));
@@ -344,8 +344,8 @@
         zone: settings.zone.clone(),
         incarnation: rand::random(),
         entry_address: settings.entry.to_string(),
-        gossip_address: settings.notes.to_string(),
-        is_seed: settings.seeds.contains(&settings.notes),
+        gossip_address: settings.gossip.to_string(),
+        is_seed: settings.seeds.contains(&settings.gossip),
         capacity: settings.capacity,
         fresh: settings.fresh,
         budget: settings.budget,
--- a/crates/config/src/gateway.rs
+++ b/crates/config/src/gateway.rs
@@ -22,7 +22,7 @@
     /// Address of the listener that tells callers which box addresses to use.
     pub directory: SocketAddr,
     /// UDP address on which the box receives gossip.
-    pub notes: SocketAddr,
+    pub gossip: SocketAddr,
     /// Gossip addresses of other boxes; some may no longer exist.
     pub seeds: Vec<SocketAddr>,
     /// Seeds that are not addresses, as written in the file.
