--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -33,7 +33,7 @@
     asked_at: BoxTime,
     wait_ms: u64,
     began: Instant,
-    pulse: CallActivity,
+    activity: CallActivity,
     answer: BoxFuture<'static, Result<T, StoreError>>,
 }
 
@@ -62,16 +62,16 @@
 }
 
 impl<T: Send + 'static> OpenCalls<T> {
-    /// Adds a call that begins now; `pulse` shows its progress.
+    /// Adds a call that begins now; `activity` shows its progress.
     pub(super) fn begin(
         &mut self,
         asked_at: BoxTime,
         wait_ms: u64,
-        pulse: CallActivity,
+        activity: CallActivity,
         answer: impl Future<Output = Result<T, StoreError>> + Send + 'static,
     ) {
         let (began, answer) = (Instant::now(), answer.boxed());
-        self.open.push(OpenCall { asked_at, wait_ms, began, pulse, answer });
+        self.open.push(OpenCall { asked_at, wait_ms, began, activity, answer });
         self.late_reported = false;
     }
 
@@ -123,7 +123,7 @@
     /// Time until the call counts as late: its answer has brought no bytes for longer than the
     /// store usually takes.
     fn until_late(&self) -> Duration {
-        Duration::from_millis(self.wait_ms + CALL_MS).saturating_sub(self.pulse.quiet())
+        Duration::from_millis(self.wait_ms + CALL_MS).saturating_sub(self.activity.quiet())
     }
 
     fn is_late(&self) -> bool {
--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -213,8 +213,8 @@
                 // A call beside a late one does not wait for new records.
                 let wait_ms = if calls.is_empty() { wait_ms } else { 0 };
                 self.driver.stats.count_call(self.topic, kind);
-                let (store, pulse) = self.store.watched();
-                calls.begin(self.driver.now(), wait_ms, pulse, call(store, wait_ms));
+                let (store, activity) = self.store.watched();
+                calls.begin(self.driver.now(), wait_ms, activity, call(store, wait_ms));
             }
             let poll_limit = calls.until_late().max(Duration::from_millis(RETRY_POLL_MS));
             match calls.next(poll_limit).await {
