--- a/crates/box/src/clock.rs
+++ b/crates/box/src/clock.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns for how long the box was suspended since the last call, if it was.
-    pub fn look(&mut self, clock: &BoxClock) -> Option<Duration> {
+    pub fn check(&mut self, clock: &BoxClock) -> Option<Duration> {
         let next = Self::start(clock);
         let by_clock = Duration::from_micros(next.clock.micros_since(self.clock));
         let suspended = by_clock.saturating_sub(next.monotonic.duration_since(self.monotonic));
--- a/crates/box/src/gateway/process.rs
+++ b/crates/box/src/gateway/process.rs
@@ -359,7 +359,7 @@
     let mut logged = (Instant::now(), observe::LoggedCosts::default());
     let mut watch = SuspensionWatch::start(driver.clock());
     loop {
-        if let Some(length) = watch.look(driver.clock()) {
+        if let Some(length) = watch.check(driver.clock()) {
             observe::log_suspension(length);
         }
         driver.feed(RouteEvent::Tick);
--- a/crates/box/tests/clock.rs
+++ b/crates/box/tests/clock.rs
@@ -52,11 +52,11 @@
 fn suspension_is_reported_once_with_its_length() {
     let clock = clock();
     let mut watch = SuspensionWatch::start(&clock);
-    assert_eq!(watch.look(&clock), None);
+    assert_eq!(watch.check(&clock), None);
     clock.skip(Duration::from_secs(5));
-    let length = watch.look(&clock).expect("it was suspended");
+    let length = watch.check(&clock).expect("it was suspended");
     assert_eq!(length.as_secs_f64().round(), 5.0, "{length:?}");
-    assert_eq!(watch.look(&clock), None);
+    assert_eq!(watch.check(&clock), None);
 }
 
 /// A driver whose box has just read a plan, and may rely on it for [`TEST_LIMIT`] at most.
