--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -56,8 +56,8 @@
         model: usize,
         /// Urgency there.
         urgency: u8,
-        /// Ask again after this time without an answer, in microseconds.
-        patience_us: Option<u64>,
+        /// Send it again after this time without an answer, in microseconds.
+        retry_after_us: Option<u64>,
     },
     /// Passes the answer on.
     Relay,
@@ -235,7 +235,7 @@
                         engine: order.replica_id.parse().expect("replicas are named by row"),
                         model: model.unwrap_or(0),
                         urgency: order.urgency.unwrap_or(5),
-                        patience_us: Some(order.head_ms * 1_000),
+                        retry_after_us: Some(order.head_ms * 1_000),
                     };
                 }
                 RouteEffect::Relay(_) => step = RouterStep::Relay,
@@ -293,7 +293,7 @@
         let engine = rows.min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap_or(0);
         // What was sent since the last report counts as in the boxes' own estimate.
         self.reported[engine] += 1;
-        RouterStep::Send { engine, model, urgency: 5, patience_us: None }
+        RouterStep::Send { engine, model, urgency: 5, retry_after_us: None }
     }
 }
 
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -216,7 +216,7 @@
     /// Does what the router decided.
     fn follow(&mut self, row: usize, step: RouterStep) {
         match step {
-            RouterStep::Send { engine, model, urgency, patience_us } => {
+            RouterStep::Send { engine, model, urgency, retry_after_us } => {
                 let old = self.outcomes[row];
                 self.engines[old.engine].cancel(row);
                 let outcome = &mut self.outcomes[row];
@@ -228,8 +228,8 @@
                     self.site.engines[engine] != self.site.boxes[self.requests[row].asked_box];
                 outcome.crossed += u32::from(far);
                 let attempt = outcome.attempt;
-                if let Some(patience_us) = patience_us {
-                    self.at(self.now_us + patience_us, Due::Pause { request: row, attempt });
+                if let Some(retry_after_us) = retry_after_us {
+                    self.at(self.now_us + retry_after_us, Due::Pause { request: row, attempt });
                 }
                 self.submit(row, attempt, engine, model, urgency);
             }
