--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -104,7 +104,7 @@
     pub fn arrive(&mut self, row: usize, scene: &PromptScene) -> RouterStep {
         let request = &scene.requests[row];
         if self.policy == PromptPolicy::Ravenspoke {
-            let ask = CallerRequest {
+            let caller_request = CallerRequest {
                 id: row.to_string(),
                 host: HOST.to_owned(),
                 path: format!("/{}/x", request.class),
@@ -117,7 +117,7 @@
                 any_model: true,
                 ..CallerRequest::default()
             };
-            let event = RouteEvent::RequestArrived(RequestTicket(row as u64), ask);
+            let event = RouteEvent::RequestArrived(RequestTicket(row as u64), caller_request);
             return self.feed(request.asked_box, row, event, scene.now_us);
         }
         let site = scene.site;
@@ -242,15 +242,17 @@
                 RouteEffect::Refuse(..) | RouteEffect::AbortResponse(..) => {
                     step = RouterStep::Refuse
                 }
-                RouteEffect::SendGossip(to, note) => {
+                RouteEffect::SendGossip(to, message) => {
                     for target in self.heard_by(&to) {
-                        let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
+                        let event = RouteEvent::GossipReceived(Box::new((*message).clone()));
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
-                RouteEffect::SendPlacement(to, told) => {
+                RouteEffect::SendPlacement(to, update) => {
                     for target in self.heard_by(&to) {
-                        drop(self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(told)));
+                        drop(
+                            self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(update)),
+                        );
                     }
                 }
                 _ => {}
