--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -71,7 +71,7 @@
 async fn replica_gets_no_requests_during_its_requested_backoff() {
     let (site, subject, first, _second) = site_of_two().await;
     first.set_mode(ReplicaMode::Full);
-    first.set_rest(Some(BACKOFF.as_secs_f64()));
+    first.set_backoff(Some(BACKOFF.as_secs_f64()));
 
     let statuses = send_requests_for(&site, &subject, BACKOFF).await;
 
--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -59,8 +59,8 @@
     mode: ReplicaMode,
     /// Requests a second that it names as its limit.
     limit_per_s: Option<f64>,
-    /// Seconds of rest that it asks for as it turns requests away.
-    rest_s: Option<f64>,
+    /// Seconds of backoff that it requests as it refuses requests.
+    backoff_s: Option<f64>,
     /// Whether it says in its answers that it leaves.
     leaving: bool,
     /// When it turned requests away.
@@ -133,9 +133,9 @@
         self.lock().limit_per_s = limit_per_s;
     }
 
-    /// Sets the rest that it asks for as it turns requests away, in seconds.
-    pub fn set_rest(&self, rest_s: Option<f64>) {
-        self.lock().rest_s = rest_s;
+    /// Sets the backoff that it requests as it refuses requests, in seconds.
+    pub fn set_backoff(&self, backoff_s: Option<f64>) {
+        self.lock().backoff_s = backoff_s;
     }
 
     /// It says in its answers from now on that it leaves.
@@ -171,7 +171,7 @@
         let mut word = self.own_word();
         let mut record = self.lock();
         record.turned_away.push(Instant::now());
-        word.extend(record.rest_s.map(|rest| ("Retry-After", rest.to_string())));
+        word.extend(record.backoff_s.map(|backoff| ("Retry-After", backoff.to_string())));
         let mut headers = vec![("X-Ravenspoke-Request-Id", id), ("X-Ravenspoke-Not-Executed", "1")];
         headers.extend(word.iter().map(|(name, value)| (*name, value.as_str())));
         whole_answer(503, &headers, b"")
