--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 use super::sockets::kernel_sockets;
-use super::witness::{AskEnd, AskKind, AskRecord, SoakWitness};
+use super::witness::{AskEnd, AskKind, AskRecord, SoakRecorder};
 use crate::platform::site::SITE_KEY;
 use crate::platform::site_box::{directory_url, entry_address, named_in, SITE_HOST};
 
@@ -52,12 +52,12 @@
     boxes: Vec<IpAddr>,
     named: Vec<IpAddr>,
     asked_at: Option<Instant>,
-    witness: Arc<SoakWitness>,
+    witness: Arc<SoakRecorder>,
 }
 
 impl SoakCaller {
     /// A caller that knows the boxes it may ask for addresses.
-    pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, witness: Arc<SoakWitness>) -> Self {
+    pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, witness: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(GIVE_UP).no_proxy().build().expect("a client");
         Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, witness }
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -7,7 +7,7 @@
 use super::schedule::SoakFault;
 use super::sessions::{check_sessions, PlayedRollout};
 use super::site::COLD_PER_S;
-use super::witness::{AskEnd, AskKind, AskRecord, PlayedFault, SoakWitness};
+use super::witness::{AskEnd, AskKind, AskRecord, PlayedFault, SoakRecorder};
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
 /// A key that was taken away runs nothing this long after the store's word: the platform's bound.
@@ -59,7 +59,7 @@
 /// Everything that a run is judged by.
 pub struct SoakRecord<'a> {
     /// Callers' records and faults.
-    pub witness: &'a SoakWitness,
+    pub witness: &'a SoakRecorder,
     /// Replicas that stayed.
     pub replicas: &'a [ReplicaStandin],
     /// Replicas of the version that is brought in.
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -14,7 +14,7 @@
 use super::proxy::FaultProxy;
 use super::schedule::{BOXES, REPLICAS};
 use super::sessions::{order, PlayedRollout, NEW_REPLICAS, NEW_VERSION, OLD_VERSION};
-use super::witness::SoakWitness;
+use super::witness::SoakRecorder;
 use crate::fleet::wait_for;
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::{
@@ -87,7 +87,7 @@
     pub(super) store_faults: Mutex<StoreFaults>,
     plan_version: AtomicU64,
     /// Records of callers and faults.
-    pub(super) witness: Arc<SoakWitness>,
+    pub(super) witness: Arc<SoakRecorder>,
 }
 
 impl SoakSite {
--- a/crates/standins/src/soak/witness.rs
+++ b/crates/standins/src/soak/witness.rs
@@ -89,13 +89,13 @@
 
 /// All records of a run.
 #[derive(Default)]
-pub struct SoakWitness {
+pub struct SoakRecorder {
     asks: Mutex<Vec<AskRecord>>,
     faults: Mutex<Vec<PlayedFault>>,
     taken_at: Mutex<Option<Instant>>,
 }
 
-impl SoakWitness {
+impl SoakRecorder {
     /// Notes a request's end.
     pub fn note_ask(&self, ask: AskRecord) {
         self.asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
