--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -12,8 +12,8 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
+use super::recorder::{AskEnd, AskKind, AskRecord, SoakRecorder};
 use super::sockets::kernel_sockets;
-use super::witness::{AskEnd, AskKind, AskRecord, SoakRecorder};
 use crate::platform::site::SITE_KEY;
 use crate::platform::site_box::{directory_url, entry_address, named_in, SITE_HOST};
 
@@ -52,15 +52,15 @@
     boxes: Vec<IpAddr>,
     named: Vec<IpAddr>,
     asked_at: Option<Instant>,
-    witness: Arc<SoakRecorder>,
+    recorder: Arc<SoakRecorder>,
 }
 
 impl SoakCaller {
     /// A caller that knows the boxes it may ask for addresses.
-    pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, witness: Arc<SoakRecorder>) -> Self {
+    pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, recorder: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(GIVE_UP).no_proxy().build().expect("a client");
-        Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, witness }
+        Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, recorder }
     }
 
     /// Asks until told to stop.
@@ -107,7 +107,7 @@
             watched(send(&self.http, to, kind, &id, second_key, session), to).await;
         let failed = !matches!(end, AskEnd::Answered { .. });
         let ended_at = Instant::now();
-        self.witness.note_ask(AskRecord {
+        self.recorder.note_ask(AskRecord {
             id,
             kind,
             second_key,
--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -8,10 +8,10 @@
 
 use super::judge::{EmptiedSpan, LeftReplica};
 use super::proxy::{FaultProxy, ProxyFault};
+use super::recorder::PlayedFault;
 use super::schedule::{SoakFault, TimedFault};
 use super::sessions::OLD_VERSION;
 use super::site::{start_replica, ReplicaPlace, SoakSite, COLD_MS, FIRST_ZONE, OTHER_ZONE};
-use super::witness::PlayedFault;
 use crate::platform::replica::ReplicaMode;
 use crate::platform::site::{evacuation_key, OPERATOR_TOPIC, REPLICA_TOPIC, SITE_SERVICE};
 use crate::platform::store::{StoreFaults, StoreOutage};
@@ -48,7 +48,7 @@
         }
     };
     let from = began_at.unwrap_or(asked_at);
-    site.witness.note_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
+    site.recorder.note_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
 }
 
 /// Plays a fault that waits for nothing before it begins.
@@ -72,7 +72,7 @@
         SoakFault::ReplicaCold => site.let_replica_leave(row, COLD_MS).await,
         SoakFault::ZoneEmptied => site.empty_zone(row.length).await,
         SoakFault::KeyTaken => {
-            site.witness.note_key_taken();
+            site.recorder.note_key_taken();
             site.write_plan().await;
         }
         SoakFault::PlanChanged => site.write_plan().await,
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 use super::callers::DEADLINE_MS;
+use super::recorder::{AskEnd, AskKind, AskRecord, PlayedFault, SoakRecorder};
 use super::schedule::SoakFault;
 use super::sessions::{check_sessions, PlayedRollout};
 use super::site::COLD_PER_S;
-use super::witness::{AskEnd, AskKind, AskRecord, PlayedFault, SoakRecorder};
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
 /// A key that was taken away runs nothing this long after the store's word: the platform's bound.
@@ -59,7 +59,7 @@
 /// Everything that a run is judged by.
 pub struct SoakRecord<'a> {
     /// Callers' records and faults.
-    pub witness: &'a SoakRecorder,
+    pub recorder: &'a SoakRecorder,
     /// Replicas that stayed.
     pub replicas: &'a [ReplicaStandin],
     /// Replicas of the version that is brought in.
@@ -79,8 +79,8 @@
 
 /// Checks all promises.
 pub fn judge(record: &SoakRecord) -> Vec<BrokenPromise> {
-    let asks = record.witness.asks();
-    let faults = record.witness.faults();
+    let asks = record.recorder.asks();
+    let faults = record.recorder.faults();
     let runs = runs_by_id(record);
     let mut broken = Vec::new();
     for ask in &asks {
@@ -216,7 +216,7 @@
     asks: &[AskRecord],
     runs: &HashMap<String, Vec<ReplicaRun>>,
 ) -> Vec<BrokenPromise> {
-    let Some(taken_at) = record.witness.key_taken_at() else { return Vec::new() };
+    let Some(taken_at) = record.recorder.key_taken_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
         ask.second_key && ask.sent_at > taken_at + REVOKE && runs.contains_key(&ask.id)
     };
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -2,7 +2,7 @@
 //! the platform checked from what callers and replicas saw.
 //!
 //! [`schedule`] draws the faults, `site` is what they are played on, `inflict` plays them, and [`proxy`]
-//! brings about those of the network. [`callers`] ask and keep a record, [`witness`] holds the records,
+//! brings about those of the network. [`callers`] ask and keep a record, [`recorder`] holds the records,
 //! [`judge`] checks the promises, [`sessions`] those of the roll-out that runs through every seed, and
 //! [`play`] puts a run together. Boxes use the steady clock only and
 //! no disk, so no clock and no storage is misled.
@@ -12,8 +12,8 @@
 pub mod judge;
 pub mod play;
 pub mod proxy;
+pub mod recorder;
 pub mod schedule;
 pub mod sessions;
 mod site;
 mod sockets;
-pub mod witness;
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -11,9 +11,9 @@
 use super::callers::{resolve, send, SoakCaller, CALLERS};
 use super::inflict::play_fault;
 use super::judge::{judge, BrokenPromise, SoakRecord};
+use super::recorder::{AskEnd, AskKind};
 use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, CALM_FOR, FAULTS_FOR};
 use super::site::SoakSite;
-use super::witness::{AskEnd, AskKind};
 
 /// Requests that each box must serve when the faults are over.
 const LAST_ASKS: usize = 5;
@@ -61,7 +61,7 @@
 /// connection in the moment that this ends.
 fn start_callers(site: &SoakSite, seed: u64, stopped: &watch::Receiver<bool>) -> JoinHandle<()> {
     let start = |number| {
-        let caller = SoakCaller::new(seed, number, site.addresses.clone(), site.witness.clone());
+        let caller = SoakCaller::new(seed, number, site.addresses.clone(), site.recorder.clone());
         caller.run(stopped.clone())
     };
     let callers: Vec<_> = (0..CALLERS).map(start).collect();
@@ -76,7 +76,7 @@
     let left = site.left.lock().await;
     let emptied = site.emptied.lock().await;
     broken.extend(judge(&SoakRecord {
-        witness: &site.witness,
+        recorder: &site.recorder,
         replicas: &site.replicas,
         new_replicas: &site.new_replicas,
         left: &left,
@@ -87,7 +87,7 @@
     if !broken.is_empty() {
         broken.push(format!("logs: {}", site.site.lock().await.keep_folder().display()));
     }
-    let asks = site.witness.asks();
+    let asks = site.recorder.asks();
     let served = |end: &AskEnd| matches!(end, AskEnd::Answered { status: 200, .. });
     SoakReport {
         asks: asks.len(),
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -6,8 +6,8 @@
 use serde_json::{json, Value};
 
 use super::judge::{BrokenPromise, SoakRecord, CONTACT};
+use super::recorder::{AskEnd, AskRecord, PlayedFault};
 use super::schedule::SoakFault;
-use super::witness::{AskEnd, AskRecord, PlayedFault};
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::SITE_SERVICE;
 
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -12,9 +12,9 @@
 use super::callers::{resolve, SECOND_KEY};
 use super::judge::{EmptiedSpan, LeftReplica};
 use super::proxy::FaultProxy;
+use super::recorder::SoakRecorder;
 use super::schedule::{BOXES, REPLICAS};
 use super::sessions::{order, PlayedRollout, NEW_REPLICAS, NEW_VERSION, OLD_VERSION};
-use super::witness::SoakRecorder;
 use crate::fleet::wait_for;
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::{
@@ -87,7 +87,7 @@
     pub(super) store_faults: Mutex<StoreFaults>,
     plan_version: AtomicU64,
     /// Records of callers and faults.
-    pub(super) witness: Arc<SoakRecorder>,
+    pub(super) recorder: Arc<SoakRecorder>,
 }
 
 impl SoakSite {
@@ -123,7 +123,7 @@
             left_paths: Mutex::default(),
             store_faults: Mutex::default(),
             plan_version: AtomicU64::new(1),
-            witness: Arc::default(),
+            recorder: Arc::default(),
         }
     }
 
@@ -137,7 +137,7 @@
     /// Writes a newer plan, without the second key once that was taken away.
     pub(super) async fn write_plan(&self) {
         let last = self.plan_version.fetch_add(VERSION_STEP, Ordering::Relaxed);
-        let taken = self.witness.key_taken_at().is_some();
+        let taken = self.recorder.key_taken_at().is_some();
         let keys: &[&str] = if taken { &[SITE_KEY] } else { &[SITE_KEY, SECOND_KEY] };
         self.site.lock().await.write_plan(last + VERSION_STEP, keys);
     }
