--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -75,10 +75,10 @@
 }
 
 /// A promise that was broken, in words.
-pub type BrokenPromise = String;
+pub type BrokenGuarantee = String;
 
 /// Checks all promises.
-pub fn judge(record: &SoakRecord) -> Vec<BrokenPromise> {
+pub fn judge(record: &SoakRecord) -> Vec<BrokenGuarantee> {
     let asks = record.recorder.asks();
     let faults = record.recorder.faults();
     let runs = runs_by_id(record);
@@ -140,7 +140,7 @@
     faults: &[PlayedFault],
     ask: &AskRecord,
     ran: usize,
-) -> Option<BrokenPromise> {
+) -> Option<BrokenGuarantee> {
     let AskEnd::Broken(why) = &ask.end else { return None };
     let excused = faults.iter().any(|row| {
         let here = |number: usize| record.boxes[number] == ask.to;
@@ -162,7 +162,7 @@
     record: &SoakRecord,
     faults: &[PlayedFault],
     ask: &AskRecord,
-) -> Option<BrokenPromise> {
+) -> Option<BrokenGuarantee> {
     let took = ask.ended_at - ask.sent_at;
     let paused = faults.iter().any(|row| {
         matches!(row.fault, SoakFault::BoxPaused(number) if record.boxes[number] == ask.to)
@@ -178,7 +178,7 @@
     asks: &[AskRecord],
     faults: &[PlayedFault],
     runs: &HashMap<String, Vec<ReplicaRun>>,
-) -> Vec<BrokenPromise> {
+) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for stop in faults {
         let SoakFault::BoxStopped(number) = stop.fault else { continue };
@@ -215,7 +215,7 @@
     record: &SoakRecord,
     asks: &[AskRecord],
     runs: &HashMap<String, Vec<ReplicaRun>>,
-) -> Vec<BrokenPromise> {
+) -> Vec<BrokenGuarantee> {
     let Some(taken_at) = record.recorder.key_taken_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
         ask.second_key && ask.sent_at > taken_at + REVOKE && runs.contains_key(&ask.id)
@@ -225,7 +225,7 @@
 }
 
 /// A leaving replica gets nothing from boxes in touch after the bound.
-fn check_leaving(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenPromise> {
+fn check_leaving(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for left in record.left {
         for run in left.replica.runs() {
@@ -243,7 +243,7 @@
 }
 
 /// An emptied zone gets nothing from boxes in touch after the bound, until it is given back.
-fn check_emptied(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenPromise> {
+fn check_emptied(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for (span, run) in record.emptied.iter().flat_map(|span| {
         let runs = record.replicas[0].runs();
@@ -262,7 +262,7 @@
 }
 
 /// A cold replica gets from all boxes together no more than it bears.
-fn check_cold(record: &SoakRecord) -> Vec<BrokenPromise> {
+fn check_cold(record: &SoakRecord) -> Vec<BrokenGuarantee> {
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let mut broken = Vec::new();
     for left in record.left.iter().filter(|left| left.cold_ms > 0) {
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -10,7 +10,7 @@
 
 use super::callers::{resolve, send, SoakCaller, CALLERS};
 use super::inflict::play_fault;
-use super::judge::{judge, BrokenPromise, SoakRecord};
+use super::judge::{judge, BrokenGuarantee, SoakRecord};
 use super::recorder::{AskEnd, AskKind};
 use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, CALM_FOR, FAULTS_FOR};
 use super::site::SoakSite;
@@ -27,7 +27,7 @@
     /// Faults, in words.
     pub faults: Vec<String>,
     /// Promises that were broken.
-    pub broken: Vec<BrokenPromise>,
+    pub broken: Vec<BrokenGuarantee>,
 }
 
 /// Plays a seed with boxes that run `binary`. A run with a broken promise keeps its logs.
@@ -98,7 +98,7 @@
 }
 
 /// When the faults are over, each box is named by all and serves.
-async fn check_recovery(site: &SoakSite) -> Vec<BrokenPromise> {
+async fn check_recovery(site: &SoakSite) -> Vec<BrokenGuarantee> {
     let http = site.site.lock().await.http.clone();
     let mut broken = Vec::new();
     for to in &site.addresses {
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use super::judge::{BrokenPromise, SoakRecord, CONTACT};
+use super::judge::{BrokenGuarantee, SoakRecord, CONTACT};
 use super::recorder::{AskEnd, AskRecord, PlayedFault};
 use super::schedule::SoakFault;
 use crate::platform::replica::ReplicaStandin;
@@ -50,7 +50,7 @@
     record: &SoakRecord,
     asks: &[AskRecord],
     faults: &[PlayedFault],
-) -> Vec<BrokenPromise> {
+) -> Vec<BrokenGuarantee> {
     let versions = versions_by_id(record);
     let served = |ask: &&AskRecord| matches!(ask.end, AskEnd::Answered { status: 200, .. });
     let mut sessions: HashMap<u32, Vec<&AskRecord>> = HashMap::new();
