--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -12,7 +12,7 @@
 use super::inflict::play_fault;
 use super::judge::{judge, BrokenGuarantee, SoakRecord};
 use super::recorder::{AskEnd, AskKind};
-use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, CALM_FOR, FAULTS_FOR};
+use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULTS_FOR, RECOVERY_TIME};
 use super::site::SoakSite;
 
 /// Requests that each box must serve when the faults are over.
@@ -50,7 +50,7 @@
     for fault in played {
         fault.await.expect("the fault is played");
     }
-    tokio::time::sleep(CALM_FOR).await;
+    tokio::time::sleep(RECOVERY_TIME).await;
     stop.send_replace(true);
     let ended = tokio::task::spawn_blocking(move || callers.join()).await;
     ended.expect("the wait ends").expect("the callers end");
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -14,7 +14,7 @@
 
 /// After the faults the site is left alone for this long: what lapsed is back two seconds after the
 /// store, and a box that waits to try again does so within two.
-pub const CALM_FOR: Duration = Duration::from_millis(4_500);
+pub const RECOVERY_TIME: Duration = Duration::from_millis(4_500);
 
 /// Boxes of a site.
 pub const BOXES: usize = 3;
