--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -12,7 +12,7 @@
 use super::inflict::play_fault;
 use super::judge::{judge, BrokenGuarantee, SoakRecord};
 use super::recorder::{AskEnd, AskKind};
-use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULTS_FOR, RECOVERY_TIME};
+use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULT_WINDOW, RECOVERY_TIME};
 use super::site::SoakSite;
 
 /// Requests that each box must serve when the faults are over.
@@ -46,7 +46,7 @@
     let callers = start_callers(&site, seed, &stopped);
     let played: Vec<_> =
         faults.iter().map(|row| tokio::spawn(play_fault(site.clone(), *row))).collect();
-    tokio::time::sleep(FAULTS_FOR).await;
+    tokio::time::sleep(FAULT_WINDOW).await;
     for fault in played {
         fault.await.expect("the fault is played");
     }
--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -10,7 +10,7 @@
 use crate::platform::store::StoreOutage;
 
 /// Faults begin within this time.
-pub const FAULTS_FOR: Duration = Duration::from_millis(8_000);
+pub const FAULT_WINDOW: Duration = Duration::from_millis(8_000);
 
 /// After the faults the site is left alone for this long: what lapsed is back two seconds after the
 /// store, and a box that waits to try again does so within two.
@@ -185,7 +185,7 @@
 }
 
 fn draw(rng: &mut StdRng) -> TimedFault {
-    let at = Duration::from_millis(rng.gen_range(FIRST_AT_MS..FAULTS_FOR.as_millis() as u64));
+    let at = Duration::from_millis(rng.gen_range(FIRST_AT_MS..FAULT_WINDOW.as_millis() as u64));
     let fault = draw_fault(rng);
     let store = matches!(fault, SoakFault::Store(..) | SoakFault::StorePath(..));
     let longest = if store { LONGEST_STORE_MS } else { LONGEST_MS };
