--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -23,7 +23,7 @@
 pub const REPLICAS: usize = 4;
 
 /// Least and most faults of a run.
-const FAULTS: (usize, usize) = (4, 9);
+const FAULT_COUNT: (usize, usize) = (4, 9);
 
 /// Longest fault, in milliseconds.
 const LONGEST_MS: u64 = 2_500;
@@ -138,7 +138,7 @@
 /// The faults of a seed, in the order of their beginnings.
 pub fn draw_faults(seed: u64) -> Vec<TimedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let count = rng.gen_range(FAULTS.0..=FAULTS.1);
+    let count = rng.gen_range(FAULT_COUNT.0..=FAULT_COUNT.1);
     let mut faults: Vec<TimedFault> = (0..count).map(|_| draw(&mut rng)).collect();
     faults.extend((0..REPLICA_FAULTS).map(|_| draw_replica_fault(&mut rng)));
     // Drawn last: what a seed that once failed draws before it stays the same.
