--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -50,7 +50,7 @@
 const REPLICA_FAULTS: usize = 3;
 
 /// Part of the runs in which all boxes are killed at once. Often enough among fifty seeds.
-const ALL_KILLED_PART: f64 = 0.25;
+const ALL_KILLED_PROBABILITY: f64 = 0.25;
 
 /// Part of the runs in which a zone is emptied, and in which a cold replica comes.
 const ZONE_EMPTIED_PART: f64 = 0.4;
@@ -142,7 +142,7 @@
     let mut faults: Vec<TimedFault> = (0..count).map(|_| draw(&mut rng)).collect();
     faults.extend((0..REPLICA_FAULTS).map(|_| draw_replica_fault(&mut rng)));
     // Drawn last: what a seed that once failed draws before it stays the same.
-    if rng.gen_bool(ALL_KILLED_PART) {
+    if rng.gen_bool(ALL_KILLED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::BoxesKilled, ..draw(&mut rng) });
     }
     if rng.gen_bool(ZONE_EMPTIED_PART) {
