--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -53,7 +53,7 @@
 const ALL_KILLED_PROBABILITY: f64 = 0.25;
 
 /// Part of the runs in which a zone is emptied, and in which a cold replica comes.
-const ZONE_EMPTIED_PART: f64 = 0.4;
+const ZONE_EMPTIED_PROBABILITY: f64 = 0.4;
 
 /// Part of the runs in which the store comes back from a copy.
 const RESTORED_PART: f64 = 0.4;
@@ -145,11 +145,11 @@
     if rng.gen_bool(ALL_KILLED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::BoxesKilled, ..draw(&mut rng) });
     }
-    if rng.gen_bool(ZONE_EMPTIED_PART) {
+    if rng.gen_bool(ZONE_EMPTIED_PROBABILITY) {
         let length = Duration::from_millis(rng.gen_range(ZONE_EMPTIED_MS.0..ZONE_EMPTIED_MS.1));
         faults.push(TimedFault { fault: SoakFault::ZoneEmptied, length, ..draw(&mut rng) });
     }
-    if rng.gen_bool(ZONE_EMPTIED_PART) {
+    if rng.gen_bool(ZONE_EMPTIED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::ReplicaCold, ..draw(&mut rng) });
     }
     if rng.gen_bool(RESTORED_PART) {
