--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -56,7 +56,7 @@
 const ZONE_EMPTIED_PROBABILITY: f64 = 0.4;
 
 /// Part of the runs in which the store comes back from a copy.
-const RESTORED_PART: f64 = 0.4;
+const RESTORED_PROBABILITY: f64 = 0.4;
 
 /// A zone is emptied for this long, in milliseconds: longer than the platform allows until all boxes act on it.
 const ZONE_EMPTIED_MS: (u64, u64) = (5_500, 9_000);
@@ -152,7 +152,7 @@
     if rng.gen_bool(ZONE_EMPTIED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::ReplicaCold, ..draw(&mut rng) });
     }
-    if rng.gen_bool(RESTORED_PART) {
+    if rng.gen_bool(RESTORED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::StoreRestored, ..draw(&mut rng) });
     }
     // A box at a time is down, or paused: callers have two others.
