--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -38,7 +38,7 @@
 const FIRST_AT_MS: u64 = 200;
 
 /// Between two boxes that are taken away, at the least. Time to start the first again.
-const BACK_AFTER: Duration = Duration::from_millis(500);
+const RESTART_MARGIN: Duration = Duration::from_millis(500);
 
 /// By this each piece comes later on a disturbed way.
 const PATH_DELAY: Duration = Duration::from_millis(80);
@@ -162,7 +162,7 @@
         let takes_box = row.fault.takes_box();
         let free = !takes_box || row.at >= down_until;
         if takes_box && free {
-            down_until = row.at + row.length + BACK_AFTER;
+            down_until = row.at + row.length + RESTART_MARGIN;
         }
         free
     });
