--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -16,7 +16,7 @@
 use super::site::SoakSite;
 
 /// Requests that each box must serve when the faults are over.
-const LAST_ASKS: usize = 5;
+const RECOVERY_REQUESTS: usize = 5;
 
 /// What a run showed.
 pub struct SoakReport {
@@ -106,7 +106,7 @@
         if named.len() != BOXES {
             broken.push(format!("{to} names {named:?} when the faults are over"));
         }
-        for number in 0..LAST_ASKS {
+        for number in 0..RECOVERY_REQUESTS {
             let end =
                 send(&http, *to, AskKind::Read, &format!("last-{to}-{number}"), false, 0).await;
             if !matches!(end, AskEnd::Answered { status: 200, .. }) {
