--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -24,7 +24,7 @@
 pub const CALLERS: usize = 10;
 
 /// Callers keep an answer about addresses for this long: the platform's usual two seconds.
-const KEEP_FOR: Duration = Duration::from_millis(2_000);
+const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
 /// A box's answer about addresses comes within this, or another box is asked.
 const DIRECTORY_WAIT: Duration = Duration::from_millis(1_000);
@@ -77,7 +77,7 @@
 
     /// Asks a box for addresses, if the last answer is too old.
     async fn look_up(&mut self) {
-        if self.asked_at.is_some_and(|at| at.elapsed() < KEEP_FOR) && !self.named.is_empty() {
+        if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.named.is_empty() {
             return;
         }
         let asked = self.boxes[self.rng.gen_range(0..self.boxes.len())];
