--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -27,7 +27,7 @@
 const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
 /// A box's answer about addresses comes within this, or another box is asked.
-const DIRECTORY_WAIT: Duration = Duration::from_millis(1_000);
+const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Sessions that callers share: each has a request every few hundredths of a second, by way of any box.
 const SESSIONS: u32 = 12;
@@ -139,7 +139,7 @@
 
 /// Addresses that a box names.
 pub async fn resolve(http: &Client, asked: IpAddr) -> Option<Vec<IpAddr>> {
-    let answer = http.get(directory_url(asked)).timeout(DIRECTORY_WAIT).send().await.ok()?;
+    let answer = http.get(directory_url(asked)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
     let answer: Value = answer.json().await.ok()?;
     let named = named_in(&answer)?;
     Some(named.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
