--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -39,7 +39,7 @@
 pub const DEADLINE_MS: u64 = 3_500;
 
 /// A caller ends a request that is not answered this long after its time.
-const GIVE_UP: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 
 /// So long before it gives up a caller looks at what the kernel lists of its connection.
 const LOOK_BEFORE: Duration = Duration::from_millis(300);
@@ -59,7 +59,7 @@
     /// A caller that knows the boxes it may ask for addresses.
     pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, recorder: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
-        let http = Client::builder().timeout(GIVE_UP).no_proxy().build().expect("a client");
+        let http = Client::builder().timeout(CLIENT_TIMEOUT).no_proxy().build().expect("a client");
         Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, recorder }
     }
 
@@ -128,7 +128,7 @@
 /// the connections to its box by then.
 async fn watched(request: impl Future<Output = AskEnd>, to: IpAddr) -> (AskEnd, Vec<String>) {
     tokio::pin!(request);
-    match tokio::time::timeout(GIVE_UP - LOOK_BEFORE, &mut request).await {
+    match tokio::time::timeout(CLIENT_TIMEOUT - LOOK_BEFORE, &mut request).await {
         Ok(end) => (end, Vec::new()),
         Err(_) => {
             let sockets = kernel_sockets(to);
