--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -42,7 +42,7 @@
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 
 /// So long before it gives up a caller looks at what the kernel lists of its connection.
-const LOOK_BEFORE: Duration = Duration::from_millis(300);
+const SOCKET_LIST_LEAD: Duration = Duration::from_millis(300);
 
 /// One caller.
 pub struct SoakCaller {
@@ -128,7 +128,7 @@
 /// the connections to its box by then.
 async fn watched(request: impl Future<Output = AskEnd>, to: IpAddr) -> (AskEnd, Vec<String>) {
     tokio::pin!(request);
-    match tokio::time::timeout(CLIENT_TIMEOUT - LOOK_BEFORE, &mut request).await {
+    match tokio::time::timeout(CLIENT_TIMEOUT - SOCKET_LIST_LEAD, &mut request).await {
         Ok(end) => (end, Vec::new()),
         Err(_) => {
             let sockets = kernel_sockets(to);
