--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -68,7 +68,7 @@
         let mut count = 0;
         while !*stop.borrow_and_update() {
             count += 1;
-            self.look_up().await;
+            self.refresh_addresses().await;
             self.ask(count).await;
             let pause = Duration::from_millis(self.rng.gen_range(1..PAUSE_MS));
             tokio::time::sleep(pause).await;
@@ -76,7 +76,7 @@
     }
 
     /// Asks a box for addresses, if the last answer is too old.
-    async fn look_up(&mut self) {
+    async fn refresh_addresses(&mut self) {
         if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.named.is_empty() {
             return;
         }
