--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -104,7 +104,7 @@
         let id = format!("c{}-{count}", self.number);
         let sent_at = Instant::now();
         let (end, sockets) =
-            watched(send(&self.http, to, kind, &id, second_key, session), to).await;
+            with_sockets(send(&self.http, to, kind, &id, second_key, session), to).await;
         let failed = !matches!(end, AskEnd::Answered { .. });
         let ended_at = Instant::now();
         self.recorder.note_ask(AskRecord {
@@ -126,7 +126,7 @@
 
 /// Waits for a request's end; where that takes so long that the caller is about to give up, gives what the kernel lists of
 /// the connections to its box by then.
-async fn watched(request: impl Future<Output = AskEnd>, to: IpAddr) -> (AskEnd, Vec<String>) {
+async fn with_sockets(request: impl Future<Output = AskEnd>, to: IpAddr) -> (AskEnd, Vec<String>) {
     tokio::pin!(request);
     match tokio::time::timeout(CLIENT_TIMEOUT - SOCKET_LIST_LEAD, &mut request).await {
         Ok(end) => (end, Vec::new()),
