--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -31,16 +31,16 @@
 
 /// Which way bytes go.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     There,
     Back,
 }
 
 impl ProxyFault {
-    fn holds(self, way: Way) -> bool {
+    fn holds(self, way: Direction) -> bool {
         match self {
-            ProxyFault::CutThere => way == Way::There,
-            ProxyFault::CutBack => way == Way::Back,
+            ProxyFault::CutThere => way == Direction::There,
+            ProxyFault::CutBack => way == Direction::Back,
             ProxyFault::Silent => true,
             ProxyFault::None | ProxyFault::Delayed(_) | ProxyFault::Reset => false,
         }
@@ -86,8 +86,8 @@
     let (client_read, client_write) = client.into_split();
     let (target_read, target_write) = reached.into_split();
     tokio::select! {
-        () = copy(client_read, target_write, Way::There, state.clone()) => {}
-        () = copy(target_read, client_write, Way::Back, state.clone()) => {}
+        () = copy(client_read, target_write, Direction::There, state.clone()) => {}
+        () = copy(target_read, client_write, Direction::Back, state.clone()) => {}
         // An error says that the proxy is gone, which ends its connections too.
         _ = state.wait_for(|fault| *fault == ProxyFault::Reset) => {}
     }
@@ -101,7 +101,7 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: Way,
+    way: Direction,
     mut state: watch::Receiver<ProxyFault>,
 ) {
     let mut buffer = vec![0; PIECE_BYTES];
