--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -37,7 +37,7 @@
 }
 
 impl ProxyFault {
-    fn holds(self, way: Direction) -> bool {
+    fn blocks(self, way: Direction) -> bool {
         match self {
             ProxyFault::CutThere => way == Direction::There,
             ProxyFault::CutBack => way == Direction::Back,
@@ -110,8 +110,8 @@
         if let ProxyFault::Delayed(by) = fault {
             tokio::time::sleep(by).await;
         }
-        // What a cut holds up comes when it is over.
-        let passed = state.wait_for(|fault| !fault.holds(way)).await.is_ok();
+        // What a cut blocks up comes when it is over.
+        let passed = state.wait_for(|fault| !fault.blocks(way)).await.is_ok();
         if !passed || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
