--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -23,7 +23,7 @@
 const GRACE: Duration = Duration::from_millis(8_000);
 
 /// A box that was asked to stop is looked at this often.
-const EXIT_LOOK: Duration = Duration::from_millis(20);
+const EXIT_POLL: Duration = Duration::from_millis(20);
 
 /// The entry of a replica that leaves stands for this long after its mark: a little over the two
 /// seconds in which boxes must have seen it.
@@ -115,7 +115,7 @@
         subject.signal("TERM");
         let until = Instant::now() + GRACE;
         while subject.exit_code().is_none() && Instant::now() < until {
-            sleep(EXIT_LOOK).await;
+            sleep(EXIT_POLL).await;
         }
         subject.kill();
         subject.restart();
