--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -20,7 +20,7 @@
 const SLOW_MS: u64 = 300;
 
 /// A box that was asked to stop is gone after this: the time that the platform gives it.
-const GRACE: Duration = Duration::from_millis(8_000);
+const STOP_GRACE: Duration = Duration::from_millis(8_000);
 
 /// A box that was asked to stop is looked at this often.
 const EXIT_POLL: Duration = Duration::from_millis(20);
@@ -113,7 +113,7 @@
         let mut subject = self.boxes[number].lock().await;
         let asked_at = Instant::now();
         subject.signal("TERM");
-        let until = Instant::now() + GRACE;
+        let until = Instant::now() + STOP_GRACE;
         while subject.exit_code().is_none() && Instant::now() < until {
             sleep(EXIT_POLL).await;
         }
