--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -27,7 +27,7 @@
 
 /// The entry of a replica that leaves stands for this long after its mark: a little over the two
 /// seconds in which boxes must have seen it.
-const MARK_STANDS: Duration = Duration::from_millis(2_500);
+const DRAINING_TIME: Duration = Duration::from_millis(2_500);
 
 /// The store is away for this long before it comes back from a copy.
 const RESTORE_AWAY: Duration = Duration::from_millis(600);
@@ -223,7 +223,7 @@
             marked_at: Instant::now(),
         });
         self.left_paths.lock().await.push(path);
-        sleep(MARK_STANDS).await;
+        sleep(DRAINING_TIME).await;
         self.site.lock().await.store.drop_key(REPLICA_TOPIC, &id);
     }
 }
