--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -30,7 +30,7 @@
 const DRAINING_TIME: Duration = Duration::from_millis(2_500);
 
 /// The store is away for this long before it comes back from a copy.
-const RESTORE_AWAY: Duration = Duration::from_millis(600);
+const RESTORE_OUTAGE: Duration = Duration::from_millis(600);
 
 /// Rest that a replica asks for as it turns requests away, in seconds: several pauses of a caller.
 const REST_S: f64 = 0.4;
@@ -177,7 +177,7 @@
         let copy = self.site.lock().await.store.copy();
         sleep(age).await;
         self.change_store(|faults| faults.outage = StoreOutage::Reset).await;
-        sleep(RESTORE_AWAY).await;
+        sleep(RESTORE_OUTAGE).await;
         {
             let site = self.site.lock().await;
             let lost = site.store.restore(copy);
