--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -33,7 +33,7 @@
 const RESTORE_OUTAGE: Duration = Duration::from_millis(600);
 
 /// Rest that a replica asks for as it turns requests away, in seconds: several pauses of a caller.
-const REST_S: f64 = 0.4;
+const RETRY_AFTER_S: f64 = 0.4;
 
 /// Plays one fault and notes it.
 pub(super) async fn play_fault(site: Arc<SoakSite>, row: TimedFault) {
@@ -188,7 +188,7 @@
 
     async fn disturb_replica(&self, number: usize, mode: ReplicaMode, length: Duration) {
         self.replicas[number].set_mode(mode);
-        self.replicas[number].set_rest(Some(REST_S));
+        self.replicas[number].set_rest(Some(RETRY_AFTER_S));
         sleep(length).await;
         self.replicas[number].set_mode(ReplicaMode::Well);
     }
