--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -58,7 +58,7 @@
         SoakFault::BoxesKilled => site.kill_boxes(row.length).await,
         SoakFault::BoxPaused(number) => site.pause_box(number, row.length).await,
         SoakFault::BoxTold(number) => site.boxes[number].lock().await.tell().await,
-        SoakFault::Store(outage, only) => site.take_store_away(outage, only, row.length).await,
+        SoakFault::Store(outage, only) => site.fail_store(outage, only, row.length).await,
         SoakFault::StoreSlow => site.slow_store(row.length).await,
         SoakFault::StoreLoses => site.lose_answers(row.length).await,
         SoakFault::StoreCompacts => site.compact_store().await,
@@ -131,7 +131,7 @@
     }
 
     /// The store fails for all, or for the box `only`.
-    async fn take_store_away(&self, outage: StoreOutage, only: Option<usize>, length: Duration) {
+    async fn fail_store(&self, outage: StoreOutage, only: Option<usize>, length: Duration) {
         let only = only.map(|number| self.store_paths[number].address.ip());
         self.disturb_store(length, |faults, on| {
             faults.outage = if on { outage } else { StoreOutage::None };
