--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -68,8 +68,8 @@
             disturb(&site.replica_paths[number], fault, row).await;
         }
         SoakFault::Replica(number, mode) => site.disturb_replica(number, mode, row.length).await,
-        SoakFault::ReplicaLeaves => site.let_replica_leave(row, 0).await,
-        SoakFault::ReplicaCold => site.let_replica_leave(row, COLD_MS).await,
+        SoakFault::ReplicaLeaves => site.add_leaving_replica(row, 0).await,
+        SoakFault::ReplicaCold => site.add_leaving_replica(row, COLD_MS).await,
         SoakFault::ZoneEmptied => site.empty_zone(row.length).await,
         SoakFault::KeyTaken => {
             site.recorder.note_key_taken();
@@ -206,7 +206,7 @@
 
     /// A replica comes, says that it leaves after the fault's length, and then its entry is gone. It
     /// lives on to the end of the run.
-    async fn let_replica_leave(&self, row: TimedFault, cold_ms: u64) {
+    async fn add_leaving_replica(&self, row: TimedFault, cold_ms: u64) {
         let id = format!("i-{}", row.at.as_micros());
         let came_at = Instant::now();
         let place = ReplicaPlace { zone: OTHER_ZONE, cold_ms };
