--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -11,7 +11,7 @@
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
 /// A key that was taken away runs nothing this long after the store's word: the platform's bound.
-const REVOKE: Duration = Duration::from_millis(5_000);
+const REVOKE_LIMIT: Duration = Duration::from_millis(5_000);
 
 /// A leaving replica gets nothing this long after the store's word: the platform's bound.
 const DRAIN: Duration = Duration::from_millis(2_000);
@@ -218,7 +218,7 @@
 ) -> Vec<BrokenGuarantee> {
     let Some(taken_at) = record.recorder.key_taken_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
-        ask.second_key && ask.sent_at > taken_at + REVOKE && runs.contains_key(&ask.id)
+        ask.second_key && ask.sent_at > taken_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
     };
     let told = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
     asks.iter().filter(late).map(told).collect()
