--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -14,7 +14,7 @@
 const REVOKE_LIMIT: Duration = Duration::from_millis(5_000);
 
 /// A leaving replica gets nothing this long after the store's word: the platform's bound.
-const DRAIN: Duration = Duration::from_millis(2_000);
+const DRAIN_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// A box that was disturbed counts as in touch again after this: the platform's bound.
 pub(super) const CONTACT: Duration = Duration::from_millis(3_000);
@@ -229,7 +229,7 @@
     let mut broken = Vec::new();
     for left in record.left {
         for run in left.replica.runs() {
-            let late = run.at > left.marked_at + DRAIN + SLACK;
+            let late = run.at > left.marked_at + DRAIN_LIMIT + SLACK;
             let disturbed = faults
                 .iter()
                 .any(|row| disturbs_touch(row.fault) && row.meets(left.marked_at, run.at, CONTACT));
