--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -17,7 +17,7 @@
 const DRAIN_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// A box that was disturbed counts as in touch again after this: the platform's bound.
-pub(super) const CONTACT: Duration = Duration::from_millis(3_000);
+pub(super) const RECONNECT_LIMIT: Duration = Duration::from_millis(3_000);
 
 /// An emptied zone gets nothing this long after the store's word: the platform's bound.
 const EVACUATE: Duration = Duration::from_millis(5_000);
@@ -230,9 +230,9 @@
     for left in record.left {
         for run in left.replica.runs() {
             let late = run.at > left.marked_at + DRAIN_LIMIT + SLACK;
-            let disturbed = faults
-                .iter()
-                .any(|row| disturbs_touch(row.fault) && row.meets(left.marked_at, run.at, CONTACT));
+            let disturbed = faults.iter().any(|row| {
+                disturbs_touch(row.fault) && row.meets(left.marked_at, run.at, RECONNECT_LIMIT)
+            });
             if late && !disturbed {
                 let after = run.at - left.marked_at;
                 broken.push(format!("{} ran {} {after:?} after it left", left.replica.id, run.id));
@@ -250,9 +250,9 @@
         runs.into_iter().map(move |run| (span, run))
     }) {
         let late = run.at > span.ordered_at + EVACUATE + SLACK && run.at < span.withdrawn_at;
-        let disturbed = faults
-            .iter()
-            .any(|row| disturbs_touch(row.fault) && row.meets(span.ordered_at, run.at, CONTACT));
+        let disturbed = faults.iter().any(|row| {
+            disturbs_touch(row.fault) && row.meets(span.ordered_at, run.at, RECONNECT_LIMIT)
+        });
         if late && !disturbed {
             let after = run.at - span.ordered_at;
             broken.push(format!("a replica in an emptied zone ran {} after {after:?}", run.id));
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{json, Value};
 
-use super::judge::{BrokenGuarantee, SoakRecord, CONTACT};
+use super::judge::{BrokenGuarantee, SoakRecord, RECONNECT_LIMIT};
 use super::recorder::{AskEnd, AskRecord, PlayedFault};
 use super::schedule::SoakFault;
 use crate::platform::replica::ReplicaStandin;
@@ -63,9 +63,9 @@
         let (Some(from), Some(to)) = (versions.get(&last.id), versions.get(&ask.id)) else {
             continue;
         };
-        let disturbed = faults
-            .iter()
-            .any(|row| parts_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, CONTACT));
+        let disturbed = faults.iter().any(|row| {
+            parts_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
+        });
         let forgotten = is_forgotten(faults, last.sent_at, ask.ended_at);
         if !disturbed && !forgotten && forbidden(record.rollout, ask, from, to) {
             moved.push(format!("{from} then {to}: {last:?}, {ask:?}"));
@@ -113,10 +113,13 @@
 /// write again what the copy lacked: how far the roll-out had come was known nowhere then.
 fn is_forgotten(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
-    of(SoakFault::BoxesKilled).filter(|killed| killed.meets(from, until, CONTACT)).any(|killed| {
-        of(SoakFault::StoreRestored)
-            .any(|restored| (restored.from..restored.until + CONTACT).contains(&killed.from))
-    })
+    of(SoakFault::BoxesKilled).filter(|killed| killed.meets(from, until, RECONNECT_LIMIT)).any(
+        |killed| {
+            of(SoakFault::StoreRestored).any(|restored| {
+                (restored.from..restored.until + RECONNECT_LIMIT).contains(&killed.from)
+            })
+        },
+    )
 }
 
 /// Whether a fault keeps a box from what the others know. A kill, a stop or a start doesn't.
