--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -20,7 +20,7 @@
 pub(super) const RECONNECT_LIMIT: Duration = Duration::from_millis(3_000);
 
 /// An emptied zone gets nothing this long after the store's word: the platform's bound.
-const EVACUATE: Duration = Duration::from_millis(5_000);
+const EVACUATE_LIMIT: Duration = Duration::from_millis(5_000);
 
 /// Beyond [`COLD_PER_S`] by these a cold replica falls over: the platform's bound.
 const COLD_OVER: f64 = 1.5;
@@ -249,7 +249,7 @@
         let runs = record.replicas[0].runs();
         runs.into_iter().map(move |run| (span, run))
     }) {
-        let late = run.at > span.ordered_at + EVACUATE + SLACK && run.at < span.withdrawn_at;
+        let late = run.at > span.ordered_at + EVACUATE_LIMIT + SLACK && run.at < span.withdrawn_at;
         let disturbed = faults.iter().any(|row| {
             disturbs_touch(row.fault) && row.meets(span.ordered_at, run.at, RECONNECT_LIMIT)
         });
