--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -30,7 +30,7 @@
 const SLACK: Duration = Duration::from_millis(400);
 
 /// Callers may send to a box for this long after it was asked to stop: they keep an answer about addresses for so long.
-const KNOWN_FOR: Duration = Duration::from_millis(2_000);
+const STALE_ADDRESS_TIME: Duration = Duration::from_millis(2_000);
 
 /// A request is answered this long after its time at the latest.
 const LATE: Duration = Duration::from_millis(1_000);
@@ -182,7 +182,7 @@
     let mut broken = Vec::new();
     for stop in faults {
         let SoakFault::BoxStopped(number) = stop.fault else { continue };
-        let known = stop.from..stop.from + KNOWN_FOR;
+        let known = stop.from..stop.from + STALE_ADDRESS_TIME;
         let cut = |ask: &&AskRecord| {
             ask.to == record.boxes[number]
                 && known.contains(&ask.sent_at)
