--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -33,7 +33,7 @@
 const STALE_ADDRESS_TIME: Duration = Duration::from_millis(2_000);
 
 /// A request is answered this long after its time at the latest.
-const LATE: Duration = Duration::from_millis(1_000);
+const LATE_LIMIT: Duration = Duration::from_millis(1_000);
 
 /// A replica that left, with the store's word of it.
 pub struct LeftReplica {
@@ -168,7 +168,7 @@
         matches!(row.fault, SoakFault::BoxPaused(number) if record.boxes[number] == ask.to)
             && row.meets(ask.sent_at, ask.ended_at, SLACK)
     });
-    let late = took > Duration::from_millis(DEADLINE_MS) + LATE && !paused;
+    let late = took > Duration::from_millis(DEADLINE_MS) + LATE_LIMIT && !paused;
     late.then(|| format!("a request was held for {took:?}: {ask:?}"))
 }
 
