--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -121,13 +121,15 @@
         503 if !retry_after => Some("a refusal says not when to come back"),
         401 if !ask.second_key => Some("a key that is held was denied"),
         403 | 404 => Some("a route that is there was denied"),
-        200 if !whole(ask, body) => Some("an answer was not the whole answer to its request"),
+        200 if !is_whole_answer(ask, body) => {
+            Some("an answer was not the whole answer to its request")
+        }
         _ => None,
     }
 }
 
-/// Whether a body is the whole answer of a stand-in to this request.
-fn whole(ask: &AskRecord, body: &str) -> bool {
+/// Whether a body is the is_whole_answer answer of a stand-in to this request.
+fn is_whole_answer(ask: &AskRecord, body: &str) -> bool {
     if ask.kind == AskKind::Chat {
         return body == super::site::whole_stream();
     }
