--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -233,7 +233,7 @@
         for run in left.replica.runs() {
             let late = run.at > left.marked_at + DRAIN_LIMIT + SLACK;
             let disturbed = faults.iter().any(|row| {
-                disturbs_touch(row.fault) && row.meets(left.marked_at, run.at, RECONNECT_LIMIT)
+                may_isolate(row.fault) && row.meets(left.marked_at, run.at, RECONNECT_LIMIT)
             });
             if late && !disturbed {
                 let after = run.at - left.marked_at;
@@ -253,7 +253,7 @@
     }) {
         let late = run.at > span.ordered_at + EVACUATE_LIMIT + SLACK && run.at < span.withdrawn_at;
         let disturbed = faults.iter().any(|row| {
-            disturbs_touch(row.fault) && row.meets(span.ordered_at, run.at, RECONNECT_LIMIT)
+            may_isolate(row.fault) && row.meets(span.ordered_at, run.at, RECONNECT_LIMIT)
         });
         if late && !disturbed {
             let after = run.at - span.ordered_at;
@@ -284,7 +284,7 @@
 }
 
 /// Whether a fault takes a box or the store out of touch.
-fn disturbs_touch(fault: SoakFault) -> bool {
+fn may_isolate(fault: SoakFault) -> bool {
     match fault {
         SoakFault::BoxTold(_)
         | SoakFault::Replica(..)
