--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -86,7 +86,7 @@
     for ask in &asks {
         let ran = runs.get(ask.id.as_str()).map_or(0, Vec::len);
         broken.extend(check_ask(ask, ran).map(|what| format!("{what}: {ask:?}, {ran} runs")));
-        broken.extend(check_lost(record, &faults, ask, ran));
+        broken.extend(check_cut(record, &faults, ask, ran));
         broken.extend(check_time(record, &faults, ask));
     }
     broken.extend(check_stops(record, &asks, &faults, &runs));
@@ -137,7 +137,7 @@
 }
 
 /// A request that a box took ends with an answer, whatever is planned there.
-fn check_lost(
+fn check_cut(
     record: &SoakRecord,
     faults: &[PlayedFault],
     ask: &AskRecord,
