--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -87,7 +87,7 @@
         let ran = runs.get(ask.id.as_str()).map_or(0, Vec::len);
         broken.extend(check_ask(ask, ran).map(|what| format!("{what}: {ask:?}, {ran} runs")));
         broken.extend(check_cut(record, &faults, ask, ran));
-        broken.extend(check_time(record, &faults, ask));
+        broken.extend(check_deadline(record, &faults, ask));
     }
     broken.extend(check_stops(record, &asks, &faults, &runs));
     broken.extend(check_key(record, &asks, &runs));
@@ -160,7 +160,7 @@
 }
 
 /// A request is answered in its time.
-fn check_time(
+fn check_deadline(
     record: &SoakRecord,
     faults: &[PlayedFault],
     ask: &AskRecord,
