--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -59,7 +59,7 @@
     }
     let mut moved = Vec::new();
     for ask in sessions.values().flatten() {
-        let Some(last) = one_before(&sessions[&ask.session], ask) else { continue };
+        let Some(last) = previous_request(&sessions[&ask.session], ask) else { continue };
         let (Some(from), Some(to)) = (versions.get(&last.id), versions.get(&ask.id)) else {
             continue;
         };
@@ -92,7 +92,7 @@
 }
 
 /// The request of the session that ended last before this one was sent.
-fn one_before<'a>(session: &[&'a AskRecord], ask: &AskRecord) -> Option<&'a AskRecord> {
+fn previous_request<'a>(session: &[&'a AskRecord], ask: &AskRecord) -> Option<&'a AskRecord> {
     let recent = |other: &&&AskRecord| {
         other.ended_at <= ask.sent_at && ask.sent_at - other.ended_at < SESSION
     };
