--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -64,7 +64,7 @@
             continue;
         };
         let disturbed = faults.iter().any(|row| {
-            parts_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
+            separates_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
         });
         let forgotten = is_forgotten(faults, last.sent_at, ask.ended_at);
         if !disturbed && !forgotten && forbidden(record.rollout, ask, from, to) {
@@ -123,7 +123,7 @@
 }
 
 /// Whether a fault keeps a box from what the others know. A kill, a stop or a start doesn't.
-fn parts_boxes(fault: SoakFault) -> bool {
+fn separates_boxes(fault: SoakFault) -> bool {
     match fault {
         SoakFault::BoxPaused(_)
         | SoakFault::Store(..)
