--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -67,7 +67,7 @@
             separates_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
         });
         let forgotten = is_forgotten(faults, last.sent_at, ask.ended_at);
-        if !disturbed && !forgotten && forbidden(record.rollout, ask, from, to) {
+        if !disturbed && !forgotten && is_forbidden(record.rollout, ask, from, to) {
             moved.push(format!("{from} then {to}: {last:?}, {ask:?}"));
         }
     }
@@ -100,7 +100,7 @@
 }
 
 /// Whether a session may not go from one version to the other at this time.
-fn forbidden(rollout: &PlayedRollout, ask: &AskRecord, from: &str, to: &str) -> bool {
+fn is_forbidden(rollout: &PlayedRollout, ask: &AskRecord, from: &str, to: &str) -> bool {
     let first_half = ask.ended_at < rollout.ordered_at + ORDER_FOR / 2;
     match (from == OLD_VERSION, to == OLD_VERSION) {
         (true, false) => first_half,
