--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -66,7 +66,7 @@
         let disturbed = faults.iter().any(|row| {
             separates_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
         });
-        let forgotten = is_forgotten(faults, last.sent_at, ask.ended_at);
+        let forgotten = is_progress_lost(faults, last.sent_at, ask.ended_at);
         if !disturbed && !forgotten && is_forbidden(record.rollout, ask, from, to) {
             moved.push(format!("{from} then {to}: {last:?}, {ask:?}"));
         }
@@ -111,7 +111,7 @@
 
 /// Whether all boxes were killed, near this time, so soon after the store came back from an older copy that nobody could
 /// write again what the copy lacked: how far the roll-out had come was known nowhere then.
-fn is_forgotten(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
+fn is_progress_lost(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
     of(SoakFault::BoxesKilled).filter(|killed| killed.meets(from, until, RECONNECT_LIMIT)).any(
         |killed| {
