--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -21,7 +21,7 @@
 pub(super) const NEW_REPLICAS: usize = 2;
 
 /// Time that the order gives: its second half begins amid the faults, and it ends with the run.
-const ORDER_FOR: Duration = Duration::from_secs(11);
+const ROLLOUT_TIME: Duration = Duration::from_secs(11);
 
 /// A session is forgotten after this without a request: the platform's bound.
 const SESSION: Duration = Duration::from_millis(5_000);
@@ -33,7 +33,7 @@
 pub(super) fn order() -> Value {
     json!({
         "service": SITE_SERVICE, "target_version": NEW_VERSION,
-        "duration_s": ORDER_FOR.as_secs(),
+        "duration_s": ROLLOUT_TIME.as_secs(),
     })
 }
 
@@ -101,7 +101,7 @@
 
 /// Whether a session may not go from one version to the other at this time.
 fn is_forbidden(rollout: &PlayedRollout, ask: &AskRecord, from: &str, to: &str) -> bool {
-    let first_half = ask.ended_at < rollout.ordered_at + ORDER_FOR / 2;
+    let first_half = ask.ended_at < rollout.ordered_at + ROLLOUT_TIME / 2;
     match (from == OLD_VERSION, to == OLD_VERSION) {
         (true, false) => first_half,
         (false, true) => !first_half && !rollout.rolled_back,
