--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -24,7 +24,7 @@
 const ROLLOUT_TIME: Duration = Duration::from_secs(11);
 
 /// A session is forgotten after this without a request: the platform's bound.
-const SESSION: Duration = Duration::from_millis(5_000);
+const SESSION_TTL: Duration = Duration::from_millis(5_000);
 
 /// Requests that may run on another version than the one before them: the platform's bound.
 const MOVED_LIMIT: usize = 3;
@@ -94,7 +94,7 @@
 /// The request of the session that ended last before this one was sent.
 fn previous_request<'a>(session: &[&'a AskRecord], ask: &AskRecord) -> Option<&'a AskRecord> {
     let recent = |other: &&&AskRecord| {
-        other.ended_at <= ask.sent_at && ask.sent_at - other.ended_at < SESSION
+        other.ended_at <= ask.sent_at && ask.sent_at - other.ended_at < SESSION_TTL
     };
     session.iter().filter(recent).max_by_key(|other| other.ended_at).copied()
 }
