--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -152,7 +152,7 @@
             SoakFault::Replica(..) | SoakFault::ReplicaPath(..) => true,
             _ => false,
         };
-        excuses && row.meets(ask.sent_at, ask.ended_at, SLACK)
+        excuses && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     });
     // One that crosses a close and was passed on to nobody was not taken.
     let crossed = ran == 0 && ask.ended_at - ask.sent_at < SLACK;
@@ -168,7 +168,7 @@
     let took = ask.ended_at - ask.sent_at;
     let paused = faults.iter().any(|row| {
         matches!(row.fault, SoakFault::BoxPaused(number) if record.boxes[number] == ask.to)
-            && row.meets(ask.sent_at, ask.ended_at, SLACK)
+            && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     });
     let late = took > Duration::from_millis(DEADLINE_MS) + LATE_LIMIT && !paused;
     late.then(|| format!("a request was held for {took:?}: {ask:?}"))
@@ -209,7 +209,7 @@
             SoakFault::BoxesKilled => true,
             _ => false,
         };
-        here && row.meets(ask.sent_at, ask.ended_at, SLACK)
+        here && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     })
 }
 
@@ -233,7 +233,7 @@
         for run in left.replica.runs() {
             let late = run.at > left.marked_at + DRAIN_LIMIT + SLACK;
             let disturbed = faults.iter().any(|row| {
-                may_isolate(row.fault) && row.meets(left.marked_at, run.at, RECONNECT_LIMIT)
+                may_isolate(row.fault) && row.overlaps(left.marked_at, run.at, RECONNECT_LIMIT)
             });
             if late && !disturbed {
                 let after = run.at - left.marked_at;
@@ -253,7 +253,7 @@
     }) {
         let late = run.at > span.ordered_at + EVACUATE_LIMIT + SLACK && run.at < span.withdrawn_at;
         let disturbed = faults.iter().any(|row| {
-            may_isolate(row.fault) && row.meets(span.ordered_at, run.at, RECONNECT_LIMIT)
+            may_isolate(row.fault) && row.overlaps(span.ordered_at, run.at, RECONNECT_LIMIT)
         });
         if late && !disturbed {
             let after = run.at - span.ordered_at;
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -82,7 +82,7 @@
 
 impl PlayedFault {
     /// Whether it lies within `slack` of the span.
-    pub fn meets(&self, from: Instant, until: Instant, slack: Duration) -> bool {
+    pub fn overlaps(&self, from: Instant, until: Instant, slack: Duration) -> bool {
         self.from <= until + slack && from <= self.until + slack
     }
 }
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -64,7 +64,7 @@
             continue;
         };
         let disturbed = faults.iter().any(|row| {
-            separates_boxes(row.fault) && row.meets(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
+            separates_boxes(row.fault) && row.overlaps(last.sent_at, ask.ended_at, RECONNECT_LIMIT)
         });
         let forgotten = is_progress_lost(faults, last.sent_at, ask.ended_at);
         if !disturbed && !forgotten && is_forbidden(record.rollout, ask, from, to) {
@@ -113,7 +113,7 @@
 /// write again what the copy lacked: how far the roll-out had come was known nowhere then.
 fn is_progress_lost(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
-    of(SoakFault::BoxesKilled).filter(|killed| killed.meets(from, until, RECONNECT_LIMIT)).any(
+    of(SoakFault::BoxesKilled).filter(|killed| killed.overlaps(from, until, RECONNECT_LIMIT)).any(
         |killed| {
             of(SoakFault::StoreRestored).any(|restored| {
                 (restored.from..restored.until + RECONNECT_LIMIT).contains(&killed.from)
