--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -107,7 +107,7 @@
             with_sockets(send(&self.http, to, kind, &id, second_key, session), to).await;
         let failed = !matches!(end, AskEnd::Answered { .. });
         let ended_at = Instant::now();
-        self.recorder.note_ask(AskRecord {
+        self.recorder.record_ask(AskRecord {
             id,
             kind,
             second_key,
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -97,7 +97,7 @@
 
 impl SoakRecorder {
     /// Notes a request's end.
-    pub fn note_ask(&self, ask: AskRecord) {
+    pub fn record_ask(&self, ask: AskRecord) {
         self.asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
     }
 
