--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -48,7 +48,7 @@
         }
     };
     let from = began_at.unwrap_or(asked_at);
-    site.recorder.note_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
+    site.recorder.record_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
 }
 
 /// Plays a fault that waits for nothing before it begins.
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -102,7 +102,7 @@
     }
 
     /// Notes a fault that is over.
-    pub fn note_fault(&self, fault: PlayedFault) {
+    pub fn record_fault(&self, fault: PlayedFault) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).push(fault);
     }
 
