--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -107,7 +107,7 @@
     }
 
     /// Notes that the second key was taken away, the first time.
-    pub fn note_key_taken(&self) {
+    pub fn record_key_taken(&self) {
         let mut taken = self.taken_at.lock().unwrap_or_else(PoisonError::into_inner);
         taken.get_or_insert_with(Instant::now);
     }
