--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -1,11 +1,11 @@
-//! The fault soak: real boxes as processes, a schedule of faults drawn from a seed, and the promises of
-//! the platform checked from what callers and replicas saw.
+//! The fault soak: injects faults drawn from a seed into boxes that run as processes, and checks
+//! the platform's guarantees from what callers and replicas recorded.
 //!
-//! [`schedule`] draws the faults, `site` is what they are played on, `inflict` plays them, and [`proxy`]
-//! brings about those of the network. [`callers`] ask and keep a record, [`recorder`] holds the records,
-//! [`judge`] checks the promises, [`sessions`] those of the roll-out that runs through every seed, and
-//! [`play`] puts a run together. Boxes use the steady clock only and
-//! no disk, so no clock and no storage is misled.
+//! [`schedule`] draws the faults, `site` starts the boxes and their surroundings, `inflict` injects
+//! the faults, and [`proxy`] causes those of the network. [`callers`] send requests, [`recorder`]
+//! holds the records, [`judge`] checks the guarantees, [`sessions`] checks those of the roll-out
+//! that runs with every seed, and [`play`] puts a run together. No fault affects clocks or disks,
+//! because boxes use only the monotonic clock and no disk.
 
 pub mod callers;
 mod inflict;
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! One run: a site is started, faults and callers are let loose on it, and the records are judged.
+//! Runs one seed: starts a site, runs callers and faults on it, and checks the records.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,27 +15,27 @@
 use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULT_WINDOW, RECOVERY_TIME};
 use super::site::SoakSite;
 
-/// Requests that each box must serve when the faults are over.
+/// Requests that each box must serve after the faults.
 const RECOVERY_REQUESTS: usize = 5;
 
-/// What a run showed.
+/// Results of a run.
 pub struct SoakReport {
-    /// Requests.
+    /// Number of requests.
     pub asks: usize,
-    /// Those that were answered by a replica.
+    /// Number of requests answered with status 200.
     pub served: usize,
-    /// Faults, in words.
+    /// Faults, as text.
     pub faults: Vec<String>,
-    /// Promises that were broken.
+    /// Guarantees that were broken.
     pub broken: Vec<BrokenGuarantee>,
 }
 
-/// Plays a seed with boxes that run `binary`. A run with a broken promise keeps its logs.
+/// Runs a seed with boxes of `binary`. Logs are kept if a guarantee was broken.
 pub async fn play(binary: &Path, seed: u64) -> SoakReport {
     play_faults(binary, seed, draw_faults(seed)).await
 }
 
-/// Plays the series of stops and kills that a seed draws.
+/// Runs the series of stops and kills that a seed draws.
 pub async fn play_series(binary: &Path, seed: u64) -> SoakReport {
     play_faults(binary, seed, draw_series(seed)).await
 }
@@ -57,8 +57,8 @@
     report(&site, &faults).await
 }
 
-/// Starts the callers, all on one thread: among several, the client library can lose a request that it hands to a
-/// connection in the moment that this ends.
+/// Starts the callers on one thread. With several threads the client library can lose a request
+/// that it hands to a connection at the moment the connection closes.
 fn start_callers(site: &SoakSite, seed: u64, stopped: &watch::Receiver<bool>) -> JoinHandle<()> {
     let start = |number| {
         let caller = SoakCaller::new(seed, number, site.addresses.clone(), site.recorder.clone());
@@ -97,7 +97,7 @@
     }
 }
 
-/// When the faults are over, each box is named by all and serves.
+/// Checks that after the faults each box lists all boxes and serves requests.
 async fn check_recovery(site: &SoakSite) -> Vec<BrokenGuarantee> {
     let http = site.site.lock().await.http.clone();
     let mut broken = Vec::new();
