--- a/crates/standins/src/soak/schedule.rs
+++ b/crates/standins/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Faults drawn from a seed: in series, overlapping, each with its beginning and length.
+//! Draws the faults of a run from a seed. Each has a start and a length; faults may overlap.
 
 use std::time::Duration;
 
@@ -9,110 +9,112 @@
 use crate::platform::replica::ReplicaMode;
 use crate::platform::store::StoreOutage;
 
-/// Faults begin within this time.
+/// Faults start within this time from the start of traffic.
 pub const FAULT_WINDOW: Duration = Duration::from_millis(8_000);
 
-/// After the faults the site is left alone for this long: what lapsed is back two seconds after the
-/// store, and a box that waits to try again does so within two.
+/// Time for recovery between the last fault and the end of a run. Expired entries are back two
+/// seconds after the store is, and a box retries within two seconds.
 pub const RECOVERY_TIME: Duration = Duration::from_millis(4_500);
 
-/// Boxes of a site.
+/// Number of boxes of a site.
 pub const BOXES: usize = 3;
 
-/// Replicas of a site that stay; others come and go.
+/// Number of replicas that stay for the whole run. Others are added and removed.
 pub const REPLICAS: usize = 4;
 
-/// Least and most faults of a run.
+/// Minimum and maximum number of faults of a run, without those that are added separately.
 const FAULT_COUNT: (usize, usize) = (4, 9);
 
 /// Longest fault, in milliseconds.
 const LONGEST_MS: u64 = 2_500;
 
-/// Longest fault of the store, in milliseconds: past the time for which keys are honoured without it.
+/// Longest fault of the store, in milliseconds. Longer than boxes accept keys without the store.
 const LONGEST_STORE_MS: u64 = 7_000;
 
-/// Shortest fault, in milliseconds. Many times the pause of a caller.
+/// Shortest fault, in milliseconds. Many times the pause of a caller between requests.
 const SHORTEST_MS: u64 = 150;
 
-/// The first fault begins after this, in milliseconds. Callers are at work by then.
+/// Earliest start of a fault, in milliseconds. Callers send requests by then.
 const FIRST_AT_MS: u64 = 200;
 
-/// Between two boxes that are taken away, at the least. Time to start the first again.
+/// Minimum time between the outages of two boxes, in which the first box restarts.
 const RESTART_MARGIN: Duration = Duration::from_millis(500);
 
-/// By this each piece comes later on a disturbed way.
+/// Delay of each piece of data on a delayed network path.
 const PATH_DELAY: Duration = Duration::from_millis(80);
 
-/// Event of a stream at which a replica breaks off or pauses: neither the first nor the last.
+/// Event at which a replica aborts or pauses a stream: neither the first nor the last.
 const MIDDLE_EVENT: u32 = 3;
 
-/// Replicas that misbehave in every run: there are nine ways, and each must come often.
+/// Replica faults added to every run. There are nine modes, and each must occur often.
 const REPLICA_FAULTS: usize = 3;
 
-/// Part of the runs in which all boxes are killed at once. Often enough among fifty seeds.
+/// Probability that all boxes are killed at once in a run. Frequent enough among fifty seeds.
 const ALL_KILLED_PROBABILITY: f64 = 0.25;
 
-/// Part of the runs in which a zone is emptied, and in which a cold replica comes.
+/// Probability that a zone is evacuated in a run, and that a cold replica is added.
 const ZONE_EMPTIED_PROBABILITY: f64 = 0.4;
 
-/// Part of the runs in which the store comes back from a copy.
+/// Probability that the store is restored from a copy in a run.
 const RESTORED_PROBABILITY: f64 = 0.4;
 
-/// A zone is emptied for this long, in milliseconds: longer than the platform allows until all boxes act on it.
+/// Range of the length of an evacuation, in milliseconds. Longer than the time within which the
+/// platform requires all boxes to act on it.
 const ZONE_EMPTIED_MS: (u64, u64) = (5_500, 9_000);
 
-/// Stops and kills of boxes in a series.
+/// Number of stops and kills in a series.
 const SERIES: u32 = 30;
 
-/// Time between the beginnings of two of them.
+/// Time between the starts of two faults of a series.
 const SERIES_EVERY: Duration = Duration::from_millis(700);
 
-/// Shortest and longest time for which a killed box of a series is away, in milliseconds.
+/// Range of the time for which a killed box of a series is down, in milliseconds.
 const SERIES_AWAY_MS: (u64, u64) = (50, 1_500);
 
-/// What is done to the site.
+/// A fault that is injected into the site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SoakFault {
-    /// A box is killed and started again after the fault's length.
+    /// A box is killed and restarted after the fault's length.
     BoxKilled(usize),
-    /// All boxes are killed at once and started again.
+    /// All boxes are killed at once and restarted.
     BoxesKilled,
-    /// A box is asked to stop, and started again when it has ended.
+    /// A box is asked to stop (SIGTERM), and restarted when it has exited.
     BoxStopped(usize),
-    /// A box stands still.
+    /// The process of a box is suspended (SIGSTOP).
     BoxPaused(usize),
-    /// A box is told that its settings changed.
+    /// A box is told to reload its settings (SIGHUP).
     BoxTold(usize),
-    /// The store fails for all, or for one box.
+    /// The store fails for all boxes, or for one box.
     Store(StoreOutage, Option<usize>),
-    /// The store is slow.
+    /// The store answers slowly.
     StoreSlow,
-    /// Appends are done and not answered.
+    /// The store does an append and does not answer it.
     StoreLoses,
-    /// The store forgets its history.
+    /// The store compacts its topics: only the newest value of each key stays.
     StoreCompacts,
-    /// The store is away for a moment, and comes back from a copy that is as old as the fault is long.
+    /// The store is briefly unreachable, and is restored from a copy that is as old as the fault is
+    /// long.
     StoreRestored,
-    /// A box's way to the store is disturbed.
+    /// The network path from a box to the store is faulty.
     StorePath(usize, ProxyFault),
     /// A replica misbehaves.
     Replica(usize, ReplicaMode),
-    /// The way to a replica is disturbed.
+    /// The network path to a replica is faulty.
     ReplicaPath(usize, ProxyFault),
-    /// A replica is added that says that it leaves, and does when the fault is over.
+    /// A replica is added, announces after the fault's length that it leaves, and is removed.
     ReplicaLeaves,
-    /// The zone of the first replica is emptied, and given back when the fault is over.
+    /// The zone of the first replica is evacuated until the fault is over.
     ZoneEmptied,
-    /// A cold replica is added, which leaves when the fault is over.
+    /// A cold replica is added, which leaves like that of [`SoakFault::ReplicaLeaves`].
     ReplicaCold,
-    /// A key is taken away for good.
+    /// An API key is revoked for good.
     KeyTaken,
-    /// The plan changes.
+    /// A newer plan is written.
     PlanChanged,
 }
 
 impl SoakFault {
-    /// Whether a box is away while it lasts.
+    /// Whether a box is down or suspended during the fault.
     fn takes_box(self) -> bool {
         matches!(
             self,
@@ -124,24 +126,24 @@
     }
 }
 
-/// A fault with its time.
+/// A fault with its start and length.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedFault {
-    /// When it begins, from the start of traffic.
+    /// Start, from the start of traffic.
     pub at: Duration,
-    /// How long it lasts.
+    /// Length.
     pub length: Duration,
-    /// What it is.
+    /// Kind of fault.
     pub fault: SoakFault,
 }
 
-/// The faults of a seed, in the order of their beginnings.
+/// Draws the faults of a seed, ordered by their start.
 pub fn draw_faults(seed: u64) -> Vec<TimedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let count = rng.gen_range(FAULT_COUNT.0..=FAULT_COUNT.1);
     let mut faults: Vec<TimedFault> = (0..count).map(|_| draw(&mut rng)).collect();
     faults.extend((0..REPLICA_FAULTS).map(|_| draw_replica_fault(&mut rng)));
-    // Drawn last: what a seed that once failed draws before it stays the same.
+    // Drawn last, so that a seed that failed before still draws the same faults up to here.
     if rng.gen_bool(ALL_KILLED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::BoxesKilled, ..draw(&mut rng) });
     }
@@ -155,7 +157,7 @@
     if rng.gen_bool(RESTORED_PROBABILITY) {
         faults.push(TimedFault { fault: SoakFault::StoreRestored, ..draw(&mut rng) });
     }
-    // A box at a time is down, or paused: callers have two others.
+    // Only one box at a time is down or suspended, so that callers have two others.
     let mut down_until = Duration::ZERO;
     faults.sort_by_key(|row| row.at);
     faults.retain(|row| {
@@ -169,7 +171,8 @@
     faults
 }
 
-/// A series of stops and kills of any boxes, which may meet a box that has just started, and nothing else.
+/// Draws a series of stops and kills of random boxes and no other faults. They may hit a box that
+/// has just started.
 pub fn draw_series(seed: u64) -> Vec<TimedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     (0..SERIES).map(|number| draw_outage_of_box(&mut rng, number)).collect()
