--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -1,4 +1,4 @@
-//! Faults, each played on the site from its beginning to its end.
+//! Injects faults into the site and ends them again.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,26 +16,26 @@
 use crate::platform::site::{evacuation_key, OPERATOR_TOPIC, REPLICA_TOPIC, SITE_SERVICE};
 use crate::platform::store::{StoreFaults, StoreOutage};
 
-/// Time that a slow store takes, in milliseconds.
+/// Time that a slow store takes for each call, in milliseconds.
 const SLOW_MS: u64 = 300;
 
-/// A box that was asked to stop is gone after this: the time that the platform gives it.
+/// Time that the platform gives a box to stop. It is killed afterwards.
 const STOP_GRACE: Duration = Duration::from_millis(8_000);
 
-/// A box that was asked to stop is looked at this often.
+/// Interval of the checks whether a stopping box has exited.
 const EXIT_POLL: Duration = Duration::from_millis(20);
 
-/// The entry of a replica that leaves stands for this long after its mark: a little over the two
-/// seconds in which boxes must have seen it.
+/// Time for which the entry of a leaving replica stays marked as draining before it is removed. A
+/// little more than the two seconds within which boxes must have seen the mark.
 const DRAINING_TIME: Duration = Duration::from_millis(2_500);
 
-/// The store is away for this long before it comes back from a copy.
+/// Time for which the store is unreachable before it is restored from a copy.
 const RESTORE_OUTAGE: Duration = Duration::from_millis(600);
 
-/// Rest that a replica asks for as it turns requests away, in seconds: several pauses of a caller.
+/// `Retry-After` of a full replica, in seconds. Several pauses of a caller.
 const RETRY_AFTER_S: f64 = 0.4;
 
-/// Plays one fault and notes it.
+/// Injects a fault at its time and records when it started and ended.
 pub(super) async fn play_fault(site: Arc<SoakSite>, row: TimedFault) {
     sleep(row.at).await;
     let asked_at = Instant::now();
@@ -51,7 +51,7 @@
     site.recorder.record_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
 }
 
-/// Plays a fault that waits for nothing before it begins.
+/// Injects a fault whose start counts from its due time, even if it waits for a locked box.
 async fn inflict(site: &SoakSite, fault: SoakFault, row: TimedFault) {
     match fault {
         SoakFault::BoxKilled(_) | SoakFault::BoxStopped(_) => {}
@@ -86,7 +86,8 @@
 }
 
 impl SoakSite {
-    /// Kills a box, once no other fault holds it, and starts it again later. Gives when it was killed.
+    /// Kills a box once no other fault has locked it, and restarts it later. Returns when it was
+    /// killed.
     async fn kill_box(&self, number: usize, length: Duration) -> Instant {
         let mut subject = self.boxes[number].lock().await;
         let killed_at = Instant::now();
@@ -96,7 +97,7 @@
         killed_at
     }
 
-    /// Kills all boxes and starts them again later.
+    /// Kills all boxes and restarts them later.
     async fn kill_boxes(&self, length: Duration) {
         let mut boxes = Vec::new();
         for subject in &self.boxes {
@@ -107,8 +108,8 @@
         boxes.iter_mut().for_each(|subject| subject.restart());
     }
 
-    /// Asks a box to stop, once no other fault holds it, waits until it has ended, and starts it again. Gives when it was
-    /// asked.
+    /// Asks a box to stop once no other fault has locked it, waits until it has exited or the grace
+    /// period is over, and restarts it. Returns when it was asked.
     async fn stop_box(&self, number: usize) -> Instant {
         let mut subject = self.boxes[number].lock().await;
         let asked_at = Instant::now();
@@ -122,7 +123,7 @@
         asked_at
     }
 
-    /// Lets a box stand still for a while.
+    /// Suspends the process of a box for a while.
     async fn pause_box(&self, number: usize, length: Duration) {
         let subject = self.boxes[number].lock().await;
         subject.signal("STOP");
@@ -130,7 +131,7 @@
         subject.signal("CONT");
     }
 
-    /// The store fails for all, or for the box `only`.
+    /// Makes the store fail for all boxes, or for the box `only`.
     async fn fail_store(&self, outage: StoreOutage, only: Option<usize>, length: Duration) {
         let only = only.map(|number| self.store_paths[number].address.ip());
         self.disturb_store(length, |faults, on| {
@@ -147,12 +148,12 @@
         .await;
     }
 
-    /// Appends are done and not answered.
+    /// Makes the store do an append and not answer it.
     async fn lose_answers(&self, length: Duration) {
         self.disturb_store(length, |faults, on| faults.lose_answers = u32::from(on)).await;
     }
 
-    /// Applies a change to the store's faults, and takes it back when the fault is over.
+    /// Changes the store's faults, and reverts the change when the fault is over.
     async fn disturb_store(&self, length: Duration, change: impl Fn(&mut StoreFaults, bool)) {
         self.change_store(|faults| change(faults, true)).await;
         sleep(length).await;
@@ -171,8 +172,8 @@
         site.store.compact(REPLICA_TOPIC);
     }
 
-    /// The store is away for a moment and comes back from a copy of `age`; the operator and the replicas write again what
-    /// was lost.
+    /// Makes the store unreachable for a moment and restores it from a copy that is `age` old. The
+    /// operator and the replicas then rewrite what was lost.
     async fn restore_store(&self, age: Duration) {
         let copy = self.site.lock().await.store.copy();
         sleep(age).await;
@@ -193,7 +194,7 @@
         self.replicas[number].set_mode(ReplicaMode::Well);
     }
 
-    /// The operator empties the first replica's zone, and gives it back.
+    /// Evacuates the first replica's zone, and withdraws the order when the fault is over.
     async fn empty_zone(&self, length: Duration) {
         let key = evacuation_key(FIRST_ZONE);
         self.site.lock().await.store.put(OPERATOR_TOPIC, &key, &json!({}));
@@ -204,8 +205,8 @@
         self.emptied.lock().await.push(EmptiedSpan { ordered_at, withdrawn_at });
     }
 
-    /// A replica comes, says that it leaves after the fault's length, and then its entry is gone. It
-    /// lives on to the end of the run.
+    /// Adds a replica, lets it announce after the fault's length that it leaves, and then removes
+    /// its entry. Its process runs to the end of the run, so that late requests are recorded.
     async fn add_leaving_replica(&self, row: TimedFault, cold_ms: u64) {
         let id = format!("i-{}", row.at.as_micros());
         let came_at = Instant::now();
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -1,4 +1,5 @@
-//! The site under faults: boxes as processes, the store and replicas, each behind a proxy of its own.
+//! The site of a soak run: boxes as processes, the store and replicas. A proxy stands between each
+//! box and the store, and before each replica.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -24,66 +25,66 @@
 use crate::platform::site_box::SiteBox;
 use crate::platform::store::StoreFaults;
 
-/// Events of a stream. Some before and some behind the one at which a replica breaks off.
+/// Number of events of a stream. Some precede and some follow the one at which a replica aborts.
 const EVENTS: u32 = 6;
 
 /// Time between two events of a stream, in milliseconds.
 const GAP_MS: u64 = 15;
 
-/// Numbers between two plans' versions: versions need not follow each other.
+/// Difference of two successive plan versions, which need not be consecutive.
 const VERSION_STEP: u64 = 7;
 
-/// Zone of the first replica, which a fault may empty.
+/// Zone of the first replica, which a fault may evacuate.
 pub(super) const FIRST_ZONE: &str = "west";
 
-/// Zone of all others.
+/// Zone of all other replicas.
 pub(super) const OTHER_ZONE: &str = "east";
 
-/// Requests a second that a cold replica bears, as the plan says. A tenth of what callers send.
+/// Limit of the requests a second to a cold replica, in the plan. A tenth of what callers send.
 pub(super) const COLD_PER_S: f64 = 20.0;
 
-/// A replica that comes cold is so for this long, in milliseconds.
+/// Time for which an added cold replica is cold, in milliseconds.
 pub(super) const COLD_MS: u64 = 2_000;
 
-/// Where a replica is, and for how long it is cold, in milliseconds.
+/// Zone of a replica, and how long it is cold, in milliseconds.
 #[derive(Clone, Copy)]
 pub(super) struct ReplicaPlace {
     pub(super) zone: &'static str,
     pub(super) cold_ms: u64,
 }
 
-/// The whole stream of a replica.
+/// Body of a complete stream of a replica.
 pub fn whole_stream() -> String {
     (1..=EVENTS).map(|number| format!("id: {number}\ndata: piece {number}\n\n")).collect()
 }
 
-/// A site under faults.
+/// The running site of a soak run.
 pub(super) struct SoakSite {
-    /// The store, and what boxes are started with.
+    /// The store, and the settings for starting boxes.
     pub(super) site: Mutex<RunningSite>,
-    /// The boxes, each held by the fault that takes it.
+    /// The boxes, each locked by the fault that stops or suspends it.
     pub(super) boxes: Vec<Mutex<SiteBox>>,
     /// Addresses of the boxes.
     pub(super) addresses: Vec<IpAddr>,
-    /// Replicas that stay.
+    /// Replicas that stay for the whole run.
     pub(super) replicas: Vec<ReplicaStandin>,
-    /// Replicas of the version that is brought in.
+    /// Replicas of the new version.
     pub(super) new_replicas: Vec<ReplicaStandin>,
-    /// The ways to them.
+    /// Proxies before the replicas of the new version.
     _new_paths: Vec<FaultProxy>,
-    /// When the order to bring it in was given.
+    /// When the roll-out was ordered.
     ordered_at: Instant,
-    /// The way of each box to the store.
+    /// Proxy between each box and the store.
     pub(super) store_paths: Vec<FaultProxy>,
-    /// The way to each replica that stays.
+    /// Proxy before each replica that stays.
     pub(super) replica_paths: Vec<FaultProxy>,
     /// Replicas that left.
     pub(super) left: Mutex<Vec<LeftReplica>>,
-    /// Spans in which the first replica's zone was emptied.
+    /// Spans in which the first replica's zone was evacuated.
     pub(super) emptied: Mutex<Vec<EmptiedSpan>>,
-    /// The ways to them: what still comes would be seen.
+    /// Proxies before replicas that left, kept running so that late requests are recorded.
     pub(super) left_paths: Mutex<Vec<FaultProxy>>,
-    /// What the store does wrong now.
+    /// Current faults of the store.
     pub(super) store_faults: Mutex<StoreFaults>,
     plan_version: AtomicU64,
     /// Records of callers and faults.
@@ -91,7 +92,7 @@
 }
 
 impl SoakSite {
-    /// Starts a site and waits until every box names all.
+    /// Starts a site and waits until the first box lists all boxes.
     pub(super) async fn start(binary: &Path) -> Self {
         let mut site = RunningSite::start(binary).await;
         site.warm_up = Some((COLD_MS as f64 / 1_000.0, COLD_PER_S));
@@ -104,7 +105,7 @@
             (named.len() == BOXES).then_some(())
         })
         .await;
-        // The version's replicas come when it is ordered, as the platform does it.
+        // The platform starts the new version's replicas when the roll-out is ordered.
         site.store.put(OPERATOR_TOPIC, ROLLOUT_KEY, &order());
         let ordered_at = Instant::now();
         let (new_replicas, new_paths) = start_replicas(&site, "n", NEW_VERSION, NEW_REPLICAS).await;
@@ -127,14 +128,14 @@
         }
     }
 
-    /// How the order to bring the new version in went.
+    /// Start and result of the roll-out.
     pub(super) async fn rollout(&self) -> PlayedRollout {
         let status = self.site.lock().await.store.newest(STATUS_TOPIC, ROLLOUT_KEY);
         let rolled_back = status.is_some_and(|status| status["state"] == "rolled_back");
         PlayedRollout { ordered_at: self.ordered_at, rolled_back }
     }
 
-    /// Writes a newer plan, without the second key once that was taken away.
+    /// Writes a newer plan, without the second key once it is revoked.
     pub(super) async fn write_plan(&self) {
         let last = self.plan_version.fetch_add(VERSION_STEP, Ordering::Relaxed);
         let taken = self.recorder.key_taken_at().is_some();
@@ -165,7 +166,7 @@
 async fn start_boxes(site: &mut RunningSite) -> (Vec<SiteBox>, Vec<FaultProxy>) {
     let (mut boxes, mut paths) = (Vec::new(), Vec::new());
     for number in 0..BOXES {
-        // Each box has a proxy of its own, at an address by which the store knows the box.
+        // The store tells boxes apart by the addresses of their proxies.
         let path = FaultProxy::start(own_address(), site.store.address).await;
         site.store_path = Some(path.address);
         boxes.push(site.start_ready(&format!("box-{number}")).await);
@@ -174,7 +175,7 @@
     (boxes, paths)
 }
 
-/// Starts a replica whose entry names a proxy before it.
+/// Starts a replica and a proxy, and writes an entry with the proxy's address.
 pub(super) async fn start_replica(
     site: &RunningSite,
     id: &str,
