--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: they ask boxes which addresses to use, keep the answer for a while, and keep connections open
-//! until the process behind them is gone.
+//! Callers: they resolve the boxes' addresses at the boxes, cache them for a while, send requests
+//! to them, and reuse connections until the box closes them.
 
 use std::future::Future;
 use std::net::IpAddr;
@@ -17,34 +17,35 @@
 use crate::platform::site::SITE_KEY;
 use crate::platform::site_box::{directory_url, entry_address, named_in, SITE_HOST};
 
-/// Key that a fault may take away.
+/// API key that a fault may revoke.
 pub const SECOND_KEY: &str = "second-key";
 
-/// Callers at work.
+/// Number of callers.
 pub const CALLERS: usize = 10;
 
-/// Callers keep an answer about addresses for this long: the platform's usual two seconds.
+/// Time for which callers cache addresses: the platform's usual two seconds.
 const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
-/// A box's answer about addresses comes within this, or another box is asked.
+/// Timeout of a request for addresses. Another box may be asked afterwards.
 const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Sessions that callers share: each has a request every few hundredths of a second, by way of any box.
+/// Number of sessions that callers share. Each has a request every few hundredths of a second,
+/// through any box.
 const SESSIONS: u32 = 12;
 
-/// Longest pause of a caller between two requests, in milliseconds.
+/// Upper bound of a caller's pause between two requests, in milliseconds.
 const PAUSE_MS: u64 = 25;
 
-/// How long a caller waits, in milliseconds.
+/// Deadline of a request, in milliseconds.
 pub const DEADLINE_MS: u64 = 3_500;
 
-/// A caller ends a request that is not answered this long after its time.
+/// A caller aborts a request that is not answered within this time, 2 s past its deadline.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 2_000);
 
-/// So long before it gives up a caller looks at what the kernel lists of its connection.
+/// Time before the client's timeout at which the kernel's sockets are listed.
 const SOCKET_LIST_LEAD: Duration = Duration::from_millis(300);
 
-/// One caller.
+/// A caller, which sends one request at a time.
 pub struct SoakCaller {
     number: usize,
     rng: StdRng,
@@ -56,14 +57,14 @@
 }
 
 impl SoakCaller {
-    /// A caller that knows the boxes it may ask for addresses.
+    /// Creates a caller that resolves addresses at `boxes`.
     pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, recorder: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(CLIENT_TIMEOUT).no_proxy().build().expect("a client");
         Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, recorder }
     }
 
-    /// Asks until told to stop.
+    /// Sends requests until `stop` is set.
     pub async fn run(mut self, mut stop: watch::Receiver<bool>) {
         let mut count = 0;
         while !*stop.borrow_and_update() {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Asks a box for addresses, if the last answer is too old.
+    /// Asks a random box for addresses if the cached ones are missing or too old.
     async fn refresh_addresses(&mut self) {
         if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.named.is_empty() {
             return;
@@ -87,7 +88,8 @@
         }
     }
 
-    /// Sends a request to one of the addresses and notes how it ended.
+    /// Sends a request to a random address and records how it ended. An address that fails is
+    /// removed if others are left.
     async fn ask(&mut self, count: u64) {
         if self.named.is_empty() {
             return;
@@ -124,8 +126,8 @@
     }
 }
 
-/// Waits for a request's end; where that takes so long that the caller is about to give up, gives what the kernel lists of
-/// the connections to its box by then.
+/// Waits for a request's end. Shortly before the client's timeout the kernel's list of sockets of
+/// the box is read and returned with the end.
 async fn with_sockets(request: impl Future<Output = AskEnd>, to: IpAddr) -> (AskEnd, Vec<String>) {
     tokio::pin!(request);
     match tokio::time::timeout(CLIENT_TIMEOUT - SOCKET_LIST_LEAD, &mut request).await {
@@ -137,7 +139,7 @@
     }
 }
 
-/// Addresses that a box names.
+/// Returns the addresses that a box lists, or `None` if it does not answer in time.
 pub async fn resolve(http: &Client, asked: IpAddr) -> Option<Vec<IpAddr>> {
     let answer = http.get(directory_url(asked)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
     let answer: Value = answer.json().await.ok()?;
@@ -145,7 +147,7 @@
     Some(named.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
 }
 
-/// Sends one request.
+/// Sends one request and reads its response.
 pub async fn send(
     http: &Client,
     to: IpAddr,
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -1,4 +1,4 @@
-//! What callers saw, and what was done to the site and when.
+//! Records of the requests that callers sent and of the faults that were injected.
 
 use std::net::IpAddr;
 use std::sync::{Mutex, PoisonError};
@@ -6,19 +6,19 @@
 
 use super::schedule::SoakFault;
 
-/// Kinds of requests, by what may be done with them more than once.
+/// Kinds of requests, by whether they may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AskKind {
-    /// May be repeated.
+    /// Idempotent: may run more than once.
     Read,
-    /// Runs once at most.
+    /// Not idempotent: runs once at most.
     File,
-    /// A stream that may be resumed.
+    /// A resumable stream.
     Chat,
 }
 
 impl AskKind {
-    /// Path of such a request.
+    /// Path of a request of this kind.
     pub fn path(self) -> &'static str {
         match self {
             AskKind::Read => "/read/x",
@@ -28,60 +28,61 @@
     }
 }
 
-/// How a request ended for its caller.
+/// How a request ended, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AskEnd {
-    /// An answer that came to its end.
+    /// The complete response arrived.
     Answered {
-        /// HTTP status.
+        /// HTTP status code.
         status: u16,
-        /// Body.
+        /// Response body.
         body: String,
-        /// Whether it says when to come back.
+        /// Whether it has a `Retry-After` header.
         retry_after: bool,
     },
-    /// No connection came about.
+    /// The connection could not be opened.
     NotSent,
-    /// The connection ended first.
+    /// The connection or the client's timeout ended before the response did: the error.
     Broken(String),
 }
 
-/// A request and its end.
+/// A request and how it ended.
 #[derive(Clone, Debug)]
 pub struct AskRecord {
-    /// Id.
+    /// Request id.
     pub id: String,
-    /// Kind.
+    /// Kind of request.
     pub kind: AskKind,
-    /// Whether it showed the key that may be taken away.
+    /// Whether it used the key that may be revoked.
     pub second_key: bool,
-    /// Session that it belongs to, by number.
+    /// Number of its session.
     pub session: u32,
     /// Box that it was sent to.
     pub to: IpAddr,
-    /// When.
+    /// When it was sent.
     pub sent_at: Instant,
     /// When it ended.
     pub ended_at: Instant,
-    /// How.
+    /// How it ended.
     pub end: AskEnd,
-    /// What the kernel listed of connections to the box shortly before the caller gave up, if it came to that.
+    /// The kernel's sockets of the box shortly before the client's timeout, or empty if the request
+    /// ended earlier.
     pub sockets: Vec<String>,
 }
 
-/// A fault as it was played.
+/// A fault that was injected.
 #[derive(Clone, Debug)]
 pub struct PlayedFault {
-    /// What was done.
+    /// Kind of fault.
     pub fault: SoakFault,
-    /// When it began.
+    /// When it started.
     pub from: Instant,
     /// When it was over.
     pub until: Instant,
 }
 
 impl PlayedFault {
-    /// Whether it lies within `slack` of the span.
+    /// Whether it overlaps the span, extended by `slack` at both ends.
     pub fn overlaps(&self, from: Instant, until: Instant, slack: Duration) -> bool {
         self.from <= until + slack && from <= self.until + slack
     }
@@ -96,33 +97,33 @@
 }
 
 impl SoakRecorder {
-    /// Notes a request's end.
+    /// Records a request that ended.
     pub fn record_ask(&self, ask: AskRecord) {
         self.asks.lock().unwrap_or_else(PoisonError::into_inner).push(ask);
     }
 
-    /// Notes a fault that is over.
+    /// Records a fault that is over.
     pub fn record_fault(&self, fault: PlayedFault) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).push(fault);
     }
 
-    /// Notes that the second key was taken away, the first time.
+    /// Records the time at which the second key is first revoked.
     pub fn record_key_taken(&self) {
         let mut taken = self.taken_at.lock().unwrap_or_else(PoisonError::into_inner);
         taken.get_or_insert_with(Instant::now);
     }
 
-    /// Requests.
+    /// Returns all requests so far.
     pub fn asks(&self) -> Vec<AskRecord> {
         self.asks.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Faults.
+    /// Returns all faults so far that are over.
     pub fn faults(&self) -> Vec<PlayedFault> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// When the second key was taken away.
+    /// Returns when the second key was revoked, if it was.
     pub fn key_taken_at(&self) -> Option<Instant> {
         *self.taken_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standins/src/soak/sockets.rs
+++ b/crates/standins/src/soak/sockets.rs
@@ -1,11 +1,13 @@
-//! What the kernel lists of connections: it tells one that nobody accepted from one that is held.
+//! Reads the kernel's list of TCP sockets, which tells connections that were never accepted from
+//! those that were accepted and wait for a response.
 
 use std::net::IpAddr;
 
-/// Rows of the kernel's list of TCP sockets, as it prints them.
+/// The kernel's list of TCP sockets.
 const SOCKET_LIST: &str = "/proc/net/tcp";
 
-/// Rows of the kernel's list, both ends of each connection, in which an address stands.
+/// Rows of the list with this IPv4 address, as the kernel prints them, for both ends of a
+/// connection.
 pub fn kernel_sockets(of: IpAddr) -> Vec<String> {
     let IpAddr::V4(address) = of else { return Vec::new() };
     let hex = format!("{:08X}:", u32::from_ne_bytes(address.octets()));
