--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from the records of callers and replicas.
+//! Checks the platform's guarantees against the records of callers and replicas.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -10,63 +10,67 @@
 use super::site::COLD_PER_S;
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
-/// A key that was taken away runs nothing this long after the store's word: the platform's bound.
+/// Time after its revocation in the store from which a key runs nothing. The platform's bound.
 const REVOKE_LIMIT: Duration = Duration::from_millis(5_000);
 
-/// A leaving replica gets nothing this long after the store's word: the platform's bound.
+/// Time after its draining mark in the store from which a replica gets no requests. The platform's
+/// bound.
 const DRAIN_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// A box that was disturbed counts as in touch again after this: the platform's bound.
+/// Time after a fault from which a box counts as connected again. The platform's bound.
 pub(super) const RECONNECT_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// An emptied zone gets nothing this long after the store's word: the platform's bound.
+/// Time after the order in the store from which an evacuated zone gets no requests. The platform's
+/// bound.
 const EVACUATE_LIMIT: Duration = Duration::from_millis(5_000);
 
-/// Beyond [`COLD_PER_S`] by these a cold replica falls over: the platform's bound.
+/// Factor and summand by which the requests in a second may exceed [`COLD_PER_S`] before a cold
+/// replica fails. The platform's bound.
 const COLD_OVER: f64 = 1.5;
 const COLD_SLACK: f64 = 5.0;
 
-/// Allowed beyond a bound: the machine has other work, and records are made a little late.
+/// Tolerance beyond a bound, as the machine runs other work and records are made a little late.
 const SLACK: Duration = Duration::from_millis(400);
 
-/// Callers may send to a box for this long after it was asked to stop: they keep an answer about addresses for so long.
+/// Time for which callers may still send to a box that was asked to stop, because they cache
+/// addresses for this long.
 const STALE_ADDRESS_TIME: Duration = Duration::from_millis(2_000);
 
-/// A request is answered this long after its time at the latest.
+/// A request is answered at most this long after its deadline.
 const LATE_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// A replica that left, with the store's word of it.
+/// A replica that left.
 pub struct LeftReplica {
     /// The replica.
     pub replica: ReplicaStandin,
-    /// When it came.
+    /// When it was started.
     pub came_at: Instant,
-    /// For how long it was cold then, in milliseconds.
+    /// Time for which it was cold after its start, in milliseconds.
     pub cold_ms: u64,
-    /// When the store had its mark.
+    /// When its entry in the store was marked as draining.
     pub marked_at: Instant,
 }
 
-/// A span in which the first replica's zone was emptied.
+/// A span in which the first replica's zone was evacuated.
 #[derive(Clone, Copy, Debug)]
 pub struct EmptiedSpan {
-    /// When the store had the order.
+    /// When the order was written to the store.
     pub ordered_at: Instant,
     /// When it was withdrawn.
     pub withdrawn_at: Instant,
 }
 
-/// Everything that a run is judged by.
+/// The records of a run.
 pub struct SoakRecord<'a> {
-    /// Callers' records and faults.
+    /// Records of requests and faults.
     pub recorder: &'a SoakRecorder,
     /// Replicas that stayed.
     pub replicas: &'a [ReplicaStandin],
-    /// Replicas of the version that is brought in.
+    /// Replicas of the new version.
     pub new_replicas: &'a [ReplicaStandin],
-    /// The order to bring it in.
+    /// The roll-out of the new version.
     pub rollout: &'a PlayedRollout,
-    /// Spans in which the zone of the first of them was emptied.
+    /// Spans in which the zone of the first of `replicas` was evacuated.
     pub emptied: &'a [EmptiedSpan],
     /// Replicas that left.
     pub left: &'a [LeftReplica],
@@ -74,10 +78,10 @@
     pub boxes: &'a [std::net::IpAddr],
 }
 
-/// A promise that was broken, in words.
+/// Description of a guarantee that was broken.
 pub type BrokenGuarantee = String;
 
-/// Checks all promises.
+/// Checks all guarantees.
 pub fn judge(record: &SoakRecord) -> Vec<BrokenGuarantee> {
     let asks = record.recorder.asks();
     let faults = record.recorder.faults();
@@ -108,7 +112,7 @@
     runs
 }
 
-/// What a single request shows.
+/// Checks what a single request shows by its response and its number of runs.
 fn check_ask(ask: &AskRecord, ran: usize) -> Option<&'static str> {
     if ask.kind == AskKind::File && ran > 1 {
         return Some("a call that may run once ran more than once");
@@ -128,7 +132,7 @@
     }
 }
 
-/// Whether a body is the is_whole_answer answer of a stand-in to this request.
+/// Whether a body is the complete response of one replica to this request.
 fn is_whole_answer(ask: &AskRecord, body: &str) -> bool {
     if ask.kind == AskKind::Chat {
         return body == super::site::whole_stream();
@@ -136,7 +140,7 @@
     body.ends_with(&format!(" answers {}", ask.id)) && body.matches(" answers ").count() == 1
 }
 
-/// A request that a box took ends with an answer, whatever is planned there.
+/// A request that a box accepted ends with a response, also when the box restarts as planned.
 fn check_cut(
     record: &SoakRecord,
     faults: &[PlayedFault],
@@ -154,12 +158,12 @@
         };
         excuses && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     });
-    // One that crosses a close and was passed on to nobody was not taken.
+    // A request that arrives as the connection closes, and ran nowhere, was not accepted.
     let crossed = ran == 0 && ask.ended_at - ask.sent_at < SLACK;
     (!excused && !crossed).then(|| format!("a request was cut ({why}): {ask:?}, {ran} runs"))
 }
 
-/// A request is answered in its time.
+/// A request is answered by its deadline.
 fn check_deadline(
     record: &SoakRecord,
     faults: &[PlayedFault],
@@ -174,7 +178,7 @@
     late.then(|| format!("a request was held for {took:?}: {ask:?}"))
 }
 
-/// While callers may still send to a box that stops, it answers what it takes.
+/// A stopping box answers the requests that it accepts while callers may still send to it.
 fn check_stops(
     record: &SoakRecord,
     asks: &[AskRecord],
@@ -201,7 +205,7 @@
     broken
 }
 
-/// Whether a box was killed, or stood still, near a request.
+/// Whether a box was killed or suspended near the time of a request.
 fn killed_near(faults: &[PlayedFault], number: usize, ask: &AskRecord) -> bool {
     faults.iter().any(|row| {
         let here = match row.fault {
@@ -226,7 +230,7 @@
     asks.iter().filter(late).map(told).collect()
 }
 
-/// A leaving replica gets nothing from boxes in touch after the bound.
+/// Connected boxes send nothing to a leaving replica after the bound.
 fn check_leaving(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for left in record.left {
@@ -244,7 +248,7 @@
     broken
 }
 
-/// An emptied zone gets nothing from boxes in touch after the bound, until it is given back.
+/// Connected boxes send nothing to an evacuated zone after the bound, until the order is withdrawn.
 fn check_emptied(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for (span, run) in record.emptied.iter().flat_map(|span| {
@@ -263,7 +267,7 @@
     broken
 }
 
-/// A cold replica gets from all boxes together no more than it bears.
+/// A cold replica gets no more requests from all boxes together than it can serve.
 fn check_cold(record: &SoakRecord) -> Vec<BrokenGuarantee> {
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let mut broken = Vec::new();
@@ -283,7 +287,7 @@
     broken
 }
 
-/// Whether a fault takes a box or the store out of touch.
+/// Whether a fault may cut a box off from the store or from other boxes.
 fn may_isolate(fault: SoakFault) -> bool {
     match fault {
         SoakFault::BoxTold(_)
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -1,4 +1,5 @@
-//! A roll-out runs through every seed: no session is moved to and fro by what happens to boxes.
+//! Checks that faults of boxes do not switch sessions between versions during a roll-out, which
+//! runs with every seed.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,25 +12,27 @@
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::SITE_SERVICE;
 
-/// Version that serves at first.
+/// Version that serves at the start.
 pub const OLD_VERSION: &str = "v1";
 
-/// Version that is brought in.
+/// Version that is rolled out.
 pub const NEW_VERSION: &str = "v2";
 
-/// Replicas of the new version: one may be busy.
+/// Number of replicas of the new version. More than one, as one may be busy.
 pub(super) const NEW_REPLICAS: usize = 2;
 
-/// Time that the order gives: its second half begins amid the faults, and it ends with the run.
+/// Length of the roll-out in its order. The second half starts during the faults, and it ends with
+/// the run.
 const ROLLOUT_TIME: Duration = Duration::from_secs(11);
 
-/// A session is forgotten after this without a request: the platform's bound.
+/// Time without requests after which a session is forgotten. The platform's bound.
 const SESSION_TTL: Duration = Duration::from_millis(5_000);
 
-/// Requests that may run on another version than the one before them: the platform's bound.
+/// Number of requests that may run on another version than the session's previous request. The
+/// platform's bound.
 const MOVED_LIMIT: usize = 3;
 
-/// The operator's order.
+/// The operator's order of the roll-out.
 pub(super) fn order() -> Value {
     json!({
         "service": SITE_SERVICE, "target_version": NEW_VERSION,
@@ -37,15 +40,15 @@
     })
 }
 
-/// How an order went.
+/// Start and result of a roll-out.
 pub struct PlayedRollout {
-    /// When it was given.
+    /// When it was ordered.
     pub ordered_at: Instant,
-    /// Whether the version was rolled back in the end.
+    /// Whether the new version was rolled back by the end of the run.
     pub rolled_back: bool,
 }
 
-/// Requests of a session that ran on another version than the one before them, where that may not be.
+/// Finds requests that ran on another version than the session's previous request without cause.
 pub(super) fn check_sessions(
     record: &SoakRecord,
     asks: &[AskRecord],
@@ -78,7 +81,7 @@
     moved
 }
 
-/// Version of the replica that ran a request last, by request id.
+/// Version of the replica that last ran each request, by request id.
 fn versions_by_id(record: &SoakRecord) -> HashMap<String, &'static str> {
     let left = record.left.iter().map(|left| &left.replica);
     let old = record.replicas.iter().chain(left).map(|replica| (replica, OLD_VERSION));
@@ -91,7 +94,7 @@
     runs.into_iter().map(|(_, id, version)| (id, version)).collect()
 }
 
-/// The request of the session that ended last before this one was sent.
+/// The latest request of the session that ended before this one was sent, unless it is too old.
 fn previous_request<'a>(session: &[&'a AskRecord], ask: &AskRecord) -> Option<&'a AskRecord> {
     let recent = |other: &&&AskRecord| {
         other.ended_at <= ask.sent_at && ask.sent_at - other.ended_at < SESSION_TTL
@@ -99,7 +102,8 @@
     session.iter().filter(recent).max_by_key(|other| other.ended_at).copied()
 }
 
-/// Whether a session may not go from one version to the other at this time.
+/// Whether a session must not switch between these versions at this time: to the new one in the
+/// first half of the roll-out, and back in the second half, unless the new version was rolled back.
 fn is_forbidden(rollout: &PlayedRollout, ask: &AskRecord, from: &str, to: &str) -> bool {
     let first_half = ask.ended_at < rollout.ordered_at + ROLLOUT_TIME / 2;
     match (from == OLD_VERSION, to == OLD_VERSION) {
@@ -109,8 +113,8 @@
     }
 }
 
-/// Whether all boxes were killed, near this time, so soon after the store came back from an older copy that nobody could
-/// write again what the copy lacked: how far the roll-out had come was known nowhere then.
+/// Whether the roll-out's progress was lost near this time: all boxes were killed so soon after the
+/// store was restored from an older copy that no box could rewrite what the copy lacked.
 fn is_progress_lost(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
     of(SoakFault::BoxesKilled).filter(|killed| killed.overlaps(from, until, RECONNECT_LIMIT)).any(
@@ -122,7 +126,8 @@
     )
 }
 
-/// Whether a fault keeps a box from what the others know. A kill, a stop or a start doesn't.
+/// Whether a fault keeps a running box from the state that the others share. A kill, a stop or a
+/// start does not.
 fn separates_boxes(fault: SoakFault) -> bool {
     match fault {
         SoakFault::BoxPaused(_)
