--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that disturbs the connections through it.
+//! A loopback TCP proxy that injects network faults into its connections.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,28 +8,28 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Largest piece that is passed on at once, in bytes.
+/// Largest piece that is forwarded at once, in bytes.
 const PIECE_BYTES: usize = 16 << 10;
 
-/// How connections are disturbed.
+/// Fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Each piece comes later by this.
+    /// Each piece is delayed by this time.
     Delayed(Duration),
-    /// Connections are reset, new ones as well.
+    /// Connections are reset, new ones too.
     Reset,
-    /// Nothing gets through to the target.
+    /// Nothing is forwarded to the target.
     CutThere,
-    /// Nothing comes back from the target.
+    /// Nothing is forwarded from the target.
     CutBack,
-    /// Nothing gets through either way.
+    /// Nothing is forwarded in either direction.
     Silent,
 }
 
-/// Which way bytes go.
+/// Direction of bytes: to the target, or back from it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Direction {
     There,
@@ -47,9 +47,9 @@
     }
 }
 
-/// A running proxy before its target: the store, or a replica.
+/// A running proxy before the store or a replica.
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     fault: watch::Sender<ProxyFault>,
 }
@@ -68,15 +68,15 @@
         Self { address, fault }
     }
 
-    /// Disturbs the connections from now on.
+    /// Sets the fault of present and future connections.
     pub fn set(&self, fault: ProxyFault) {
         self.fault.send_replace(fault);
     }
 }
 
-/// Carries one connection until either side ends it.
+/// Forwards one connection until either side ends it.
 async fn carry(client: TcpStream, target: SocketAddr, mut state: watch::Receiver<ProxyFault>) {
-    // Small answers must not wait for more.
+    // Without this, Nagle's algorithm delays small responses.
     drop(client.set_nodelay(true));
     if *state.borrow() == ProxyFault::Reset {
         return reset(client);
@@ -88,12 +88,12 @@
     tokio::select! {
         () = copy(client_read, target_write, Direction::There, state.clone()) => {}
         () = copy(target_read, client_write, Direction::Back, state.clone()) => {}
-        // An error says that the proxy is gone, which ends its connections too.
+        // An error means that the proxy was dropped, which ends its connections too.
         _ = state.wait_for(|fault| *fault == ProxyFault::Reset) => {}
     }
 }
 
-/// Closes with a reset.
+/// Closes a connection with a reset.
 fn reset(client: TcpStream) {
     drop(client.set_zero_linger());
 }
@@ -110,7 +110,7 @@
         if let ProxyFault::Delayed(by) = fault {
             tokio::time::sleep(by).await;
         }
-        // What a cut blocks up comes when it is over.
+        // Bytes that a fault blocks are forwarded when it is over.
         let passed = state.wait_for(|fault| !fault.blocks(way)).await.is_ok();
         if !passed || to.write_all(&buffer[..count]).await.is_err() {
             return;
