--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -8,7 +8,7 @@
 
 use super::judge::{EmptiedSpan, LeftReplica};
 use super::proxy::{FaultProxy, ProxyFault};
-use super::recorder::PlayedFault;
+use super::recorder::InjectedFault;
 use super::schedule::{SoakFault, TimedFault};
 use super::sessions::OLD_VERSION;
 use super::site::{start_replica, ReplicaPlace, SoakSite, COLD_MS, FIRST_ZONE, OTHER_ZONE};
@@ -48,7 +48,7 @@
         }
     };
     let from = began_at.unwrap_or(asked_at);
-    site.recorder.record_fault(PlayedFault { fault: row.fault, from, until: Instant::now() });
+    site.recorder.record_fault(InjectedFault { fault: row.fault, from, until: Instant::now() });
 }
 
 /// Injects a fault whose start counts from its due time, even if it waits for a locked box.
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::callers::DEADLINE_MS;
-use super::recorder::{AskEnd, AskKind, AskRecord, PlayedFault, SoakRecorder};
+use super::recorder::{AskEnd, AskKind, AskRecord, InjectedFault, SoakRecorder};
 use super::schedule::SoakFault;
 use super::sessions::{check_sessions, PlayedRollout};
 use super::site::COLD_PER_S;
@@ -143,7 +143,7 @@
 /// A request that a box accepted ends with a response, also when the box restarts as planned.
 fn check_cut(
     record: &SoakRecord,
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     ask: &AskRecord,
     ran: usize,
 ) -> Option<BrokenGuarantee> {
@@ -166,7 +166,7 @@
 /// A request is answered by its deadline.
 fn check_deadline(
     record: &SoakRecord,
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     ask: &AskRecord,
 ) -> Option<BrokenGuarantee> {
     let took = ask.ended_at - ask.sent_at;
@@ -182,7 +182,7 @@
 fn check_stops(
     record: &SoakRecord,
     asks: &[AskRecord],
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     runs: &HashMap<String, Vec<ReplicaRun>>,
 ) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
@@ -206,7 +206,7 @@
 }
 
 /// Whether a box was killed or suspended near the time of a request.
-fn killed_near(faults: &[PlayedFault], number: usize, ask: &AskRecord) -> bool {
+fn killed_near(faults: &[InjectedFault], number: usize, ask: &AskRecord) -> bool {
     faults.iter().any(|row| {
         let here = match row.fault {
             SoakFault::BoxKilled(killed) | SoakFault::BoxPaused(killed) => killed == number,
@@ -231,7 +231,7 @@
 }
 
 /// Connected boxes send nothing to a leaving replica after the bound.
-fn check_leaving(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
+fn check_leaving(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for left in record.left {
         for run in left.replica.runs() {
@@ -249,7 +249,7 @@
 }
 
 /// Connected boxes send nothing to an evacuated zone after the bound, until the order is withdrawn.
-fn check_emptied(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenGuarantee> {
+fn check_emptied(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for (span, run) in record.emptied.iter().flat_map(|span| {
         let runs = record.replicas[0].runs();
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -72,7 +72,7 @@
 
 /// A fault that was injected.
 #[derive(Clone, Debug)]
-pub struct PlayedFault {
+pub struct InjectedFault {
     /// Kind of fault.
     pub fault: SoakFault,
     /// When it started.
@@ -81,7 +81,7 @@
     pub until: Instant,
 }
 
-impl PlayedFault {
+impl InjectedFault {
     /// Whether it overlaps the span, extended by `slack` at both ends.
     pub fn overlaps(&self, from: Instant, until: Instant, slack: Duration) -> bool {
         self.from <= until + slack && from <= self.until + slack
@@ -92,7 +92,7 @@
 #[derive(Default)]
 pub struct SoakRecorder {
     asks: Mutex<Vec<AskRecord>>,
-    faults: Mutex<Vec<PlayedFault>>,
+    faults: Mutex<Vec<InjectedFault>>,
     taken_at: Mutex<Option<Instant>>,
 }
 
@@ -103,7 +103,7 @@
     }
 
     /// Records a fault that is over.
-    pub fn record_fault(&self, fault: PlayedFault) {
+    pub fn record_fault(&self, fault: InjectedFault) {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).push(fault);
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// Returns all faults so far that are over.
-    pub fn faults(&self) -> Vec<PlayedFault> {
+    pub fn faults(&self) -> Vec<InjectedFault> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use super::judge::{BrokenGuarantee, SoakRecord, RECONNECT_LIMIT};
-use super::recorder::{AskEnd, AskRecord, PlayedFault};
+use super::recorder::{AskEnd, AskRecord, InjectedFault};
 use super::schedule::SoakFault;
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::SITE_SERVICE;
@@ -52,7 +52,7 @@
 pub(super) fn check_sessions(
     record: &SoakRecord,
     asks: &[AskRecord],
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
 ) -> Vec<BrokenGuarantee> {
     let versions = versions_by_id(record);
     let served = |ask: &&AskRecord| matches!(ask.end, AskEnd::Answered { status: 200, .. });
@@ -115,7 +115,7 @@
 
 /// Whether the roll-out's progress was lost near this time: all boxes were killed so soon after the
 /// store was restored from an older copy that no box could rewrite what the copy lacked.
-fn is_progress_lost(faults: &[PlayedFault], from: Instant, until: Instant) -> bool {
+fn is_progress_lost(faults: &[InjectedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
     of(SoakFault::BoxesKilled).filter(|killed| killed.overlaps(from, until, RECONNECT_LIMIT)).any(
         |killed| {
