--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -36,7 +36,7 @@
 const RETRY_AFTER_S: f64 = 0.4;
 
 /// Injects a fault at its time and records when it started and ended.
-pub(super) async fn play_fault(site: Arc<SoakSite>, row: TimedFault) {
+pub(super) async fn inject_fault(site: Arc<SoakSite>, row: TimedFault) {
     sleep(row.at).await;
     let asked_at = Instant::now();
     let began_at = match row.fault {
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::callers::{resolve, send, SoakCaller, CALLERS};
-use super::inflict::play_fault;
+use super::inflict::inject_fault;
 use super::judge::{judge, BrokenGuarantee, SoakRecord};
 use super::recorder::{AskEnd, AskKind};
 use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULT_WINDOW, RECOVERY_TIME};
@@ -45,7 +45,7 @@
     let (stop, stopped) = watch::channel(false);
     let callers = start_callers(&site, seed, &stopped);
     let played: Vec<_> =
-        faults.iter().map(|row| tokio::spawn(play_fault(site.clone(), *row))).collect();
+        faults.iter().map(|row| tokio::spawn(inject_fault(site.clone(), *row))).collect();
     tokio::time::sleep(FAULT_WINDOW).await;
     for fault in played {
         fault.await.expect("the fault is played");
