--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::callers::DEADLINE_MS;
 use super::recorder::{AskEnd, AskKind, AskRecord, InjectedFault, SoakRecorder};
 use super::schedule::SoakFault;
-use super::sessions::{check_sessions, PlayedRollout};
+use super::sessions::{check_sessions, RolloutResult};
 use super::site::COLD_PER_S;
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
@@ -69,7 +69,7 @@
     /// Replicas of the new version.
     pub new_replicas: &'a [ReplicaStandin],
     /// The roll-out of the new version.
-    pub rollout: &'a PlayedRollout,
+    pub rollout: &'a RolloutResult,
     /// Spans in which the zone of the first of `replicas` was evacuated.
     pub emptied: &'a [EmptiedSpan],
     /// Replicas that left.
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -41,7 +41,7 @@
 }
 
 /// Start and result of a roll-out.
-pub struct PlayedRollout {
+pub struct RolloutResult {
     /// When it was ordered.
     pub ordered_at: Instant,
     /// Whether the new version was rolled back by the end of the run.
@@ -104,7 +104,7 @@
 
 /// Whether a session must not switch between these versions at this time: to the new one in the
 /// first half of the roll-out, and back in the second half, unless the new version was rolled back.
-fn is_forbidden(rollout: &PlayedRollout, ask: &AskRecord, from: &str, to: &str) -> bool {
+fn is_forbidden(rollout: &RolloutResult, ask: &AskRecord, from: &str, to: &str) -> bool {
     let first_half = ask.ended_at < rollout.ordered_at + ROLLOUT_TIME / 2;
     match (from == OLD_VERSION, to == OLD_VERSION) {
         (true, false) => first_half,
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -15,7 +15,7 @@
 use super::proxy::FaultProxy;
 use super::recorder::SoakRecorder;
 use super::schedule::{BOXES, REPLICAS};
-use super::sessions::{order, PlayedRollout, NEW_REPLICAS, NEW_VERSION, OLD_VERSION};
+use super::sessions::{order, RolloutResult, NEW_REPLICAS, NEW_VERSION, OLD_VERSION};
 use crate::fleet::wait_for;
 use crate::platform::replica::ReplicaStandin;
 use crate::platform::site::{
@@ -129,10 +129,10 @@
     }
 
     /// Start and result of the roll-out.
-    pub(super) async fn rollout(&self) -> PlayedRollout {
+    pub(super) async fn rollout(&self) -> RolloutResult {
         let status = self.site.lock().await.store.newest(STATUS_TOPIC, ROLLOUT_KEY);
         let rolled_back = status.is_some_and(|status| status["state"] == "rolled_back");
-        PlayedRollout { ordered_at: self.ordered_at, rolled_back }
+        RolloutResult { ordered_at: self.ordered_at, rolled_back }
     }
 
     /// Writes a newer plan, without the second key once it is revoked.
