--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::judge::{EmptiedSpan, LeftReplica};
+use super::judge::{EvacuationSpan, LeftReplica};
 use super::proxy::{FaultProxy, ProxyFault};
 use super::recorder::InjectedFault;
 use super::schedule::{SoakFault, TimedFault};
@@ -202,7 +202,7 @@
         sleep(length).await;
         let withdrawn_at = Instant::now();
         self.site.lock().await.store.drop_key(OPERATOR_TOPIC, &key);
-        self.emptied.lock().await.push(EmptiedSpan { ordered_at, withdrawn_at });
+        self.emptied.lock().await.push(EvacuationSpan { ordered_at, withdrawn_at });
     }
 
     /// Adds a replica, lets it announce after the fault's length that it leaves, and then removes
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -53,7 +53,7 @@
 
 /// A span in which the first replica's zone was evacuated.
 #[derive(Clone, Copy, Debug)]
-pub struct EmptiedSpan {
+pub struct EvacuationSpan {
     /// When the order was written to the store.
     pub ordered_at: Instant,
     /// When it was withdrawn.
@@ -71,7 +71,7 @@
     /// The roll-out of the new version.
     pub rollout: &'a RolloutResult,
     /// Spans in which the zone of the first of `replicas` was evacuated.
-    pub emptied: &'a [EmptiedSpan],
+    pub emptied: &'a [EvacuationSpan],
     /// Replicas that left.
     pub left: &'a [LeftReplica],
     /// Address of each box.
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Mutex;
 
 use super::callers::{resolve, SECOND_KEY};
-use super::judge::{EmptiedSpan, LeftReplica};
+use super::judge::{EvacuationSpan, LeftReplica};
 use super::proxy::FaultProxy;
 use super::recorder::SoakRecorder;
 use super::schedule::{BOXES, REPLICAS};
@@ -81,7 +81,7 @@
     /// Replicas that left.
     pub(super) left: Mutex<Vec<LeftReplica>>,
     /// Spans in which the first replica's zone was evacuated.
-    pub(super) emptied: Mutex<Vec<EmptiedSpan>>,
+    pub(super) emptied: Mutex<Vec<EvacuationSpan>>,
     /// Proxies before replicas that left, kept running so that late requests are recorded.
     pub(super) left_paths: Mutex<Vec<FaultProxy>>,
     /// Current faults of the store.
