--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -202,7 +202,7 @@
         sleep(length).await;
         let withdrawn_at = Instant::now();
         self.site.lock().await.store.drop_key(OPERATOR_TOPIC, &key);
-        self.emptied.lock().await.push(EvacuationSpan { ordered_at, withdrawn_at });
+        self.evacuated.lock().await.push(EvacuationSpan { ordered_at, withdrawn_at });
     }
 
     /// Adds a replica, lets it announce after the fault's length that it leaves, and then removes
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -71,7 +71,7 @@
     /// The roll-out of the new version.
     pub rollout: &'a RolloutResult,
     /// Spans in which the zone of the first of `replicas` was evacuated.
-    pub emptied: &'a [EvacuationSpan],
+    pub evacuated: &'a [EvacuationSpan],
     /// Replicas that left.
     pub left: &'a [LeftReplica],
     /// Address of each box.
@@ -251,7 +251,7 @@
 /// Connected boxes send nothing to an evacuated zone after the bound, until the order is withdrawn.
 fn check_emptied(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
-    for (span, run) in record.emptied.iter().flat_map(|span| {
+    for (span, run) in record.evacuated.iter().flat_map(|span| {
         let runs = record.replicas[0].runs();
         runs.into_iter().map(move |run| (span, run))
     }) {
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -74,13 +74,13 @@
 async fn report(site: &SoakSite, faults: &[TimedFault]) -> SoakReport {
     let mut broken = check_recovery(site).await;
     let left = site.left.lock().await;
-    let emptied = site.emptied.lock().await;
+    let evacuated = site.evacuated.lock().await;
     broken.extend(judge(&SoakRecord {
         recorder: &site.recorder,
         replicas: &site.replicas,
         new_replicas: &site.new_replicas,
         left: &left,
-        emptied: &emptied,
+        evacuated: &evacuated,
         boxes: &site.addresses,
         rollout: &site.rollout().await,
     }));
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -81,7 +81,7 @@
     /// Replicas that left.
     pub(super) left: Mutex<Vec<LeftReplica>>,
     /// Spans in which the first replica's zone was evacuated.
-    pub(super) emptied: Mutex<Vec<EvacuationSpan>>,
+    pub(super) evacuated: Mutex<Vec<EvacuationSpan>>,
     /// Proxies before replicas that left, kept running so that late requests are recorded.
     pub(super) left_paths: Mutex<Vec<FaultProxy>>,
     /// Current faults of the store.
@@ -120,7 +120,7 @@
             store_paths,
             replica_paths,
             left: Mutex::default(),
-            emptied: Mutex::default(),
+            evacuated: Mutex::default(),
             left_paths: Mutex::default(),
             store_faults: Mutex::default(),
             plan_version: AtomicU64::new(1),
