--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -70,7 +70,7 @@
         SoakFault::Replica(number, mode) => site.disturb_replica(number, mode, row.length).await,
         SoakFault::ReplicaLeaves => site.add_leaving_replica(row, 0).await,
         SoakFault::ReplicaCold => site.add_leaving_replica(row, COLD_MS).await,
-        SoakFault::ZoneEmptied => site.empty_zone(row.length).await,
+        SoakFault::ZoneEmptied => site.evacuate_zone(row.length).await,
         SoakFault::KeyTaken => {
             site.recorder.record_key_taken();
             site.write_plan().await;
@@ -195,7 +195,7 @@
     }
 
     /// Evacuates the first replica's zone, and withdraws the order when the fault is over.
-    async fn empty_zone(&self, length: Duration) {
+    async fn evacuate_zone(&self, length: Duration) {
         let key = evacuation_key(FIRST_ZONE);
         self.site.lock().await.store.put(OPERATOR_TOPIC, &key, &json!({}));
         let ordered_at = Instant::now();
