--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -96,7 +96,7 @@
     broken.extend(check_stops(record, &asks, &faults, &runs));
     broken.extend(check_key(record, &asks, &runs));
     broken.extend(check_leaving(record, &faults));
-    broken.extend(check_emptied(record, &faults));
+    broken.extend(check_evacuated(record, &faults));
     broken.extend(check_cold(record));
     broken.extend(check_sessions(record, &asks, &faults));
     broken
@@ -249,7 +249,7 @@
 }
 
 /// Connected boxes send nothing to an evacuated zone after the bound, until the order is withdrawn.
-fn check_emptied(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
+fn check_evacuated(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for (span, run) in record.evacuated.iter().flat_map(|span| {
         let runs = record.replicas[0].runs();
