--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -222,7 +222,7 @@
     asks: &[AskRecord],
     runs: &HashMap<String, Vec<ReplicaRun>>,
 ) -> Vec<BrokenGuarantee> {
-    let Some(taken_at) = record.recorder.key_taken_at() else { return Vec::new() };
+    let Some(taken_at) = record.recorder.key_revoked_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
         ask.second_key && ask.sent_at > taken_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
     };
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -124,7 +124,7 @@
     }
 
     /// Returns when the second key was revoked, if it was.
-    pub fn key_taken_at(&self) -> Option<Instant> {
+    pub fn key_revoked_at(&self) -> Option<Instant> {
         *self.taken_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -138,7 +138,7 @@
     /// Writes a newer plan, without the second key once it is revoked.
     pub(super) async fn write_plan(&self) {
         let last = self.plan_version.fetch_add(VERSION_STEP, Ordering::Relaxed);
-        let taken = self.recorder.key_taken_at().is_some();
+        let taken = self.recorder.key_revoked_at().is_some();
         let keys: &[&str] = if taken { &[SITE_KEY] } else { &[SITE_KEY, SECOND_KEY] };
         self.site.lock().await.write_plan(last + VERSION_STEP, keys);
     }
