--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -72,7 +72,7 @@
         SoakFault::ReplicaCold => site.add_leaving_replica(row, COLD_MS).await,
         SoakFault::ZoneEmptied => site.evacuate_zone(row.length).await,
         SoakFault::KeyTaken => {
-            site.recorder.record_key_taken();
+            site.recorder.record_key_revoked();
             site.write_plan().await;
         }
         SoakFault::PlanChanged => site.write_plan().await,
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -108,7 +108,7 @@
     }
 
     /// Records the time at which the second key is first revoked.
-    pub fn record_key_taken(&self) {
+    pub fn record_key_revoked(&self) {
         let mut taken = self.taken_at.lock().unwrap_or_else(PoisonError::into_inner);
         taken.get_or_insert_with(Instant::now);
     }
