--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -222,9 +222,9 @@
     asks: &[AskRecord],
     runs: &HashMap<String, Vec<ReplicaRun>>,
 ) -> Vec<BrokenGuarantee> {
-    let Some(taken_at) = record.recorder.key_revoked_at() else { return Vec::new() };
+    let Some(revoked_at) = record.recorder.key_revoked_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
-        ask.second_key && ask.sent_at > taken_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
+        ask.second_key && ask.sent_at > revoked_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
     };
     let told = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
     asks.iter().filter(late).map(told).collect()
--- a/crates/standins/src/soak/recorder.rs
+++ b/crates/standins/src/soak/recorder.rs
@@ -93,7 +93,7 @@
 pub struct SoakRecorder {
     asks: Mutex<Vec<AskRecord>>,
     faults: Mutex<Vec<InjectedFault>>,
-    taken_at: Mutex<Option<Instant>>,
+    revoked_at: Mutex<Option<Instant>>,
 }
 
 impl SoakRecorder {
@@ -109,7 +109,7 @@
 
     /// Records the time at which the second key is first revoked.
     pub fn record_key_revoked(&self) {
-        let mut taken = self.taken_at.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut taken = self.revoked_at.lock().unwrap_or_else(PoisonError::into_inner);
         taken.get_or_insert_with(Instant::now);
     }
 
@@ -125,6 +125,6 @@
 
     /// Returns when the second key was revoked, if it was.
     pub fn key_revoked_at(&self) -> Option<Instant> {
-        *self.taken_at.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.revoked_at.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
