--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -221,7 +221,7 @@
             replica,
             came_at,
             cold_ms,
-            marked_at: Instant::now(),
+            draining_at: Instant::now(),
         });
         self.left_paths.lock().await.push(path);
         sleep(DRAINING_TIME).await;
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -48,7 +48,7 @@
     /// Time for which it was cold after its start, in milliseconds.
     pub cold_ms: u64,
     /// When its entry in the store was marked as draining.
-    pub marked_at: Instant,
+    pub draining_at: Instant,
 }
 
 /// A span in which the first replica's zone was evacuated.
@@ -235,12 +235,12 @@
     let mut broken = Vec::new();
     for left in record.left {
         for run in left.replica.runs() {
-            let late = run.at > left.marked_at + DRAIN_LIMIT + SLACK;
+            let late = run.at > left.draining_at + DRAIN_LIMIT + SLACK;
             let disturbed = faults.iter().any(|row| {
-                may_isolate(row.fault) && row.overlaps(left.marked_at, run.at, RECONNECT_LIMIT)
+                may_isolate(row.fault) && row.overlaps(left.draining_at, run.at, RECONNECT_LIMIT)
             });
             if late && !disturbed {
-                let after = run.at - left.marked_at;
+                let after = run.at - left.draining_at;
                 broken.push(format!("{} ran {} {after:?} after it left", left.replica.id, run.id));
             }
         }
