--- a/crates/standins/src/soak/inflict.rs
+++ b/crates/standins/src/soak/inflict.rs
@@ -209,7 +209,7 @@
     /// its entry. Its process runs to the end of the run, so that late requests are recorded.
     async fn add_leaving_replica(&self, row: TimedFault, cold_ms: u64) {
         let id = format!("i-{}", row.at.as_micros());
-        let came_at = Instant::now();
+        let started_at = Instant::now();
         let place = ReplicaPlace { zone: OTHER_ZONE, cold_ms };
         let (replica, path) =
             start_replica(&*self.site.lock().await, &id, OLD_VERSION, place).await;
@@ -219,7 +219,7 @@
         self.site.lock().await.store.put(REPLICA_TOPIC, &id, &entry);
         self.left.lock().await.push(LeftReplica {
             replica,
-            came_at,
+            started_at,
             cold_ms,
             draining_at: Instant::now(),
         });
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -44,7 +44,7 @@
     /// The replica.
     pub replica: ReplicaStandin,
     /// When it was started.
-    pub came_at: Instant,
+    pub started_at: Instant,
     /// Time for which it was cold after its start, in milliseconds.
     pub cold_ms: u64,
     /// When its entry in the store was marked as draining.
@@ -272,7 +272,7 @@
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let mut broken = Vec::new();
     for left in record.left.iter().filter(|left| left.cold_ms > 0) {
-        let until = left.came_at + Duration::from_millis(left.cold_ms);
+        let until = left.started_at + Duration::from_millis(left.cold_ms);
         let times: Vec<Instant> = left.replica.runs().iter().map(|run| run.at).collect();
         let cold = |at: &&Instant| **at < until;
         let second = Duration::from_secs(1);
