--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -51,7 +51,7 @@
     rng: StdRng,
     http: Client,
     boxes: Vec<IpAddr>,
-    named: Vec<IpAddr>,
+    addresses: Vec<IpAddr>,
     asked_at: Option<Instant>,
     recorder: Arc<SoakRecorder>,
 }
@@ -61,7 +61,7 @@
     pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, recorder: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(CLIENT_TIMEOUT).no_proxy().build().expect("a client");
-        Self { number, rng, http, boxes, named: Vec::new(), asked_at: None, recorder }
+        Self { number, rng, http, boxes, addresses: Vec::new(), asked_at: None, recorder }
     }
 
     /// Sends requests until `stop` is set.
@@ -78,12 +78,13 @@
 
     /// Asks a random box for addresses if the cached ones are missing or too old.
     async fn refresh_addresses(&mut self) {
-        if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.named.is_empty() {
+        if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.addresses.is_empty()
+        {
             return;
         }
         let asked = self.boxes[self.rng.gen_range(0..self.boxes.len())];
-        if let Some(named) = resolve(&self.http, asked).await {
-            self.named = named;
+        if let Some(addresses) = resolve(&self.http, asked).await {
+            self.addresses = addresses;
             self.asked_at = Some(Instant::now());
         }
     }
@@ -91,11 +92,11 @@
     /// Sends a request to a random address and records how it ended. An address that fails is
     /// removed if others are left.
     async fn ask(&mut self, count: u64) {
-        if self.named.is_empty() {
+        if self.addresses.is_empty() {
             return;
         }
-        let place = self.rng.gen_range(0..self.named.len());
-        let to = self.named[place];
+        let place = self.rng.gen_range(0..self.addresses.len());
+        let to = self.addresses[place];
         let kind = match self.rng.gen_range(0..10) {
             0..=3 => AskKind::File,
             4..=6 => AskKind::Read,
@@ -120,8 +121,8 @@
             end,
             sockets,
         });
-        if failed && self.named.len() > 1 {
-            self.named.remove(place);
+        if failed && self.addresses.len() > 1 {
+            self.addresses.remove(place);
         }
     }
 }
@@ -143,8 +144,8 @@
 pub async fn resolve(http: &Client, asked: IpAddr) -> Option<Vec<IpAddr>> {
     let answer = http.get(directory_url(asked)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
     let answer: Value = answer.json().await.ok()?;
-    let named = named_in(&answer)?;
-    Some(named.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
+    let addresses = named_in(&answer)?;
+    Some(addresses.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
 }
 
 /// Sends one request and reads its response.
