--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -95,8 +95,8 @@
         if self.addresses.is_empty() {
             return;
         }
-        let place = self.rng.gen_range(0..self.addresses.len());
-        let to = self.addresses[place];
+        let index = self.rng.gen_range(0..self.addresses.len());
+        let to = self.addresses[index];
         let kind = match self.rng.gen_range(0..10) {
             0..=3 => AskKind::File,
             4..=6 => AskKind::Read,
@@ -122,7 +122,7 @@
             sockets,
         });
         if failed && self.addresses.len() > 1 {
-            self.addresses.remove(place);
+            self.addresses.remove(index);
         }
     }
 }
