--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -52,7 +52,7 @@
     http: Client,
     boxes: Vec<IpAddr>,
     addresses: Vec<IpAddr>,
-    asked_at: Option<Instant>,
+    resolved_at: Option<Instant>,
     recorder: Arc<SoakRecorder>,
 }
 
@@ -61,7 +61,7 @@
     pub fn new(seed: u64, number: usize, boxes: Vec<IpAddr>, recorder: Arc<SoakRecorder>) -> Self {
         let rng = StdRng::seed_from_u64(seed ^ (number as u64 + 1) << 32);
         let http = Client::builder().timeout(CLIENT_TIMEOUT).no_proxy().build().expect("a client");
-        Self { number, rng, http, boxes, addresses: Vec::new(), asked_at: None, recorder }
+        Self { number, rng, http, boxes, addresses: Vec::new(), resolved_at: None, recorder }
     }
 
     /// Sends requests until `stop` is set.
@@ -78,14 +78,15 @@
 
     /// Asks a random box for addresses if the cached ones are missing or too old.
     async fn refresh_addresses(&mut self) {
-        if self.asked_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL) && !self.addresses.is_empty()
+        if self.resolved_at.is_some_and(|at| at.elapsed() < ADDRESS_TTL)
+            && !self.addresses.is_empty()
         {
             return;
         }
         let asked = self.boxes[self.rng.gen_range(0..self.boxes.len())];
         if let Some(addresses) = resolve(&self.http, asked).await {
             self.addresses = addresses;
-            self.asked_at = Some(Instant::now());
+            self.resolved_at = Some(Instant::now());
         }
     }
 
