--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -26,7 +26,7 @@
 /// Time for which callers cache addresses: the platform's usual two seconds.
 const ADDRESS_TTL: Duration = Duration::from_millis(2_000);
 
-/// Timeout of a request for addresses. Another box may be asked afterwards.
+/// Timeout of a request for addresses. Another box may be resolver afterwards.
 const DIRECTORY_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Number of sessions that callers share. Each has a request every few hundredths of a second,
@@ -83,8 +83,8 @@
         {
             return;
         }
-        let asked = self.boxes[self.rng.gen_range(0..self.boxes.len())];
-        if let Some(addresses) = resolve(&self.http, asked).await {
+        let resolver = self.boxes[self.rng.gen_range(0..self.boxes.len())];
+        if let Some(addresses) = resolve(&self.http, resolver).await {
             self.addresses = addresses;
             self.resolved_at = Some(Instant::now());
         }
@@ -142,8 +142,8 @@
 }
 
 /// Returns the addresses that a box lists, or `None` if it does not answer in time.
-pub async fn resolve(http: &Client, asked: IpAddr) -> Option<Vec<IpAddr>> {
-    let answer = http.get(directory_url(asked)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
+pub async fn resolve(http: &Client, resolver: IpAddr) -> Option<Vec<IpAddr>> {
+    let answer = http.get(directory_url(resolver)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
     let answer: Value = answer.json().await.ok()?;
     let addresses = named_in(&answer)?;
     Some(addresses.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
