--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -226,8 +226,8 @@
     let late = |ask: &&AskRecord| {
         ask.second_key && ask.sent_at > revoked_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
     };
-    let told = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
-    asks.iter().filter(late).map(told).collect()
+    let describe = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
+    asks.iter().filter(late).map(describe).collect()
 }
 
 /// Connected boxes send nothing to a leaving replica after the bound.
