--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -62,7 +62,7 @@
         let (fault, state) = watch::channel(ProxyFault::None);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, target, state.clone()));
+                tokio::spawn(forward(stream, target, state.clone()));
             }
         });
         Self { address, fault }
@@ -75,7 +75,7 @@
 }
 
 /// Forwards one connection until either side ends it.
-async fn carry(client: TcpStream, target: SocketAddr, mut state: watch::Receiver<ProxyFault>) {
+async fn forward(client: TcpStream, target: SocketAddr, mut state: watch::Receiver<ProxyFault>) {
     // Without this, Nagle's algorithm delays small responses.
     drop(client.set_nodelay(true));
     if *state.borrow() == ProxyFault::Reset {
