--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -81,10 +81,10 @@
     if *state.borrow() == ProxyFault::Reset {
         return reset(client);
     }
-    let Ok(reached) = TcpStream::connect(target).await else { return reset(client) };
-    drop(reached.set_nodelay(true));
+    let Ok(upstream) = TcpStream::connect(target).await else { return reset(client) };
+    drop(upstream.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
-    let (target_read, target_write) = reached.into_split();
+    let (target_read, target_write) = upstream.into_split();
     tokio::select! {
         () = copy(client_read, target_write, Direction::There, state.clone()) => {}
         () = copy(target_read, client_write, Direction::Back, state.clone()) => {}
