--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 
 use super::replica::ReplicaStandin;
-use super::site_box::{SiteBox, DIRECTORY_PORT, ENTRY_PORT, NOTES_PORT, READY_PORT, SITE_HOST};
+use super::site_box::{SiteBox, DIRECTORY_PORT, ENTRY_PORT, GOSSIP_PORT, READY_PORT, SITE_HOST};
 use super::store::StoreStandin;
 use crate::fleet::wait_for;
 
@@ -34,7 +34,7 @@
 /// Topic of the replicas' entries.
 pub const REPLICA_TOPIC: &str = "keyed.servers";
 
-/// Port under which settings name seeds; boxes hear notes at [`NOTES_PORT`] all the same.
+/// Port under which settings name seeds; boxes hear notes at [`GOSSIP_PORT`] all the same.
 const SEED_PORT: u16 = 18_229;
 
 /// Descriptors of a box, as small installations give them.
@@ -178,7 +178,7 @@
         });
         format!(
             "node = \"{name}\"\nrole = \"gateway\"\nip = \"{ip}\"\nzone = \"east\"\n\
-             ephemeral_ports = [{NOTES_PORT}, {}]\nseeds = [{}]\nfield_of_tomorrow = true\n\
+             ephemeral_ports = [{GOSSIP_PORT}, {}]\nseeds = [{}]\nfield_of_tomorrow = true\n\
              [listen]\nfront = \"{ip}:{ENTRY_PORT}\"\nready = \"{ip}:{READY_PORT}\"\n\
              directory = \"{ip}:{DIRECTORY_PORT}\"\n\
              [bounds]\nstrict_revoke = true\nrevoke_ms = 5000\nconfig_apply_ms = 2000\n\
@@ -186,7 +186,7 @@
              lease_ms = {LEASE_MS}\nusage_window_s = {WINDOW_S}\nusage_late_s = 4\n\
              [zones]\neast = \"inland\"\nwest = \"coast\"\n\
              [limits]\nmax_fds = {}\n[platform]\naddress = \"{}\"\n{}",
-            NOTES_PORT + 15,
+            GOSSIP_PORT + 15,
             seeds.join(", "),
             self.descriptors,
             self.store_path.unwrap_or(self.store.address),
--- a/crates/standins/src/platform/site_box.rs
+++ b/crates/standins/src/platform/site_box.rs
@@ -16,7 +16,7 @@
 pub(super) const ENTRY_PORT: u16 = 18_227;
 pub(super) const READY_PORT: u16 = 18_220;
 pub(super) const DIRECTORY_PORT: u16 = 18_224;
-pub(super) const NOTES_PORT: u16 = 18_340;
+pub(super) const GOSSIP_PORT: u16 = 18_340;
 const METRICS_PORT: u16 = 18_464;
 
 /// Bit of the signal that tells of changed settings, in the masks that the system shows.
