--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -159,7 +159,7 @@
     }
 
     /// What it says of itself in each answer.
-    fn own_word(&self) -> Vec<(&'static str, String)> {
+    fn status_headers(&self) -> Vec<(&'static str, String)> {
         let record = self.lock();
         let limit = record.limit_per_s.map(|limit| ("Server-Limit", limit.to_string()));
         let leaving = record.leaving.then(|| ("Server-Leaving", "1".to_owned()));
@@ -168,7 +168,7 @@
 
     /// The answer to a request that it does not run.
     fn turn_away(&self, id: &str) -> Vec<u8> {
-        let mut word = self.own_word();
+        let mut word = self.status_headers();
         let mut record = self.lock();
         record.turned_away.push(Instant::now());
         word.extend(record.rest_s.map(|rest| ("Retry-After", rest.to_string())));
@@ -268,7 +268,7 @@
         if mode != ReplicaMode::Unproven {
             headers.push(("X-Ravenspoke-Response-Stamp", "stamp"));
         }
-        let word = self.own_word();
+        let word = self.status_headers();
         headers.extend(word.iter().map(|(name, value)| (*name, value.as_str())));
         let status = if mode == ReplicaMode::Failing { 500 } else { 200 };
         let answer = whole_answer(status, &headers, body.as_bytes());
@@ -301,7 +301,7 @@
             ("Content-Type", "text/event-stream"),
             ("Transfer-Encoding", "chunked"),
         ];
-        let word = self.own_word();
+        let word = self.status_headers();
         headers.extend(word.iter().map(|(name, value)| (*name, value.as_str())));
         let mut head = answer_head(200, &headers);
         head.extend(b"\r\n");
