--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -229,7 +229,7 @@
             stream.write_all(&self.turn_away(&id)).await?;
             return Ok(true);
         }
-        let row = self.note_run(&id, request);
+        let row = self.record_run(&id, request);
         if self.lock().deadly.as_deref() == Some(request.body.as_slice()) {
             self.ended.send_replace(true);
             return Ok(false);
@@ -242,7 +242,7 @@
         self.plain(stream, &id, mode).await
     }
 
-    fn note_run(&self, id: &str, request: &WireRequest) -> usize {
+    fn record_run(&self, id: &str, request: &WireRequest) -> usize {
         let mut record = self.lock();
         record.runs.push(ReplicaRun {
             id: id.to_owned(),
