--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -227,7 +227,7 @@
     async fn serve(&self, stream: TcpStream, from: IpAddr) {
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_request(&mut stream).await {
-            let faults = self.note_call(from, &request);
+            let faults = self.record_call(from, &request);
             let hit = faults.only.is_empty() || faults.only.contains(&from);
             match faults.outage {
                 StoreOutage::Busy if hit => {
@@ -255,7 +255,7 @@
         }
     }
 
-    fn note_call(&self, from: IpAddr, request: &WireRequest) -> StoreFaults {
+    fn record_call(&self, from: IpAddr, request: &WireRequest) -> StoreFaults {
         let mut state = self.lock();
         *state.calls.entry((from, request.path().to_owned())).or_default() += 1;
         let topic = request.query("topic").unwrap_or_default().to_owned();
