--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -66,7 +66,7 @@
     /// When it turned requests away.
     turned_away: Vec<Instant>,
     /// Bodies with which it ends, and all that runs there.
-    deadly: Option<Vec<u8>>,
+    crash_body: Option<Vec<u8>>,
     runs: Vec<ReplicaRun>,
     connections: u32,
 }
@@ -150,7 +150,7 @@
 
     /// A request with this body ends its process.
     pub fn end_on(&self, body: &[u8]) {
-        self.lock().deadly = Some(body.to_owned());
+        self.lock().crash_body = Some(body.to_owned());
     }
 
     /// Whether its process has ended.
@@ -230,7 +230,7 @@
             return Ok(true);
         }
         let row = self.record_run(&id, request);
-        if self.lock().deadly.as_deref() == Some(request.body.as_slice()) {
+        if self.lock().crash_body.as_deref() == Some(request.body.as_slice()) {
             self.ended.send_replace(true);
             return Ok(false);
         }
