--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -167,7 +167,7 @@
     }
 
     /// The answer to a request that it does not run.
-    fn turn_away(&self, id: &str) -> Vec<u8> {
+    fn reject(&self, id: &str) -> Vec<u8> {
         let mut status = self.status_headers();
         let mut record = self.lock();
         record.turned_away.push(Instant::now());
@@ -226,7 +226,7 @@
         }
         let mode = self.lock().mode;
         if mode == ReplicaMode::Full {
-            stream.write_all(&self.turn_away(&id)).await?;
+            stream.write_all(&self.reject(&id)).await?;
             return Ok(true);
         }
         let row = self.record_run(&id, request);
