--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -60,7 +60,7 @@
     /// Requests a second that it names as its limit.
     limit_per_s: Option<f64>,
     /// Seconds of rest that it asks for as it turns requests away.
-    rest_s: Option<f64>,
+    retry_after_s: Option<f64>,
     /// Whether it says in its answers that it leaves.
     leaving: bool,
     /// When it turned requests away.
@@ -134,8 +134,8 @@
     }
 
     /// Sets the rest that it asks for as it turns requests away, in seconds.
-    pub fn set_rest(&self, rest_s: Option<f64>) {
-        self.lock().rest_s = rest_s;
+    pub fn set_rest(&self, retry_after_s: Option<f64>) {
+        self.lock().retry_after_s = retry_after_s;
     }
 
     /// It says in its answers from now on that it leaves.
@@ -171,7 +171,7 @@
         let mut status = self.status_headers();
         let mut record = self.lock();
         record.turned_away.push(Instant::now());
-        status.extend(record.rest_s.map(|rest| ("Retry-After", rest.to_string())));
+        status.extend(record.retry_after_s.map(|rest| ("Retry-After", rest.to_string())));
         let mut headers = vec![("X-Ravenspoke-Request-Id", id), ("X-Ravenspoke-Not-Executed", "1")];
         headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
         whole_answer(503, &headers, b"")
