--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -245,7 +245,7 @@
             tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
             let answer = self.answer(&request).await;
             let append = request.path().ends_with("log-append");
-            if append && self.loses_answer() {
+            if append && self.drops_answer() {
                 return std::future::pending().await;
             }
             let rate = if hit { faults.rate } else { 0 };
@@ -263,7 +263,7 @@
         state.faults.clone()
     }
 
-    fn loses_answer(&self) -> bool {
+    fn drops_answer(&self) -> bool {
         let mut state = self.lock();
         let lost = state.faults.lose_answers > 0;
         state.faults.lose_answers -= u32::from(lost);
