--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -352,9 +352,9 @@
             let changed = self.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let found = self.found(topic, from);
+            let page = self.read_from(topic, from);
             let timed_out = tokio::time::Instant::now() >= until;
-            match found {
+            match page {
                 Ok((answer, true)) => return answer,
                 Ok((answer, false)) if timed_out => return answer,
                 Ok(_) => {}
@@ -366,7 +366,7 @@
     }
 
     /// The answer to a read, and whether it has records; another one if the topic does not have those asked for.
-    fn found(&self, topic: &str, from: u64) -> Result<(Vec<u8>, bool), Vec<u8>> {
+    fn read_from(&self, topic: &str, from: u64) -> Result<(Vec<u8>, bool), Vec<u8>> {
         let state = self.lock();
         let empty = StoredTopic::default();
         let row = state.topics.get(topic).unwrap_or(&empty);
