--- a/crates/standins/src/platform/site_box.rs
+++ b/crates/standins/src/platform/site_box.rs
@@ -33,7 +33,7 @@
 }
 
 /// Addresses that a directory's answer names.
-pub fn named_in(answer: &Value) -> Option<Vec<String>> {
+pub fn listed_addresses(answer: &Value) -> Option<Vec<String>> {
     let rows = answer["addresses"].as_array()?;
     Some(rows.iter().filter_map(|row| Some(row.as_str()?.to_owned())).collect())
 }
@@ -129,7 +129,7 @@
     /// What the directory answers.
     pub async fn resolve(&self) -> Option<Vec<String>> {
         let answer: Value = reqwest::get(directory_url(self.ip)).await.ok()?.json().await.ok()?;
-        named_in(&answer)
+        listed_addresses(&answer)
     }
 
     /// Whether it says that it is ready.
--- a/crates/standins/src/soak/callers.rs
+++ b/crates/standins/src/soak/callers.rs
@@ -15,7 +15,7 @@
 use super::recorder::{AskEnd, AskKind, AskRecord, SoakRecorder};
 use super::sockets::kernel_sockets;
 use crate::platform::site::SITE_KEY;
-use crate::platform::site_box::{directory_url, entry_address, named_in, SITE_HOST};
+use crate::platform::site_box::{directory_url, entry_address, listed_addresses, SITE_HOST};
 
 /// API key that a fault may revoke.
 pub const SECOND_KEY: &str = "second-key";
@@ -145,7 +145,7 @@
 pub async fn resolve(http: &Client, resolver: IpAddr) -> Option<Vec<IpAddr>> {
     let answer = http.get(directory_url(resolver)).timeout(DIRECTORY_TIMEOUT).send().await.ok()?;
     let answer: Value = answer.json().await.ok()?;
-    let addresses = named_in(&answer)?;
+    let addresses = listed_addresses(&answer)?;
     Some(addresses.iter().filter_map(|address| address.split(':').next()?.parse().ok()).collect())
 }
 
