--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -290,7 +290,7 @@
     ) -> std::io::Result<bool> {
         match mode {
             ReplicaMode::Closing => return Ok(false),
-            ReplicaMode::Silent => return wait_for_leaving(stream).await,
+            ReplicaMode::Silent => return wait_for_disconnect(stream).await,
             _ => {}
         }
         let after: u32 =
@@ -313,7 +313,9 @@
                     stream.write_all(&chunk(&event.as_bytes()[..9])).await?;
                     return Ok(false);
                 }
-                ReplicaMode::PauseAt(at) if at == number => return wait_for_leaving(stream).await,
+                ReplicaMode::PauseAt(at) if at == number => {
+                    return wait_for_disconnect(stream).await
+                }
                 _ => stream.write_all(&chunk(event.as_bytes())).await?,
             }
             pause_or_leave(stream, Duration::from_millis(self.gap_ms)).await?;
@@ -332,7 +334,7 @@
     }
 }
 
-async fn wait_for_leaving(stream: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
+async fn wait_for_disconnect(stream: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
     pause_or_leave(stream, Duration::MAX).await?;
     Ok(false)
 }
