--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -318,7 +318,7 @@
                 }
                 _ => stream.write_all(&chunk(event.as_bytes())).await?,
             }
-            pause_or_leave(stream, Duration::from_millis(self.gap_ms)).await?;
+            pause_or_disconnect(stream, Duration::from_millis(self.gap_ms)).await?;
         }
         stream.write_all(b"0\r\n\r\n").await?;
         Ok(true)
@@ -326,7 +326,10 @@
 }
 
 /// Waits; an error says that the caller left meanwhile.
-async fn pause_or_leave(stream: &mut BufReader<TcpStream>, pause: Duration) -> std::io::Result<()> {
+async fn pause_or_disconnect(
+    stream: &mut BufReader<TcpStream>,
+    pause: Duration,
+) -> std::io::Result<()> {
     match tokio::time::timeout(pause, stream.read_u8()).await {
         Err(_) => Ok(()),
         Ok(Err(error)) => Err(error),
@@ -335,6 +338,6 @@
 }
 
 async fn wait_for_disconnect(stream: &mut BufReader<TcpStream>) -> std::io::Result<bool> {
-    pause_or_leave(stream, Duration::MAX).await?;
+    pause_or_disconnect(stream, Duration::MAX).await?;
     Ok(false)
 }
