--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -105,8 +105,8 @@
         self.write_long_plan(version, keys, 0);
     }
 
-    /// Writes the same plan with `more` routes beside these, whose names and paths repeat nothing.
-    pub fn write_long_plan(&self, version: u64, keys: &[&str], more: u64) {
+    /// Writes the same plan with `extra_routes` routes beside these, whose names and paths repeat nothing.
+    pub fn write_long_plan(&self, version: u64, keys: &[&str], extra_routes: u64) {
         let route = |name: &str, kind: &str, attempts: u32| {
             json!({
                 "name": name, "host": SITE_HOST, "path_prefix": format!("/{name}/"), "kind": kind,
@@ -122,7 +122,8 @@
         ];
         let mixed = |number: u64| number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         routes.extend(
-            (1..=more).map(|number| route(&format!("{:016x}", mixed(number)), "idempotent", 3)),
+            (1..=extra_routes)
+                .map(|number| route(&format!("{:016x}", mixed(number)), "idempotent", 3)),
         );
         let (cold_start_s, cold_per_s) = self.warm_up.unwrap_or_default();
         let plan = json!({
