--- a/crates/standins/src/platform/cloud.rs
+++ b/crates/standins/src/platform/cloud.rs
@@ -39,8 +39,8 @@
 #[derive(Default)]
 struct CloudState {
     calls: Vec<AcceptedCall>,
-    /// The highest token seen, by subject.
-    seen: BTreeMap<String, u64>,
+    /// The highest token highest_tokens, by subject.
+    highest_tokens: BTreeMap<String, u64>,
     refused: u64,
     /// Calls that came, whatever became of them.
     asked: u64,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Does a call, unless a higher token was seen for its subject. Gives the status.
+    /// Does a call, unless a higher token was highest_tokens for its subject. Gives the status.
     fn accept(&self, request: &WireRequest) -> u16 {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let text = |name: &str| request.header(name).unwrap_or_default().to_owned();
@@ -124,12 +124,12 @@
         let path = request.path().to_owned();
         let subject = format!("{path} {} {}", body["service"], body["zone"]);
         let mut state = self.lock();
-        let seen = state.seen.entry(subject).or_default();
-        if token < *seen {
+        let highest_token = state.highest_tokens.entry(subject).or_default();
+        if token < *highest_token {
             state.refused += 1;
             return 409;
         }
-        *seen = token;
+        *highest_token = token;
         let holder = text("x-ravenspoke-duty-holder");
         state.calls.push(AcceptedCall { path, holder, token, body });
         200
