--- a/crates/standins/src/platform/cloud.rs
+++ b/crates/standins/src/platform/cloud.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-use super::wire::{read_request, whole_answer, WireRequest};
+use super::wire::{full_response, read_request, WireRequest};
 
 /// A call that was accepted.
 #[derive(Clone, Debug, PartialEq)]
@@ -110,7 +110,7 @@
             if outage == CloudOutage::Silent {
                 return std::future::pending().await;
             }
-            if stream.write_all(&whole_answer(status, &[], b"")).await.is_err() {
+            if stream.write_all(&full_response(status, &[], b"")).await.is_err() {
                 return;
             }
         }
--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::wire::{answer_head, chunk, read_request, whole_answer, WireRequest};
+use super::wire::{answer_head, chunk, full_response, read_request, WireRequest};
 
 /// What a replica does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -174,7 +174,7 @@
         status.extend(record.retry_after_s.map(|rest| ("Retry-After", rest.to_string())));
         let mut headers = vec![("X-Ravenspoke-Request-Id", id), ("X-Ravenspoke-Not-Executed", "1")];
         headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
-        whole_answer(503, &headers, b"")
+        full_response(503, &headers, b"")
     }
 
     /// What it ran.
@@ -221,7 +221,7 @@
         let expected = request.header("x-ravenspoke-target-instance");
         if expected.is_some_and(|expected| expected != self.id) {
             let headers = [("X-Ravenspoke-Request-Id", id.as_str())];
-            stream.write_all(&whole_answer(421, &headers, b"")).await?;
+            stream.write_all(&full_response(421, &headers, b"")).await?;
             return Ok(true);
         }
         let mode = self.lock().mode;
@@ -271,7 +271,7 @@
         let status = self.status_headers();
         headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
         let status = if mode == ReplicaMode::Failing { 500 } else { 200 };
-        let answer = whole_answer(status, &headers, body.as_bytes());
+        let answer = full_response(status, &headers, body.as_bytes());
         match mode {
             ReplicaMode::Closing => return Ok(false),
             ReplicaMode::Silent => return std::future::pending().await,
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -13,7 +13,7 @@
 
 use super::group::StoreGroup;
 use super::site::{OPERATOR_TOPIC, REPLICA_TOPIC};
-use super::wire::{read_request, whole_answer, WireRequest};
+use super::wire::{full_response, read_request, WireRequest};
 
 /// The era that a store begins with.
 const FIRST_ERA: u64 = 1;
@@ -95,7 +95,7 @@
 impl StoreState {
     /// An answer, which names the era as all do.
     fn answer(&self, status: u16, body: &[u8]) -> Vec<u8> {
-        whole_answer(status, &[("Store-Era", &(FIRST_ERA + self.era).to_string())], body)
+        full_response(status, &[("Store-Era", &(FIRST_ERA + self.era).to_string())], body)
     }
 
     fn push(&mut self, topic: &str, key: &str, value: Vec<u8>) -> u64 {
--- a/crates/standins/src/platform/wire.rs
+++ b/crates/standins/src/platform/wire.rs
@@ -62,7 +62,7 @@
 }
 
 /// An answer with a body of known length.
-pub fn whole_answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub fn full_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = answer_head(status, headers);
     bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
     bytes.extend(body);
