--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::wire::{answer_head, chunk, full_response, read_request, WireRequest};
+use super::wire::{chunk, full_response, read_request, response_head, WireRequest};
 
 /// What a replica does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -303,7 +303,7 @@
         ];
         let status = self.status_headers();
         headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
-        let mut head = answer_head(200, &headers);
+        let mut head = response_head(200, &headers);
         head.extend(b"\r\n");
         stream.write_all(&head).await?;
         for number in after + 1..=self.events {
--- a/crates/standins/src/platform/wire.rs
+++ b/crates/standins/src/platform/wire.rs
@@ -63,14 +63,14 @@
 
 /// An answer with a body of known length.
 pub fn full_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
-    let mut bytes = answer_head(status, headers);
+    let mut bytes = response_head(status, headers);
     bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
     bytes.extend(body);
     bytes
 }
 
 /// The head of an answer, without its last line.
-pub fn answer_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
+pub fn response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} Status\r\n");
     for (name, value) in headers {
         head.push_str(&format!("{name}: {value}\r\n"));
