--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -168,12 +168,12 @@
 
     /// The answer to a request that it does not run.
     fn reject(&self, id: &str) -> Vec<u8> {
-        let mut status = self.status_headers();
+        let mut own_headers = self.status_headers();
         let mut record = self.lock();
         record.turned_away.push(Instant::now());
-        status.extend(record.retry_after_s.map(|rest| ("Retry-After", rest.to_string())));
+        own_headers.extend(record.retry_after_s.map(|rest| ("Retry-After", rest.to_string())));
         let mut headers = vec![("X-Ravenspoke-Request-Id", id), ("X-Ravenspoke-Not-Executed", "1")];
-        headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
+        headers.extend(own_headers.iter().map(|(name, value)| (*name, value.as_str())));
         full_response(503, &headers, b"")
     }
 
@@ -268,8 +268,8 @@
         if mode != ReplicaMode::Unproven {
             headers.push(("X-Ravenspoke-Response-Stamp", "stamp"));
         }
-        let status = self.status_headers();
-        headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
+        let own_headers = self.status_headers();
+        headers.extend(own_headers.iter().map(|(name, value)| (*name, value.as_str())));
         let status = if mode == ReplicaMode::Failing { 500 } else { 200 };
         let answer = full_response(status, &headers, body.as_bytes());
         match mode {
@@ -301,8 +301,8 @@
             ("Content-Type", "text/event-stream"),
             ("Transfer-Encoding", "chunked"),
         ];
-        let status = self.status_headers();
-        headers.extend(status.iter().map(|(name, value)| (*name, value.as_str())));
+        let own_headers = self.status_headers();
+        headers.extend(own_headers.iter().map(|(name, value)| (*name, value.as_str())));
         let mut head = response_head(200, &headers);
         head.extend(b"\r\n");
         stream.write_all(&head).await?;
