--- a/crates/standins/src/platform/mod.rs
+++ b/crates/standins/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-ins of the users' platform, written from its published protocol: the store, replicas, and a
-//! site of routing boxes as processes before them.
+//! Stand-ins for the users' platform, written from its published protocol: the store, replicas, the
+//! platform's API, and a site of routing boxes that run as processes.
 //!
-//! Each fault is a setting, and each keeps a record of what it was asked: a test's witness is the
-//! stand-in and not the router's word.
+//! Each stand-in has settings for its faults and records the requests that it gets, so that tests
+//! check what arrived and do not rely on what the router reports.
 
 pub mod cloud;
 mod group;
--- a/crates/standins/src/platform/wire.rs
+++ b/crates/standins/src/platform/wire.rs
@@ -1,11 +1,12 @@
-//! HTTP/1.1 by hand: stand-ins must be able to send what no library would.
+//! A minimal HTTP/1.1 server side. Stand-ins must be able to send invalid responses, which HTTP
+//! libraries do not allow.
 
 use std::io;
 
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A request.
+/// A received request.
 #[derive(Clone, Debug, Default)]
 pub struct WireRequest {
     /// Path and query.
@@ -17,18 +18,18 @@
 }
 
 impl WireRequest {
-    /// The first value of a header.
+    /// Returns the first value of a header, whose name is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         let row = self.headers.iter().find(|(row, _)| row == name);
         row.map(|(_, value)| value.as_str())
     }
 
-    /// Path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// A value of the query.
+    /// Returns a parameter of the query.
     pub fn query(&self, name: &str) -> Option<&str> {
         let query = self.target.split_once('?')?.1;
         let rows = query.split('&').filter_map(|row| row.split_once('='));
@@ -36,7 +37,7 @@
     }
 }
 
-/// Reads a request; `None` if the connection ended before one.
+/// Reads a request. Returns `None` if the connection ended before one.
 pub async fn read_request(stream: &mut BufReader<TcpStream>) -> io::Result<Option<WireRequest>> {
     let Some(first) = read_line(stream).await? else { return Ok(None) };
     let mut words = first.split(' ');
@@ -61,7 +62,7 @@
     Ok((read > 0).then(|| line.trim_end().to_owned()))
 }
 
-/// An answer with a body of known length.
+/// Returns the bytes of a response with a body of known length.
 pub fn full_response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut bytes = response_head(status, headers);
     bytes.extend(format!("Content-Length: {}\r\n\r\n", body.len()).into_bytes());
@@ -69,7 +70,7 @@
     bytes
 }
 
-/// The head of an answer, without its last line.
+/// Returns the head of a response without the empty line at its end.
 pub fn response_head(status: u16, headers: &[(&str, &str)]) -> Vec<u8> {
     let mut head = format!("HTTP/1.1 {status} Status\r\n");
     for (name, value) in headers {
@@ -78,7 +79,7 @@
     head.into_bytes()
 }
 
-/// A chunk of a body without a known length.
+/// Returns a chunk of a body without a known length.
 pub fn chunk(body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{:x}\r\n", body.len()).into_bytes();
     bytes.extend(body);
