--- a/crates/standins/src/platform/cloud.rs
+++ b/crates/standins/src/platform/cloud.rs
@@ -1,4 +1,4 @@
-//! The platform's own API: usage reports and orders of replicas, as it saw them.
+//! Stand-in for the platform's API, which takes usage reports and orders of replicas.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,35 +14,35 @@
 /// A call that was accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceptedCall {
-    /// Its path.
+    /// Request path.
     pub path: String,
-    /// Who says to hold the duty.
+    /// Box that claims to hold the duty.
     pub holder: String,
-    /// The fencing token.
+    /// Fencing token.
     pub token: u64,
-    /// What it says.
+    /// Request body.
     pub body: Value,
 }
 
-/// How the API fails.
+/// Failure of the API.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CloudOutage {
-    /// It doesn't.
+    /// No failure.
     #[default]
     None,
-    /// Calls get 503 and are not done.
+    /// Calls get status 503 and have no effect.
     Busy,
-    /// Calls get no answer, and are done all the same.
+    /// Calls take effect but get no response.
     Silent,
 }
 
 #[derive(Default)]
 struct CloudState {
     calls: Vec<AcceptedCall>,
-    /// The highest token highest_tokens, by subject.
+    /// Highest fencing token so far, by path, service and zone.
     highest_tokens: BTreeMap<String, u64>,
     refused: u64,
-    /// Calls that came, whatever became of them.
+    /// Number of calls received, accepted or not.
     asked: u64,
     outage: CloudOutage,
     slow_ms: u64,
@@ -51,7 +51,7 @@
 /// A running API.
 #[derive(Clone)]
 pub struct CloudStandin {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<CloudState>>,
 }
@@ -76,22 +76,22 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls that were accepted, in turn.
+    /// Returns the accepted calls in order.
     pub fn calls(&self) -> Vec<AcceptedCall> {
         self.lock().calls.clone()
     }
 
-    /// Calls that came so far, whatever became of them.
+    /// Returns the number of calls received so far, accepted or not.
     pub fn asked(&self) -> u64 {
         self.lock().asked
     }
 
-    /// Calls that were refused for their token.
+    /// Returns the number of calls refused because of an outdated fencing token.
     pub fn refused(&self) -> u64 {
         self.lock().refused
     }
 
-    /// Sets how it fails, and how long each call takes, in milliseconds.
+    /// Sets its failure, and the delay of each call in milliseconds.
     pub fn set_outage(&self, outage: CloudOutage, slow_ms: u64) {
         let mut state = self.lock();
         (state.outage, state.slow_ms) = (outage, slow_ms);
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Does a call, unless a higher token was highest_tokens for its subject. Gives the status.
+    /// Accepts a call unless a higher fencing token was used for the same subject. Returns the HTTP
+    /// status.
     fn accept(&self, request: &WireRequest) -> u16 {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let text = |name: &str| request.header(name).unwrap_or_default().to_owned();
--- a/crates/standins/src/platform/group.rs
+++ b/crates/standins/src/platform/group.rs
@@ -1,19 +1,21 @@
-//! A group of the store: members join again and again, and the first partition of their topic is one member's.
+//! A consumer group of the store. Members join repeatedly to renew their membership, and one of
+//! them owns the only partition of their topic.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A group with one partition to deal.
+/// A group with one partition to assign.
 #[derive(Debug, Default)]
 pub struct StoreGroup {
     generation: u64,
-    /// Members with until when they are there.
+    /// Members, and when their memberships expire.
     members: BTreeMap<String, Instant>,
     owner: Option<String>,
 }
 
 impl StoreGroup {
-    /// Takes a member's join. Gives the generation, and whether the partition is the member's.
+    /// Adds a member or renews it. Returns the generation, and whether the member owns the
+    /// partition.
     pub fn join(&mut self, member: &str, ttl_ms: u64) -> (u64, bool) {
         let now = Instant::now();
         self.expire(now);
@@ -28,7 +30,7 @@
         (self.generation, self.owner.as_deref() == Some(member))
     }
 
-    /// A member leaves.
+    /// Removes a member.
     pub fn leave(&mut self, member: &str) {
         if self.members.remove(member).is_some() {
             self.generation += 1;
