--- a/crates/standins/src/platform/replica.rs
+++ b/crates/standins/src/platform/replica.rs
@@ -1,4 +1,5 @@
-//! A replica: it runs requests, streams events, and fails in the ways that the protocol tells.
+//! Stand-in for a replica. It runs requests, streams events, and fails in ways that the protocol
+//! describes.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,29 +12,29 @@
 
 use super::wire::{chunk, full_response, read_request, response_head, WireRequest};
 
-/// What a replica does with a request.
+/// How a replica treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReplicaMode {
-    /// It answers.
+    /// Responds normally.
     #[default]
     Well,
-    /// It is full: it says that it did not run the request.
+    /// Is full: responds 503 and states that it did not run the request.
     Full,
-    /// It runs the request and answers 500.
+    /// Runs the request and responds 500.
     Failing,
-    /// It runs the request and closes the connection without an answer.
+    /// Runs the request and closes the connection without a response.
     Closing,
-    /// It runs the request and says nothing.
+    /// Runs the request and never responds.
     Silent,
-    /// It answers, and sends a second answer behind the first.
+    /// Sends its response twice.
     Surplus,
-    /// It answers with another request's id.
+    /// Responds with another request's id.
     WrongId,
-    /// It answers without its proof.
+    /// Responds without the response stamp, which proves that a replica sent it.
     Unproven,
-    /// It breaks its streams off within the event of this number.
+    /// Aborts streams within the event of this number.
     CutAt(u32),
-    /// It pauses its streams for good before the event of this number.
+    /// Stalls streams for good before the event of this number.
     PauseAt(u32),
 }
 
@@ -48,24 +49,24 @@
     pub body: Vec<u8>,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// When it began.
+    /// When it started.
     pub at: Instant,
-    /// Whether the caller left before the end.
+    /// Whether the caller disconnected before the end of a stream.
     pub left: bool,
 }
 
 #[derive(Default)]
 struct ReplicaRecord {
     mode: ReplicaMode,
-    /// Requests a second that it names as its limit.
+    /// Rate limit that it announces, in requests a second.
     limit_per_s: Option<f64>,
-    /// Seconds of rest that it asks for as it turns requests away.
+    /// `Retry-After` of its rejections, in seconds.
     retry_after_s: Option<f64>,
-    /// Whether it says in its answers that it leaves.
+    /// Whether its responses announce that it leaves.
     leaving: bool,
-    /// When it turned requests away.
+    /// Times of its rejections.
     turned_away: Vec<Instant>,
-    /// Bodies with which it ends, and all that runs there.
+    /// Body of requests that crash it, with all that it runs.
     crash_body: Option<Vec<u8>>,
     runs: Vec<ReplicaRun>,
     connections: u32,
@@ -74,21 +75,21 @@
 /// A running replica.
 #[derive(Clone)]
 pub struct ReplicaStandin {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Id of this life.
+    /// Id of this start of the replica.
     pub id: String,
-    /// Events in a stream.
+    /// Number of events in a stream.
     pub events: u32,
     /// Time between two events, in milliseconds.
     pub gap_ms: u64,
     record: Arc<Mutex<ReplicaRecord>>,
-    /// Set when its process has ended.
+    /// Set when it has crashed.
     ended: watch::Sender<bool>,
 }
 
 impl ReplicaStandin {
-    /// Starts a replica on `ip`.
+    /// Starts a replica on a free port of `ip`.
     pub async fn start(ip: IpAddr, id: &str, events: u32, gap_ms: u64) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("it listens");
@@ -108,7 +109,7 @@
                 let server = server.clone();
                 let mut ended = server.ended.subscribe();
                 tokio::spawn(async move {
-                    // How a connection ends shows at the caller.
+                    // The caller sees how the connection ends.
                     tokio::select! {
                         served = server.serve(stream) => drop(served),
                         _ = ended.changed() => {}
@@ -123,42 +124,43 @@
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what it does from now on.
+    /// Sets how it treats requests that arrive from now on.
     pub fn set_mode(&self, mode: ReplicaMode) {
         self.lock().mode = mode;
     }
 
-    /// Sets the requests a second that it takes from all boxes together, and says so in its answers from now on.
+    /// Sets the rate limit that its responses announce, in requests a second from all boxes
+    /// together.
     pub fn set_limit(&self, limit_per_s: Option<f64>) {
         self.lock().limit_per_s = limit_per_s;
     }
 
-    /// Sets the rest that it asks for as it turns requests away, in seconds.
+    /// Sets the `Retry-After` of its rejections, in seconds.
     pub fn set_rest(&self, retry_after_s: Option<f64>) {
         self.lock().retry_after_s = retry_after_s;
     }
 
-    /// It says in its answers from now on that it leaves.
+    /// Announces in its responses from now on that it leaves.
     pub fn say_leaving(&self) {
         self.lock().leaving = true;
     }
 
-    /// When it turned requests away.
+    /// Returns the times of its rejections.
     pub fn turned_away(&self) -> Vec<Instant> {
         self.lock().turned_away.clone()
     }
 
-    /// A request with this body ends its process.
+    /// Makes requests with this body crash it.
     pub fn end_on(&self, body: &[u8]) {
         self.lock().crash_body = Some(body.to_owned());
     }
 
-    /// Whether its process has ended.
+    /// Whether it has crashed.
     pub fn has_ended(&self) -> bool {
         *self.ended.borrow()
     }
 
-    /// What it says of itself in each answer.
+    /// Headers of each response that describe its own status.
     fn status_headers(&self) -> Vec<(&'static str, String)> {
         let record = self.lock();
         let limit = record.limit_per_s.map(|limit| ("Server-Limit", limit.to_string()));
@@ -166,7 +168,7 @@
         limit.into_iter().chain(leaving).collect()
     }
 
-    /// The answer to a request that it does not run.
+    /// Records a rejection and returns its response.
     fn reject(&self, id: &str) -> Vec<u8> {
         let mut own_headers = self.status_headers();
         let mut record = self.lock();
@@ -177,22 +179,22 @@
         full_response(503, &headers, b"")
     }
 
-    /// What it ran.
+    /// Returns the requests that it ran.
     pub fn runs(&self) -> Vec<ReplicaRun> {
         self.lock().runs.clone()
     }
 
-    /// Connections that were opened to it.
+    /// Returns the number of connections that it accepted.
     pub fn connections(&self) -> u32 {
         self.lock().connections
     }
 
-    /// The same replica, as it is reached at the address of a proxy before it.
+    /// Returns the same replica with the address of a proxy before it.
     pub fn behind(&self, address: SocketAddr) -> Self {
         Self { address, ..self.clone() }
     }
 
-    /// Its entry in the store.
+    /// Returns its entry for the store.
     pub fn entry(&self, service: &str, version: &str, state: &str) -> Value {
         json!({
             "service": service, "address": self.address.to_string(), "zone": "east",
@@ -211,7 +213,7 @@
         Ok(())
     }
 
-    /// Answers a request. Returns whether the connection goes on.
+    /// Responds to a request. Returns whether the connection stays open.
     async fn answer(
         &self,
         stream: &mut BufReader<TcpStream>,
@@ -325,7 +327,7 @@
     }
 }
 
-/// Waits; an error says that the caller left meanwhile.
+/// Waits for `pause`. Returns an error if the caller disconnects meanwhile.
 async fn pause_or_disconnect(
     stream: &mut BufReader<TcpStream>,
     pause: Duration,
