--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -1,4 +1,4 @@
-//! A site: the store, and routing boxes ([`super::site_box`]), each on a loopback address of its own.
+//! A site: the store and routing boxes ([`super::site_box`]), each on its own loopback address.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -11,42 +11,43 @@
 use super::store::StoreStandin;
 use crate::fleet::wait_for;
 
-/// Key that the site's plan knows.
+/// API key in the site's plan.
 pub const SITE_KEY: &str = "site-key";
 
-/// Service that the site's routes name.
+/// Service of the site's routes.
 pub const SITE_SERVICE: &str = "pool";
 
 /// Topic of the operator's records.
 pub const OPERATOR_TOPIC: &str = "keyed.op";
 
-/// Key of the order to empty a zone.
+/// Key of the order to evacuate a zone.
 pub fn evacuation_key(zone: &str) -> String {
     format!("evacuate/{zone}")
 }
 
-/// Topic of what the boxes report to the operator.
+/// Topic of the boxes' reports to the operator.
 pub const STATUS_TOPIC: &str = "keyed.status";
 
-/// Key of the order to bring a version of the site's service in, and of its status.
+/// Key of the roll-out order for the site's service, and of its status.
 pub const ROLLOUT_KEY: &str = "rollout/pool";
 
 /// Topic of the replicas' entries.
 pub const REPLICA_TOPIC: &str = "keyed.servers";
 
-/// Port under which settings name seeds; boxes hear notes at [`GOSSIP_PORT`] all the same.
+/// Port of the seeds in the settings. Boxes receive gossip at [`GOSSIP_PORT`] nevertheless.
 const SEED_PORT: u16 = 18_229;
 
-/// Descriptors of a box, as small installations give them.
+/// File descriptors that a box may use, as on small installations.
 const DESCRIPTORS: u32 = 4_100;
 
-/// Length of the lease of what one box does for all, in milliseconds.
+/// Length of the leader's lease, in milliseconds.
 pub const LEASE_MS: u64 = 1_000;
 
-/// Length of a window of usage, in seconds.
+/// Length of a usage window, in seconds.
 pub const WINDOW_S: u64 = 2;
 
-/// A loopback address that nothing else of this process, or of another that lives, uses.
+/// Returns an unused loopback address. It is derived from the process id and a counter, so that
+/// other stand-ins of this and of most other running processes have other addresses.
 pub fn own_address() -> IpAddr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let id = std::process::id();
@@ -56,21 +57,22 @@
     Ipv4Addr::new(127, high as u8, low as u8, last).into()
 }
 
-/// The store, and what a box needs to be started before it.
+/// A running store, and the settings for starting boxes on it.
 pub struct RunningSite {
     /// The store.
     pub store: StoreStandin,
-    /// Client of callers.
+    /// HTTP client of callers.
     pub http: reqwest::Client,
-    /// Descriptors that the settings of boxes started from now on allow.
+    /// File descriptor limit in the settings of boxes that are started from now on.
     pub descriptors: u32,
-    /// Where boxes started from now on reach the store, if not directly.
+    /// Address of the proxy to the store for boxes that are started from now on, if any.
     pub store_path: Option<SocketAddr>,
-    /// A seed that is no address, for boxes started from now on, as TOML.
+    /// A seed that is not an address, as TOML, for boxes that are started from now on.
     pub bad_seed: Option<String>,
-    /// What the plan says of cold replicas: for how many seconds they are cold, and what they bear a second.
+    /// How long replicas are cold, in seconds, and their limit of requests a second while cold, for
+    /// the plan.
     pub warm_up: Option<(f64, f64)>,
-    /// Where boxes started from now on reach the platform's API, if it has any.
+    /// Address of the platform's API for boxes that are started from now on, if any.
     pub cloud: Option<SocketAddr>,
     binary: PathBuf,
     folder: PathBuf,
@@ -79,7 +81,7 @@
 }
 
 impl RunningSite {
-    /// Starts a store; boxes run `binary`.
+    /// Starts a store. Boxes will run `binary`.
     pub async fn start(binary: &Path) -> Self {
         let ip = own_address();
         let folder = std::env::temp_dir().join(format!("ravenspoke-site-{ip}"));
@@ -99,13 +101,14 @@
         }
     }
 
-    /// Writes a plan of three routes to one service: `/read/` may be repeated, `/file/` runs once,
+    /// Writes a plan with three routes to one service: `/read/` is idempotent, `/file/` is not, and
     /// `/chat/` is a stream.
     pub fn write_plan(&self, version: u64, keys: &[&str]) {
         self.write_long_plan(version, keys, 0);
     }
 
-    /// Writes the same plan with `extra_routes` routes beside these, whose names and paths repeat nothing.
+    /// Writes the same plan with `extra_routes` more routes, whose names and paths are pseudorandom so
+    /// that the plan compresses badly.
     pub fn write_long_plan(&self, version: u64, keys: &[&str], extra_routes: u64) {
         let route = |name: &str, kind: &str, attempts: u32| {
             json!({
@@ -139,7 +142,7 @@
         self.store.put(OPERATOR_TOPIC, "config", &plan);
     }
 
-    /// Keeps the folder of settings and logs beyond the site's end, and gives it.
+    /// Keeps the folder of settings and logs after the site is dropped, and returns its path.
     pub fn keep_folder(&mut self) -> &Path {
         self.keep = true;
         &self.folder
@@ -195,7 +198,7 @@
         )
     }
 
-    /// A caller's request with the site's key.
+    /// Builds a caller's request with the site's key.
     pub fn request(
         &self,
         to: &SiteBox,
@@ -212,7 +215,7 @@
             .header("Authorization", format!("Bearer {SITE_KEY}"))
     }
 
-    /// A caller's request for a stream.
+    /// Builds a caller's request for a stream.
     pub fn chat(&self, to: &SiteBox, id: &str) -> reqwest::RequestBuilder {
         self.request(to, "POST", "/chat/x", id).header("Accept", "text/event-stream").body("prompt")
     }
@@ -220,7 +223,7 @@
 
 impl Drop for RunningSite {
     fn drop(&mut self) {
-        // Logs are kept while a test fails.
+        // Logs of a failed test are kept.
         if !self.keep && !std::thread::panicking() {
             let _ = std::fs::remove_dir_all(&self.folder);
         }
--- a/crates/standins/src/platform/site_box.rs
+++ b/crates/standins/src/platform/site_box.rs
@@ -1,4 +1,4 @@
-//! A routing box as a process: its signals, its log, and what it answers.
+//! A routing box as a process, with its signals, its log and its HTTP endpoints.
 
 use std::fs::File;
 use std::net::IpAddr;
@@ -9,30 +9,30 @@
 
 use crate::fleet::wait_for;
 
-/// Host that the site's routes name.
+/// Host of the site's routes.
 pub const SITE_HOST: &str = "api.example";
 
-/// Ports of each box; the boxes of a site differ in their addresses.
+/// Ports of each box. The boxes of a site have different addresses.
 pub(super) const ENTRY_PORT: u16 = 18_227;
 pub(super) const READY_PORT: u16 = 18_220;
 pub(super) const DIRECTORY_PORT: u16 = 18_224;
 pub(super) const GOSSIP_PORT: u16 = 18_340;
 const METRICS_PORT: u16 = 18_464;
 
-/// Bit of the signal that tells of changed settings, in the masks that the system shows.
+/// Bit of SIGHUP, which reloads the settings, in the signal masks of `/proc`.
 const HANGUP_BIT: u64 = 1;
 
-/// Where the box at `ip` takes callers.
+/// Address at which the box at `ip` accepts callers.
 pub fn entry_address(ip: IpAddr) -> String {
     format!("{ip}:{ENTRY_PORT}")
 }
 
-/// Where the box at `ip` answers which addresses to use.
+/// URL of the directory of the box at `ip`, which lists the addresses to use.
 pub fn directory_url(ip: IpAddr) -> String {
     format!("http://{ip}:{DIRECTORY_PORT}/-/resolve?name={SITE_HOST}")
 }
 
-/// Addresses that a directory's answer names.
+/// Addresses in a directory's response, or `None` if it has no list.
 pub fn listed_addresses(answer: &Value) -> Option<Vec<String>> {
     let rows = answer["addresses"].as_array()?;
     Some(rows.iter().filter_map(|row| Some(row.as_str()?.to_owned())).collect())
@@ -49,7 +49,7 @@
     binary: PathBuf,
 }
 
-/// Starts the process of a box; its lines are added to the log.
+/// Starts the process of a box, which appends its output to the log.
 fn spawn(binary: &Path, settings: &Path, log: &Path) -> Child {
     let output = File::options().create(true).append(true).open(log).expect("a log can be written");
     Command::new(binary)
@@ -62,33 +62,33 @@
 }
 
 impl SiteBox {
-    /// Starts a box at `ip`, with its settings in a file and a new log in another.
+    /// Starts a box at `ip` with this settings file and a new log file.
     pub(super) fn start(binary: &Path, ip: IpAddr, settings: PathBuf, log: PathBuf) -> Self {
-        // A log of an earlier site at this address is not this box's.
+        // An earlier site at this address may have left a log.
         drop(std::fs::remove_file(&log));
         let child = spawn(binary, &settings, &log);
         Self { ip, settings, log, child, binary: binary.to_owned() }
     }
 
-    /// URL of a path where callers connect.
+    /// URL of a path at the callers' address.
     pub fn entry(&self, path: &str) -> String {
         format!("http://{}{path}", self.entry_address())
     }
 
-    /// Where callers connect.
+    /// Address at which it accepts callers.
     pub fn entry_address(&self) -> String {
         entry_address(self.ip)
     }
 
-    /// Sends a signal, by the name that `kill` knows.
+    /// Sends a signal, by its name for `kill`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let sent = Command::new("kill").args([&format!("-{name}"), &id]).status();
         assert!(sent.is_ok_and(|status| status.success()), "the signal {name} was sent");
     }
 
-    /// Tells it that its settings changed, once its process has come so far that it listens for that:
-    /// before its own code runs, the signal ends any process.
+    /// Makes it reload its settings by SIGHUP. Waits first until the process has its handler,
+    /// because the signal ends a process without one.
     pub async fn tell(&self) {
         let status = format!("/proc/{}/status", self.child.id());
         wait_for("the box listens for signals", || {
@@ -103,22 +103,22 @@
 
     /// Kills its process, if it runs.
     pub fn kill(&mut self) {
-        // Already ended is as good.
+        // An error means that it has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Starts its process again, once the last one has ended.
+    /// Starts its process again. The last one must have ended.
     pub fn restart(&mut self) {
         self.child = spawn(&self.binary, &self.settings, &self.log);
     }
 
-    /// Its exit code, if it has exited.
+    /// Its exit code if it has exited, or -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
 
-    /// Lines of its log with one event's name: their fields.
+    /// Fields of the events in its log that have this name.
     pub fn events(&self, name: &str) -> Vec<Value> {
         let text = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines = text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -126,19 +126,19 @@
         fields.filter(|fields| fields["name"] == name).collect()
     }
 
-    /// What the directory answers.
+    /// Addresses that its directory lists.
     pub async fn resolve(&self) -> Option<Vec<String>> {
         let answer: Value = reqwest::get(directory_url(self.ip)).await.ok()?.json().await.ok()?;
         listed_addresses(&answer)
     }
 
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub async fn ready(&self) -> bool {
         let url = format!("http://{}:{READY_PORT}/-/ready", self.ip);
         reqwest::get(url).await.is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// Its metrics, as text.
+    /// Its metrics, in text format.
     pub async fn metrics(&self) -> Option<String> {
         let url = format!("http://{}:{METRICS_PORT}/metrics", self.ip);
         reqwest::get(url).await.ok()?.text().await.ok()
