--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -1,4 +1,5 @@
-//! The platform's store: keyed topics, reads that wait, appends under a condition, and its faults.
+//! Stand-in for the platform's store: keyed topics, long-polling reads, conditional appends,
+//! consumer groups, and faults.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -15,18 +16,18 @@
 use super::site::{OPERATOR_TOPIC, REPLICA_TOPIC};
 use super::wire::{full_response, read_request, WireRequest};
 
-/// The era that a store begins with.
+/// First era of a store.
 const FIRST_ERA: u64 = 1;
 
-/// How the store fails.
+/// Failure of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreOutage {
-    /// It doesn't.
+    /// No failure.
     #[default]
     None,
-    /// Calls get 503.
+    /// Calls get status 503.
     Busy,
-    /// Calls get no answer.
+    /// Calls get no response.
     Silent,
     /// Connections are closed.
     Reset,
@@ -37,13 +38,13 @@
 pub struct StoreFaults {
     /// How it fails.
     pub outage: StoreOutage,
-    /// Callers for whom it fails; empty for all.
+    /// Clients for which it fails. Empty for all.
     pub only: HashSet<IpAddr>,
-    /// Time that each call takes, in milliseconds.
+    /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Bytes of an answer that pass in a second, to the callers for whom it fails; 0 for all at once.
+    /// Limit of the bytes a second of a response, for the clients in `only`. 0 for no limit.
     pub rate: usize,
-    /// Appends that are done and not answered.
+    /// Number of appends that are still to be done without a response.
     pub lose_answers: u32,
 }
 
@@ -53,7 +54,7 @@
     value: Vec<u8>,
 }
 
-/// A topic: records from `first` on.
+/// A topic, whose records start at offset `first`.
 #[derive(Clone, Debug, Default)]
 struct StoredTopic {
     first: u64,
@@ -69,31 +70,32 @@
 #[derive(Default)]
 struct StoreState {
     topics: HashMap<String, StoredTopic>,
-    /// Newest value of each key, which stays when records go.
+    /// Offset and newest value of each key by topic and key. They stay when the topic is compacted.
     newest: BTreeMap<(String, String), (u64, Vec<u8>)>,
     faults: StoreFaults,
     calls: HashMap<(IpAddr, String), u64>,
     topic_calls: HashMap<(IpAddr, String), u64>,
-    /// Rises each time that it comes back from a copy.
+    /// Number of times that it was restored from a copy.
     era: u64,
     groups: HashMap<String, StoreGroup>,
-    /// Epoch of each topic's producer, and the sequence that is next.
+    /// Epoch of each topic's producer, and its next sequence number.
     epochs: HashMap<String, (u64, u64)>,
 }
 
-/// The store's data as they were at some time.
+/// A copy of the store's data.
 #[derive(Clone, Debug)]
 pub struct StoreCopy {
     topics: HashMap<String, StoredTopic>,
     newest: BTreeMap<(String, String), (u64, Vec<u8>)>,
 }
 
-/// What the operator and the replicas wrote since a copy, and have not written again yet.
+/// Writes of the operator and the replicas since a copy that they have not repeated yet: topic, key
+/// and value.
 #[derive(Debug)]
 pub struct LostWrites(Vec<(String, String, Vec<u8>)>);
 
 impl StoreState {
-    /// An answer, which names the era as all do.
+    /// A response with the header of the era, which all responses have.
     fn answer(&self, status: u16, body: &[u8]) -> Vec<u8> {
         full_response(status, &[("Store-Era", &(FIRST_ERA + self.era).to_string())], body)
     }
@@ -115,14 +117,14 @@
 /// A running store.
 #[derive(Clone)]
 pub struct StoreStandin {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<StoreState>>,
     changed: Arc<Notify>,
 }
 
 impl StoreStandin {
-    /// Starts a store on `ip`.
+    /// Starts a store on a free port of `ip`.
     pub async fn start(ip: IpAddr) -> Self {
         let listener = TcpListener::bind((ip, 0)).await.expect("a free port");
         let address = listener.local_addr().expect("it listens");
@@ -147,13 +149,13 @@
         self.changed.notify_waiters();
     }
 
-    /// Drops a key, as the platform does with the entry of a replica that has left.
+    /// Deletes a key, as the platform does with the entry of a replica that has left.
     pub fn drop_key(&self, topic: &str, key: &str) {
         self.lock().push(topic, key, Vec::new());
         self.changed.notify_waiters();
     }
 
-    /// The newest value of a key.
+    /// Returns the newest value of a key, or `None` if the key is missing or is not JSON.
     pub fn newest(&self, topic: &str, key: &str) -> Option<Value> {
         let state = self.lock();
         let (_, value) = state.newest.get(&(topic.to_owned(), key.to_owned()))?;
@@ -165,7 +167,7 @@
         self.lock().faults = faults;
     }
 
-    /// Forgets the history of a topic; the newest of each key stays.
+    /// Compacts a topic: its records go, and the newest value of each key stays.
     pub fn compact(&self, topic: &str) {
         if let Some(row) = self.lock().topics.get_mut(topic) {
             row.first = row.end();
@@ -173,14 +175,15 @@
         }
     }
 
-    /// Copies all that it holds.
+    /// Copies its data.
     pub fn copy(&self) -> StoreCopy {
         let state = self.lock();
         StoreCopy { topics: state.topics.clone(), newest: state.newest.clone() }
     }
 
-    /// Comes back from a copy, in a new era: what was written since is gone, and offsets are given out again. Gives what
-    /// its writers but the boxes will write again: the newest of each key that is not as it was.
+    /// Restores a copy in a new era: writes since the copy are lost, and offsets are used again.
+    /// Returns what the writers other than the boxes will write again: the newest value of each key
+    /// that differs, and a deletion of each key that was deleted since.
     pub fn restore(&self, copy: StoreCopy) -> LostWrites {
         let mut state = self.lock();
         let former = std::mem::replace(&mut state.newest, copy.newest);
@@ -201,7 +204,7 @@
         LostWrites(lost)
     }
 
-    /// Writes again what was lost, as the operator and the replicas do.
+    /// Repeats lost writes, as the operator and the replicas do.
     pub fn write_again(&self, lost: LostWrites) {
         let mut state = self.lock();
         for (topic, key, value) in lost.0 {
@@ -211,7 +214,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Calls so far from `ip` to paths that end in `call`.
+    /// Returns the number of calls so far from `ip` to paths that end in `call`.
     pub fn calls(&self, ip: IpAddr, call: &str) -> u64 {
         let state = self.lock();
         let rows =
@@ -219,7 +222,7 @@
         rows.map(|(_, count)| count).sum()
     }
 
-    /// Calls so far from `ip` to a topic.
+    /// Returns the number of calls so far from `ip` to a topic.
     pub fn topic_calls(&self, ip: IpAddr, topic: &str) -> u64 {
         self.lock().topic_calls.get(&(ip, topic.to_owned())).copied().unwrap_or_default()
     }
@@ -237,7 +240,7 @@
                     }
                     continue;
                 }
-                // A connection that has lost an answer says nothing more.
+                // The connection stays open and gets no more responses.
                 StoreOutage::Silent if hit => return std::future::pending().await,
                 StoreOutage::Reset if hit => return,
                 _ => {}
@@ -311,7 +314,7 @@
                 return state.answer(200, json!({ "end": end }).to_string().as_bytes());
             }
         }
-        // A record: four bytes of length, a byte of the key's length, the key, the value.
+        // A record has four bytes of length, one byte of the key's length, the key and the value.
         let body = &request.body[4..];
         let (key, value) = body[1..].split_at(usize::from(body[0]));
         let offset = state.push(topic, &String::from_utf8_lossy(key), value.to_vec());
@@ -320,7 +323,7 @@
         state.answer(200, answer.to_string().as_bytes())
     }
 
-    /// A member joins a group, whose topic has one partition to deal.
+    /// Adds a member to a group, whose topic has one partition to assign.
     fn join(&self, request: &WireRequest) -> Vec<u8> {
         let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
         let text = |name: &str| body[name].as_str().unwrap_or_default().to_owned();
@@ -360,12 +363,13 @@
                 Ok(_) => {}
                 Err(answer) => return answer,
             }
-            // Either a record came or the wait is over; both are looked at above.
+            // The loop checks for new records and for the end of the wait.
             let _ = tokio::time::timeout_at(until, changed).await;
         }
     }
 
-    /// The answer to a read, and whether it has records; another one if the topic does not have those asked for.
+    /// Returns the response to a read and whether it has records, or as an error the response that
+    /// the topic does not have the offset.
     fn read_from(&self, topic: &str, from: u64) -> Result<(Vec<u8>, bool), Vec<u8>> {
         let state = self.lock();
         let empty = StoredTopic::default();
@@ -403,7 +407,7 @@
     }
 }
 
-/// Writes an answer, `rate` bytes of it a second, in ten pieces; 0 writes all at once.
+/// Writes a response at `rate` bytes a second, in ten pieces a second. 0 writes it at once.
 async fn write_at_rate(
     stream: &mut BufReader<TcpStream>,
     answer: &[u8],
