--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -104,11 +104,11 @@
         let row = self.topics.entry(topic.to_owned()).or_default();
         let offset = row.end();
         row.records.push(StoredRecord { key: key.to_owned(), value: value.clone() });
-        let place = (topic.to_owned(), key.to_owned());
+        let topic_key = (topic.to_owned(), key.to_owned());
         if value.is_empty() {
-            self.newest.remove(&place);
+            self.newest.remove(&topic_key);
         } else {
-            self.newest.insert(place, (offset, value));
+            self.newest.insert(topic_key, (offset, value));
         }
         offset
     }
@@ -197,7 +197,7 @@
                 lost.push((topic.clone(), key.clone(), value.clone()));
             }
         }
-        let dropped = state.newest.keys().filter(|place| !former.contains_key(*place));
+        let dropped = state.newest.keys().filter(|topic_key| !former.contains_key(*topic_key));
         lost.extend(dropped.map(|(topic, key)| (topic.clone(), key.clone(), Vec::new())));
         drop(state);
         self.changed.notify_waiters();
