--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, Semaphore};
 
 use crate::rating::BAD_MARK;
-use crate::serve::{launch, rocket_on, HeaderMapView, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, HeaderMapView, RunningServer, StreamedResponse};
 
 /// Settings and faults of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -102,10 +102,10 @@
     body: Json<Value>,
     headers: HeaderMapView,
     state: &State<Arc<EngineState>>,
-) -> PieceAnswer {
+) -> StreamedResponse {
     let faults = state.faults();
     if faults.leaving {
-        return PieceAnswer::whole(503, "{}")
+        return StreamedResponse::whole(503, "{}")
             .header("x-ravenspoke-run", "not_run")
             .header("x-ravenspoke-leaving", "1");
     }
@@ -114,7 +114,7 @@
     }
     let version = body["model"].as_str().unwrap_or_default().to_owned();
     if !faults.versions.contains(&version) {
-        return PieceAnswer::whole(404, "{}").header("x-ravenspoke-run", "not_run");
+        return StreamedResponse::whole(404, "{}").header("x-ravenspoke-run", "not_run");
     }
     let echo = match state.spend(|faults| &mut faults.wrong_echo) {
         true => "another request".to_owned(),
@@ -135,7 +135,8 @@
                 "message": { "role": "assistant", "content": text } }],
             "usage": { "prompt_tokens": 1, "completion_tokens": count, "total_tokens": count + 1 },
         });
-        return PieceAnswer::whole(200, whole.to_string()).header("x-ravenspoke-attempt", echo);
+        return StreamedResponse::whole(200, whole.to_string())
+            .header("x-ravenspoke-attempt", echo);
     }
     drop(permit);
     let resume = headers.get("x-ravenspoke-resume").and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -143,7 +144,7 @@
     let (sender, pieces) = mpsc::channel(64);
     let answer = StreamAnswer { version, tokens, resume, usage };
     tokio::spawn(stream(state.inner().clone(), answer, sender));
-    PieceAnswer {
+    StreamedResponse {
         status: 200,
         content_type: ContentType::new("text", "event-stream"),
         headers: vec![("x-ravenspoke-attempt", echo)],
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 
-use crate::serve::{launch, rocket_on, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, RunningServer, StreamedResponse};
 
 /// Records in one read at most.
 const READ_LIMIT: usize = 500;
@@ -111,8 +111,8 @@
     }
 }
 
-fn down() -> PieceAnswer {
-    PieceAnswer::whole(503, "{}")
+fn down() -> StreamedResponse {
+    StreamedResponse::whole(503, "{}")
 }
 
 #[derive(Deserialize)]
@@ -121,7 +121,11 @@
 }
 
 #[post("/v1/streams/<stream>/append", data = "<body>")]
-async fn append(stream: &str, body: Json<AppendBody>, log: &State<Arc<LogState>>) -> PieceAnswer {
+async fn append(
+    stream: &str,
+    body: Json<AppendBody>,
+    log: &State<Arc<LogState>>,
+) -> StreamedResponse {
     let faults = log.faults();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     if faults.outage {
@@ -138,13 +142,18 @@
     }
     let offset = log.take(stream, records);
     if log.spend(|faults| &mut faults.lose_acks) {
-        return PieceAnswer::cut();
+        return StreamedResponse::cut();
     }
-    PieceAnswer::whole(200, json!({ "offset": offset }).to_string())
+    StreamedResponse::whole(200, json!({ "offset": offset }).to_string())
 }
 
 #[get("/v1/streams/<stream>?<from>&<wait_ms>")]
-async fn read(stream: &str, from: u64, wait_ms: u64, log: &State<Arc<LogState>>) -> PieceAnswer {
+async fn read(
+    stream: &str,
+    from: u64,
+    wait_ms: u64,
+    log: &State<Arc<LogState>>,
+) -> StreamedResponse {
     let faults = log.faults();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     let until = Instant::now() + Duration::from_millis(wait_ms);
@@ -155,7 +164,7 @@
         let news = log.news.notified();
         let (found, body) = log.read(stream, from);
         if found || Instant::now() >= until {
-            return PieceAnswer::whole(200, body.to_string());
+            return StreamedResponse::whole(200, body.to_string());
         }
         let _ = tokio::time::timeout_at(until.into(), news).await;
     }
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -61,7 +61,7 @@
 }
 
 /// An answer with headers and a body in pieces; an error piece cuts the connection.
-pub struct PieceAnswer {
+pub struct StreamedResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type.
@@ -72,7 +72,7 @@
     pub pieces: mpsc::Receiver<io::Result<Bytes>>,
 }
 
-impl PieceAnswer {
+impl StreamedResponse {
     /// An answer with a whole body.
     pub fn whole(status: u16, body: impl Into<Bytes>) -> Self {
         let (sender, pieces) = mpsc::channel(1);
@@ -94,7 +94,7 @@
     }
 }
 
-impl<'r> Responder<'r, 'static> for PieceAnswer {
+impl<'r> Responder<'r, 'static> for StreamedResponse {
     fn respond_to(self, _request: &'r Request<'_>) -> rocket::response::Result<'static> {
         let mut response = Response::build();
         response.status(Status::new(self.status)).header(self.content_type);
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::serve::{launch, rocket_on, HeaderMapView, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, HeaderMapView, RunningServer, StreamedResponse};
 
 /// Faults of the service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     headers: HeaderMapView,
     _body: String,
     state: &State<Arc<ServiceState>>,
-) -> PieceAnswer {
+) -> StreamedResponse {
     let key = headers.get("idempotency-key").unwrap_or("none").to_owned();
     let times = {
         let mut ran = state.ran.lock().expect("no panic while locked");
@@ -48,12 +48,12 @@
         let mut faults = state.faults.lock().expect("no panic while locked");
         if faults.cut > 0 {
             faults.cut -= 1;
-            return PieceAnswer::cut();
+            return StreamedResponse::cut();
         }
     }
     let echo = headers.get("x-ravenspoke-attempt").unwrap_or_default();
     let body = json!({ "path": path.display().to_string(), "key": key, "times": times });
-    PieceAnswer::whole(200, body.to_string()).header("x-ravenspoke-attempt", echo)
+    StreamedResponse::whole(200, body.to_string()).header("x-ravenspoke-attempt", echo)
 }
 
 #[post("/faults", data = "<faults>")]
