--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, Semaphore};
 
 use crate::rating::BAD_MARK;
-use crate::serve::{launch, rocket_on, HeaderMapView, RunningServer, StreamedResponse};
+use crate::serve::{launch, rocket_on, RequestHeaders, RunningServer, StreamedResponse};
 
 /// Settings and faults of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -100,7 +100,7 @@
 #[post("/v1/chat/completions", data = "<body>")]
 async fn chat(
     body: Json<Value>,
-    headers: HeaderMapView,
+    headers: RequestHeaders,
     state: &State<Arc<EngineState>>,
 ) -> StreamedResponse {
     let faults = state.faults();
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -110,9 +110,9 @@
 }
 
 /// A header's value.
-pub struct HeaderMapView(pub Vec<(String, String)>);
+pub struct RequestHeaders(pub Vec<(String, String)>);
 
-impl HeaderMapView {
+impl RequestHeaders {
     /// The first value of a header.
     pub fn get(&self, name: &str) -> Option<&str> {
         let row = self.0.iter().find(|(row, _)| row.eq_ignore_ascii_case(name));
@@ -121,7 +121,7 @@
 }
 
 #[rocket::async_trait]
-impl<'r> rocket::request::FromRequest<'r> for HeaderMapView {
+impl<'r> rocket::request::FromRequest<'r> for RequestHeaders {
     type Error = ();
 
     async fn from_request(request: &'r Request<'_>) -> rocket::request::Outcome<Self, ()> {
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::serve::{launch, rocket_on, HeaderMapView, RunningServer, StreamedResponse};
+use crate::serve::{launch, rocket_on, RequestHeaders, RunningServer, StreamedResponse};
 
 /// Faults of the service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
 #[post("/<path..>", data = "<_body>")]
 async fn run(
     path: PathBuf,
-    headers: HeaderMapView,
+    headers: RequestHeaders,
     _body: String,
     state: &State<Arc<ServiceState>>,
 ) -> StreamedResponse {
