--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -142,7 +142,7 @@
     let resume = headers.get("x-ravenspoke-resume").and_then(|n| n.parse().ok()).unwrap_or(0);
     let usage = body["stream_options"]["include_usage"].as_bool().unwrap_or(false);
     let (sender, pieces) = mpsc::channel(64);
-    let answer = StreamAnswer { version, tokens, resume, usage };
+    let answer = TokenStream { version, tokens, resume, usage };
     tokio::spawn(stream(state.inner().clone(), answer, sender));
     StreamedResponse {
         status: 200,
@@ -160,7 +160,7 @@
 }
 
 /// A stream to be sent.
-struct StreamAnswer {
+struct TokenStream {
     version: String,
     tokens: Vec<String>,
     /// Tokens that the caller has.
@@ -169,7 +169,7 @@
     usage: bool,
 }
 
-impl StreamAnswer {
+impl TokenStream {
     fn event(&self, choices: Value, usage: Value) -> Bytes {
         let mut event = json!({
             "id": "stand-in", "object": "chat.completion.chunk", "model": self.version,
@@ -198,7 +198,7 @@
 
 async fn stream(
     state: Arc<EngineState>,
-    answer: StreamAnswer,
+    answer: TokenStream,
     sender: mpsc::Sender<io::Result<Bytes>>,
 ) {
     let Ok(_permit) = state.slots.acquire().await else { return };
