--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -92,7 +92,7 @@
 }
 
 /// Tokens of an answer, each with a space behind it.
-fn answer_tokens(count: u64, bad: bool) -> Vec<String> {
+fn response_tokens(count: u64, bad: bool) -> Vec<String> {
     let word = if bad { BAD_MARK } else { "right" };
     (0..count).map(|index| format!("{word}{index} ")).collect()
 }
@@ -122,7 +122,7 @@
     };
     *state.ran.lock().expect("no panic while locked").entry(version.clone()).or_default() += 1;
     let count = body["max_tokens"].as_u64().unwrap_or(8).min(4_096);
-    let tokens = answer_tokens(count, faults.bad.contains(&version));
+    let tokens = response_tokens(count, faults.bad.contains(&version));
     let permit = state.slots.acquire().await.expect("the slots stay open");
     pause(faults.prefill_ms).await;
     if !body["stream"].as_bool().unwrap_or(false) {
