--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -230,7 +230,7 @@
 #[post("/orders", data = "<order>")]
 async fn orders(order: Json<Value>, state: &State<Arc<EngineState>>) -> rocket::http::Status {
     let token = order["token"].as_u64().unwrap_or(0);
-    let wanted: BTreeSet<String> =
+    let versions: BTreeSet<String> =
         serde_json::from_value(order["versions"].clone()).unwrap_or_default();
     {
         let mut tokens = state.tokens.lock().expect("no panic while locked");
@@ -243,7 +243,7 @@
     let state = state.inner().clone();
     tokio::spawn(async move {
         pause(state.faults().load_ms).await;
-        state.faults.lock().expect("no panic while locked").versions = wanted;
+        state.faults.lock().expect("no panic while locked").versions = versions;
     });
     rocket::http::Status::Accepted
 }
