--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -70,8 +70,8 @@
 
 struct EngineState {
     faults: Mutex<EngineFaults>,
-    /// Requests that ran, by version.
-    ran: Mutex<BTreeMap<String, u64>>,
+    /// Requests that run_counts, by version.
+    run_counts: Mutex<BTreeMap<String, u64>>,
     slots: Semaphore,
     /// Tokens of the orders obeyed.
     tokens: Mutex<Vec<u64>>,
@@ -120,7 +120,8 @@
         true => "another request".to_owned(),
         false => headers.get("x-ravenspoke-attempt").unwrap_or_default().to_owned(),
     };
-    *state.ran.lock().expect("no panic while locked").entry(version.clone()).or_default() += 1;
+    *state.run_counts.lock().expect("no panic while locked").entry(version.clone()).or_default() +=
+        1;
     let count = body["max_tokens"].as_u64().unwrap_or(8).min(4_096);
     let tokens = response_tokens(count, faults.bad.contains(&version));
     let permit = state.slots.acquire().await.expect("the slots stay open");
@@ -265,14 +266,14 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<EngineState>>) -> Json<BTreeMap<String, u64>> {
-    Json(state.ran.lock().expect("no panic while locked").clone())
+    Json(state.run_counts.lock().expect("no panic while locked").clone())
 }
 
 /// Starts an engine.
 pub async fn start(faults: EngineFaults) -> RunningServer {
     let state = Arc::new(EngineState {
         faults: Mutex::new(faults),
-        ran: Mutex::default(),
+        run_counts: Mutex::default(),
         slots: Semaphore::new(SLOTS),
         tokens: Mutex::default(),
     });
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service whose calls may not be repeated: it counts what ran, by caller key.
+//! Stand-in of a plain service whose calls may not be repeated: it counts what run_counts, by caller key.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -25,7 +25,7 @@
 #[derive(Default)]
 struct ServiceState {
     faults: Mutex<ServiceFaults>,
-    ran: Mutex<BTreeMap<String, u32>>,
+    run_counts: Mutex<BTreeMap<String, u32>>,
 }
 
 #[post("/<path..>", data = "<_body>")]
@@ -37,8 +37,8 @@
 ) -> StreamedResponse {
     let key = headers.get("idempotency-key").unwrap_or("none").to_owned();
     let times = {
-        let mut ran = state.ran.lock().expect("no panic while locked");
-        let count = ran.entry(key.clone()).or_default();
+        let mut run_counts = state.run_counts.lock().expect("no panic while locked");
+        let count = run_counts.entry(key.clone()).or_default();
         *count += 1;
         *count
     };
@@ -63,7 +63,7 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<ServiceState>>) -> Json<BTreeMap<String, u32>> {
-    Json(state.ran.lock().expect("no panic while locked").clone())
+    Json(state.run_counts.lock().expect("no panic while locked").clone())
 }
 
 #[get("/load")]
