--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -82,7 +82,7 @@
         self.faults.lock().expect("no panic while locked").clone()
     }
 
-    fn spend(&self, pick: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
+    fn use_fault(&self, pick: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let left = pick(&mut faults);
         let spent = *left > 0;
@@ -116,7 +116,7 @@
     if !faults.versions.contains(&version) {
         return StreamedResponse::whole(404, "{}").header("x-ravenspoke-run", "not_run");
     }
-    let echo = match state.spend(|faults| &mut faults.wrong_echo) {
+    let echo = match state.use_fault(|faults| &mut faults.wrong_echo) {
         true => "another request".to_owned(),
         false => headers.get("x-ravenspoke-attempt").unwrap_or_default().to_owned(),
     };
@@ -204,8 +204,8 @@
 ) {
     let Ok(_permit) = state.slots.acquire().await else { return };
     let token_ms = state.faults().token_ms;
-    let cut = state.spend(|faults| &mut faults.cut);
-    let no_marker = !cut && state.spend(|faults| &mut faults.no_marker);
+    let cut = state.use_fault(|faults| &mut faults.cut);
+    let no_marker = !cut && state.use_fault(|faults| &mut faults.no_marker);
     let half = answer.tokens.len() / 2;
     for (index, token) in answer.tokens.iter().enumerate().skip(answer.resume) {
         if cut && index == half {
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -81,7 +81,7 @@
     }
 
     /// Takes one of a counted fault.
-    fn spend(&self, pick: impl Fn(&mut LogFaults) -> &mut u32) -> bool {
+    fn use_fault(&self, pick: impl Fn(&mut LogFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let left = pick(&mut faults);
         let spent = *left > 0;
@@ -132,7 +132,7 @@
         return down();
     }
     let records = body.into_inner().records;
-    if log.spend(|faults| &mut faults.late_effects) {
+    if log.use_fault(|faults| &mut faults.late_effects) {
         let (log, stream) = (log.inner().clone(), stream.to_owned());
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
@@ -141,7 +141,7 @@
         return down();
     }
     let offset = log.take(stream, records);
-    if log.spend(|faults| &mut faults.lose_acks) {
+    if log.use_fault(|faults| &mut faults.lose_acks) {
         return StreamedResponse::cut();
     }
     StreamedResponse::whole(200, json!({ "offset": offset }).to_string())
