--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -62,7 +62,7 @@
     streams: Mutex<HashMap<String, LogStream>>,
     faults: Mutex<LogFaults>,
     appends: Mutex<u64>,
-    news: Notify,
+    appended: Notify,
 }
 
 impl LogState {
@@ -72,7 +72,7 @@
         let offset = row.tail();
         row.records.extend(records.into_iter().map(|record| (Instant::now(), record)));
         *self.appends.lock().expect("no panic while locked") += 1;
-        self.news.notify_waiters();
+        self.appended.notify_waiters();
         offset
     }
 
@@ -103,11 +103,11 @@
             .enumerate()
             .map(|(index, (_, data))| json!({ "offset": start + index as u64, "data": data }))
             .collect();
-        let news = !records.is_empty() || from < row.first;
+        let ready = !records.is_empty() || from < row.first;
         let body = json!({
             "first": row.first, "tail": row.tail(), "age_ms": age as u64, "records": records,
         });
-        (news, body)
+        (ready, body)
     }
 }
 
@@ -161,19 +161,19 @@
         if log.faults().outage {
             return down();
         }
-        let news = log.news.notified();
+        let appended = log.appended.notified();
         let (found, body) = log.read(stream, from);
         if found || Instant::now() >= until {
             return StreamedResponse::whole(200, body.to_string());
         }
-        let _ = tokio::time::timeout_at(until.into(), news).await;
+        let _ = tokio::time::timeout_at(until.into(), appended).await;
     }
 }
 
 #[post("/faults", data = "<faults>")]
 fn set_faults(faults: Json<LogFaults>, log: &State<Arc<LogState>>) {
     *log.faults.lock().expect("no panic while locked") = faults.into_inner();
-    log.news.notify_waiters();
+    log.appended.notify_waiters();
 }
 
 #[get("/counts")]
