--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -111,7 +111,7 @@
     }
 }
 
-fn down() -> StreamedResponse {
+fn unavailable() -> StreamedResponse {
     StreamedResponse::whole(503, "{}")
 }
 
@@ -129,7 +129,7 @@
     let faults = log.faults();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     if faults.outage {
-        return down();
+        return unavailable();
     }
     let records = body.into_inner().records;
     if log.use_fault(|faults| &mut faults.late_effects) {
@@ -138,7 +138,7 @@
             tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
             log.take(&stream, records);
         });
-        return down();
+        return unavailable();
     }
     let offset = log.take(stream, records);
     if log.use_fault(|faults| &mut faults.lose_acks) {
@@ -159,7 +159,7 @@
     let until = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         if log.faults().outage {
-            return down();
+            return unavailable();
         }
         let appended = log.appended.notified();
         let (found, body) = log.read(stream, from);
