--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -24,7 +24,7 @@
 pub const WAIT_BOUND: Duration = Duration::from_secs(20);
 
 /// What is waited for is looked at this often.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The operator key of fleets.
 pub const OPERATOR_KEY: &str = "operator-of-the-fleet";
@@ -133,7 +133,7 @@
             return value;
         }
         assert!(Instant::now() < until, "gave up waiting: {what}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -326,7 +326,7 @@
             let code = self.boxes[index].exit_code();
             let waits = code.is_none() && Instant::now() < until;
             assert!(waits, "{url}: exit code {code:?}, the box's log: {}", self.box_log(index));
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
