--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -175,7 +175,7 @@
             rows: ListRows::default(),
             dir,
         };
-        fleet.make_signers().await;
+        fleet.create_signers().await;
         fleet.list_replicas();
         for (name, zone) in plan.boxes {
             let row = BoxRow {
@@ -195,7 +195,7 @@
         fleet
     }
 
-    async fn make_signers(&mut self) {
+    async fn create_signers(&mut self) {
         for id in ["ada", "bea"] {
             let path = self.dir.join(format!("{id}.key")).display().to_string();
             let made = self.command(&["--json", "key", "new", &path]).await;
