--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -345,8 +345,8 @@
     /// If it fails.
     pub async fn command_json(&self, args: &[&str]) -> Value {
         let output = self.command(&[args, &["--json"]].concat()).await;
-        let words = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(output.status.success(), "{args:?}: {words}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert!(output.status.success(), "{args:?}: {stderr}");
         serde_json::from_slice(&output.stdout).expect("the command prints JSON")
     }
 
