--- a/crates/standins/src/rating.rs
+++ b/crates/standins/src/rating.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct RatingState {
     faults: Mutex<RatingFaults>,
-    rated: Mutex<u64>,
+    rating_count: Mutex<u64>,
 }
 
 #[post("/v1/rate", data = "<body>")]
@@ -37,7 +37,7 @@
     if faults.down {
         return Err(Status::ServiceUnavailable);
     }
-    *state.rated.lock().expect("no panic while locked") += 1;
+    *state.rating_count.lock().expect("no panic while locked") += 1;
     let bad = body["answer"].as_str().unwrap_or_default().contains(BAD_MARK);
     Ok(Json(json!({ "good": !bad })))
 }
@@ -49,7 +49,7 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<RatingState>>) -> Json<Value> {
-    Json(json!({ "rated": *state.rated.lock().expect("no panic while locked") }))
+    Json(json!({ "rated": *state.rating_count.lock().expect("no panic while locked") }))
 }
 
 /// Starts a rating service.
