--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -66,7 +66,7 @@
 }
 
 impl LogState {
-    fn take(&self, stream: &str, records: Vec<String>) -> u64 {
+    fn store(&self, stream: &str, records: Vec<String>) -> u64 {
         let mut streams = self.streams.lock().expect("no panic while locked");
         let row = streams.entry(stream.to_owned()).or_default();
         let offset = row.tail();
@@ -136,11 +136,11 @@
         let (log, stream) = (log.inner().clone(), stream.to_owned());
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
-            log.take(&stream, records);
+            log.store(&stream, records);
         });
         return unavailable();
     }
-    let offset = log.take(stream, records);
+    let offset = log.store(stream, records);
     if log.use_fault(|faults| &mut faults.lose_acks) {
         return StreamedResponse::cut();
     }
