--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins of the systems around ravenspoke, for tests and the quickstart. Unpublished.
+//! Stand-ins for the systems around ravenspoke, for tests and the quickstart. Unpublished.
 //!
-//! Each is a small HTTP server on a free loopback port. Every fault is a setting that
-//! `POST /faults` changes; what ran is counted and read at `GET /counts`, so that a test's witness is
-//! the stand-in and not the router's word.
+//! Each is a small HTTP server on a free loopback port. Its faults are settings that `POST /faults`
+//! changes, and `GET /counts` returns counts of what ran, so that tests check the stand-in and do
+//! not rely on what the router reports.
 
 pub mod engine;
 pub mod fleet;
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: a server on a free port, and answers that can be cut.
+//! Shared parts of the stand-ins: a server on a free port, and responses that can be cut.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,9 +13,9 @@
 
 /// A running stand-in.
 pub struct RunningServer {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// The task; aborting it ends the stand-in.
+    /// Server task. Aborting it stops the stand-in.
     pub task: tokio::task::JoinHandle<()>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A Rocket for a stand-in on `port`; 0 for a free one.
+/// Configures a Rocket server for a stand-in on `port`, where 0 stands for a free one.
 pub fn rocket_on(port: u16) -> Rocket<Build> {
     let shutdown = Shutdown { ctrlc: false, signals: Default::default(), ..Shutdown::default() };
     rocket::custom(Config {
@@ -60,33 +60,33 @@
     RunningServer { address, task }
 }
 
-/// An answer with headers and a body in pieces; an error piece cuts the connection.
+/// A response with headers and a body in pieces. A piece that is an error cuts the connection.
 pub struct StreamedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Media type.
     pub content_type: ContentType,
     /// Headers.
     pub headers: Vec<(&'static str, String)>,
-    /// Pieces.
+    /// Pieces of the body.
     pub pieces: mpsc::Receiver<io::Result<Bytes>>,
 }
 
 impl StreamedResponse {
-    /// An answer with a whole body.
+    /// Creates a JSON response with a complete body.
     pub fn whole(status: u16, body: impl Into<Bytes>) -> Self {
         let (sender, pieces) = mpsc::channel(1);
         let _ = sender.try_send(Ok(body.into()));
         Self { status, content_type: ContentType::JSON, headers: Vec::new(), pieces }
     }
 
-    /// The same answer with one more header.
+    /// Adds a header.
     pub fn header(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// An answer whose connection is cut.
+    /// Creates a response whose connection is cut before its body.
     pub fn cut() -> Self {
         let (sender, pieces) = mpsc::channel(1);
         let _ = sender.try_send(Err(io::ErrorKind::ConnectionAborted.into()));
@@ -109,11 +109,11 @@
     }
 }
 
-/// A header's value.
+/// Headers of a request: names and values.
 pub struct RequestHeaders(pub Vec<(String, String)>);
 
 impl RequestHeaders {
-    /// The first value of a header.
+    /// Returns the first value of a header. The case of its name does not matter.
     pub fn get(&self, name: &str) -> Option<&str> {
         let row = self.0.iter().find(|(row, _)| row.eq_ignore_ascii_case(name));
         row.map(|(_, value)| value.as_str())
