--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the box list: rows that change with a lag.
+//! Stand-in for the box list, whose rows can change with a delay.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -23,7 +23,7 @@
     pub operator: String,
     /// Availability zone.
     pub zone: String,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
 }
 
@@ -37,15 +37,15 @@
     pub address: String,
     /// Availability zone.
     pub zone: String,
-    /// Pool or service.
+    /// Name of its pool or service.
     pub service: String,
     /// Whether it is a model engine.
     pub engine: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// The list.
+/// Contents of the list.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ListRows {
@@ -53,7 +53,7 @@
     pub boxes: Vec<BoxRow>,
     /// Replicas.
     pub replicas: Vec<ReplicaRow>,
-    /// How long this reading takes to show, in milliseconds.
+    /// Delay before these rows replace the last ones, in milliseconds.
     pub lag_ms: u64,
 }
 
@@ -77,7 +77,7 @@
     });
 }
 
-/// Starts a box list.
+/// Starts a box list with these rows.
 pub async fn start(rows: ListRows) -> RunningServer {
     let shared: SharedRows = Arc::new(Mutex::new(rows));
     launch(rocket_on(0).manage(shared).mount("/", routes![read, set])).await
--- a/crates/standins/src/rating.rs
+++ b/crates/standins/src/rating.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the rating service: an answer that carries [`BAD_MARK`] is bad.
+//! Stand-in for the rating service, which rates answers that contain [`BAD_MARK`] as bad.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::serve::{launch, rocket_on, RunningServer};
 
-/// Word by which an engine marks an answer as bad.
+/// Text in an engine's bad answers.
 pub const BAD_MARK: &str = "wrong";
 
 /// Faults of the rating service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RatingFaults {
-    /// Refuse everything.
+    /// Respond 503 to every call.
     pub down: bool,
-    /// Answer after this many milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
 }
 
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a plain service whose calls may not be repeated: it counts what run_counts, by caller key.
+//! Stand-in for a plain service with non-idempotent calls. It counts how often each idempotency key
+//! ran.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -16,9 +17,9 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Run, and answer after this many milliseconds.
+    /// Time between the run and the response, in milliseconds.
     pub slow_ms: u64,
-    /// Run this many calls and cut their answers.
+    /// Number of calls that are still to run and have their responses cut.
     pub cut: u32,
 }
 
