--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the log service: streams with offsets, retention, outages, slowness, lost
-//! acknowledgements and late effects.
+//! Stand-in for the log service: streams with offsets and retention. Its faults are outages, slow
+//! responses, lost acknowledgements and late effects.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -13,24 +13,24 @@
 
 use crate::serve::{launch, rocket_on, RunningServer, StreamedResponse};
 
-/// Records in one read at most.
+/// Maximum number of records in one read.
 const READ_LIMIT: usize = 500;
 
 /// Faults of the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogFaults {
-    /// Refuse everything.
+    /// Respond 503 to every call.
     pub outage: bool,
-    /// Answer after this many milliseconds.
+    /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Take this many appends, and answer as if they failed.
+    /// Number of appends that are still to be stored and have their responses cut.
     pub lose_acks: u32,
-    /// Refuse this many appends, and take them this much later.
+    /// Number of appends that still get status 503 and are stored after `late_ms`.
     pub late_effects: u32,
-    /// How much later, in milliseconds.
+    /// Delay of late effects, in milliseconds.
     pub late_ms: u64,
-    /// Keep records for this long, in milliseconds; 0 for ever.
+    /// Retention of records, in milliseconds. 0 keeps them for ever.
     pub retention_ms: u64,
 }
 
@@ -80,7 +80,7 @@
         self.faults.lock().expect("no panic while locked").clone()
     }
 
-    /// Takes one of a counted fault.
+    /// Uses one occurrence of a counted fault. Returns whether one was left.
     fn use_fault(&self, pick: impl Fn(&mut LogFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let left = pick(&mut faults);
