--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a model engine: streams, resume, a bounded batch, a lagging load report, bad answers.
+//! Stand-in for a model engine with resumable streams, a bounded batch, an outdated load report and
+//! bad answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -20,29 +21,29 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Versions loaded.
+    /// Loaded versions.
     pub versions: BTreeSet<String>,
-    /// Versions whose answers are bad.
+    /// Versions that give bad answers.
     pub bad: BTreeSet<String>,
     /// Time to the first token, in milliseconds.
     pub prefill_ms: u64,
     /// Time between tokens, in milliseconds.
     pub token_ms: u64,
-    /// Cut this many streams after half of their tokens.
+    /// Number of streams that are still to be cut after half of their tokens.
     pub cut: u32,
-    /// End this many streams without their marker.
+    /// Number of streams that are still to end after half of their tokens, without the end marker.
     pub no_marker: u32,
-    /// Echo the wrong attempt this many times.
+    /// Number of responses that are still to carry a wrong attempt id.
     pub wrong_echo: u32,
-    /// Answer nothing.
+    /// Do not respond to requests.
     pub frozen: bool,
-    /// Decline everything: leaving.
+    /// Decline all requests because the engine is leaving.
     pub leaving: bool,
     /// Age of the load report, in milliseconds.
     pub lag_ms: u64,
     /// Time that loading a version takes, in milliseconds.
     pub load_ms: u64,
-    /// Whether an order with a lower token than one seen before is refused.
+    /// Whether orders with a lower fencing token than an earlier one are refused.
     pub checks_token: bool,
 }
 
@@ -65,15 +66,15 @@
     }
 }
 
-/// Requests that the batch takes.
+/// Number of requests in a batch.
 const SLOTS: usize = 64;
 
 struct EngineState {
     faults: Mutex<EngineFaults>,
-    /// Requests that run_counts, by version.
+    /// Number of requests that ran, by version.
     run_counts: Mutex<BTreeMap<String, u64>>,
     slots: Semaphore,
-    /// Tokens of the orders obeyed.
+    /// Fencing tokens of the accepted orders.
     tokens: Mutex<Vec<u64>>,
 }
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// Tokens of an answer, each with a space behind it.
+/// Returns the tokens of an answer, each followed by a space.
 fn response_tokens(count: u64, bad: bool) -> Vec<String> {
     let word = if bad { BAD_MARK } else { "right" };
     (0..count).map(|index| format!("{word}{index} ")).collect()
@@ -153,7 +154,7 @@
     }
 }
 
-/// Sleeps, but not for nothing: a timer takes up to a millisecond.
+/// Sleeps. Sets no timer for zero, because a timer takes up to a millisecond.
 async fn pause(millis: u64) {
     if millis > 0 {
         tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -164,9 +165,9 @@
 struct TokenStream {
     version: String,
     tokens: Vec<String>,
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller already has.
     resume: usize,
-    /// Whether the caller asked for the usage behind the answer.
+    /// Whether the caller asked for the usage after the answer.
     usage: bool,
 }
 
@@ -182,7 +183,8 @@
         format!("data: {event}\n\n").into()
     }
 
-    /// What comes behind the tokens: why it ended, the usage if that was asked for, the end marker.
+    /// Returns the events after the tokens: the finish reason, the usage if it was asked for, and
+    /// the end marker.
     fn end(&self) -> Vec<Bytes> {
         let last = json!([{ "index": 0, "delta": {}, "finish_reason": "stop" }]);
         let count = self.tokens.len();
@@ -269,7 +271,7 @@
     Json(state.run_counts.lock().expect("no panic while locked").clone())
 }
 
-/// Starts an engine.
+/// Starts an engine with these settings and faults.
 pub async fn start(faults: EngineFaults) -> RunningServer {
     let state = Arc::new(EngineState {
         faults: Mutex::new(faults),
