--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet for tests and the quickstart: stand-ins in this process, boxes as processes of their own.
+//! A fleet for tests and the quickstart: stand-ins run in this process, boxes as child processes.
 //!
-//! Boxes are ended by the process ids that this fleet started, when it is dropped at the latest.
-//! Waiting is always on a condition, with a bound.
+//! Each box process is killed when its handle is dropped, with the fleet at the latest. All waits
+//! are for a condition and have a time limit.
 
 use std::future::Future;
 use std::net::{IpAddr, SocketAddr};
@@ -20,18 +20,18 @@
 use crate::serve::RunningServer;
 use crate::{engine, list, log, rating, service};
 
-/// Bound on every wait.
+/// Time limit of every wait.
 pub const WAIT_BOUND: Duration = Duration::from_secs(20);
 
-/// What is waited for is looked at this often.
+/// Interval of the checks of a wait's condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The operator key of fleets.
+/// Operator key of all fleets.
 pub const OPERATOR_KEY: &str = "operator-of-the-fleet";
 
 const TOKEN_SECRET: &str = "000102030405060708090a0b0c0d0e0f";
 
-/// Where the two binaries are.
+/// Paths of the two binaries.
 #[derive(Clone, Debug)]
 pub struct BinaryPaths {
     /// `ravenspoked`.
@@ -40,12 +40,12 @@
     pub command: PathBuf,
 }
 
-/// What a fleet is made of.
+/// Contents of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// Boxes: name and availability zone.
+    /// Name and availability zone of each box.
     pub boxes: Vec<(String, String)>,
-    /// Engines.
+    /// Settings and faults of each engine.
     pub engines: Vec<EngineFaults>,
     /// Lines for `[limits]` of each box's settings.
     pub limits: String,
@@ -70,7 +70,7 @@
         format!("http://{}", self.row.entry)
     }
 
-    /// Sends a signal, by the name that `kill` knows.
+    /// Sends a signal, by its name for `kill`.
     pub fn signal(&self, name: &str) {
         let pid = self.pid().to_string();
         let _ = Command::new("kill").args([&format!("-{name}"), &pid]).status();
@@ -82,7 +82,7 @@
         let _ = self.child.wait();
     }
 
-    /// Its exit code, if it has exited.
+    /// Its exit code if it has exited, or -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
@@ -96,7 +96,7 @@
 
 /// A running fleet.
 pub struct RunningFleet {
-    /// The log.
+    /// The log service.
     pub log: RunningServer,
     /// The box list.
     pub list: RunningServer,
@@ -108,7 +108,7 @@
     pub service: RunningServer,
     /// Boxes.
     pub boxes: Vec<BoxProcess>,
-    /// Client for calls.
+    /// HTTP client.
     pub http: reqwest::Client,
     binaries: BinaryPaths,
     limits: String,
@@ -117,12 +117,12 @@
     dir: PathBuf,
 }
 
-/// SHA-256 of a key in hexadecimal.
+/// SHA-256 of a key, in hexadecimal.
 pub fn key_hash(key: &str) -> String {
     hex::encode(Sha256::digest(key))
 }
 
-/// Waits until `check` gives a value.
+/// Waits until `check` returns a value.
 ///
 /// # Panics
 /// If it does not within [`WAIT_BOUND`].
@@ -137,11 +137,13 @@
     }
 }
 
-/// Ports of boxes are counted up from here; they stay below the range that the system gives to outgoing connections.
+/// First port of boxes, from which ports are counted up. They stay below the range that the system
+/// uses for outgoing connections.
 const FIRST_PORT: u16 = 12_000;
 
-/// An address for a listener of a box: a loopback address of this process's own, and a port that it gives once. It is
-/// not tried: a process that is being started would hold the port for a moment longer than this one.
+/// Returns an address for a listener of a box: a loopback address of this process, and a port that
+/// is used once. It is not tested by binding it, because a child process that starts at that moment
+/// inherits the socket and holds the port a little longer than this process.
 fn free_address() -> String {
     static ADDRESS: OnceLock<IpAddr> = OnceLock::new();
     static NEXT: AtomicU16 = AtomicU16::new(FIRST_PORT);
@@ -243,7 +245,7 @@
         self.rows.replicas.push(row("broker-1".to_owned(), service, "broker", false));
     }
 
-    /// Starts a box with this row, which may be that of a box that has ended.
+    /// Starts a box with this row, which may be the row of a box that has ended.
     pub fn add_box(&mut self, row: BoxRow) {
         let settings = self.write_settings(&row);
         let child = self.spawn(&settings);
@@ -252,7 +254,7 @@
         self.boxes.push(BoxProcess { row, settings, child });
     }
 
-    /// Starts the process of box `index` again: a new incarnation with nothing.
+    /// Starts the process of box `index` again, as a new incarnation without state.
     pub fn restart(&mut self, index: usize) {
         let child = self.spawn(&self.boxes[index].settings);
         self.boxes[index].child = child;
@@ -294,24 +296,24 @@
         path
     }
 
-    /// Publishes the box list as the fleet has it.
+    /// Publishes the fleet's rows to the box list.
     pub async fn publish_list(&self) {
         let request = self.http.post(format!("{}/set", self.list.url())).json(&self.rows);
         request.send().await.expect("the box list answers");
     }
 
-    /// Rows of the box list, to be changed and published.
+    /// Rows of the box list. Changes take effect with [`RunningFleet::publish_list`].
     pub fn rows_mut(&mut self) -> &mut ListRows {
         &mut self.rows
     }
 
-    /// What the box wrote to its log.
+    /// Returns the log of a box.
     pub fn box_log(&self, index: usize) -> String {
         let path = self.boxes[index].settings.with_extension("log");
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Waits until the box answers its callers.
+    /// Waits until the box answers callers.
     ///
     /// # Panics
     /// If it ends, or does not answer within [`WAIT_BOUND`].
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Runs the operator's command with these arguments, beside what else the test does.
+    /// Runs the operator's command with these arguments, without blocking the test's other tasks.
     pub async fn command(&self, args: &[&str]) -> Output {
         let mut command = Command::new(&self.binaries.command);
         command.args(args).arg("--config").arg(self.config_path());
@@ -339,7 +341,7 @@
         ran.expect("the command's task ends").expect("the command runs")
     }
 
-    /// Runs the operator's command and reads its JSON.
+    /// Runs the operator's command and parses its JSON output.
     ///
     /// # Panics
     /// If it fails.
@@ -350,7 +352,7 @@
         serde_json::from_slice(&output.stdout).expect("the command prints JSON")
     }
 
-    /// Writes a bundle to a file and has both operators sign it.
+    /// Writes a bundle to a file, signs it by both operators, and returns the path.
     pub async fn sign(&self, name: &str, bundle: &str) -> String {
         let path = self.dir.join(name).display().to_string();
         std::fs::write(&path, bundle).expect("the bundle's file");
@@ -361,7 +363,7 @@
         path
     }
 
-    /// Signs and publishes a bundle, and waits until every box has it in force.
+    /// Signs and publishes a bundle, waits until every box applies it, and returns its sequence.
     pub async fn publish(&self, name: &str, bundle: &str) -> u64 {
         let path = self.sign(name, bundle).await;
         let done = self.command_json(&["bundle", "publish", &path]).await;
@@ -370,7 +372,7 @@
         sequence
     }
 
-    /// Waits until every box has at least this sequence in force.
+    /// Waits until every box applies a bundle with at least this sequence.
     pub async fn wait_sequence(&self, sequence: u64) {
         for index in 0..self.boxes.len() {
             wait_for("the bundle is in force", || async {
@@ -381,7 +383,7 @@
         }
     }
 
-    /// The dump of a box.
+    /// Returns the state dump of a box.
     pub async fn state(&self, index: usize) -> Option<Value> {
         let url = format!("http://{}/state", self.boxes[index].row.operator);
         let sent = self.http.get(url).bearer_auth(OPERATOR_KEY).send().await.ok()?;
@@ -395,13 +397,13 @@
         assert!(answer.status().is_success(), "faults {faults} were refused");
     }
 
-    /// What a stand-in counted.
+    /// Returns the counts of a stand-in.
     pub async fn counts(&self, server: &RunningServer) -> Value {
         let answer = self.http.get(format!("{}/counts", server.url())).send().await;
         answer.expect("the stand-in answers").json().await.expect("counts are JSON")
     }
 
-    /// A chat request to box `index`.
+    /// Builds a chat request to box `index`.
     pub fn chat(
         &self,
         index: usize,
@@ -417,7 +419,7 @@
         self.http.post(url).bearer_auth(key).json(&body)
     }
 
-    /// A call that may not be repeated.
+    /// Builds a non-idempotent call to box `index`, with the idempotency key `once`.
     pub fn release(&self, index: usize, key: &str, once: &str) -> reqwest::RequestBuilder {
         let url = format!("{}/services/broker/releases/7", self.boxes[index].entry_url());
         self.http.post(url).bearer_auth(key).header("idempotency-key", once).body("{}")
@@ -436,7 +438,7 @@
     }
 }
 
-/// A UUIDv7 of now, for calls that may not be repeated.
+/// Returns a new UUIDv7, the idempotency key of a non-idempotent call.
 pub fn once_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
