--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -21,7 +21,7 @@
 }
 
 /// Time to the head of the answer and to its end, in microseconds.
-async fn timed(request: reqwest::RequestBuilder) -> Option<(u64, u64)> {
+async fn send_timed(request: reqwest::RequestBuilder) -> Option<(u64, u64)> {
     let started = Instant::now();
     let mut answer = request.send().await.ok()?.error_for_status().ok()?;
     let mut first = None;
@@ -72,7 +72,7 @@
     };
     let fleet = RunningFleet::start(plan, binaries).await;
     fleet.publish("bundle.toml", &bundle()).await;
-    wait_for("the box serves", || async { timed(fleet.chat(0, KEY, "m", true)).await }).await;
+    wait_for("the box serves", || async { send_timed(fleet.chat(0, KEY, "m", true)).await }).await;
     let pid = fleet.boxes[0].pid();
     let before = cpu_seconds(pid);
     tokio::time::sleep(Duration::from_secs(5)).await;
@@ -101,7 +101,7 @@
             true => fleet.http.post(&engine).json(&body),
             false => fleet.chat(0, KEY, "m", true),
         };
-        tasks.push((direct, tokio::spawn(timed(request))));
+        tasks.push((direct, tokio::spawn(send_timed(request))));
     }
     let (mut failed, mut times) = (0, [[vec![], vec![]], [vec![], vec![]]]);
     for (direct, task) in tasks {
