--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -31,9 +31,9 @@
     Some((first?.as_micros() as u64, started.elapsed().as_micros() as u64))
 }
 
-fn quantile(values: &mut [u64], share: f64) -> f64 {
+fn quantile(values: &mut [u64], fraction: f64) -> f64 {
     values.sort_unstable();
-    let place = ((values.len() as f64 - 1.0) * share) as usize;
+    let place = ((values.len() as f64 - 1.0) * fraction) as usize;
     values.get(place).map_or(0.0, |value| *value as f64 / 1_000.0)
 }
 
@@ -117,9 +117,9 @@
     println!("{rate} requests/s, {failed} failed, box {busy:.1}% of a core");
     for (index, name) in ["first byte", "end"].into_iter().enumerate() {
         let [mut direct, mut hop] = [times[0][index].clone(), times[1][index].clone()];
-        for share in [0.5, 0.99] {
-            let (direct, hop) = (quantile(&mut direct, share), quantile(&mut hop, share));
-            let p = share * 100.0;
+        for fraction in [0.5, 0.99] {
+            let (direct, hop) = (quantile(&mut direct, fraction), quantile(&mut hop, fraction));
+            let p = fraction * 100.0;
             println!(
                 "  {name} p{p:.0}: direct {direct:.3} ms, box {hop:.3} ms, added {:.3} ms",
                 hop - direct
