--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -33,8 +33,8 @@
 
 fn quantile(values: &mut [u64], fraction: f64) -> f64 {
     values.sort_unstable();
-    let place = ((values.len() as f64 - 1.0) * fraction) as usize;
-    values.get(place).map_or(0.0, |value| *value as f64 / 1_000.0)
+    let index = ((values.len() as f64 - 1.0) * fraction) as usize;
+    values.get(index).map_or(0.0, |value| *value as f64 / 1_000.0)
 }
 
 /// Processor time of a process so far, in seconds.
