--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -1,7 +1,7 @@
-//! The hop's added latency, beside the direct path in the same run, and a box's processor time.
+//! The through_box's added latency, beside the direct path in the same run, and a box's processor time.
 //!
 //! Arguments: the two binaries. Requests alternate between the engine itself and a box, at a steady
-//! rate; each streams 8 tokens. Run by `scripts/bench-hop`.
+//! rate; each streams 8 tokens. Run by `scripts/bench-through_box`.
 
 use std::time::{Duration, Instant};
 
@@ -116,13 +116,14 @@
     let busy = (cpu_seconds(pid) - cpu) / started.elapsed().as_secs_f64() * 100.0;
     println!("{rate} requests/s, {failed} failed, box {busy:.1}% of a core");
     for (index, name) in ["first byte", "end"].into_iter().enumerate() {
-        let [mut direct, mut hop] = [times[0][index].clone(), times[1][index].clone()];
+        let [mut direct, mut through_box] = [times[0][index].clone(), times[1][index].clone()];
         for fraction in [0.5, 0.99] {
-            let (direct, hop) = (quantile(&mut direct, fraction), quantile(&mut hop, fraction));
+            let (direct, through_box) =
+                (quantile(&mut direct, fraction), quantile(&mut through_box, fraction));
             let p = fraction * 100.0;
             println!(
-                "  {name} p{p:.0}: direct {direct:.3} ms, box {hop:.3} ms, added {:.3} ms",
-                hop - direct
+                "  {name} p{p:.0}: direct {direct:.3} ms, box {through_box:.3} ms, added {:.3} ms",
+                through_box - direct
             );
         }
     }
