--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -40,7 +40,7 @@
     step(
         "three boxes read the plan and two replicas from the store, and name each other to callers",
     );
-    served(&site, &boxes[0]).await;
+    check_call(&site, &boxes[0]).await;
     resumed(&site, &boxes[1], &replicas).await;
     explained(&site, &boxes[2], &replicas).await;
     taken_away(&site, &boxes[0]).await;
@@ -48,7 +48,7 @@
     println!("quickstart, on the platform: every step showed what it should");
 }
 
-async fn served(site: &RunningSite, subject: &SiteBox) {
+async fn check_call(site: &RunningSite, subject: &SiteBox) {
     let answer = site.request(subject, "POST", "/file/x", "first").send().await.expect("an answer");
     assert_eq!(answer.status(), 200);
     step(&format!("a call: {}", answer.text().await.expect("a body")));
