--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -41,7 +41,7 @@
         "three boxes read the plan and two replicas from the store, and name each other to callers",
     );
     check_call(&site, &boxes[0]).await;
-    resumed(&site, &boxes[1], &replicas).await;
+    check_resume(&site, &boxes[1], &replicas).await;
     explained(&site, &boxes[2], &replicas).await;
     taken_away(&site, &boxes[0]).await;
     stopped(&mut boxes).await;
@@ -54,7 +54,7 @@
     step(&format!("a call: {}", answer.text().await.expect("a body")));
 }
 
-async fn resumed(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
+async fn check_resume(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
     replicas[0].set_mode(ReplicaMode::CutAt(5));
     for number in 0..6 {
         let answer = site.chat(subject, &format!("s-{number}")).send().await.expect("an answer");
