--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -42,7 +42,7 @@
     );
     check_call(&site, &boxes[0]).await;
     check_resume(&site, &boxes[1], &replicas).await;
-    explained(&site, &boxes[2], &replicas).await;
+    check_explanation(&site, &boxes[2], &replicas).await;
     taken_away(&site, &boxes[0]).await;
     stopped(&mut boxes).await;
     println!("quickstart, on the platform: every step showed what it should");
@@ -65,7 +65,7 @@
     step("streams that one replica breaks off within an event come whole");
 }
 
-async fn explained(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
+async fn check_explanation(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
     replicas.iter().for_each(|replica| replica.set_mode(ReplicaMode::Closing));
     let answer = site.request(subject, "POST", "/file/x", "lost").send().await.expect("an answer");
     assert_eq!(answer.status(), 502, "it may have run");
