--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -43,7 +43,7 @@
     check_call(&site, &boxes[0]).await;
     check_resume(&site, &boxes[1], &replicas).await;
     check_explanation(&site, &boxes[2], &replicas).await;
-    taken_away(&site, &boxes[0]).await;
+    check_revocation(&site, &boxes[0]).await;
     stopped(&mut boxes).await;
     println!("quickstart, on the platform: every step showed what it should");
 }
@@ -84,7 +84,7 @@
     ));
 }
 
-async fn taken_away(site: &RunningSite, subject: &SiteBox) {
+async fn check_revocation(site: &RunningSite, subject: &SiteBox) {
     site.write_plan(2, &["another-key"]);
     wait_for("the key is refused", || async {
         let answer = site.request(subject, "POST", "/read/x", "r").send().await.ok()?;
