--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -44,7 +44,7 @@
     check_resume(&site, &boxes[1], &replicas).await;
     check_explanation(&site, &boxes[2], &replicas).await;
     check_revocation(&site, &boxes[0]).await;
-    stopped(&mut boxes).await;
+    check_stop(&mut boxes).await;
     println!("quickstart, on the platform: every step showed what it should");
 }
 
@@ -94,7 +94,7 @@
     step("a key that the operator took away is refused");
 }
 
-async fn stopped(boxes: &mut [SiteBox]) {
+async fn check_stop(boxes: &mut [SiteBox]) {
     boxes[0].signal("TERM");
     wait_for("it is no longer named", || async {
         (boxes[1].resolve().await?.len() == boxes.len() - 1).then_some(())
