--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -99,7 +99,7 @@
     wait_ready(&fleet).await;
     step("the engines loaded what the bundle says, two at once, by fenced orders");
 
-    let (request, token) = cascade_session(&fleet).await;
+    let (request, token) = check_session(&fleet).await;
     refused(&fleet).await;
     at_most_once(&fleet).await;
     roll(&fleet, &token).await;
@@ -126,7 +126,7 @@
     }
 }
 
-async fn cascade_session(fleet: &RunningFleet) -> (String, String) {
+async fn check_session(fleet: &RunningFleet) -> (String, String) {
     let answer = fleet.chat(0, DRAFTER, "assist", true).send().await.expect("box 1 answers");
     assert_eq!(answer.status(), 200);
     let header = |name: &str| answer.headers()[name].to_str().expect("plain text").to_owned();
