--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -100,7 +100,7 @@
     step("the engines loaded what the bundle says, two at once, by fenced orders");
 
     let (request, token) = check_session(&fleet).await;
-    refused(&fleet).await;
+    check_refusal(&fleet).await;
     at_most_once(&fleet).await;
     roll(&fleet, &token).await;
     explained(&fleet, &request).await;
@@ -141,7 +141,7 @@
     (request, token)
 }
 
-async fn refused(fleet: &RunningFleet) {
+async fn check_refusal(fleet: &RunningFleet) {
     let answer = fleet.chat(2, GUEST, "assist", false).send().await.expect("box 3 answers");
     let (status, _, _, body) = read(answer).await;
     assert_eq!(status, 403);
