--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -101,7 +101,7 @@
 
     let (request, token) = check_session(&fleet).await;
     check_refusal(&fleet).await;
-    at_most_once(&fleet).await;
+    check_at_most_once(&fleet).await;
     roll(&fleet, &token).await;
     explained(&fleet, &request).await;
     bills(&fleet).await;
@@ -149,7 +149,7 @@
     step("a request that the bundle does not allow is refused, not run");
 }
 
-async fn at_most_once(fleet: &RunningFleet) {
+async fn check_at_most_once(fleet: &RunningFleet) {
     let key = once_key();
     let first = fleet.release(0, DRAFTER, &key).send().await.expect("box 1 answers");
     let (status, _, _, body) = read(first).await;
