--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -102,7 +102,7 @@
     let (request, token) = check_session(&fleet).await;
     check_refusal(&fleet).await;
     check_at_most_once(&fleet).await;
-    roll(&fleet, &token).await;
+    check_rollout(&fleet, &token).await;
     explained(&fleet, &request).await;
     bills(&fleet).await;
     if args.iter().any(|arg| arg == "--keep") {
@@ -166,7 +166,7 @@
     step("a call that may not be repeated, sent to two boxes, ran once");
 }
 
-async fn roll(fleet: &RunningFleet, token: &str) {
+async fn check_rollout(fleet: &RunningFleet, token: &str) {
     let traffic = async {
         let mut statuses = Vec::new();
         for round in 0..60 {
