--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -179,20 +179,20 @@
     let change = fleet.publish("bundle-2.toml", &next);
     let (statuses, sequence) = tokio::join!(traffic, change);
     assert!(statuses.iter().all(|(status, ..)| *status == 200), "the roll cut a request");
-    let before = ran_on(fleet, "assist-small-1").await;
+    let before = run_count(fleet, "assist-small-1").await;
     let (status, version, ..) =
         read(fleet.chat(0, GUEST, "assist-small", false).send().await.expect("an answer")).await;
     assert_eq!((status, version.as_str()), (200, "assist-small-2"));
     let held = fleet.chat(0, DRAFTER, "assist", false).header("x-ravenspoke-session", token);
     let (status, _, _, body) = read(held.send().await.expect("an answer")).await;
     assert_eq!((status, &body["error"]["code"]), (410, &json!("version_withdrawn")));
-    let after = ran_on(fleet, "assist-small-1").await;
+    let after = run_count(fleet, "assist-small-1").await;
     assert_eq!(before, after, "the withdrawn version got no new work");
     step(&format!("bundle {sequence} rolled a version in and withdrew one under traffic"));
 }
 
 /// Requests that the engines ran on a version.
-async fn ran_on(fleet: &RunningFleet, version: &str) -> u64 {
+async fn run_count(fleet: &RunningFleet, version: &str) -> u64 {
     let mut total = 0;
     for engine in &fleet.engines {
         total += fleet.counts(engine).await[version].as_u64().unwrap_or(0);
