--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -103,7 +103,7 @@
     check_refusal(&fleet).await;
     check_at_most_once(&fleet).await;
     check_rollout(&fleet, &token).await;
-    explained(&fleet, &request).await;
+    check_explanation(&fleet, &request).await;
     bills(&fleet).await;
     if args.iter().any(|arg| arg == "--keep") {
         keep(&fleet).await;
@@ -200,7 +200,7 @@
     total
 }
 
-async fn explained(fleet: &RunningFleet, request: &str) {
+async fn check_explanation(fleet: &RunningFleet, request: &str) {
     let shown = fleet.command_json(&["explain", request]).await;
     let reasons = shown["reasons"].as_array().map_or(0, Vec::len);
     assert!(reasons > 0, "the decision has reasons");
