--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -104,7 +104,7 @@
     check_at_most_once(&fleet).await;
     check_rollout(&fleet, &token).await;
     check_explanation(&fleet, &request).await;
-    bills(&fleet).await;
+    check_bills(&fleet).await;
     if args.iter().any(|arg| arg == "--keep") {
         keep(&fleet).await;
     }
@@ -213,7 +213,7 @@
     step(&format!("explain: {}", words.join("; ")));
 }
 
-async fn bills(fleet: &RunningFleet) {
+async fn check_bills(fleet: &RunningFleet) {
     let shown = wait_for("the bills are in the log", || async {
         let shown = fleet.command_json(&["bills"]).await;
         let count = shown["bills"].as_array().map_or(0, Vec::len);
