--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -1,6 +1,6 @@
 //! The quickstart's session: what a caller and an operator do, each step checked.
 //!
-//! Run by `scripts/quickstart`, which builds everything first. With `--keep` the fleet stays up.
+//! Run by `scripts/quickstart`, which builds everything first. With `--keep_running` the fleet stays up.
 
 use ravenspoke_standins::engine::EngineFaults;
 use ravenspoke_standins::fleet::{
@@ -106,7 +106,7 @@
     check_explanation(&fleet, &request).await;
     check_bills(&fleet).await;
     if args.iter().any(|arg| arg == "--keep") {
-        keep(&fleet).await;
+        keep_running(&fleet).await;
     }
     planned_stop(&mut fleet).await;
     println!("quickstart: every step showed what it should");
@@ -229,7 +229,7 @@
     step("each request is billed once");
 }
 
-async fn keep(fleet: &RunningFleet) {
+async fn keep_running(fleet: &RunningFleet) {
     for row in &fleet.boxes {
         println!("box {} pid {} entry {}", row.row.name, row.pid(), row.entry_url());
     }
