--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -108,7 +108,7 @@
     if args.iter().any(|arg| arg == "--keep") {
         keep_running(&fleet).await;
     }
-    planned_stop(&mut fleet).await;
+    check_planned_stop(&mut fleet).await;
     println!("quickstart: every step showed what it should");
 }
 
@@ -240,7 +240,7 @@
     let _ = tokio::signal::ctrl_c().await;
 }
 
-async fn planned_stop(fleet: &mut RunningFleet) {
+async fn check_planned_stop(fleet: &mut RunningFleet) {
     for index in 0..fleet.boxes.len() {
         let name = fleet.boxes[index].row.name.clone();
         fleet.command_json(&["stop", &name]).await;
