--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -15,7 +15,7 @@
         eprintln!("usage: soak RAVENSPOKED [--series] SEED...");
         return ExitCode::from(2);
     };
-    let mut whole = true;
+    let mut all_kept = true;
     let mut series = false;
     for text in args {
         if text == "--series" {
@@ -33,12 +33,12 @@
         let (asks, served, broken) = (report.asks, report.served, report.broken.len());
         println!("seed {seed}: {asks} requests, {served} served, {broken} findings");
         if broken > 0 {
-            whole = false;
+            all_kept = false;
             report.faults.iter().for_each(|fault| println!("  fault {fault}"));
             report.broken.iter().take(12).for_each(|line| println!("  broken {line}"));
         }
     }
-    if whole {
+    if all_kept {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
