--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -1,7 +1,7 @@
-//! The through_box's added latency, beside the direct path in the same run, and a box's processor time.
+//! Measures the latency that a box adds to the direct path in the same run, and a box's CPU time.
 //!
-//! Arguments: the two binaries. Requests alternate between the engine itself and a box, at a steady
-//! rate; each streams 8 tokens. Run by `scripts/bench-through_box`.
+//! The arguments are the paths of the two binaries. Requests alternate between the engine itself
+//! and a box at a steady rate, and each streams 8 tokens. `scripts/bench-hop` runs this.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,8 @@
     )
 }
 
-/// Time to the head of the answer and to its end, in microseconds.
+/// Sends a request. Returns the time to the first byte of the body and to its end, in microseconds,
+/// or `None` if it fails.
 async fn send_timed(request: reqwest::RequestBuilder) -> Option<(u64, u64)> {
     let started = Instant::now();
     let mut answer = request.send().await.ok()?.error_for_status().ok()?;
@@ -37,9 +38,9 @@
     values.get(index).map_or(0.0, |value| *value as f64 / 1_000.0)
 }
 
-/// Processor time of a process so far, in seconds.
+/// Returns the CPU time of a process so far, in seconds.
 fn cpu_seconds(pid: u32) -> f64 {
-    /// Clock ticks a second, on Linux.
+    /// Clock ticks a second on Linux.
     const TICKS: f64 = 100.0;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split(' ').collect();
