--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -1,6 +1,6 @@
-//! The quickstart's second act: a small site on the users' platform, each step checked.
+//! The quickstart on the users' platform: runs a small site and checks each step.
 //!
-//! Run by `scripts/quickstart --platform`, which builds everything first.
+//! `scripts/quickstart --platform` builds everything and runs this.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use ravenspoke_standins::platform::site::{RunningSite, SITE_KEY};
 use ravenspoke_standins::platform::site_box::SiteBox;
 
-/// Events of a replica's streams, and the time between two, in milliseconds.
+/// Number of events of a stream, and the time between two events, in milliseconds.
 const EVENTS: u32 = 20;
 const GAP_MS: u64 = 20;
 
