--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -1,6 +1,6 @@
-//! The quickstart's session: what a caller and an operator do, each step checked.
+//! The quickstart: does what a caller and an operator do, and checks each step.
 //!
-//! Run by `scripts/quickstart`, which builds everything first. With `--keep_running` the fleet stays up.
+//! `scripts/quickstart` builds everything and runs this. With `--keep` the fleet keeps running.
 
 use ravenspoke_standins::engine::EngineFaults;
 use ravenspoke_standins::fleet::{
@@ -63,7 +63,7 @@
 }
 
 fn plan() -> FleetPlan {
-    // Nothing is loaded at first: the box that holds the pool's lease orders it.
+    // Engines start without versions. The box that holds the pool's lease orders them to load.
     let engine = EngineFaults { load_ms: 100, ..EngineFaults::default() };
     let zones = ["regina-hall", "saskatoon-hall", "calgary-hall"];
     FleetPlan {
@@ -112,7 +112,7 @@
     println!("quickstart: every step showed what it should");
 }
 
-/// Waits until the boxes know the engines' versions.
+/// Waits until every box serves both models, which requires loaded engines.
 async fn wait_ready(fleet: &RunningFleet) {
     for index in 0..fleet.boxes.len() {
         for model in ["assist-small", "assist"] {
@@ -191,7 +191,7 @@
     step(&format!("bundle {sequence} rolled a version in and withdrew one under traffic"));
 }
 
-/// Requests that the engines ran on a version.
+/// Returns the number of requests that the engines ran on a version.
 async fn run_count(fleet: &RunningFleet, version: &str) -> u64 {
     let mut total = 0;
     for engine in &fleet.engines {
