--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -1,7 +1,8 @@
-//! The fault soak by hand: `scripts/soak` builds everything and runs this.
+//! Runs the fault soak from the command line. `scripts/soak` builds everything and runs this.
 //!
-//! Usage: `soak RAVENSPOKED [--series] SEED...`. With `--series` boxes are stopped and killed one after the other, and nothing
-//! else is done. One line a seed; exits with 1 if a promise was broken.
+//! Usage: `soak RAVENSPOKED [--series] SEED...`. With `--series` boxes are stopped and killed one
+//! after the other, and there are no other faults. Prints one line for each seed, and more on
+//! findings. Exits with 1 if a guarantee was broken.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
