--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -107,8 +107,8 @@
         self.write_long_plan(version, keys, 0);
     }
 
-    /// Writes the same plan with `extra_routes` more routes, whose names and paths are pseudorandom so
-    /// that the plan compresses badly.
+    /// Writes the same plan with `extra_routes` more routes, whose names and paths are pseudorandom
+    /// so that the plan compresses badly.
     pub fn write_long_plan(&self, version: u64, keys: &[&str], extra_routes: u64) {
         let route = |name: &str, kind: &str, attempts: u32| {
             json!({
