--- a/crates/standins/examples/hop.rs
+++ b/crates/standins/examples/hop.rs
@@ -1,7 +1,7 @@
-//! The hop's added latency, beside the direct path in the same run, and a box's processor time.
+//! Measures the latency that a box adds to the direct path in the same run, and a box's CPU time.
 //!
-//! Arguments: the two binaries. Requests alternate between the engine itself and a box, at a steady
-//! rate; each streams 8 tokens. Run by `scripts/bench-hop`.
+//! The arguments are the paths of the two binaries. Requests alternate between the engine itself
+//! and a box at a steady rate, and each streams 8 tokens. `scripts/bench-hop` runs this.
 
 use std::time::{Duration, Instant};
 
@@ -20,8 +20,9 @@
     )
 }
 
-/// Time to the head of the answer and to its end, in microseconds.
-async fn timed(request: reqwest::RequestBuilder) -> Option<(u64, u64)> {
+/// Sends a request. Returns the time to the first byte of the body and to its end, in microseconds,
+/// or `None` if it fails.
+async fn send_timed(request: reqwest::RequestBuilder) -> Option<(u64, u64)> {
     let started = Instant::now();
     let mut answer = request.send().await.ok()?.error_for_status().ok()?;
     let mut first = None;
@@ -31,15 +32,15 @@
     Some((first?.as_micros() as u64, started.elapsed().as_micros() as u64))
 }
 
-fn quantile(values: &mut [u64], share: f64) -> f64 {
+fn quantile(values: &mut [u64], fraction: f64) -> f64 {
     values.sort_unstable();
-    let place = ((values.len() as f64 - 1.0) * share) as usize;
-    values.get(place).map_or(0.0, |value| *value as f64 / 1_000.0)
+    let index = ((values.len() as f64 - 1.0) * fraction) as usize;
+    values.get(index).map_or(0.0, |value| *value as f64 / 1_000.0)
 }
 
-/// Processor time of a process so far, in seconds.
+/// Returns the CPU time of a process so far, in seconds.
 fn cpu_seconds(pid: u32) -> f64 {
-    /// Clock ticks a second, on Linux.
+    /// Clock ticks a second on Linux.
     const TICKS: f64 = 100.0;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split(' ').collect();
@@ -72,7 +73,7 @@
     };
     let fleet = RunningFleet::start(plan, binaries).await;
     fleet.publish("bundle.toml", &bundle()).await;
-    wait_for("the box serves", || async { timed(fleet.chat(0, KEY, "m", true)).await }).await;
+    wait_for("the box serves", || async { send_timed(fleet.chat(0, KEY, "m", true)).await }).await;
     let pid = fleet.boxes[0].pid();
     let before = cpu_seconds(pid);
     tokio::time::sleep(Duration::from_secs(5)).await;
@@ -101,7 +102,7 @@
             true => fleet.http.post(&engine).json(&body),
             false => fleet.chat(0, KEY, "m", true),
         };
-        tasks.push((direct, tokio::spawn(timed(request))));
+        tasks.push((direct, tokio::spawn(send_timed(request))));
     }
     let (mut failed, mut times) = (0, [[vec![], vec![]], [vec![], vec![]]]);
     for (direct, task) in tasks {
@@ -116,13 +117,14 @@
     let busy = (cpu_seconds(pid) - cpu) / started.elapsed().as_secs_f64() * 100.0;
     println!("{rate} requests/s, {failed} failed, box {busy:.1}% of a core");
     for (index, name) in ["first byte", "end"].into_iter().enumerate() {
-        let [mut direct, mut hop] = [times[0][index].clone(), times[1][index].clone()];
-        for share in [0.5, 0.99] {
-            let (direct, hop) = (quantile(&mut direct, share), quantile(&mut hop, share));
-            let p = share * 100.0;
+        let [mut direct, mut through_box] = [times[0][index].clone(), times[1][index].clone()];
+        for fraction in [0.5, 0.99] {
+            let (direct, through_box) =
+                (quantile(&mut direct, fraction), quantile(&mut through_box, fraction));
+            let p = fraction * 100.0;
             println!(
-                "  {name} p{p:.0}: direct {direct:.3} ms, box {hop:.3} ms, added {:.3} ms",
-                hop - direct
+                "  {name} p{p:.0}: direct {direct:.3} ms, box {through_box:.3} ms, added {:.3} ms",
+                through_box - direct
             );
         }
     }
--- a/crates/standins/examples/quickstart-platform.rs
+++ b/crates/standins/examples/quickstart-platform.rs
@@ -1,6 +1,6 @@
-//! The quickstart's second act: a small site on the users' platform, each step checked.
+//! The quickstart on the users' platform: runs a small site and checks each step.
 //!
-//! Run by `scripts/quickstart --platform`, which builds everything first.
+//! `scripts/quickstart --platform` builds everything and runs this.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use ravenspoke_standins::platform::site::{RunningSite, SITE_KEY};
 use ravenspoke_standins::platform::site_box::SiteBox;
 
-/// Events of a replica's streams, and the time between two, in milliseconds.
+/// Number of events of a stream, and the time between two events, in milliseconds.
 const EVENTS: u32 = 20;
 const GAP_MS: u64 = 20;
 
@@ -40,21 +40,21 @@
     step(
         "three boxes read the plan and two replicas from the store, and name each other to callers",
     );
-    served(&site, &boxes[0]).await;
-    resumed(&site, &boxes[1], &replicas).await;
-    explained(&site, &boxes[2], &replicas).await;
-    taken_away(&site, &boxes[0]).await;
-    stopped(&mut boxes).await;
+    check_call(&site, &boxes[0]).await;
+    check_resume(&site, &boxes[1], &replicas).await;
+    check_explanation(&site, &boxes[2], &replicas).await;
+    check_revocation(&site, &boxes[0]).await;
+    check_stop(&mut boxes).await;
     println!("quickstart, on the platform: every step showed what it should");
 }
 
-async fn served(site: &RunningSite, subject: &SiteBox) {
+async fn check_call(site: &RunningSite, subject: &SiteBox) {
     let answer = site.request(subject, "POST", "/file/x", "first").send().await.expect("an answer");
     assert_eq!(answer.status(), 200);
     step(&format!("a call: {}", answer.text().await.expect("a body")));
 }
 
-async fn resumed(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
+async fn check_resume(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
     replicas[0].set_mode(ReplicaMode::CutAt(5));
     for number in 0..6 {
         let answer = site.chat(subject, &format!("s-{number}")).send().await.expect("an answer");
@@ -65,7 +65,7 @@
     step("streams that one replica breaks off within an event come whole");
 }
 
-async fn explained(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
+async fn check_explanation(site: &RunningSite, subject: &SiteBox, replicas: &[ReplicaStandin]) {
     replicas.iter().for_each(|replica| replica.set_mode(ReplicaMode::Closing));
     let answer = site.request(subject, "POST", "/file/x", "lost").send().await.expect("an answer");
     assert_eq!(answer.status(), 502, "it may have run");
@@ -84,7 +84,7 @@
     ));
 }
 
-async fn taken_away(site: &RunningSite, subject: &SiteBox) {
+async fn check_revocation(site: &RunningSite, subject: &SiteBox) {
     site.write_plan(2, &["another-key"]);
     wait_for("the key is refused", || async {
         let answer = site.request(subject, "POST", "/read/x", "r").send().await.ok()?;
@@ -94,7 +94,7 @@
     step("a key that the operator took away is refused");
 }
 
-async fn stopped(boxes: &mut [SiteBox]) {
+async fn check_stop(boxes: &mut [SiteBox]) {
     boxes[0].signal("TERM");
     wait_for("it is no longer named", || async {
         (boxes[1].resolve().await?.len() == boxes.len() - 1).then_some(())
--- a/crates/standins/examples/quickstart.rs
+++ b/crates/standins/examples/quickstart.rs
@@ -1,6 +1,6 @@
-//! The quickstart's session: what a caller and an operator do, each step checked.
+//! The quickstart: does what a caller and an operator do, and checks each step.
 //!
-//! Run by `scripts/quickstart`, which builds everything first. With `--keep` the fleet stays up.
+//! `scripts/quickstart` builds everything and runs this. With `--keep` the fleet keeps running.
 
 use ravenspoke_standins::engine::EngineFaults;
 use ravenspoke_standins::fleet::{
@@ -63,7 +63,7 @@
 }
 
 fn plan() -> FleetPlan {
-    // Nothing is loaded at first: the box that holds the pool's lease orders it.
+    // Engines start without versions. The box that holds the pool's lease orders them to load.
     let engine = EngineFaults { load_ms: 100, ..EngineFaults::default() };
     let zones = ["regina-hall", "saskatoon-hall", "calgary-hall"];
     FleetPlan {
@@ -99,20 +99,20 @@
     wait_ready(&fleet).await;
     step("the engines loaded what the bundle says, two at once, by fenced orders");
 
-    let (request, token) = cascade_session(&fleet).await;
-    refused(&fleet).await;
-    at_most_once(&fleet).await;
-    roll(&fleet, &token).await;
-    explained(&fleet, &request).await;
-    bills(&fleet).await;
+    let (request, token) = check_session(&fleet).await;
+    check_refusal(&fleet).await;
+    check_at_most_once(&fleet).await;
+    check_rollout(&fleet, &token).await;
+    check_explanation(&fleet, &request).await;
+    check_bills(&fleet).await;
     if args.iter().any(|arg| arg == "--keep") {
-        keep(&fleet).await;
+        keep_running(&fleet).await;
     }
-    planned_stop(&mut fleet).await;
+    check_planned_stop(&mut fleet).await;
     println!("quickstart: every step showed what it should");
 }
 
-/// Waits until the boxes know the engines' versions.
+/// Waits until every box serves both models, which requires loaded engines.
 async fn wait_ready(fleet: &RunningFleet) {
     for index in 0..fleet.boxes.len() {
         for model in ["assist-small", "assist"] {
@@ -126,7 +126,7 @@
     }
 }
 
-async fn cascade_session(fleet: &RunningFleet) -> (String, String) {
+async fn check_session(fleet: &RunningFleet) -> (String, String) {
     let answer = fleet.chat(0, DRAFTER, "assist", true).send().await.expect("box 1 answers");
     assert_eq!(answer.status(), 200);
     let header = |name: &str| answer.headers()[name].to_str().expect("plain text").to_owned();
@@ -141,7 +141,7 @@
     (request, token)
 }
 
-async fn refused(fleet: &RunningFleet) {
+async fn check_refusal(fleet: &RunningFleet) {
     let answer = fleet.chat(2, GUEST, "assist", false).send().await.expect("box 3 answers");
     let (status, _, _, body) = read(answer).await;
     assert_eq!(status, 403);
@@ -149,7 +149,7 @@
     step("a request that the bundle does not allow is refused, not run");
 }
 
-async fn at_most_once(fleet: &RunningFleet) {
+async fn check_at_most_once(fleet: &RunningFleet) {
     let key = once_key();
     let first = fleet.release(0, DRAFTER, &key).send().await.expect("box 1 answers");
     let (status, _, _, body) = read(first).await;
@@ -166,7 +166,7 @@
     step("a call that may not be repeated, sent to two boxes, ran once");
 }
 
-async fn roll(fleet: &RunningFleet, token: &str) {
+async fn check_rollout(fleet: &RunningFleet, token: &str) {
     let traffic = async {
         let mut statuses = Vec::new();
         for round in 0..60 {
@@ -179,20 +179,20 @@
     let change = fleet.publish("bundle-2.toml", &next);
     let (statuses, sequence) = tokio::join!(traffic, change);
     assert!(statuses.iter().all(|(status, ..)| *status == 200), "the roll cut a request");
-    let before = ran_on(fleet, "assist-small-1").await;
+    let before = run_count(fleet, "assist-small-1").await;
     let (status, version, ..) =
         read(fleet.chat(0, GUEST, "assist-small", false).send().await.expect("an answer")).await;
     assert_eq!((status, version.as_str()), (200, "assist-small-2"));
     let held = fleet.chat(0, DRAFTER, "assist", false).header("x-ravenspoke-session", token);
     let (status, _, _, body) = read(held.send().await.expect("an answer")).await;
     assert_eq!((status, &body["error"]["code"]), (410, &json!("version_withdrawn")));
-    let after = ran_on(fleet, "assist-small-1").await;
+    let after = run_count(fleet, "assist-small-1").await;
     assert_eq!(before, after, "the withdrawn version got no new work");
     step(&format!("bundle {sequence} rolled a version in and withdrew one under traffic"));
 }
 
-/// Requests that the engines ran on a version.
-async fn ran_on(fleet: &RunningFleet, version: &str) -> u64 {
+/// Returns the number of requests that the engines ran on a version.
+async fn run_count(fleet: &RunningFleet, version: &str) -> u64 {
     let mut total = 0;
     for engine in &fleet.engines {
         total += fleet.counts(engine).await[version].as_u64().unwrap_or(0);
@@ -200,7 +200,7 @@
     total
 }
 
-async fn explained(fleet: &RunningFleet, request: &str) {
+async fn check_explanation(fleet: &RunningFleet, request: &str) {
     let shown = fleet.command_json(&["explain", request]).await;
     let reasons = shown["reasons"].as_array().map_or(0, Vec::len);
     assert!(reasons > 0, "the decision has reasons");
@@ -213,7 +213,7 @@
     step(&format!("explain: {}", words.join("; ")));
 }
 
-async fn bills(fleet: &RunningFleet) {
+async fn check_bills(fleet: &RunningFleet) {
     let shown = wait_for("the bills are in the log", || async {
         let shown = fleet.command_json(&["bills"]).await;
         let count = shown["bills"].as_array().map_or(0, Vec::len);
@@ -229,7 +229,7 @@
     step("each request is billed once");
 }
 
-async fn keep(fleet: &RunningFleet) {
+async fn keep_running(fleet: &RunningFleet) {
     for row in &fleet.boxes {
         println!("box {} pid {} entry {}", row.row.name, row.pid(), row.entry_url());
     }
@@ -240,7 +240,7 @@
     let _ = tokio::signal::ctrl_c().await;
 }
 
-async fn planned_stop(fleet: &mut RunningFleet) {
+async fn check_planned_stop(fleet: &mut RunningFleet) {
     for index in 0..fleet.boxes.len() {
         let name = fleet.boxes[index].row.name.clone();
         fleet.command_json(&["stop", &name]).await;
--- a/crates/standins/examples/soak.rs
+++ b/crates/standins/examples/soak.rs
@@ -1,7 +1,8 @@
-//! The fault soak by hand: `scripts/soak` builds everything and runs this.
+//! Runs the fault soak from the command line. `scripts/soak` builds everything and runs this.
 //!
-//! Usage: `soak RAVENSPOKED [--series] SEED...`. With `--series` boxes are stopped and killed one after the other, and nothing
-//! else is done. One line a seed; exits with 1 if a promise was broken.
+//! Usage: `soak RAVENSPOKED [--series] SEED...`. With `--series` boxes are stopped and killed one
+//! after the other, and there are no other faults. Prints one line for each seed, and more on
+//! findings. Exits with 1 if a guarantee was broken.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -15,7 +16,7 @@
         eprintln!("usage: soak RAVENSPOKED [--series] SEED...");
         return ExitCode::from(2);
     };
-    let mut whole = true;
+    let mut all_kept = true;
     let mut series = false;
     for text in args {
         if text == "--series" {
@@ -33,12 +34,12 @@
         let (asks, served, broken) = (report.asks, report.served, report.broken.len());
         println!("seed {seed}: {asks} requests, {served} served, {broken} findings");
         if broken > 0 {
-            whole = false;
+            all_kept = false;
             report.faults.iter().for_each(|fault| println!("  fault {fault}"));
             report.broken.iter().take(12).for_each(|line| println!("  broken {line}"));
         }
     }
-    if whole {
+    if all_kept {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a model engine: streams, resume, a bounded batch, a lagging load report, bad answers.
+//! Stand-in for a model engine with resumable streams, a bounded batch, an outdated load report and
+//! bad answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -14,35 +15,35 @@
 use tokio::sync::{mpsc, Semaphore};
 
 use crate::rating::BAD_MARK;
-use crate::serve::{launch, rocket_on, HeaderMapView, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, RequestHeaders, RunningServer, StreamedResponse};
 
 /// Settings and faults of an engine.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Versions loaded.
+    /// Loaded versions.
     pub versions: BTreeSet<String>,
-    /// Versions whose answers are bad.
+    /// Versions that give bad answers.
     pub bad: BTreeSet<String>,
     /// Time to the first token, in milliseconds.
     pub prefill_ms: u64,
     /// Time between tokens, in milliseconds.
     pub token_ms: u64,
-    /// Cut this many streams after half of their tokens.
+    /// Number of streams that are still to be cut after half of their tokens.
     pub cut: u32,
-    /// End this many streams without their marker.
+    /// Number of streams that are still to end after half of their tokens, without the end marker.
     pub no_marker: u32,
-    /// Echo the wrong attempt this many times.
+    /// Number of responses that are still to carry a wrong attempt id.
     pub wrong_echo: u32,
-    /// Answer nothing.
+    /// Do not respond to requests.
     pub frozen: bool,
-    /// Decline everything: leaving.
+    /// Decline all requests because the engine is leaving.
     pub leaving: bool,
     /// Age of the load report, in milliseconds.
     pub lag_ms: u64,
     /// Time that loading a version takes, in milliseconds.
     pub load_ms: u64,
-    /// Whether an order with a lower token than one seen before is refused.
+    /// Whether orders with a lower fencing token than an earlier one are refused.
     pub checks_token: bool,
 }
 
@@ -65,15 +66,15 @@
     }
 }
 
-/// Requests that the batch takes.
+/// Number of requests in a batch.
 const SLOTS: usize = 64;
 
 struct EngineState {
     faults: Mutex<EngineFaults>,
-    /// Requests that ran, by version.
-    ran: Mutex<BTreeMap<String, u64>>,
+    /// Number of requests that ran, by version.
+    run_counts: Mutex<BTreeMap<String, u64>>,
     slots: Semaphore,
-    /// Tokens of the orders obeyed.
+    /// Fencing tokens of the accepted orders.
     tokens: Mutex<Vec<u64>>,
 }
 
@@ -82,7 +83,7 @@
         self.faults.lock().expect("no panic while locked").clone()
     }
 
-    fn spend(&self, pick: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
+    fn use_fault(&self, pick: impl Fn(&mut EngineFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let left = pick(&mut faults);
         let spent = *left > 0;
@@ -91,8 +92,8 @@
     }
 }
 
-/// Tokens of an answer, each with a space behind it.
-fn answer_tokens(count: u64, bad: bool) -> Vec<String> {
+/// Returns the tokens of an answer, each followed by a space.
+fn response_tokens(count: u64, bad: bool) -> Vec<String> {
     let word = if bad { BAD_MARK } else { "right" };
     (0..count).map(|index| format!("{word}{index} ")).collect()
 }
@@ -100,12 +101,12 @@
 #[post("/v1/chat/completions", data = "<body>")]
 async fn chat(
     body: Json<Value>,
-    headers: HeaderMapView,
+    headers: RequestHeaders,
     state: &State<Arc<EngineState>>,
-) -> PieceAnswer {
+) -> StreamedResponse {
     let faults = state.faults();
     if faults.leaving {
-        return PieceAnswer::whole(503, "{}")
+        return StreamedResponse::whole(503, "{}")
             .header("x-ravenspoke-run", "not_run")
             .header("x-ravenspoke-leaving", "1");
     }
@@ -114,15 +115,16 @@
     }
     let version = body["model"].as_str().unwrap_or_default().to_owned();
     if !faults.versions.contains(&version) {
-        return PieceAnswer::whole(404, "{}").header("x-ravenspoke-run", "not_run");
+        return StreamedResponse::whole(404, "{}").header("x-ravenspoke-run", "not_run");
     }
-    let echo = match state.spend(|faults| &mut faults.wrong_echo) {
+    let echo = match state.use_fault(|faults| &mut faults.wrong_echo) {
         true => "another request".to_owned(),
         false => headers.get("x-ravenspoke-attempt").unwrap_or_default().to_owned(),
     };
-    *state.ran.lock().expect("no panic while locked").entry(version.clone()).or_default() += 1;
+    *state.run_counts.lock().expect("no panic while locked").entry(version.clone()).or_default() +=
+        1;
     let count = body["max_tokens"].as_u64().unwrap_or(8).min(4_096);
-    let tokens = answer_tokens(count, faults.bad.contains(&version));
+    let tokens = response_tokens(count, faults.bad.contains(&version));
     let permit = state.slots.acquire().await.expect("the slots stay open");
     pause(faults.prefill_ms).await;
     if !body["stream"].as_bool().unwrap_or(false) {
@@ -135,15 +137,16 @@
                 "message": { "role": "assistant", "content": text } }],
             "usage": { "prompt_tokens": 1, "completion_tokens": count, "total_tokens": count + 1 },
         });
-        return PieceAnswer::whole(200, whole.to_string()).header("x-ravenspoke-attempt", echo);
+        return StreamedResponse::whole(200, whole.to_string())
+            .header("x-ravenspoke-attempt", echo);
     }
     drop(permit);
     let resume = headers.get("x-ravenspoke-resume").and_then(|n| n.parse().ok()).unwrap_or(0);
     let usage = body["stream_options"]["include_usage"].as_bool().unwrap_or(false);
     let (sender, pieces) = mpsc::channel(64);
-    let answer = StreamAnswer { version, tokens, resume, usage };
+    let answer = TokenStream { version, tokens, resume, usage };
     tokio::spawn(stream(state.inner().clone(), answer, sender));
-    PieceAnswer {
+    StreamedResponse {
         status: 200,
         content_type: ContentType::new("text", "event-stream"),
         headers: vec![("x-ravenspoke-attempt", echo)],
@@ -151,7 +154,7 @@
     }
 }
 
-/// Sleeps, but not for nothing: a timer takes up to a millisecond.
+/// Sleeps. Sets no timer for zero, because a timer takes up to a millisecond.
 async fn pause(millis: u64) {
     if millis > 0 {
         tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -159,16 +162,16 @@
 }
 
 /// A stream to be sent.
-struct StreamAnswer {
+struct TokenStream {
     version: String,
     tokens: Vec<String>,
-    /// Tokens that the caller has.
+    /// Number of tokens that the caller already has.
     resume: usize,
-    /// Whether the caller asked for the usage behind the answer.
+    /// Whether the caller asked for the usage after the answer.
     usage: bool,
 }
 
-impl StreamAnswer {
+impl TokenStream {
     fn event(&self, choices: Value, usage: Value) -> Bytes {
         let mut event = json!({
             "id": "stand-in", "object": "chat.completion.chunk", "model": self.version,
@@ -180,7 +183,8 @@
         format!("data: {event}\n\n").into()
     }
 
-    /// What comes behind the tokens: why it ended, the usage if that was asked for, the end marker.
+    /// Returns the events after the tokens: the finish reason, the usage if it was asked for, and
+    /// the end marker.
     fn end(&self) -> Vec<Bytes> {
         let last = json!([{ "index": 0, "delta": {}, "finish_reason": "stop" }]);
         let count = self.tokens.len();
@@ -197,13 +201,13 @@
 
 async fn stream(
     state: Arc<EngineState>,
-    answer: StreamAnswer,
+    answer: TokenStream,
     sender: mpsc::Sender<io::Result<Bytes>>,
 ) {
     let Ok(_permit) = state.slots.acquire().await else { return };
     let token_ms = state.faults().token_ms;
-    let cut = state.spend(|faults| &mut faults.cut);
-    let no_marker = !cut && state.spend(|faults| &mut faults.no_marker);
+    let cut = state.use_fault(|faults| &mut faults.cut);
+    let no_marker = !cut && state.use_fault(|faults| &mut faults.no_marker);
     let half = answer.tokens.len() / 2;
     for (index, token) in answer.tokens.iter().enumerate().skip(answer.resume) {
         if cut && index == half {
@@ -229,7 +233,7 @@
 #[post("/orders", data = "<order>")]
 async fn orders(order: Json<Value>, state: &State<Arc<EngineState>>) -> rocket::http::Status {
     let token = order["token"].as_u64().unwrap_or(0);
-    let wanted: BTreeSet<String> =
+    let versions: BTreeSet<String> =
         serde_json::from_value(order["versions"].clone()).unwrap_or_default();
     {
         let mut tokens = state.tokens.lock().expect("no panic while locked");
@@ -242,7 +246,7 @@
     let state = state.inner().clone();
     tokio::spawn(async move {
         pause(state.faults().load_ms).await;
-        state.faults.lock().expect("no panic while locked").versions = wanted;
+        state.faults.lock().expect("no panic while locked").versions = versions;
     });
     rocket::http::Status::Accepted
 }
@@ -264,14 +268,14 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<EngineState>>) -> Json<BTreeMap<String, u64>> {
-    Json(state.ran.lock().expect("no panic while locked").clone())
+    Json(state.run_counts.lock().expect("no panic while locked").clone())
 }
 
-/// Starts an engine.
+/// Starts an engine with these settings and faults.
 pub async fn start(faults: EngineFaults) -> RunningServer {
     let state = Arc::new(EngineState {
         faults: Mutex::new(faults),
-        ran: Mutex::default(),
+        run_counts: Mutex::default(),
         slots: Semaphore::new(SLOTS),
         tokens: Mutex::default(),
     });
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -1,5 +1,5 @@
-//! Stand-in of the log service: streams with offsets, retention, outages, slowness, lost
-//! acknowledgements and late effects.
+//! Stand-in for the log service: streams with offsets and retention. Its faults are outages, slow
+//! responses, lost acknowledgements and late effects.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -11,26 +11,26 @@
 use serde_json::{json, Value};
 use tokio::sync::Notify;
 
-use crate::serve::{launch, rocket_on, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, RunningServer, StreamedResponse};
 
-/// Records in one read at most.
+/// Maximum number of records in one read.
 const READ_LIMIT: usize = 500;
 
 /// Faults of the log.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LogFaults {
-    /// Refuse everything.
+    /// Respond 503 to every call.
     pub outage: bool,
-    /// Answer after this many milliseconds.
+    /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Take this many appends, and answer as if they failed.
+    /// Number of appends that are still to be stored and have their responses cut.
     pub lose_acks: u32,
-    /// Refuse this many appends, and take them this much later.
+    /// Number of appends that still get status 503 and are stored after `late_ms`.
     pub late_effects: u32,
-    /// How much later, in milliseconds.
+    /// Delay of late effects, in milliseconds.
     pub late_ms: u64,
-    /// Keep records for this long, in milliseconds; 0 for ever.
+    /// Retention of records, in milliseconds. 0 keeps them for ever.
     pub retention_ms: u64,
 }
 
@@ -62,17 +62,17 @@
     streams: Mutex<HashMap<String, LogStream>>,
     faults: Mutex<LogFaults>,
     appends: Mutex<u64>,
-    news: Notify,
+    appended: Notify,
 }
 
 impl LogState {
-    fn take(&self, stream: &str, records: Vec<String>) -> u64 {
+    fn store(&self, stream: &str, records: Vec<String>) -> u64 {
         let mut streams = self.streams.lock().expect("no panic while locked");
         let row = streams.entry(stream.to_owned()).or_default();
         let offset = row.tail();
         row.records.extend(records.into_iter().map(|record| (Instant::now(), record)));
         *self.appends.lock().expect("no panic while locked") += 1;
-        self.news.notify_waiters();
+        self.appended.notify_waiters();
         offset
     }
 
@@ -80,8 +80,8 @@
         self.faults.lock().expect("no panic while locked").clone()
     }
 
-    /// Takes one of a counted fault.
-    fn spend(&self, pick: impl Fn(&mut LogFaults) -> &mut u32) -> bool {
+    /// Uses one occurrence of a counted fault. Returns whether one was left.
+    fn use_fault(&self, pick: impl Fn(&mut LogFaults) -> &mut u32) -> bool {
         let mut faults = self.faults.lock().expect("no panic while locked");
         let left = pick(&mut faults);
         let spent = *left > 0;
@@ -103,16 +103,16 @@
             .enumerate()
             .map(|(index, (_, data))| json!({ "offset": start + index as u64, "data": data }))
             .collect();
-        let news = !records.is_empty() || from < row.first;
+        let ready = !records.is_empty() || from < row.first;
         let body = json!({
             "first": row.first, "tail": row.tail(), "age_ms": age as u64, "records": records,
         });
-        (news, body)
+        (ready, body)
     }
 }
 
-fn down() -> PieceAnswer {
-    PieceAnswer::whole(503, "{}")
+fn unavailable() -> StreamedResponse {
+    StreamedResponse::whole(503, "{}")
 }
 
 #[derive(Deserialize)]
@@ -121,50 +121,59 @@
 }
 
 #[post("/v1/streams/<stream>/append", data = "<body>")]
-async fn append(stream: &str, body: Json<AppendBody>, log: &State<Arc<LogState>>) -> PieceAnswer {
+async fn append(
+    stream: &str,
+    body: Json<AppendBody>,
+    log: &State<Arc<LogState>>,
+) -> StreamedResponse {
     let faults = log.faults();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     if faults.outage {
-        return down();
+        return unavailable();
     }
     let records = body.into_inner().records;
-    if log.spend(|faults| &mut faults.late_effects) {
+    if log.use_fault(|faults| &mut faults.late_effects) {
         let (log, stream) = (log.inner().clone(), stream.to_owned());
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(faults.late_ms)).await;
-            log.take(&stream, records);
+            log.store(&stream, records);
         });
-        return down();
+        return unavailable();
     }
-    let offset = log.take(stream, records);
-    if log.spend(|faults| &mut faults.lose_acks) {
-        return PieceAnswer::cut();
+    let offset = log.store(stream, records);
+    if log.use_fault(|faults| &mut faults.lose_acks) {
+        return StreamedResponse::cut();
     }
-    PieceAnswer::whole(200, json!({ "offset": offset }).to_string())
+    StreamedResponse::whole(200, json!({ "offset": offset }).to_string())
 }
 
 #[get("/v1/streams/<stream>?<from>&<wait_ms>")]
-async fn read(stream: &str, from: u64, wait_ms: u64, log: &State<Arc<LogState>>) -> PieceAnswer {
+async fn read(
+    stream: &str,
+    from: u64,
+    wait_ms: u64,
+    log: &State<Arc<LogState>>,
+) -> StreamedResponse {
     let faults = log.faults();
     tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
     let until = Instant::now() + Duration::from_millis(wait_ms);
     loop {
         if log.faults().outage {
-            return down();
+            return unavailable();
         }
-        let news = log.news.notified();
+        let appended = log.appended.notified();
         let (found, body) = log.read(stream, from);
         if found || Instant::now() >= until {
-            return PieceAnswer::whole(200, body.to_string());
+            return StreamedResponse::whole(200, body.to_string());
         }
-        let _ = tokio::time::timeout_at(until.into(), news).await;
+        let _ = tokio::time::timeout_at(until.into(), appended).await;
     }
 }
 
 #[post("/faults", data = "<faults>")]
 fn set_faults(faults: Json<LogFaults>, log: &State<Arc<LogState>>) {
     *log.faults.lock().expect("no panic while locked") = faults.into_inner();
-    log.news.notify_waiters();
+    log.appended.notify_waiters();
 }
 
 #[get("/counts")]
--- a/crates/standins/src/rating.rs
+++ b/crates/standins/src/rating.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the rating service: an answer that carries [`BAD_MARK`] is bad.
+//! Stand-in for the rating service, which rates answers that contain [`BAD_MARK`] as bad.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 
 use crate::serve::{launch, rocket_on, RunningServer};
 
-/// Word by which an engine marks an answer as bad.
+/// Text in an engine's bad answers.
 pub const BAD_MARK: &str = "wrong";
 
 /// Faults of the rating service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RatingFaults {
-    /// Refuse everything.
+    /// Respond 503 to every call.
     pub down: bool,
-    /// Answer after this many milliseconds.
+    /// Delay of each response, in milliseconds.
     pub slow_ms: u64,
 }
 
 #[derive(Default)]
 struct RatingState {
     faults: Mutex<RatingFaults>,
-    rated: Mutex<u64>,
+    rating_count: Mutex<u64>,
 }
 
 #[post("/v1/rate", data = "<body>")]
@@ -37,7 +37,7 @@
     if faults.down {
         return Err(Status::ServiceUnavailable);
     }
-    *state.rated.lock().expect("no panic while locked") += 1;
+    *state.rating_count.lock().expect("no panic while locked") += 1;
     let bad = body["answer"].as_str().unwrap_or_default().contains(BAD_MARK);
     Ok(Json(json!({ "good": !bad })))
 }
@@ -49,7 +49,7 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<RatingState>>) -> Json<Value> {
-    Json(json!({ "rated": *state.rated.lock().expect("no panic while locked") }))
+    Json(json!({ "rated": *state.rating_count.lock().expect("no panic while locked") }))
 }
 
 /// Starts a rating service.
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,5 @@
-//! Stand-in of a plain service whose calls may not be repeated: it counts what ran, by caller key.
+//! Stand-in for a plain service with non-idempotent calls. It counts how often each idempotency key
+//! ran.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,35 +11,35 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::serve::{launch, rocket_on, HeaderMapView, PieceAnswer, RunningServer};
+use crate::serve::{launch, rocket_on, RequestHeaders, RunningServer, StreamedResponse};
 
 /// Faults of the service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFaults {
-    /// Run, and answer after this many milliseconds.
+    /// Time between the run and the response, in milliseconds.
     pub slow_ms: u64,
-    /// Run this many calls and cut their answers.
+    /// Number of calls that are still to run and have their responses cut.
     pub cut: u32,
 }
 
 #[derive(Default)]
 struct ServiceState {
     faults: Mutex<ServiceFaults>,
-    ran: Mutex<BTreeMap<String, u32>>,
+    run_counts: Mutex<BTreeMap<String, u32>>,
 }
 
 #[post("/<path..>", data = "<_body>")]
 async fn run(
     path: PathBuf,
-    headers: HeaderMapView,
+    headers: RequestHeaders,
     _body: String,
     state: &State<Arc<ServiceState>>,
-) -> PieceAnswer {
+) -> StreamedResponse {
     let key = headers.get("idempotency-key").unwrap_or("none").to_owned();
     let times = {
-        let mut ran = state.ran.lock().expect("no panic while locked");
-        let count = ran.entry(key.clone()).or_default();
+        let mut run_counts = state.run_counts.lock().expect("no panic while locked");
+        let count = run_counts.entry(key.clone()).or_default();
         *count += 1;
         *count
     };
@@ -48,12 +49,12 @@
         let mut faults = state.faults.lock().expect("no panic while locked");
         if faults.cut > 0 {
             faults.cut -= 1;
-            return PieceAnswer::cut();
+            return StreamedResponse::cut();
         }
     }
     let echo = headers.get("x-ravenspoke-attempt").unwrap_or_default();
     let body = json!({ "path": path.display().to_string(), "key": key, "times": times });
-    PieceAnswer::whole(200, body.to_string()).header("x-ravenspoke-attempt", echo)
+    StreamedResponse::whole(200, body.to_string()).header("x-ravenspoke-attempt", echo)
 }
 
 #[post("/faults", data = "<faults>")]
@@ -63,7 +64,7 @@
 
 #[get("/counts")]
 fn counts(state: &State<Arc<ServiceState>>) -> Json<BTreeMap<String, u32>> {
-    Json(state.ran.lock().expect("no panic while locked").clone())
+    Json(state.run_counts.lock().expect("no panic while locked").clone())
 }
 
 #[get("/load")]
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -1,98 +1,102 @@
-//! The promises, checked from the records of callers and replicas.
+//! Checks the platform's guarantees against the records of callers and replicas.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use super::callers::DEADLINE_MS;
+use super::recorder::{AskEnd, AskKind, AskRecord, InjectedFault, SoakRecorder};
 use super::schedule::SoakFault;
-use super::sessions::{check_sessions, PlayedRollout};
+use super::sessions::{check_sessions, RolloutResult};
 use super::site::COLD_PER_S;
-use super::witness::{AskEnd, AskKind, AskRecord, PlayedFault, SoakWitness};
 use crate::platform::replica::{ReplicaRun, ReplicaStandin};
 
-/// A key that was taken away runs nothing this long after the store's word: the platform's bound.
-const REVOKE: Duration = Duration::from_millis(5_000);
+/// Time after its revocation in the store from which a key runs nothing. The platform's bound.
+const REVOKE_LIMIT: Duration = Duration::from_millis(5_000);
 
-/// A leaving replica gets nothing this long after the store's word: the platform's bound.
-const DRAIN: Duration = Duration::from_millis(2_000);
+/// Time after its draining mark in the store from which a replica gets no requests. The platform's
+/// bound.
+const DRAIN_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// A box that was disturbed counts as in touch again after this: the platform's bound.
-pub(super) const CONTACT: Duration = Duration::from_millis(3_000);
+/// Time after a fault from which a box counts as connected again. The platform's bound.
+pub(super) const RECONNECT_LIMIT: Duration = Duration::from_millis(3_000);
 
-/// An emptied zone gets nothing this long after the store's word: the platform's bound.
-const EVACUATE: Duration = Duration::from_millis(5_000);
+/// Time after the order in the store from which an evacuated zone gets no requests. The platform's
+/// bound.
+const EVACUATE_LIMIT: Duration = Duration::from_millis(5_000);
 
-/// Beyond [`COLD_PER_S`] by these a cold replica falls over: the platform's bound.
+/// Factor and summand by which the requests in a second may exceed [`COLD_PER_S`] before a cold
+/// replica fails. The platform's bound.
 const COLD_OVER: f64 = 1.5;
 const COLD_SLACK: f64 = 5.0;
 
-/// Allowed beyond a bound: the machine has other work, and records are made a little late.
+/// Tolerance beyond a bound, as the machine runs other work and records are made a little late.
 const SLACK: Duration = Duration::from_millis(400);
 
-/// Callers may send to a box for this long after it was asked to stop: they keep an answer about addresses for so long.
-const KNOWN_FOR: Duration = Duration::from_millis(2_000);
+/// Time for which callers may still send to a box that was asked to stop, because they cache
+/// addresses for this long.
+const STALE_ADDRESS_TIME: Duration = Duration::from_millis(2_000);
 
-/// A request is answered this long after its time at the latest.
-const LATE: Duration = Duration::from_millis(1_000);
+/// A request is answered at most this long after its deadline.
+const LATE_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// A replica that left, with the store's word of it.
+/// A replica that left.
 pub struct LeftReplica {
     /// The replica.
     pub replica: ReplicaStandin,
-    /// When it came.
-    pub came_at: Instant,
-    /// For how long it was cold then, in milliseconds.
+    /// When it was started.
+    pub started_at: Instant,
+    /// Time for which it was cold after its start, in milliseconds.
     pub cold_ms: u64,
-    /// When the store had its mark.
-    pub marked_at: Instant,
+    /// When its entry in the store was marked as draining.
+    pub draining_at: Instant,
 }
 
-/// A span in which the first replica's zone was emptied.
+/// A span in which the first replica's zone was evacuated.
 #[derive(Clone, Copy, Debug)]
-pub struct EmptiedSpan {
-    /// When the store had the order.
+pub struct EvacuationSpan {
+    /// When the order was written to the store.
     pub ordered_at: Instant,
     /// When it was withdrawn.
     pub withdrawn_at: Instant,
 }
 
-/// Everything that a run is judged by.
+/// The records of a run.
 pub struct SoakRecord<'a> {
-    /// Callers' records and faults.
-    pub witness: &'a SoakWitness,
+    /// Records of requests and faults.
+    pub recorder: &'a SoakRecorder,
     /// Replicas that stayed.
     pub replicas: &'a [ReplicaStandin],
-    /// Replicas of the version that is brought in.
+    /// Replicas of the new version.
     pub new_replicas: &'a [ReplicaStandin],
-    /// The order to bring it in.
-    pub rollout: &'a PlayedRollout,
-    /// Spans in which the zone of the first of them was emptied.
-    pub emptied: &'a [EmptiedSpan],
+    /// The roll-out of the new version.
+    pub rollout: &'a RolloutResult,
+    /// Spans in which the zone of the first of `replicas` was evacuated.
+    pub evacuated: &'a [EvacuationSpan],
     /// Replicas that left.
     pub left: &'a [LeftReplica],
     /// Address of each box.
     pub boxes: &'a [std::net::IpAddr],
 }
 
-/// A promise that was broken, in words.
-pub type BrokenPromise = String;
+/// Description of a guarantee that was broken.
+pub type BrokenGuarantee = String;
 
-/// Checks all promises.
-pub fn judge(record: &SoakRecord) -> Vec<BrokenPromise> {
-    let asks = record.witness.asks();
-    let faults = record.witness.faults();
+/// Checks all guarantees.
+pub fn judge(record: &SoakRecord) -> Vec<BrokenGuarantee> {
+    let asks = record.recorder.asks();
+    let faults = record.recorder.faults();
     let runs = runs_by_id(record);
     let mut broken = Vec::new();
     for ask in &asks {
         let ran = runs.get(ask.id.as_str()).map_or(0, Vec::len);
         broken.extend(check_ask(ask, ran).map(|what| format!("{what}: {ask:?}, {ran} runs")));
-        broken.extend(check_lost(record, &faults, ask, ran));
-        broken.extend(check_time(record, &faults, ask));
+        broken.extend(check_cut(record, &faults, ask, ran));
+        broken.extend(check_deadline(record, &faults, ask));
     }
     broken.extend(check_stops(record, &asks, &faults, &runs));
     broken.extend(check_key(record, &asks, &runs));
     broken.extend(check_leaving(record, &faults));
-    broken.extend(check_emptied(record, &faults));
+    broken.extend(check_evacuated(record, &faults));
     broken.extend(check_cold(record));
     broken.extend(check_sessions(record, &asks, &faults));
     broken
@@ -108,7 +112,7 @@
     runs
 }
 
-/// What a single request shows.
+/// Checks what a single request shows by its response and its number of runs.
 fn check_ask(ask: &AskRecord, ran: usize) -> Option<&'static str> {
     if ask.kind == AskKind::File && ran > 1 {
         return Some("a call that may run once ran more than once");
@@ -121,26 +125,28 @@
         503 if !retry_after => Some("a refusal says not when to come back"),
         401 if !ask.second_key => Some("a key that is held was denied"),
         403 | 404 => Some("a route that is there was denied"),
-        200 if !whole(ask, body) => Some("an answer was not the whole answer to its request"),
+        200 if !is_whole_answer(ask, body) => {
+            Some("an answer was not the whole answer to its request")
+        }
         _ => None,
     }
 }
 
-/// Whether a body is the whole answer of a stand-in to this request.
-fn whole(ask: &AskRecord, body: &str) -> bool {
+/// Whether a body is the complete response of one replica to this request.
+fn is_whole_answer(ask: &AskRecord, body: &str) -> bool {
     if ask.kind == AskKind::Chat {
         return body == super::site::whole_stream();
     }
     body.ends_with(&format!(" answers {}", ask.id)) && body.matches(" answers ").count() == 1
 }
 
-/// A request that a box took ends with an answer, whatever is planned there.
-fn check_lost(
+/// A request that a box accepted ends with a response, also when the box restarts as planned.
+fn check_cut(
     record: &SoakRecord,
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     ask: &AskRecord,
     ran: usize,
-) -> Option<BrokenPromise> {
+) -> Option<BrokenGuarantee> {
     let AskEnd::Broken(why) = &ask.end else { return None };
     let excused = faults.iter().any(|row| {
         let here = |number: usize| record.boxes[number] == ask.to;
@@ -150,39 +156,39 @@
             SoakFault::Replica(..) | SoakFault::ReplicaPath(..) => true,
             _ => false,
         };
-        excuses && row.meets(ask.sent_at, ask.ended_at, SLACK)
+        excuses && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     });
-    // One that crosses a close and was passed on to nobody was not taken.
+    // A request that arrives as the connection closes, and ran nowhere, was not accepted.
     let crossed = ran == 0 && ask.ended_at - ask.sent_at < SLACK;
     (!excused && !crossed).then(|| format!("a request was cut ({why}): {ask:?}, {ran} runs"))
 }
 
-/// A request is answered in its time.
-fn check_time(
+/// A request is answered by its deadline.
+fn check_deadline(
     record: &SoakRecord,
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     ask: &AskRecord,
-) -> Option<BrokenPromise> {
+) -> Option<BrokenGuarantee> {
     let took = ask.ended_at - ask.sent_at;
     let paused = faults.iter().any(|row| {
         matches!(row.fault, SoakFault::BoxPaused(number) if record.boxes[number] == ask.to)
-            && row.meets(ask.sent_at, ask.ended_at, SLACK)
+            && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     });
-    let late = took > Duration::from_millis(DEADLINE_MS) + LATE && !paused;
+    let late = took > Duration::from_millis(DEADLINE_MS) + LATE_LIMIT && !paused;
     late.then(|| format!("a request was held for {took:?}: {ask:?}"))
 }
 
-/// While callers may still send to a box that stops, it answers what it takes.
+/// A stopping box answers the requests that it accepts while callers may still send to it.
 fn check_stops(
     record: &SoakRecord,
     asks: &[AskRecord],
-    faults: &[PlayedFault],
+    faults: &[InjectedFault],
     runs: &HashMap<String, Vec<ReplicaRun>>,
-) -> Vec<BrokenPromise> {
+) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for stop in faults {
         let SoakFault::BoxStopped(number) = stop.fault else { continue };
-        let known = stop.from..stop.from + KNOWN_FOR;
+        let known = stop.from..stop.from + STALE_ADDRESS_TIME;
         let cut = |ask: &&AskRecord| {
             ask.to == record.boxes[number]
                 && known.contains(&ask.sent_at)
@@ -199,15 +205,15 @@
     broken
 }
 
-/// Whether a box was killed, or stood still, near a request.
-fn killed_near(faults: &[PlayedFault], number: usize, ask: &AskRecord) -> bool {
+/// Whether a box was killed or suspended near the time of a request.
+fn killed_near(faults: &[InjectedFault], number: usize, ask: &AskRecord) -> bool {
     faults.iter().any(|row| {
         let here = match row.fault {
             SoakFault::BoxKilled(killed) | SoakFault::BoxPaused(killed) => killed == number,
             SoakFault::BoxesKilled => true,
             _ => false,
         };
-        here && row.meets(ask.sent_at, ask.ended_at, SLACK)
+        here && row.overlaps(ask.sent_at, ask.ended_at, SLACK)
     })
 }
 
@@ -215,26 +221,26 @@
     record: &SoakRecord,
     asks: &[AskRecord],
     runs: &HashMap<String, Vec<ReplicaRun>>,
-) -> Vec<BrokenPromise> {
-    let Some(taken_at) = record.witness.key_taken_at() else { return Vec::new() };
+) -> Vec<BrokenGuarantee> {
+    let Some(revoked_at) = record.recorder.key_revoked_at() else { return Vec::new() };
     let late = |ask: &&AskRecord| {
-        ask.second_key && ask.sent_at > taken_at + REVOKE && runs.contains_key(&ask.id)
+        ask.second_key && ask.sent_at > revoked_at + REVOKE_LIMIT && runs.contains_key(&ask.id)
     };
-    let told = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
-    asks.iter().filter(late).map(told).collect()
+    let describe = |ask: &AskRecord| format!("a key that was taken away ran a request: {ask:?}");
+    asks.iter().filter(late).map(describe).collect()
 }
 
-/// A leaving replica gets nothing from boxes in touch after the bound.
-fn check_leaving(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenPromise> {
+/// Connected boxes send nothing to a leaving replica after the bound.
+fn check_leaving(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
     for left in record.left {
         for run in left.replica.runs() {
-            let late = run.at > left.marked_at + DRAIN + SLACK;
-            let disturbed = faults
-                .iter()
-                .any(|row| disturbs_touch(row.fault) && row.meets(left.marked_at, run.at, CONTACT));
+            let late = run.at > left.draining_at + DRAIN_LIMIT + SLACK;
+            let disturbed = faults.iter().any(|row| {
+                may_isolate(row.fault) && row.overlaps(left.draining_at, run.at, RECONNECT_LIMIT)
+            });
             if late && !disturbed {
-                let after = run.at - left.marked_at;
+                let after = run.at - left.draining_at;
                 broken.push(format!("{} ran {} {after:?} after it left", left.replica.id, run.id));
             }
         }
@@ -242,17 +248,17 @@
     broken
 }
 
-/// An emptied zone gets nothing from boxes in touch after the bound, until it is given back.
-fn check_emptied(record: &SoakRecord, faults: &[PlayedFault]) -> Vec<BrokenPromise> {
+/// Connected boxes send nothing to an evacuated zone after the bound, until the order is withdrawn.
+fn check_evacuated(record: &SoakRecord, faults: &[InjectedFault]) -> Vec<BrokenGuarantee> {
     let mut broken = Vec::new();
-    for (span, run) in record.emptied.iter().flat_map(|span| {
+    for (span, run) in record.evacuated.iter().flat_map(|span| {
         let runs = record.replicas[0].runs();
         runs.into_iter().map(move |run| (span, run))
     }) {
-        let late = run.at > span.ordered_at + EVACUATE + SLACK && run.at < span.withdrawn_at;
-        let disturbed = faults
-            .iter()
-            .any(|row| disturbs_touch(row.fault) && row.meets(span.ordered_at, run.at, CONTACT));
+        let late = run.at > span.ordered_at + EVACUATE_LIMIT + SLACK && run.at < span.withdrawn_at;
+        let disturbed = faults.iter().any(|row| {
+            may_isolate(row.fault) && row.overlaps(span.ordered_at, run.at, RECONNECT_LIMIT)
+        });
         if late && !disturbed {
             let after = run.at - span.ordered_at;
             broken.push(format!("a replica in an emptied zone ran {} after {after:?}", run.id));
@@ -261,12 +267,12 @@
     broken
 }
 
-/// A cold replica gets from all boxes together no more than it bears.
-fn check_cold(record: &SoakRecord) -> Vec<BrokenPromise> {
+/// A cold replica gets no more requests from all boxes together than it can serve.
+fn check_cold(record: &SoakRecord) -> Vec<BrokenGuarantee> {
     let bound = (COLD_PER_S * COLD_OVER + COLD_SLACK) as usize;
     let mut broken = Vec::new();
     for left in record.left.iter().filter(|left| left.cold_ms > 0) {
-        let until = left.came_at + Duration::from_millis(left.cold_ms);
+        let until = left.started_at + Duration::from_millis(left.cold_ms);
         let times: Vec<Instant> = left.replica.runs().iter().map(|run| run.at).collect();
         let cold = |at: &&Instant| **at < until;
         let second = Duration::from_secs(1);
@@ -281,8 +287,8 @@
     broken
 }
 
-/// Whether a fault takes a box or the store out of touch.
-fn disturbs_touch(fault: SoakFault) -> bool {
+/// Whether a fault may cut a box off from the store or from other boxes.
+fn may_isolate(fault: SoakFault) -> bool {
     match fault {
         SoakFault::BoxTold(_)
         | SoakFault::Replica(..)
--- a/crates/standins/src/soak/play.rs
+++ b/crates/standins/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! One run: a site is started, faults and callers are let loose on it, and the records are judged.
+//! Runs one seed: starts a site, runs callers and faults on it, and checks the records.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -9,33 +9,33 @@
 use tokio::sync::watch;
 
 use super::callers::{resolve, send, SoakCaller, CALLERS};
-use super::inflict::play_fault;
-use super::judge::{judge, BrokenPromise, SoakRecord};
-use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, CALM_FOR, FAULTS_FOR};
+use super::inflict::inject_fault;
+use super::judge::{judge, BrokenGuarantee, SoakRecord};
+use super::recorder::{AskEnd, AskKind};
+use super::schedule::{draw_faults, draw_series, TimedFault, BOXES, FAULT_WINDOW, RECOVERY_TIME};
 use super::site::SoakSite;
-use super::witness::{AskEnd, AskKind};
 
-/// Requests that each box must serve when the faults are over.
-const LAST_ASKS: usize = 5;
+/// Requests that each box must serve after the faults.
+const RECOVERY_REQUESTS: usize = 5;
 
-/// What a run showed.
+/// Results of a run.
 pub struct SoakReport {
-    /// Requests.
+    /// Number of requests.
     pub asks: usize,
-    /// Those that were answered by a replica.
+    /// Number of requests answered with status 200.
     pub served: usize,
-    /// Faults, in words.
+    /// Faults, as text.
     pub faults: Vec<String>,
-    /// Promises that were broken.
-    pub broken: Vec<BrokenPromise>,
+    /// Guarantees that were broken.
+    pub broken: Vec<BrokenGuarantee>,
 }
 
-/// Plays a seed with boxes that run `binary`. A run with a broken promise keeps its logs.
+/// Runs a seed with boxes of `binary`. Logs are kept if a guarantee was broken.
 pub async fn play(binary: &Path, seed: u64) -> SoakReport {
     play_faults(binary, seed, draw_faults(seed)).await
 }
 
-/// Plays the series of stops and kills that a seed draws.
+/// Runs the series of stops and kills that a seed draws.
 pub async fn play_series(binary: &Path, seed: u64) -> SoakReport {
     play_faults(binary, seed, draw_series(seed)).await
 }
@@ -45,23 +45,23 @@
     let (stop, stopped) = watch::channel(false);
     let callers = start_callers(&site, seed, &stopped);
     let played: Vec<_> =
-        faults.iter().map(|row| tokio::spawn(play_fault(site.clone(), *row))).collect();
-    tokio::time::sleep(FAULTS_FOR).await;
+        faults.iter().map(|row| tokio::spawn(inject_fault(site.clone(), *row))).collect();
+    tokio::time::sleep(FAULT_WINDOW).await;
     for fault in played {
         fault.await.expect("the fault is played");
     }
-    tokio::time::sleep(CALM_FOR).await;
+    tokio::time::sleep(RECOVERY_TIME).await;
     stop.send_replace(true);
     let ended = tokio::task::spawn_blocking(move || callers.join()).await;
     ended.expect("the wait ends").expect("the callers end");
     report(&site, &faults).await
 }
 
-/// Starts the callers, all on one thread: among several, the client library can lose a request that it hands to a
-/// connection in the moment that this ends.
+/// Starts the callers on one thread. With several threads the client library can lose a request
+/// that it hands to a connection at the moment the connection closes.
 fn start_callers(site: &SoakSite, seed: u64, stopped: &watch::Receiver<bool>) -> JoinHandle<()> {
     let start = |number| {
-        let caller = SoakCaller::new(seed, number, site.addresses.clone(), site.witness.clone());
+        let caller = SoakCaller::new(seed, number, site.addresses.clone(), site.recorder.clone());
         caller.run(stopped.clone())
     };
     let callers: Vec<_> = (0..CALLERS).map(start).collect();
@@ -74,20 +74,20 @@
 async fn report(site: &SoakSite, faults: &[TimedFault]) -> SoakReport {
     let mut broken = check_recovery(site).await;
     let left = site.left.lock().await;
-    let emptied = site.emptied.lock().await;
+    let evacuated = site.evacuated.lock().await;
     broken.extend(judge(&SoakRecord {
-        witness: &site.witness,
+        recorder: &site.recorder,
         replicas: &site.replicas,
         new_replicas: &site.new_replicas,
         left: &left,
-        emptied: &emptied,
+        evacuated: &evacuated,
         boxes: &site.addresses,
         rollout: &site.rollout().await,
     }));
     if !broken.is_empty() {
         broken.push(format!("logs: {}", site.site.lock().await.keep_folder().display()));
     }
-    let asks = site.witness.asks();
+    let asks = site.recorder.asks();
     let served = |end: &AskEnd| matches!(end, AskEnd::Answered { status: 200, .. });
     SoakReport {
         asks: asks.len(),
@@ -97,8 +97,8 @@
     }
 }
 
-/// When the faults are over, each box is named by all and serves.
-async fn check_recovery(site: &SoakSite) -> Vec<BrokenPromise> {
+/// Checks that after the faults each box lists all boxes and serves requests.
+async fn check_recovery(site: &SoakSite) -> Vec<BrokenGuarantee> {
     let http = site.site.lock().await.http.clone();
     let mut broken = Vec::new();
     for to in &site.addresses {
@@ -106,7 +106,7 @@
         if named.len() != BOXES {
             broken.push(format!("{to} names {named:?} when the faults are over"));
         }
-        for number in 0..LAST_ASKS {
+        for number in 0..RECOVERY_REQUESTS {
             let end =
                 send(&http, *to, AskKind::Read, &format!("last-{to}-{number}"), false, 0).await;
             if !matches!(end, AskEnd::Answered { status: 200, .. }) {
--- a/crates/standins/src/soak/proxy.rs
+++ b/crates/standins/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that disturbs the connections through it.
+//! A loopback TCP proxy that injects network faults into its connections.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -8,48 +8,48 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Largest piece that is passed on at once, in bytes.
+/// Largest piece that is forwarded at once, in bytes.
 const PIECE_BYTES: usize = 16 << 10;
 
-/// How connections are disturbed.
+/// Fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Each piece comes later by this.
+    /// Each piece is delayed by this time.
     Delayed(Duration),
-    /// Connections are reset, new ones as well.
+    /// Connections are reset, new ones too.
     Reset,
-    /// Nothing gets through to the target.
+    /// Nothing is forwarded to the target.
     CutThere,
-    /// Nothing comes back from the target.
+    /// Nothing is forwarded from the target.
     CutBack,
-    /// Nothing gets through either way.
+    /// Nothing is forwarded in either direction.
     Silent,
 }
 
-/// Which way bytes go.
+/// Direction of bytes: to the target, or back from it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     There,
     Back,
 }
 
 impl ProxyFault {
-    fn holds(self, way: Way) -> bool {
+    fn blocks(self, way: Direction) -> bool {
         match self {
-            ProxyFault::CutThere => way == Way::There,
-            ProxyFault::CutBack => way == Way::Back,
+            ProxyFault::CutThere => way == Direction::There,
+            ProxyFault::CutBack => way == Direction::Back,
             ProxyFault::Silent => true,
             ProxyFault::None | ProxyFault::Delayed(_) | ProxyFault::Reset => false,
         }
     }
 }
 
-/// A running proxy before its target: the store, or a replica.
+/// A running proxy before the store or a replica.
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     fault: watch::Sender<ProxyFault>,
 }
@@ -62,38 +62,38 @@
         let (fault, state) = watch::channel(ProxyFault::None);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(carry(stream, target, state.clone()));
+                tokio::spawn(forward(stream, target, state.clone()));
             }
         });
         Self { address, fault }
     }
 
-    /// Disturbs the connections from now on.
+    /// Sets the fault of present and future connections.
     pub fn set(&self, fault: ProxyFault) {
         self.fault.send_replace(fault);
     }
 }
 
-/// Carries one connection until either side ends it.
-async fn carry(client: TcpStream, target: SocketAddr, mut state: watch::Receiver<ProxyFault>) {
-    // Small answers must not wait for more.
+/// Forwards one connection until either side ends it.
+async fn forward(client: TcpStream, target: SocketAddr, mut state: watch::Receiver<ProxyFault>) {
+    // Without this, Nagle's algorithm delays small responses.
     drop(client.set_nodelay(true));
     if *state.borrow() == ProxyFault::Reset {
         return reset(client);
     }
-    let Ok(reached) = TcpStream::connect(target).await else { return reset(client) };
-    drop(reached.set_nodelay(true));
+    let Ok(upstream) = TcpStream::connect(target).await else { return reset(client) };
+    drop(upstream.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
-    let (target_read, target_write) = reached.into_split();
+    let (target_read, target_write) = upstream.into_split();
     tokio::select! {
-        () = copy(client_read, target_write, Way::There, state.clone()) => {}
-        () = copy(target_read, client_write, Way::Back, state.clone()) => {}
-        // An error says that the proxy is gone, which ends its connections too.
+        () = copy(client_read, target_write, Direction::There, state.clone()) => {}
+        () = copy(target_read, client_write, Direction::Back, state.clone()) => {}
+        // An error means that the proxy was dropped, which ends its connections too.
         _ = state.wait_for(|fault| *fault == ProxyFault::Reset) => {}
     }
 }
 
-/// Closes with a reset.
+/// Closes a connection with a reset.
 fn reset(client: TcpStream) {
     drop(client.set_zero_linger());
 }
@@ -101,7 +101,7 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: Way,
+    way: Direction,
     mut state: watch::Receiver<ProxyFault>,
 ) {
     let mut buffer = vec![0; PIECE_BYTES];
@@ -110,8 +110,8 @@
         if let ProxyFault::Delayed(by) = fault {
             tokio::time::sleep(by).await;
         }
-        // What a cut holds up comes when it is over.
-        let passed = state.wait_for(|fault| !fault.holds(way)).await.is_ok();
+        // Bytes that a fault blocks are forwarded when it is over.
+        let passed = state.wait_for(|fault| !fault.blocks(way)).await.is_ok();
         if !passed || to.write_all(&buffer[..count]).await.is_err() {
             return;
         }
