--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -21,7 +21,7 @@
 use support::*;
 
 #[test]
-fn allowed_only_a_request_runs_only_on_what_its_account_allows() {
+fn allowed_only_account_cannot_use_other_models_or_services() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn allowed_only_is_checked_again_at_the_write() {
+fn allowed_only_is_checked_again_before_sending() {
     let mut fleet = fleet(3);
 
     fleet.feed(0, ask(1, "alpha", chat("small", None), None));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn withdrawn_version_gets_no_new_work_on_any_box_within_seconds() {
+fn withdrawn_version_gets_no_new_requests_on_any_box_within_seconds() {
     let mut fleet = fleet(9);
     fleet.log_cut.extend(4..9);
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn at_most_once_two_boxes_race_and_lost_acks_and_late_effects_do_not_matter() {
+fn at_most_once_with_two_racing_boxes_lost_acks_and_late_appends() {
     for (lost, late) in [(0, 0), (2, 0), (0, 1), (1, 1)] {
         let mut fleet = fleet(3);
         let mut callers = Callers::default();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn at_most_once_a_box_that_dies_after_its_write_is_never_run_again_nor_called_not_run() {
+fn at_most_once_request_of_a_killed_box_is_not_run_again_nor_reported_not_run() {
     let mut fleet = fleet(3);
     let mut callers = Callers { hold: true, ..Callers::default() };
     let key = once_key(0, 1);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn at_most_once_a_box_paused_past_its_deadline_does_not_write() {
+fn at_most_once_box_paused_past_its_deadline_does_not_send() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
     let key = once_key(0, 1);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn at_most_once_a_key_older_than_the_log_remembers_is_refused_without_a_promise() {
+fn at_most_once_key_older_than_log_retention_is_refused_as_unknown() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
     let hour = ravenspoke_bench::fixture::RETENTION_MS;
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn not_run_is_true_when_the_log_is_down_and_its_claim_lands_late() {
+fn not_run_holds_when_the_log_is_down_and_the_claim_is_appended_late() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
     let key = once_key(0, 1);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn bill_backlog_refuses_new_work_truthfully_and_loses_nothing() {
+fn full_bill_backlog_refuses_new_requests_as_not_run_and_loses_no_bill() {
     let replicas = vec![
         listed_replica("engine-1", "engines", true),
         listed_replica("engine-2", "engines", true),
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn whole_answer_a_mismatch_or_a_break_is_never_finished() {
+fn whole_answer_mismatched_or_aborted_answer_is_never_finished() {
     let mut fleet = fleet(3);
     let mut callers = Callers { hold: true, ..Callers::default() };
 
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn leaving_replica_gets_no_new_work_on_boxes_that_only_heard_of_it() {
+fn leaving_replica_gets_no_new_requests_from_boxes_that_learn_it_by_gossip() {
     let mut fleet = fleet(9);
     let mut callers = Callers::default();
 
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn planned_stop_leaves_the_entry_list_serves_on_and_ends_with_every_bill_in_the_log() {
+fn planned_stop_leaves_the_entry_list_and_finishes_every_request_and_bill() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn racing_operators_the_first_in_log_order_wins_everywhere() {
+fn racing_operators_first_bundle_in_log_order_wins_on_every_box() {
     let mut fleet = fleet(9);
     let base = fleet.boxes[0].state.in_force().cloned();
     let racers =
@@ -399,7 +399,7 @@
 }
 
 #[test]
-fn cut_off_box_stops_and_an_outage_for_all_does_not_stop_the_fleet() {
+fn cut_off_box_stops_but_a_log_outage_for_all_does_not_stop_the_fleet() {
     let mut fleet = fleet(5);
     let state = |fleet: &VirtualFleet, index: usize| {
         fleet.boxes[index].state.fresh_state(fleet.box_time(index))
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn restarted_box_does_not_vouch_for_a_majority_in_an_outage() {
+fn restarted_box_does_not_count_towards_a_majority_in_an_outage() {
     // Found by the model check: a box that restarted forgot the bundle that it had confirmed.
     let mut fleet = fleet(3);
     fleet.log_cut.insert(0);
@@ -447,7 +447,7 @@
 }
 
 #[test]
-fn paused_box_is_not_fresh_by_answers_that_waited_in_its_sockets() {
+fn paused_box_does_not_become_fresh_from_answers_buffered_in_its_sockets() {
     let mut fleet = fleet(3);
 
     fleet.run_ms(1_000);
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn paused_box_that_hears_of_a_newer_bundle_does_not_serve_before_it_has_it() {
+fn paused_box_that_learns_of_a_newer_bundle_does_not_serve_by_the_old_one() {
     // Found by reading, after a test on processes failed once: the answers that told a box of a newer
     // bundle also made it see a majority again, and it served by the old one until the new one came.
     for phase in 0..40 {
--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn orders_are_paced_and_an_interrupted_roll_out_goes_on_with_a_higher_token() {
+fn orders_keep_the_load_limit_and_an_interrupted_roll_out_resumes_with_a_higher_token() {
     for checks in [true, false] {
         let mut fleet = pooled_fleet(checks);
         let mut engines = Engines::default();
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn paused_holder_gives_no_order_after_its_term() {
+fn paused_lease_holder_gives_no_order_after_its_lease_ends() {
     let mut fleet = pooled_fleet(false);
     let mut engines = Engines::default();
     engines.run_to_first_order(&mut fleet, false);
--- a/crates/bench/tests/prompts.rs
+++ b/crates/bench/tests/prompts.rs
@@ -11,27 +11,27 @@
 }
 
 #[test]
-fn calm_deployments_are_served_in_time() {
+fn calm_deployments_have_few_late_answers() {
     let late = mean(PromptTrouble::Calm, PromptPolicy::Ravenspoke, 0.5, "late");
     assert!(late < 0.02, "{late}");
 }
 
 #[test]
-fn engines_that_go_down_at_full_load_make_few_answers_late() {
+fn engine_failures_near_full_load_cause_few_late_answers() {
     let late = mean(PromptTrouble::EnginesDown, PromptPolicy::Ravenspoke, 0.9, "late");
     let baseline = mean(PromptTrouble::EnginesDown, PromptPolicy::LeastReportedLoad, 0.9, "late");
     assert!(late < 0.08 && late * 4.0 < baseline, "{late} {baseline}");
 }
 
 #[test]
-fn in_a_burst_of_the_dear_class_callers_get_most_of_what_they_are_owed() {
+fn burst_of_the_high_value_class_keeps_most_of_the_value() {
     let worth = mean(PromptTrouble::DearBurst, PromptPolicy::Ravenspoke, 0.9, "worth");
     let baseline = mean(PromptTrouble::DearBurst, PromptPolicy::LeastReportedLoad, 0.9, "worth");
     assert!(worth > 0.65 && worth > baseline + 0.2, "{worth} {baseline}");
 }
 
 #[test]
-fn slow_and_failing_engines_lose_no_request() {
+fn slow_and_failing_engines_lose_almost_no_request() {
     let lost = mean(PromptTrouble::SlowAndGrey, PromptPolicy::Ravenspoke, 0.5, "lost");
     assert!(lost < 0.002, "{lost}");
 }
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -293,17 +293,17 @@
 }
 
 #[test]
-fn a_callers_day_at_coteau() {
+fn ordinary_requests_at_coteau() {
     expect_file!["golden/coteau_day.txt"].assert_eq(&a_day(&COTEAU).text);
 }
 
 #[test]
-fn a_callers_day_at_the_agency() {
+fn ordinary_requests_at_the_agency() {
     expect_file!["golden/agency_day.txt"].assert_eq(&a_day(&AGENCY).text);
 }
 
 #[test]
-fn withdrawn_under_a_session() {
+fn version_withdrawn_during_a_session() {
     let mut story = COTEAU.story();
     story.chat(1, 0, "assist-small", 0);
     story.whole(1);
@@ -320,7 +320,7 @@
 }
 
 #[test]
-fn a_version_turns_bad_and_is_halted() {
+fn rollout_of_a_bad_version_is_halted() {
     let mut story = AGENCY.story();
     story.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
     story.wait(200);
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn a_stream_breaks_and_is_resumed() {
+fn aborted_stream_is_resumed() {
     let mut story = COTEAU.story();
     story.chat(1, 0, "assist-small", 0);
     story.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
@@ -364,7 +364,7 @@
 }
 
 #[test]
-fn the_platform_is_out_and_a_box_dies() {
+fn log_outage_and_box_crash() {
     let mut story = AGENCY.story();
     story.say("> the log goes down");
     story.fleet.log_faults.outage = true;
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_holder_is_paused_past_its_deadline() {
+fn claim_owner_is_paused_past_its_deadline() {
     let mut story = AGENCY.story();
     story.filing(1, 0, "portal", &once_key(4));
     story.say("> box-0 is paused");
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn operators_race_and_a_box_stops_as_planned() {
+fn operators_race_and_a_box_is_stopped() {
     let mut story = COTEAU.story();
     let first = COTEAU.bundle(2, "serving", false);
     let second = COTEAU.bundle(2, "withdrawn", false);
