--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -1,7 +1,8 @@
 //! The ten promises, each under the failures that threaten it, on real reducers in virtual time.
 //!
-//! The witness is what the log holds and what the reducers told their boxes to write: a `Send` is a
-//! run. Each test was seen to fail without its mechanism; docs/PROMISES.md says how.
+//! The tests check the content of the log and the effects that the reducers return: each `Send`
+//! counts as a run. Each test fails without the mechanism that it guards, as docs/PROMISES.md
+//! shows.
 
 mod orders;
 mod support;
@@ -70,7 +71,11 @@
     callers.run(&mut fleet, 300);
 
     for index in 0..9 {
-        assert_eq!(callers.versions[&index], [V2], "box {index} was told by its peers");
+        assert_eq!(
+            callers.versions[&index],
+            [V2],
+            "box {index} learns of the bundle from its peers"
+        );
         let refused = Seen::Refused(ReasonCode::Withdrawn, RunState::NotRun);
         assert_eq!(callers.seen[&(100 + index)], refused);
     }
@@ -91,8 +96,8 @@
     fleet.feed(2, ask(4, "beta", chat(V2, Some(token)), None));
     callers.run(&mut fleet, 100);
 
-    assert_eq!(callers.versions[&2], [V1], "the session stays while its version drains");
-    assert_eq!(callers.versions[&3], [V2], "a new session does not open there");
+    assert_eq!(callers.versions[&2], [V1], "the session keeps its version while that drains");
+    assert_eq!(callers.versions[&3], [V2], "a new session does not start on a draining version");
     assert_eq!(callers.seen[&4], Seen::Refused(ReasonCode::BadToken, RunState::NotRun));
 }
 
@@ -156,7 +161,11 @@
     assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 1_000);
-    assert_eq!(callers.seen[&2], Seen::Finished, "the void let another box run it");
+    assert_eq!(
+        callers.seen[&2],
+        Seen::Finished,
+        "the void record lets another box run the request"
+    );
     assert_eq!(callers.runs(), 1);
 }
 
@@ -195,7 +204,7 @@
     fleet.log_faults.outage = false;
     callers.run(&mut fleet, 10_000);
 
-    assert_eq!(callers.runs(), 0, "the late claim never dispatches");
+    assert_eq!(callers.runs(), 0, "the late claim never leads to a run");
 }
 
 #[test]
@@ -209,14 +218,17 @@
     }
     callers.run(&mut fleet, 600);
     let finished = callers.seen.values().filter(|seen| **seen == Seen::Finished).count();
-    assert_eq!(finished, 20, "witnesses let the answers end");
-    assert_eq!(bills(&fleet).bills.len(), 0, "nothing of box 0 reached the log");
+    assert_eq!(finished, 20, "witnessed bills let the answers finish");
+    assert_eq!(bills(&fleet).bills.len(), 0, "no bill of box 0 reaches the log");
     fleet.kill(0);
     callers.run(&mut fleet, 20_000);
 
     let fold = bills(&fleet);
     assert_eq!(fold.bills.len(), 20);
-    assert_eq!(fold.repeats, 20, "both witnesses appended, and the reader dropped the repeats");
+    assert_eq!(
+        fold.repeats, 20,
+        "both witnesses append each bill, and the reader drops the repeats"
+    );
 }
 
 #[test]
@@ -237,7 +249,7 @@
 
     assert!(callers.seen.values().all(|seen| *seen == Seen::Finished), "{:?}", callers.seen);
     let fold = bills(&fleet);
-    assert_eq!(fold.bills.len(), 11, "ten without a key, one for the key that ran twice");
+    assert_eq!(fold.bills.len(), 11, "ten bills without a key, one for the key that ran twice");
 }
 
 #[test]
@@ -286,7 +298,7 @@
 
     assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::WrongEcho, RunState::Unknown));
     assert_eq!(callers.seen[&2], Seen::Refused(ReasonCode::StreamBroken, RunState::Unknown));
-    assert_eq!(callers.versions[&2], [V1, V1, V1], "a broken stream goes on on its version");
+    assert_eq!(callers.versions[&2], [V1, V1, V1], "an aborted stream is retried on its version");
     assert_eq!(bills(&fleet).bills.len(), 0);
 }
 
@@ -332,7 +344,10 @@
     fleet.run_ms(100);
     let now = fleet.box_time(1);
     let entries = fleet.boxes[1].state.members().entries(None, 1, now);
-    assert!(entries.iter().all(|row| row.name != "box-0"), "told directly, ahead of the box list");
+    assert!(
+        entries.iter().all(|row| row.name != "box-0"),
+        "peers learn it directly, before the box list changes"
+    );
     for ticket in 1..=50 {
         fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
         callers.run(&mut fleet, 100);
@@ -344,7 +359,7 @@
     }
 
     let finished = callers.seen.values().filter(|seen| **seen == Seen::Finished).count();
-    assert_eq!(finished, 50, "a planned stop cuts no request");
+    assert_eq!(finished, 50, "a planned stop aborts no request");
     assert!(may_exit);
     assert_eq!(bills(&fleet).bills.len(), 50);
 }
@@ -361,7 +376,7 @@
         let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
         fleet.take(LogStream::Bundles, vec![record]);
     }
-    // The second operator goes on from its own bundle before it learns that it lost.
+    // The second operator builds on its own bundle before it learns that it lost the race.
     let mut loser = BundleFold::new(sign_off_rule());
     loser.fold_record(0, &signed_record(None, &bundle_text(V1, "serving")));
     loser.fold_record(1, &signed_record(base.as_ref(), &racers[1]));
@@ -384,10 +399,10 @@
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(1_000);
 
-    // A quarter of the retention later a box has carried the bundle forward, and the rest is trimmed.
+    // A quarter of the retention later a box has appended the bundle anew; the rest is trimmed.
     fleet.run_ms(ravenspoke_bench::fixture::RETENTION_MS / 2 + 10_000);
     let carried = fleet.streams[&LogStream::Bundles].1.len();
-    assert!(carried > 2, "the bundle was carried forward");
+    assert!(carried > 2, "the bundle is appended anew");
     fleet.trim(LogStream::Bundles, 1);
     for index in 0..4 {
         fleet.kill(index);
@@ -426,7 +441,8 @@
 
 #[test]
 fn restarted_box_does_not_count_towards_a_majority_in_an_outage() {
-    // Found by the model check: a box that restarted forgot the bundle that it had confirmed.
+    // A restarted box has forgotten the bundle that it confirmed, so a majority that counts it
+    // can miss that bundle.
     let mut fleet = fleet(3);
     fleet.log_cut.insert(0);
     fleet.cut.extend([(0, 1), (0, 2)]);
@@ -442,7 +458,7 @@
     fleet.run_ms(8_000);
 
     let now = fleet.box_time(0);
-    assert_eq!(fleet.boxes[0].state.sequence(), 1, "nobody could tell it of bundle 2");
+    assert_eq!(fleet.boxes[0].state.sequence(), 1, "no reachable box knows bundle 2");
     assert_eq!(fleet.boxes[0].state.fresh_state(now), FreshState::CutOff);
 }
 
@@ -464,8 +480,8 @@
 
 #[test]
 fn paused_box_that_learns_of_a_newer_bundle_does_not_serve_by_the_old_one() {
-    // Found by reading, after a test on processes failed once: the answers that told a box of a newer
-    // bundle also made it see a majority again, and it served by the old one until the new one came.
+    // The answers that announce a newer bundle also let the box see a majority again. It must not
+    // serve by the old bundle until the new one arrives.
     for phase in 0..40 {
         let mut fleet = fleet(3);
         fleet.pause(0);
--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to pools: paced, fenced, and taken up by another box.
+//! Orders to pools: limited in number, fenced by tokens, and resumed by another box.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::support::*;
 
-/// A bundle whose pool should load both versions, two replicas at once.
+/// A bundle with a pool of engines that loads the model on at most two replicas at once.
 fn pooled(checks_token: bool) -> BundleSpec {
     let mut spec = bundle_text(V1, "serving");
     let pool = PoolSpec { models: vec!["small".to_owned()], checks_token, loads_at_once: 2 };
@@ -19,7 +19,7 @@
     spec
 }
 
-/// Engines that obey orders at once, and report to every box.
+/// Simulated engines that record the orders of the fleet and report their versions to every box.
 #[derive(Default)]
 struct Engines {
     loaded: BTreeMap<String, Vec<String>>,
@@ -29,7 +29,8 @@
 }
 
 impl Engines {
-    /// Takes the orders that the fleet gave since the last time; with `obey`, loads end.
+    /// Records the orders since the last call, then reports to every box. With `obey`, the engines
+    /// complete all loads at once; otherwise they never do.
     fn take(&mut self, fleet: &mut VirtualFleet, obey: bool) {
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Runs until a box gives an order, two minutes at the longest.
+    /// Runs until a box gives an order; panics after two minutes without one.
     fn run_to_first_order(&mut self, fleet: &mut VirtualFleet, obey: bool) {
         for _ in 0..120 {
             if !self.tokens.is_empty() {
@@ -90,12 +91,12 @@
 
         engines.run_to_first_order(&mut fleet, true);
         let (holder, token, _) = engines.tokens[0].clone();
-        assert!(engines.loaded.len() <= 2, "halfway");
+        assert!(engines.loaded.len() <= 2, "the roll-out is not complete yet");
         fleet.kill(holder);
         engines.run(&mut fleet, 60, true);
 
-        assert_eq!(engines.loaded.len(), 6, "another box went on");
-        assert!(engines.most_at_once <= 2, "the weight store feeds two at once");
+        assert_eq!(engines.loaded.len(), 6, "another box completes the roll-out");
+        assert!(engines.most_at_once <= 2, "at most two replicas load at once");
         let later = engines.tokens.iter().filter(|(index, ..)| *index != holder);
         assert!(later.clone().count() > 0);
         assert!(later.clone().all(|(_, later, _)| *later > token));
@@ -109,7 +110,7 @@
     engines.run_to_first_order(&mut fleet, false);
     let holder = engines.tokens[0].0;
 
-    // It reads nothing of its successor's lease, and its own orders are old enough to be given again.
+    // The holder can't read its successor's lease, and its own orders are due for repetition.
     fleet.log_cut.insert(holder);
     fleet.pause(holder);
     engines.run(&mut fleet, 140, false);
@@ -120,8 +121,8 @@
     let late = engines.tokens[before..].iter().filter(|(index, ..)| *index == holder);
     assert_eq!(late.count(), 0);
     let others = engines.tokens.iter().filter(|(index, ..)| *index != holder);
-    assert!(others.count() > 0, "its successor went on");
+    assert!(others.count() > 0, "its successor gives orders");
 
     engines.run(&mut fleet, 150, true);
-    assert_eq!(engines.loaded.len(), 6, "its successor did the work");
+    assert_eq!(engines.loaded.len(), 6, "its successor completes the loads");
 }
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a fleet with a bundle in force, requests, and callers that keep count.
+//! Fixtures: a fleet with a bundle in force, requests, and callers that record results.
 
 use std::collections::BTreeMap;
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Publishes `spec` over what box `base` has in force.
+/// Publishes `spec` on top of the bundle in force on box `base`, or as the first bundle.
 pub fn publish(fleet: &mut VirtualFleet, base: Option<usize>, spec: &BundleSpec) {
     let in_force = base.and_then(|index| fleet.boxes[index].state.in_force().cloned());
     let record = signed_record(in_force.as_ref(), spec);
@@ -106,7 +106,7 @@
     format!("{:08x}-{:04x}-7000-8000-00000000{tail:04x}", millis >> 16, millis & 0xffff)
 }
 
-/// How a request ended, or how far it came.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     Refused(ReasonCode, RunState),
@@ -114,17 +114,18 @@
     Replayed(u32),
 }
 
-/// Drives requests as a box does, with backend servers that answer at once, and keeps count.
+/// Carries out the effects for requests as a box does, and records runs and results. The backend
+/// servers answer at once.
 #[derive(Default)]
 pub struct Callers {
-    /// Writes to backend servers, by ticket.
+    /// Number of sends to backend servers, by ticket.
     pub ran: BTreeMap<u64, u32>,
-    /// Versions written to, by ticket.
+    /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
     pub seen: BTreeMap<u64, Seen>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
-    /// Whether backend servers answer.
+    /// Whether backend servers withhold their answers.
     pub hold: bool,
 }
 
--- a/crates/bench/tests/prompts.rs
+++ b/crates/bench/tests/prompts.rs
@@ -1,9 +1,10 @@
-//! Long prompts on deployments drawn at random: what the boxes' reducer must reach beside the baseline.
+//! Long prompts on random deployments: bounds for the boxes' reducer, also against the baseline.
 
 use ravenspoke_bench::prompt_site::PromptTrouble;
 use ravenspoke_bench::prompts::{run, PromptPolicy};
 
-/// Mean of a measure over a few deployments, at engines that prompts would keep busy `load` of the time.
+/// Mean of `measure` over four deployments whose engines are busy with prompts for the share `load`
+/// of the time.
 fn mean(trouble: PromptTrouble, policy: PromptPolicy, load: f64, measure: &str) -> f64 {
     let seeds = 1..=4;
     let count = seeds.clone().count() as f64;
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -1,7 +1,7 @@
-//! Golden files: whole sessions event by event, with their effects, readable as a story.
+//! Golden files: scenarios as traces of events and of the effects that follow them.
 //!
-//! Each session is a list of events on real reducers in virtual time; the files under
-//! `tests/golden` hold what came of them. `UPDATE_EXPECT=1 cargo test` writes them anew.
+//! Each scenario is a list of events on real reducers in virtual time. The files under
+//! `tests/golden` hold the expected traces; `UPDATE_EXPECT=1 cargo test` rewrites them.
 
 use std::fmt::Write;
 
@@ -16,7 +16,7 @@
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::replica::LoadReport;
 
-/// A session being told.
+/// A scenario that runs on a virtual fleet, and its trace so far.
 struct Story {
     fleet: VirtualFleet,
     text: String,
@@ -25,7 +25,7 @@
     versions: [String; 3],
 }
 
-/// A deployment: cheap, new cheap and strong version, cascade, account, service.
+/// Names that a deployment gives to its small and large model, cascade, account and service.
 struct Deployment {
     small: &'static str,
     large: &'static str,
@@ -187,7 +187,8 @@
         self.tell();
     }
 
-    /// Tells the effects that concern requests and operators, and carries out what a box would.
+    /// Traces the effects that concern requests and operators, and sends prepared attempts as a box
+    /// would, until no effect is left.
     fn tell(&mut self) {
         loop {
             let effects = self.fleet.take_effects();
