--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -17,7 +17,7 @@
 use ravenspoke_core::replica::LoadReport;
 
 /// A scenario that runs on a virtual fleet, and its trace so far.
-struct Story {
+struct ScenarioTrace {
     fleet: VirtualFleet,
     text: String,
     keys: std::collections::BTreeMap<u64, (usize, RequestKey)>,
@@ -73,7 +73,7 @@
         ))
     }
 
-    fn story(&self) -> Story {
+    fn story(&self) -> ScenarioTrace {
         let replicas = vec![
             listed_replica("engine-1", "engines", true),
             listed_replica("engine-2", "engines", true),
@@ -82,8 +82,13 @@
         let versions =
             [format!("{}-1", self.small), format!("{}-2", self.small), format!("{}-1", self.large)];
         let fleet = VirtualFleet::new(3, 3, 42, replicas);
-        let mut story =
-            Story { fleet, text: String::new(), keys: Default::default(), token: None, versions };
+        let mut story = ScenarioTrace {
+            fleet,
+            text: String::new(),
+            keys: Default::default(),
+            token: None,
+            versions,
+        };
         story.publish("bundle 1", &self.bundle(1, "serving", false));
         story.wait(3_000);
         story.loads();
@@ -91,7 +96,7 @@
     }
 }
 
-impl Story {
+impl ScenarioTrace {
     fn say(&mut self, words: &str) {
         let millis = self.fleet.now_us() / 1_000;
         // Writing to a string does not fail.
@@ -261,7 +266,7 @@
     format!("{:08x}-{:04x}-7000-8000-0000000000{tail:02x}", millis >> 16, millis & 0xffff)
 }
 
-fn a_day(deployment: &Deployment) -> Story {
+fn a_day(deployment: &Deployment) -> ScenarioTrace {
     let mut story = deployment.story();
     let Deployment { cascade, small, service, .. } = *deployment;
     story.chat(1, 0, cascade, 0);
