--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -73,7 +73,7 @@
         ))
     }
 
-    fn story(&self) -> ScenarioTrace {
+    fn trace(&self) -> ScenarioTrace {
         let replicas = vec![
             listed_replica("engine-1", "engines", true),
             listed_replica("engine-2", "engines", true),
@@ -82,17 +82,17 @@
         let versions =
             [format!("{}-1", self.small), format!("{}-2", self.small), format!("{}-1", self.large)];
         let fleet = VirtualFleet::new(3, 3, 42, replicas);
-        let mut story = ScenarioTrace {
+        let mut trace = ScenarioTrace {
             fleet,
             text: String::new(),
             keys: Default::default(),
             token: None,
             versions,
         };
-        story.publish("bundle 1", &self.bundle(1, "serving", false));
-        story.wait(3_000);
-        story.loads();
-        story
+        trace.publish("bundle 1", &self.bundle(1, "serving", false));
+        trace.wait(3_000);
+        trace.loads();
+        trace
     }
 }
 
@@ -267,35 +267,35 @@
 }
 
 fn a_day(deployment: &Deployment) -> ScenarioTrace {
-    let mut story = deployment.story();
+    let mut trace = deployment.trace();
     let Deployment { cascade, small, service, .. } = *deployment;
-    story.chat(1, 0, cascade, 0);
-    story.whole(1);
-    story.judge(1, true);
-    story.wait(200);
-    story.chat(2, 1, cascade, 2);
-    story.whole(2);
-    story.judge(2, false);
-    story.whole(2);
-    story.wait(200);
+    trace.chat(1, 0, cascade, 0);
+    trace.whole(1);
+    trace.judge(1, true);
+    trace.wait(200);
+    trace.chat(2, 1, cascade, 2);
+    trace.whole(2);
+    trace.judge(2, false);
+    trace.whole(2);
+    trace.wait(200);
     let key = once_key(1);
-    story.filing(3, 0, service, &key);
-    story.wait(200);
-    story.whole(3);
-    story.wait(200);
-    story.filing(4, 2, service, &key);
-    story.publish(
+    trace.filing(3, 0, service, &key);
+    trace.wait(200);
+    trace.whole(3);
+    trace.wait(200);
+    trace.filing(4, 2, service, &key);
+    trace.publish(
         "bundle 2: the second version is the default, the first drains",
         &deployment.bundle(2, "draining", false),
     );
-    story.wait(200);
-    story.chat(5, 2, small, 0);
-    story.whole(5);
-    story.token = None;
-    story.chat(6, 2, small, 0);
-    story.whole(6);
-    story.wait(200);
-    story
+    trace.wait(200);
+    trace.chat(5, 2, small, 0);
+    trace.whole(5);
+    trace.token = None;
+    trace.chat(6, 2, small, 0);
+    trace.whole(6);
+    trace.wait(200);
+    trace
 }
 
 #[test]
@@ -310,122 +310,122 @@
 
 #[test]
 fn version_withdrawn_during_a_session() {
-    let mut story = COTEAU.story();
-    story.chat(1, 0, "assist-small", 0);
-    story.whole(1);
-    story.wait(100);
-    story
+    let mut trace = COTEAU.trace();
+    trace.chat(1, 0, "assist-small", 0);
+    trace.whole(1);
+    trace.wait(100);
+    trace
         .publish("bundle 2: the first version is withdrawn", &COTEAU.bundle(2, "withdrawn", false));
-    story.wait(100);
-    story.chat(2, 1, "assist-small", 0);
-    story.token = None;
-    story.chat(3, 1, "assist-small", 0);
-    story.whole(3);
-    story.wait(100);
-    expect_file!["golden/withdrawn_session.txt"].assert_eq(&story.text);
+    trace.wait(100);
+    trace.chat(2, 1, "assist-small", 0);
+    trace.token = None;
+    trace.chat(3, 1, "assist-small", 0);
+    trace.whole(3);
+    trace.wait(100);
+    expect_file!["golden/withdrawn_session.txt"].assert_eq(&trace.text);
 }
 
 #[test]
 fn rollout_of_a_bad_version_is_halted() {
-    let mut story = AGENCY.story();
-    story.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
-    story.wait(200);
+    let mut trace = AGENCY.trace();
+    trace.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
+    trace.wait(200);
     let mut ticket = 1;
-    while !story.text.contains("is halted") && ticket < 60 {
+    while !trace.text.contains("is halted") && ticket < 60 {
         for index in 0..3 {
-            story.token = None;
-            story.chat(ticket, index, "analise-curta", 0);
-            story.whole(ticket);
+            trace.token = None;
+            trace.chat(ticket, index, "analise-curta", 0);
+            trace.whole(ticket);
             let (version, good) = ("analise-curta-2".to_owned(), Some(false));
-            if story
+            if trace
                 .text
                 .rsplit("attempt 1: ")
                 .next()
                 .is_some_and(|text| text.starts_with(&version))
             {
-                story.say("> the rating service: bad");
-                story.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
-                story.wait(10);
+                trace.say("> the rating service: bad");
+                trace.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
+                trace.wait(10);
             }
             ticket += 1;
         }
-        story.wait(100);
+        trace.wait(100);
     }
-    story.chat(100, 0, "analise-curta", 0);
-    expect_file!["golden/bad_version.txt"].assert_eq(&story.text);
+    trace.chat(100, 0, "analise-curta", 0);
+    expect_file!["golden/bad_version.txt"].assert_eq(&trace.text);
 }
 
 #[test]
 fn aborted_stream_is_resumed() {
-    let mut story = COTEAU.story();
-    story.chat(1, 0, "assist-small", 0);
-    story.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
-    story.whole(1);
-    story.wait(100);
-    story.chat(2, 0, "assist-small", 0);
-    story.answer(2, "says that it is leaving", AttemptEnd::Declined { leaving: true });
-    story.whole(2);
-    story.wait(100);
-    expect_file!["golden/broken_stream.txt"].assert_eq(&story.text);
+    let mut trace = COTEAU.trace();
+    trace.chat(1, 0, "assist-small", 0);
+    trace.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
+    trace.whole(1);
+    trace.wait(100);
+    trace.chat(2, 0, "assist-small", 0);
+    trace.answer(2, "says that it is leaving", AttemptEnd::Declined { leaving: true });
+    trace.whole(2);
+    trace.wait(100);
+    expect_file!["golden/broken_stream.txt"].assert_eq(&trace.text);
 }
 
 #[test]
 fn log_outage_and_box_crash() {
-    let mut story = AGENCY.story();
-    story.say("> the log goes down");
-    story.fleet.log_faults.outage = true;
-    story.chat(1, 0, "analise-curta", 0);
-    story.whole(1);
-    story.wait(500);
-    story.filing(2, 0, "portal", &once_key(2));
-    story.wait(4_000);
-    story.filing(3, 0, "portal", &once_key(3));
-    story.say("> box-0 dies");
-    story.fleet.kill(0);
-    story.wait(2_000);
-    story.say("> the log comes back");
-    story.fleet.log_faults.outage = false;
-    story.wait(12_000);
-    expect_file!["golden/outage_and_death.txt"].assert_eq(&story.text);
+    let mut trace = AGENCY.trace();
+    trace.say("> the log goes down");
+    trace.fleet.log_faults.outage = true;
+    trace.chat(1, 0, "analise-curta", 0);
+    trace.whole(1);
+    trace.wait(500);
+    trace.filing(2, 0, "portal", &once_key(2));
+    trace.wait(4_000);
+    trace.filing(3, 0, "portal", &once_key(3));
+    trace.say("> box-0 dies");
+    trace.fleet.kill(0);
+    trace.wait(2_000);
+    trace.say("> the log comes back");
+    trace.fleet.log_faults.outage = false;
+    trace.wait(12_000);
+    expect_file!["golden/outage_and_death.txt"].assert_eq(&trace.text);
 }
 
 #[test]
 fn claim_owner_is_paused_past_its_deadline() {
-    let mut story = AGENCY.story();
-    story.filing(1, 0, "portal", &once_key(4));
-    story.say("> box-0 is paused");
-    story.fleet.pause(0);
-    story.wait(6_000);
-    story.filing(2, 1, "portal", &once_key(4));
-    story.wait(200);
-    story.say("> box-0 goes on");
-    story.fleet.resume(0);
-    story.tell();
-    story.wait(500);
-    story.filing(3, 1, "portal", &once_key(4));
-    story.wait(200);
-    story.whole(3);
-    story.wait(200);
-    expect_file!["golden/paused_holder.txt"].assert_eq(&story.text);
+    let mut trace = AGENCY.trace();
+    trace.filing(1, 0, "portal", &once_key(4));
+    trace.say("> box-0 is paused");
+    trace.fleet.pause(0);
+    trace.wait(6_000);
+    trace.filing(2, 1, "portal", &once_key(4));
+    trace.wait(200);
+    trace.say("> box-0 goes on");
+    trace.fleet.resume(0);
+    trace.tell();
+    trace.wait(500);
+    trace.filing(3, 1, "portal", &once_key(4));
+    trace.wait(200);
+    trace.whole(3);
+    trace.wait(200);
+    expect_file!["golden/paused_holder.txt"].assert_eq(&trace.text);
 }
 
 #[test]
 fn operators_race_and_a_box_is_stopped() {
-    let mut story = COTEAU.story();
+    let mut trace = COTEAU.trace();
     let first = COTEAU.bundle(2, "serving", false);
     let second = COTEAU.bundle(2, "withdrawn", false);
-    story.publish("bundle 2", &first);
-    story.publish("another bundle 2, on the same base", &second);
-    story.wait(200);
-    story.say("> an operator stops box-0");
-    story.fleet.feed(0, BoxEvent::StopRequested);
-    story.chat(1, 0, "assist-small", 0);
-    story.whole(1);
+    trace.publish("bundle 2", &first);
+    trace.publish("another bundle 2, on the same base", &second);
+    trace.wait(200);
+    trace.say("> an operator stops box-0");
+    trace.fleet.feed(0, BoxEvent::StopRequested);
+    trace.chat(1, 0, "assist-small", 0);
+    trace.whole(1);
     for _ in 0..1_200 {
-        story.wait(10);
-        if story.text.contains("nothing is owed") {
+        trace.wait(10);
+        if trace.text.contains("nothing is owed") {
             break;
         }
     }
-    expect_file!["golden/race_and_stop.txt"].assert_eq(&story.text);
+    expect_file!["golden/race_and_stop.txt"].assert_eq(&trace.text);
 }
