--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -97,7 +97,7 @@
 }
 
 impl ScenarioTrace {
-    fn say(&mut self, words: &str) {
+    fn write_line(&mut self, words: &str) {
         let millis = self.fleet.now_us() / 1_000;
         // Writing to a string does not fail.
         let _ = writeln!(self.text, "{millis:>7} ms  {words}");
@@ -120,7 +120,7 @@
     }
 
     fn publish(&mut self, name: &str, spec: &BundleSpec) {
-        self.say(&format!("> an operator publishes {name}"));
+        self.write_line(&format!("> an operator publishes {name}"));
         let base = self.fleet.boxes[1].state.in_force().cloned();
         let record = signed_record(base.as_ref(), spec);
         let body = Some(RecordBody::Bundle(record));
@@ -137,7 +137,7 @@
     fn chat(&mut self, ticket: u64, index: usize, name: &str, class: u8) {
         let session = self.token.clone();
         let kept = if session.is_some() { ", in the session" } else { "" };
-        self.say(&format!("> request {ticket} to box-{index}: {name}, class {class}{kept}"));
+        self.write_line(&format!("> request {ticket} to box-{index}: {name}, class {class}{kept}"));
         let target = RequestTarget::Model {
             name: name.to_owned(),
             prompt_tokens: 40,
@@ -149,7 +149,10 @@
     }
 
     fn filing(&mut self, ticket: u64, index: usize, service: &str, key: &str) {
-        self.say(&format!("> request {ticket} to box-{index}: POST /filings, key {}", &key[24..]));
+        self.write_line(&format!(
+            "> request {ticket} to box-{index}: POST /filings, key {}",
+            &key[24..]
+        ));
         let target = RequestTarget::Service {
             name: service.to_owned(),
             method: "POST".to_owned(),
@@ -171,7 +174,7 @@
     }
 
     fn answer(&mut self, ticket: u64, words: &str, end: AttemptEnd) {
-        self.say(&format!("> the replica: {words} (request {ticket})"));
+        self.write_line(&format!("> the replica: {words} (request {ticket})"));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::AttemptEnded(key, end));
         self.tell();
@@ -183,7 +186,7 @@
     }
 
     fn judge(&mut self, ticket: u64, good: bool) {
-        self.say(&format!(
+        self.write_line(&format!(
             "> the rating service: request {ticket} is {}",
             if good { "good" } else { "bad" }
         ));
@@ -202,7 +205,7 @@
             }
             for (index, effect) in effects {
                 if let Some(words) = self.words(index, &effect) {
-                    self.say(&format!("  box-{index}: {words}"));
+                    self.write_line(&format!("  box-{index}: {words}"));
                 }
                 if let BoxEffect::PrepareAttempt(_, key, _) = effect {
                     self.fleet.feed(index, BoxEvent::SendStarting(key));
@@ -343,7 +346,7 @@
                 .next()
                 .is_some_and(|text| text.starts_with(&version))
             {
-                trace.say("> the rating service: bad");
+                trace.write_line("> the rating service: bad");
                 trace.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
                 trace.wait(10);
             }
@@ -372,7 +375,7 @@
 #[test]
 fn log_outage_and_box_crash() {
     let mut trace = AGENCY.trace();
-    trace.say("> the log goes down");
+    trace.write_line("> the log goes down");
     trace.fleet.log_faults.outage = true;
     trace.chat(1, 0, "analise-curta", 0);
     trace.whole(1);
@@ -380,10 +383,10 @@
     trace.filing(2, 0, "portal", &once_key(2));
     trace.wait(4_000);
     trace.filing(3, 0, "portal", &once_key(3));
-    trace.say("> box-0 dies");
+    trace.write_line("> box-0 dies");
     trace.fleet.kill(0);
     trace.wait(2_000);
-    trace.say("> the log comes back");
+    trace.write_line("> the log comes back");
     trace.fleet.log_faults.outage = false;
     trace.wait(12_000);
     expect_file!["golden/outage_and_death.txt"].assert_eq(&trace.text);
@@ -393,12 +396,12 @@
 fn claim_owner_is_paused_past_its_deadline() {
     let mut trace = AGENCY.trace();
     trace.filing(1, 0, "portal", &once_key(4));
-    trace.say("> box-0 is paused");
+    trace.write_line("> box-0 is paused");
     trace.fleet.pause(0);
     trace.wait(6_000);
     trace.filing(2, 1, "portal", &once_key(4));
     trace.wait(200);
-    trace.say("> box-0 goes on");
+    trace.write_line("> box-0 goes on");
     trace.fleet.resume(0);
     trace.tell();
     trace.wait(500);
@@ -417,7 +420,7 @@
     trace.publish("bundle 2", &first);
     trace.publish("another bundle 2, on the same base", &second);
     trace.wait(200);
-    trace.say("> an operator stops box-0");
+    trace.write_line("> an operator stops box-0");
     trace.fleet.feed(0, BoxEvent::StopRequested);
     trace.chat(1, 0, "assist-small", 0);
     trace.whole(1);
