--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -116,7 +116,7 @@
                 self.fleet.feed(index, BoxEvent::LoadReported { replica, at, report });
             }
         }
-        self.tell();
+        self.process_effects();
     }
 
     fn publish(&mut self, name: &str, spec: &BundleSpec) {
@@ -130,7 +130,7 @@
     fn wait(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.fleet.run_ms(10);
-            self.tell();
+            self.process_effects();
         }
     }
 
@@ -170,14 +170,14 @@
             caller_key: key,
         };
         self.fleet.feed(index, BoxEvent::RequestArrived(ask));
-        self.tell();
+        self.process_effects();
     }
 
     fn answer(&mut self, ticket: u64, words: &str, end: AttemptEnd) {
         self.write_line(&format!("> the replica: {words} (request {ticket})"));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::AttemptEnded(key, end));
-        self.tell();
+        self.process_effects();
     }
 
     fn whole(&mut self, ticket: u64) {
@@ -192,12 +192,12 @@
         ));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::HeldAnswerRated(key, Some(good)));
-        self.tell();
+        self.process_effects();
     }
 
     /// Traces the effects that concern requests and operators, and sends prepared attempts as a box
     /// would, until no effect is left.
-    fn tell(&mut self) {
+    fn process_effects(&mut self) {
         loop {
             let effects = self.fleet.take_effects();
             if effects.is_empty() {
@@ -403,7 +403,7 @@
     trace.wait(200);
     trace.write_line("> box-0 goes on");
     trace.fleet.resume(0);
-    trace.tell();
+    trace.process_effects();
     trace.wait(500);
     trace.filing(3, 1, "portal", &once_key(4));
     trace.wait(200);
