--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -97,7 +97,7 @@
 }
 
 impl ScenarioTrace {
-    fn write_line(&mut self, words: &str) {
+    fn write_line(&mut self, describe: &str) {
         let millis = self.fleet.now_us() / 1_000;
         // Writing to a string does not fail.
         let _ = writeln!(self.text, "{millis:>7} ms  {words}");
@@ -173,7 +173,7 @@
         self.process_effects();
     }
 
-    fn answer(&mut self, ticket: u64, words: &str, end: AttemptEnd) {
+    fn answer(&mut self, ticket: u64, describe: &str, end: AttemptEnd) {
         self.write_line(&format!("> the replica: {words} (request {ticket})"));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::AttemptEnded(key, end));
@@ -204,7 +204,7 @@
                 return;
             }
             for (index, effect) in effects {
-                if let Some(words) = self.words(index, &effect) {
+                if let Some(describe) = self.describe(index, &effect) {
                     self.write_line(&format!("  box-{index}: {words}"));
                 }
                 if let BoxEffect::PrepareAttempt(_, key, _) = effect {
@@ -214,7 +214,7 @@
         }
     }
 
-    fn words(&mut self, index: usize, effect: &BoxEffect) -> Option<String> {
+    fn describe(&mut self, index: usize, effect: &BoxEffect) -> Option<String> {
         Some(match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.keys.insert(ticket.0, (index, *key));
