--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -180,7 +180,7 @@
         self.process_effects();
     }
 
-    fn whole(&mut self, ticket: u64) {
+    fn complete(&mut self, ticket: u64) {
         let end = AttemptEnd::Answered { tokens: 50, status: 200, body: b"filed".to_vec() };
         self.answer(ticket, "a whole answer of 50 tokens", end);
     }
@@ -273,18 +273,18 @@
     let mut trace = deployment.trace();
     let Deployment { cascade, small, service, .. } = *deployment;
     trace.chat(1, 0, cascade, 0);
-    trace.whole(1);
+    trace.complete(1);
     trace.judge(1, true);
     trace.wait(200);
     trace.chat(2, 1, cascade, 2);
-    trace.whole(2);
+    trace.complete(2);
     trace.judge(2, false);
-    trace.whole(2);
+    trace.complete(2);
     trace.wait(200);
     let key = once_key(1);
     trace.filing(3, 0, service, &key);
     trace.wait(200);
-    trace.whole(3);
+    trace.complete(3);
     trace.wait(200);
     trace.filing(4, 2, service, &key);
     trace.publish(
@@ -293,10 +293,10 @@
     );
     trace.wait(200);
     trace.chat(5, 2, small, 0);
-    trace.whole(5);
+    trace.complete(5);
     trace.token = None;
     trace.chat(6, 2, small, 0);
-    trace.whole(6);
+    trace.complete(6);
     trace.wait(200);
     trace
 }
@@ -315,7 +315,7 @@
 fn version_withdrawn_during_a_session() {
     let mut trace = COTEAU.trace();
     trace.chat(1, 0, "assist-small", 0);
-    trace.whole(1);
+    trace.complete(1);
     trace.wait(100);
     trace
         .publish("bundle 2: the first version is withdrawn", &COTEAU.bundle(2, "withdrawn", false));
@@ -323,7 +323,7 @@
     trace.chat(2, 1, "assist-small", 0);
     trace.token = None;
     trace.chat(3, 1, "assist-small", 0);
-    trace.whole(3);
+    trace.complete(3);
     trace.wait(100);
     expect_file!["golden/withdrawn_session.txt"].assert_eq(&trace.text);
 }
@@ -338,7 +338,7 @@
         for index in 0..3 {
             trace.token = None;
             trace.chat(ticket, index, "analise-curta", 0);
-            trace.whole(ticket);
+            trace.complete(ticket);
             let (version, good) = ("analise-curta-2".to_owned(), Some(false));
             if trace
                 .text
@@ -363,11 +363,11 @@
     let mut trace = COTEAU.trace();
     trace.chat(1, 0, "assist-small", 0);
     trace.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
-    trace.whole(1);
+    trace.complete(1);
     trace.wait(100);
     trace.chat(2, 0, "assist-small", 0);
     trace.answer(2, "says that it is leaving", AttemptEnd::Declined { leaving: true });
-    trace.whole(2);
+    trace.complete(2);
     trace.wait(100);
     expect_file!["golden/broken_stream.txt"].assert_eq(&trace.text);
 }
@@ -378,7 +378,7 @@
     trace.write_line("> the log goes down");
     trace.fleet.log_faults.outage = true;
     trace.chat(1, 0, "analise-curta", 0);
-    trace.whole(1);
+    trace.complete(1);
     trace.wait(500);
     trace.filing(2, 0, "portal", &once_key(2));
     trace.wait(4_000);
@@ -407,7 +407,7 @@
     trace.wait(500);
     trace.filing(3, 1, "portal", &once_key(4));
     trace.wait(200);
-    trace.whole(3);
+    trace.complete(3);
     trace.wait(200);
     expect_file!["golden/paused_holder.txt"].assert_eq(&trace.text);
 }
@@ -423,7 +423,7 @@
     trace.write_line("> an operator stops box-0");
     trace.fleet.feed(0, BoxEvent::StopRequested);
     trace.chat(1, 0, "assist-small", 0);
-    trace.whole(1);
+    trace.complete(1);
     for _ in 0..1_200 {
         trace.wait(10);
         if trace.text.contains("nothing is owed") {
