--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -185,7 +185,7 @@
         self.answer(ticket, "a whole answer of 50 tokens", end);
     }
 
-    fn judge(&mut self, ticket: u64, good: bool) {
+    fn rate(&mut self, ticket: u64, good: bool) {
         self.write_line(&format!(
             "> the rating service: request {ticket} is {}",
             if good { "good" } else { "bad" }
@@ -274,11 +274,11 @@
     let Deployment { cascade, small, service, .. } = *deployment;
     trace.chat(1, 0, cascade, 0);
     trace.complete(1);
-    trace.judge(1, true);
+    trace.rate(1, true);
     trace.wait(200);
     trace.chat(2, 1, cascade, 2);
     trace.complete(2);
-    trace.judge(2, false);
+    trace.rate(2, false);
     trace.complete(2);
     trace.wait(200);
     let key = once_key(1);
