--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -269,7 +269,7 @@
     format!("{:08x}-{:04x}-7000-8000-0000000000{tail:02x}", millis >> 16, millis & 0xffff)
 }
 
-fn a_day(deployment: &Deployment) -> ScenarioTrace {
+fn ordinary_requests(deployment: &Deployment) -> ScenarioTrace {
     let mut trace = deployment.trace();
     let Deployment { cascade, small, service, .. } = *deployment;
     trace.chat(1, 0, cascade, 0);
@@ -303,12 +303,12 @@
 
 #[test]
 fn ordinary_requests_at_coteau() {
-    expect_file!["golden/coteau_day.txt"].assert_eq(&a_day(&COTEAU).text);
+    expect_file!["golden/coteau_day.txt"].assert_eq(&ordinary_requests(&COTEAU).text);
 }
 
 #[test]
 fn ordinary_requests_at_the_agency() {
-    expect_file!["golden/agency_day.txt"].assert_eq(&a_day(&AGENCY).text);
+    expect_file!["golden/agency_day.txt"].assert_eq(&ordinary_requests(&AGENCY).text);
 }
 
 #[test]
