--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -108,7 +108,7 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum CallerResult {
     Refused(ReasonCode, RunState),
     Finished,
     Replayed(u32),
@@ -122,7 +122,7 @@
     pub ran: BTreeMap<u64, u32>,
     /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
-    pub seen: BTreeMap<u64, Seen>,
+    pub seen: BTreeMap<u64, CallerResult>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
     /// Whether backend servers withhold their answers.
@@ -158,12 +158,14 @@
                     self.answer(fleet, index, ticket.0);
                 }
             }
-            BoxEffect::Finish(ticket, _) => drop(self.seen.insert(ticket.0, Seen::Finished)),
+            BoxEffect::Finish(ticket, _) => {
+                drop(self.seen.insert(ticket.0, CallerResult::Finished))
+            }
             BoxEffect::Refuse(ticket, refusal) => {
-                self.seen.insert(ticket.0, Seen::Refused(refusal.reason, refusal.run()));
+                self.seen.insert(ticket.0, CallerResult::Refused(refusal.reason, refusal.run()));
             }
             BoxEffect::Replay(ticket, outcome) => {
-                self.seen.insert(ticket.0, Seen::Replayed(outcome.status));
+                self.seen.insert(ticket.0, CallerResult::Replayed(outcome.status));
             }
             _ => {}
         }
