--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -32,10 +32,19 @@
     fleet.feed(0, ask(4, "beta", release(), Some(&once_key(0, 1))));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::NotAllowed, RunState::NotRun));
-    assert_eq!(callers.seen[&2], CallerResult::Finished);
-    assert_eq!(callers.seen[&3], CallerResult::Refused(ReasonCode::UnknownKey, RunState::NotRun));
-    assert_eq!(callers.seen[&4], CallerResult::Refused(ReasonCode::NotAllowed, RunState::NotRun));
+    assert_eq!(
+        callers.results[&1],
+        CallerResult::Refused(ReasonCode::NotAllowed, RunState::NotRun)
+    );
+    assert_eq!(callers.results[&2], CallerResult::Finished);
+    assert_eq!(
+        callers.results[&3],
+        CallerResult::Refused(ReasonCode::UnknownKey, RunState::NotRun)
+    );
+    assert_eq!(
+        callers.results[&4],
+        CallerResult::Refused(ReasonCode::NotAllowed, RunState::NotRun)
+    );
     assert_eq!(callers.runs(), 1);
 }
 
@@ -51,7 +60,7 @@
     fleet.effects.extend(assigned);
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::Withdrawn, RunState::NotRun));
+    assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::Withdrawn, RunState::NotRun));
     assert_eq!(callers.runs(), 0);
 }
 
@@ -77,7 +86,7 @@
             "box {index} learns of the bundle from its peers"
         );
         let refused = CallerResult::Refused(ReasonCode::Withdrawn, RunState::NotRun);
-        assert_eq!(callers.seen[&(100 + index)], refused);
+        assert_eq!(callers.results[&(100 + index)], refused);
     }
 }
 
@@ -98,7 +107,7 @@
 
     assert_eq!(callers.versions[&2], [V1], "the session keeps its version while that drains");
     assert_eq!(callers.versions[&3], [V2], "a new session does not start on a draining version");
-    assert_eq!(callers.seen[&4], CallerResult::Refused(ReasonCode::BadToken, RunState::NotRun));
+    assert_eq!(callers.results[&4], CallerResult::Refused(ReasonCode::BadToken, RunState::NotRun));
 }
 
 #[test]
@@ -117,8 +126,8 @@
         fleet.feed(2, ask(3, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 1_000);
 
-        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.seen);
-        assert_eq!(callers.seen[&3], CallerResult::Replayed(200));
+        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.results);
+        assert_eq!(callers.results[&3], CallerResult::Replayed(200));
     }
 }
 
@@ -141,7 +150,7 @@
     assert_eq!(callers.runs(), 1);
     for ticket in [2, 3] {
         let unknown = CallerResult::Refused(ReasonCode::AlreadyClaimed, RunState::Unknown);
-        assert_eq!(callers.seen[&ticket], unknown);
+        assert_eq!(callers.results[&ticket], unknown);
     }
 }
 
@@ -158,11 +167,11 @@
     callers.run(&mut fleet, 1_000);
 
     assert_eq!(callers.runs(), 0);
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::LogDown, RunState::NotRun));
+    assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 1_000);
     assert_eq!(
-        callers.seen[&2],
+        callers.results[&2],
         CallerResult::Finished,
         "the void record lets another box run the request"
     );
@@ -180,10 +189,13 @@
     fleet.feed(0, ask(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::KeyExpired, RunState::Unknown));
+    assert_eq!(
+        callers.results[&1],
+        CallerResult::Refused(ReasonCode::KeyExpired, RunState::Unknown)
+    );
     for ticket in [2, 3] {
         let refused = CallerResult::Refused(ReasonCode::BadClaimKey, RunState::NotRun);
-        assert_eq!(callers.seen[&ticket], refused);
+        assert_eq!(callers.results[&ticket], refused);
     }
     assert_eq!(callers.runs(), 0);
 }
@@ -200,7 +212,7 @@
     fleet.run_ms(10);
     fleet.log_faults.outage = true;
     callers.run(&mut fleet, 4_000);
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::LogDown, RunState::NotRun));
+    assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.log_faults.outage = false;
     callers.run(&mut fleet, 10_000);
 
@@ -217,7 +229,8 @@
         fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
     }
     callers.run(&mut fleet, 600);
-    let finished = callers.seen.values().filter(|seen| **seen == CallerResult::Finished).count();
+    let finished =
+        callers.results.values().filter(|results| **results == CallerResult::Finished).count();
     assert_eq!(finished, 20, "witnessed bills let the answers finish");
     assert_eq!(bills(&fleet).bills.len(), 0, "no bill of box 0 reaches the log");
     fleet.kill(0);
@@ -248,9 +261,9 @@
     callers.run(&mut fleet, 20_000);
 
     assert!(
-        callers.seen.values().all(|seen| *seen == CallerResult::Finished),
+        callers.results.values().all(|results| *results == CallerResult::Finished),
         "{:?}",
-        callers.seen
+        callers.results
     );
     let fold = bills(&fleet);
     assert_eq!(fold.bills.len(), 11, "ten bills without a key, one for the key that ran twice");
@@ -278,7 +291,7 @@
     callers.run(&mut fleet, 5_000);
 
     let refused = CallerResult::Refused(ReasonCode::BillBacklog, RunState::NotRun);
-    assert_eq!(callers.seen.values().filter(|seen| **seen == refused).count(), 4);
+    assert_eq!(callers.results.values().filter(|results| **results == refused).count(), 4);
     assert_eq!(bills(&fleet).bills.len(), 5);
 }
 
@@ -300,9 +313,12 @@
         callers.drive(&mut fleet);
     }
 
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::WrongEcho, RunState::Unknown));
     assert_eq!(
-        callers.seen[&2],
+        callers.results[&1],
+        CallerResult::Refused(ReasonCode::WrongEcho, RunState::Unknown)
+    );
+    assert_eq!(
+        callers.results[&2],
         CallerResult::Refused(ReasonCode::StreamBroken, RunState::Unknown)
     );
     assert_eq!(callers.versions[&2], [V1, V1, V1], "an aborted stream is retried on its version");
@@ -365,7 +381,8 @@
         may_exit |= fleet.take_effects().contains(&(0, BoxEffect::ExitAllowed));
     }
 
-    let finished = callers.seen.values().filter(|seen| **seen == CallerResult::Finished).count();
+    let finished =
+        callers.results.values().filter(|results| **results == CallerResult::Finished).count();
     assert_eq!(finished, 50, "a planned stop aborts no request");
     assert!(may_exit);
     assert_eq!(bills(&fleet).bills.len(), 50);
@@ -438,7 +455,7 @@
     let mut callers = Callers::default();
     fleet.feed(0, ask(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
-    assert_eq!(callers.seen[&1], CallerResult::Refused(ReasonCode::CutOff, RunState::NotRun));
+    assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::CutOff, RunState::NotRun));
 
     fleet.cut.clear();
     fleet.log_faults.outage = false;
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -122,7 +122,7 @@
     pub ran: BTreeMap<u64, u32>,
     /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
-    pub seen: BTreeMap<u64, CallerResult>,
+    pub results: BTreeMap<u64, CallerResult>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
     /// Whether backend servers withhold their answers.
@@ -159,13 +159,13 @@
                 }
             }
             BoxEffect::Finish(ticket, _) => {
-                drop(self.seen.insert(ticket.0, CallerResult::Finished))
+                drop(self.results.insert(ticket.0, CallerResult::Finished))
             }
             BoxEffect::Refuse(ticket, refusal) => {
-                self.seen.insert(ticket.0, CallerResult::Refused(refusal.reason, refusal.run()));
+                self.results.insert(ticket.0, CallerResult::Refused(refusal.reason, refusal.run()));
             }
             BoxEffect::Replay(ticket, outcome) => {
-                self.seen.insert(ticket.0, CallerResult::Replayed(outcome.status));
+                self.results.insert(ticket.0, CallerResult::Replayed(outcome.status));
             }
             _ => {}
         }
