--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -119,7 +119,7 @@
 #[derive(Default)]
 pub struct Callers {
     /// Number of sends to backend servers, by ticket.
-    pub ran: BTreeMap<u64, u32>,
+    pub sends: BTreeMap<u64, u32>,
     /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
     pub results: BTreeMap<u64, CallerResult>,
@@ -153,7 +153,7 @@
                 fleet.feed(index, BoxEvent::SendStarting(key));
             }
             BoxEffect::Send(ticket) => {
-                *self.ran.entry(ticket.0).or_default() += 1;
+                *self.sends.entry(ticket.0).or_default() += 1;
                 if !self.hold {
                     self.answer(fleet, index, ticket.0);
                 }
@@ -186,7 +186,7 @@
     }
 
     pub fn runs(&self) -> u32 {
-        self.ran.values().sum()
+        self.sends.values().sum()
     }
 }
 
