--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -134,7 +134,7 @@
 #[test]
 fn at_most_once_request_of_a_killed_box_is_not_run_again_nor_reported_not_run() {
     let mut fleet = fleet(3);
-    let mut callers = Callers { hold: true, ..Callers::default() };
+    let mut callers = Callers { withhold_answers: true, ..Callers::default() };
     let key = once_key(0, 1);
 
     fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
@@ -298,7 +298,7 @@
 #[test]
 fn whole_answer_mismatched_or_aborted_answer_is_never_finished() {
     let mut fleet = fleet(3);
-    let mut callers = Callers { hold: true, ..Callers::default() };
+    let mut callers = Callers { withhold_answers: true, ..Callers::default() };
 
     for ticket in [1, 2] {
         fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -126,7 +126,7 @@
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
     /// Whether backend servers withhold their answers.
-    pub hold: bool,
+    pub withhold_answers: bool,
 }
 
 impl Callers {
@@ -154,7 +154,7 @@
             }
             BoxEffect::Send(ticket) => {
                 *self.sends.entry(ticket.0).or_default() += 1;
-                if !self.hold {
+                if !self.withhold_answers {
                     self.answer(fleet, index, ticket.0);
                 }
             }
