--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -21,14 +21,14 @@
 
 /// Simulated engines that record the orders of the fleet and report their versions to every box.
 #[derive(Default)]
-struct Engines {
+struct SimulatedEngines {
     loaded: BTreeMap<String, Vec<String>>,
     tokens: Vec<(usize, u64, String)>,
     under_way: usize,
     most_at_once: usize,
 }
 
-impl Engines {
+impl SimulatedEngines {
     /// Records the orders since the last call, then reports to every box. With `obey`, the engines
     /// complete all loads at once; otherwise they never do.
     fn take(&mut self, fleet: &mut VirtualFleet, obey: bool) {
@@ -87,7 +87,7 @@
 fn orders_keep_the_load_limit_and_an_interrupted_roll_out_resumes_with_a_higher_token() {
     for checks in [true, false] {
         let mut fleet = pooled_fleet(checks);
-        let mut engines = Engines::default();
+        let mut engines = SimulatedEngines::default();
 
         engines.run_to_first_order(&mut fleet, true);
         let (holder, token, _) = engines.tokens[0].clone();
@@ -106,7 +106,7 @@
 #[test]
 fn paused_lease_holder_gives_no_order_after_its_lease_ends() {
     let mut fleet = pooled_fleet(false);
-    let mut engines = Engines::default();
+    let mut engines = SimulatedEngines::default();
     engines.run_to_first_order(&mut fleet, false);
     let holder = engines.tokens[0].0;
 
