--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -24,7 +24,7 @@
 struct SimulatedEngines {
     loaded: BTreeMap<String, Vec<String>>,
     tokens: Vec<(usize, u64, String)>,
-    under_way: usize,
+    in_flight: usize,
     most_at_once: usize,
 }
 
@@ -35,15 +35,15 @@
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
                 self.tokens.push((index, order.token, order.replica.clone()));
-                self.under_way += 1;
-                self.most_at_once = self.most_at_once.max(self.under_way);
+                self.in_flight += 1;
+                self.most_at_once = self.most_at_once.max(self.in_flight);
                 if obey {
                     self.loaded.insert(order.replica, order.versions);
                 }
             }
         }
         if obey {
-            self.under_way = 0;
+            self.in_flight = 0;
         }
         for index in 0..fleet.boxes.len() {
             for number in 0..6 {
