--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -230,7 +230,7 @@
     }
     callers.run(&mut fleet, 600);
     let finished =
-        callers.results.values().filter(|results| **results == CallerResult::Finished).count();
+        callers.results.values().filter(|result| **result == CallerResult::Finished).count();
     assert_eq!(finished, 20, "witnessed bills let the answers finish");
     assert_eq!(bills(&fleet).bills.len(), 0, "no bill of box 0 reaches the log");
     fleet.kill(0);
@@ -261,7 +261,7 @@
     callers.run(&mut fleet, 20_000);
 
     assert!(
-        callers.results.values().all(|results| *results == CallerResult::Finished),
+        callers.results.values().all(|result| *result == CallerResult::Finished),
         "{:?}",
         callers.results
     );
@@ -291,7 +291,7 @@
     callers.run(&mut fleet, 5_000);
 
     let refused = CallerResult::Refused(ReasonCode::BillBacklog, RunState::NotRun);
-    assert_eq!(callers.results.values().filter(|results| **results == refused).count(), 4);
+    assert_eq!(callers.results.values().filter(|result| **result == refused).count(), 4);
     assert_eq!(bills(&fleet).bills.len(), 5);
 }
 
@@ -382,7 +382,7 @@
     }
 
     let finished =
-        callers.results.values().filter(|results| **results == CallerResult::Finished).count();
+        callers.results.values().filter(|result| **result == CallerResult::Finished).count();
     assert_eq!(finished, 50, "a planned stop aborts no request");
     assert!(may_exit);
     assert_eq!(bills(&fleet).bills.len(), 50);
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -97,10 +97,10 @@
 }
 
 impl ScenarioTrace {
-    fn write_line(&mut self, describe: &str) {
+    fn write_line(&mut self, text: &str) {
         let millis = self.fleet.now_us() / 1_000;
         // Writing to a string does not fail.
-        let _ = writeln!(self.text, "{millis:>7} ms  {words}");
+        let _ = writeln!(self.text, "{millis:>7} ms  {text}");
     }
 
     fn loads(&mut self) {
@@ -173,8 +173,8 @@
         self.process_effects();
     }
 
-    fn answer(&mut self, ticket: u64, describe: &str, end: AttemptEnd) {
-        self.write_line(&format!("> the replica: {words} (request {ticket})"));
+    fn answer(&mut self, ticket: u64, description: &str, end: AttemptEnd) {
+        self.write_line(&format!("> the replica: {description} (request {ticket})"));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::AttemptEnded(key, end));
         self.process_effects();
@@ -204,8 +204,8 @@
                 return;
             }
             for (index, effect) in effects {
-                if let Some(describe) = self.describe(index, &effect) {
-                    self.write_line(&format!("  box-{index}: {words}"));
+                if let Some(description) = self.describe(index, &effect) {
+                    self.write_line(&format!("  box-{index}: {description}"));
                 }
                 if let BoxEffect::PrepareAttempt(_, key, _) = effect {
                     self.fleet.feed(index, BoxEvent::SendStarting(key));
