--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -73,7 +73,7 @@
         ))
     }
 
-    fn trace(&self) -> ScenarioTrace {
+    fn start_trace(&self) -> ScenarioTrace {
         let replicas = vec![
             listed_replica("engine-1", "engines", true),
             listed_replica("engine-2", "engines", true),
@@ -270,7 +270,7 @@
 }
 
 fn ordinary_requests(deployment: &Deployment) -> ScenarioTrace {
-    let mut trace = deployment.trace();
+    let mut trace = deployment.start_trace();
     let Deployment { cascade, small, service, .. } = *deployment;
     trace.chat(1, 0, cascade, 0);
     trace.complete(1);
@@ -313,7 +313,7 @@
 
 #[test]
 fn version_withdrawn_during_a_session() {
-    let mut trace = COTEAU.trace();
+    let mut trace = COTEAU.start_trace();
     trace.chat(1, 0, "assist-small", 0);
     trace.complete(1);
     trace.wait(100);
@@ -330,7 +330,7 @@
 
 #[test]
 fn rollout_of_a_bad_version_is_halted() {
-    let mut trace = AGENCY.trace();
+    let mut trace = AGENCY.start_trace();
     trace.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
     trace.wait(200);
     let mut ticket = 1;
@@ -360,7 +360,7 @@
 
 #[test]
 fn aborted_stream_is_resumed() {
-    let mut trace = COTEAU.trace();
+    let mut trace = COTEAU.start_trace();
     trace.chat(1, 0, "assist-small", 0);
     trace.answer(1, "breaks off behind 12 tokens", AttemptEnd::Broken { delivered: 12 });
     trace.complete(1);
@@ -374,7 +374,7 @@
 
 #[test]
 fn log_outage_and_box_crash() {
-    let mut trace = AGENCY.trace();
+    let mut trace = AGENCY.start_trace();
     trace.write_line("> the log goes down");
     trace.fleet.log_faults.outage = true;
     trace.chat(1, 0, "analise-curta", 0);
@@ -394,7 +394,7 @@
 
 #[test]
 fn claim_owner_is_paused_past_its_deadline() {
-    let mut trace = AGENCY.trace();
+    let mut trace = AGENCY.start_trace();
     trace.filing(1, 0, "portal", &once_key(4));
     trace.write_line("> box-0 is paused");
     trace.fleet.pause(0);
@@ -414,7 +414,7 @@
 
 #[test]
 fn operators_race_and_a_box_is_stopped() {
-    let mut trace = COTEAU.trace();
+    let mut trace = COTEAU.start_trace();
     let first = COTEAU.bundle(2, "serving", false);
     let second = COTEAU.bundle(2, "withdrawn", false);
     trace.publish("bundle 2", &first);
