--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -162,14 +162,14 @@
     }
 
     fn ask(&mut self, ticket: u64, index: usize, target: RequestTarget, key: Option<String>) {
-        let ask = RequestDetails {
+        let request = RequestDetails {
             ticket: RequestTicket(ticket),
             id: u128::from(ticket),
             key_hash: caller_hash("key"),
             target,
             caller_key: key,
         };
-        self.fleet.feed(index, BoxEvent::RequestArrived(ask));
+        self.fleet.feed(index, BoxEvent::RequestArrived(request));
         self.process_effects();
     }
 
