--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -145,7 +145,7 @@
             prefix: 0,
             session,
         };
-        self.ask(ticket, index, target, None);
+        self.send_request(ticket, index, target, None);
     }
 
     fn filing(&mut self, ticket: u64, index: usize, service: &str, key: &str) {
@@ -158,10 +158,16 @@
             method: "POST".to_owned(),
             path: "/filings".to_owned(),
         };
-        self.ask(ticket, index, target, Some(key.to_owned()));
+        self.send_request(ticket, index, target, Some(key.to_owned()));
     }
 
-    fn ask(&mut self, ticket: u64, index: usize, target: RequestTarget, key: Option<String>) {
+    fn send_request(
+        &mut self,
+        ticket: u64,
+        index: usize,
+        target: RequestTarget,
+        key: Option<String>,
+    ) {
         let request = RequestDetails {
             ticket: RequestTicket(ticket),
             id: u128::from(ticket),
