--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -136,7 +136,7 @@
 
     fn chat(&mut self, ticket: u64, index: usize, name: &str, class: u8) {
         let session = self.token.clone();
-        let kept = if session.is_some() { ", in the session" } else { "" };
+        let suffix = if session.is_some() { ", in the session" } else { "" };
         self.write_line(&format!("> request {ticket} to box-{index}: {name}, class {class}{kept}"));
         let target = RequestTarget::Model {
             name: name.to_owned(),
