--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -26,10 +26,10 @@
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
-    fleet.feed(0, ask(1, "beta", chat("small", None), None));
-    fleet.feed(0, ask(2, "beta", chat(V2, None), None));
-    fleet.feed(0, ask(3, "nobody", chat(V2, None), None));
-    fleet.feed(0, ask(4, "beta", release(), Some(&once_key(0, 1))));
+    fleet.feed(0, arrival(1, "beta", chat("small", None), None));
+    fleet.feed(0, arrival(2, "beta", chat(V2, None), None));
+    fleet.feed(0, arrival(3, "nobody", chat(V2, None), None));
+    fleet.feed(0, arrival(4, "beta", release(), Some(&once_key(0, 1))));
     callers.run(&mut fleet, 200);
 
     assert_eq!(
@@ -52,7 +52,7 @@
 fn allowed_only_is_checked_again_before_sending() {
     let mut fleet = fleet(3);
 
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     let assigned = fleet.take_effects();
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(200);
@@ -74,8 +74,8 @@
     let mut callers = Callers::default();
     for index in 0..9 {
         report_loads(&mut fleet, index);
-        fleet.feed(index, ask(index as u64, "alpha", chat("small", None), None));
-        fleet.feed(index, ask(100 + index as u64, "alpha", chat(V1, None), None));
+        fleet.feed(index, arrival(index as u64, "alpha", chat("small", None), None));
+        fleet.feed(index, arrival(100 + index as u64, "alpha", chat(V1, None), None));
     }
     callers.run(&mut fleet, 300);
 
@@ -95,14 +95,14 @@
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
     let token = callers.tokens[&1].clone();
     publish(&mut fleet, Some(0), &bundle_text(V2, "draining"));
     fleet.run_ms(500);
-    fleet.feed(2, ask(2, "alpha", chat("small", Some(token.clone())), None));
-    fleet.feed(2, ask(3, "alpha", chat("small", None), None));
-    fleet.feed(2, ask(4, "beta", chat(V2, Some(token)), None));
+    fleet.feed(2, arrival(2, "alpha", chat("small", Some(token.clone())), None));
+    fleet.feed(2, arrival(3, "alpha", chat("small", None), None));
+    fleet.feed(2, arrival(4, "beta", chat(V2, Some(token)), None));
     callers.run(&mut fleet, 100);
 
     assert_eq!(callers.versions[&2], [V1], "the session keeps its version while that drains");
@@ -120,10 +120,10 @@
         fleet.log_faults.late_us = 700_000;
         let key = once_key(0, 1);
 
-        fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
-        fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+        fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
+        fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 5_000);
-        fleet.feed(2, ask(3, "alpha", release(), Some(&key)));
+        fleet.feed(2, arrival(3, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 1_000);
 
         assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.results);
@@ -137,14 +137,14 @@
     let mut callers = Callers { withhold_answers: true, ..Callers::default() };
     let key = once_key(0, 1);
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 200);
     assert_eq!(callers.runs(), 1);
     fleet.kill(0);
-    fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+    fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
     fleet.restart(0);
     callers.run(&mut fleet, 3_000);
-    fleet.feed(0, ask(3, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(3, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 3_000);
 
     assert_eq!(callers.runs(), 1);
@@ -160,7 +160,7 @@
     let mut callers = Callers::default();
     let key = once_key(0, 1);
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     fleet.pause(0);
     fleet.run_ms(10_000);
     fleet.resume(0);
@@ -168,7 +168,7 @@
 
     assert_eq!(callers.runs(), 0);
     assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::LogDown, RunState::NotRun));
-    fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+    fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 1_000);
     assert_eq!(
         callers.results[&2],
@@ -184,9 +184,9 @@
     let mut callers = Callers::default();
     let hour = ravenspoke_bench::fixture::RETENTION_MS;
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&once_key(hour, 1))));
-    fleet.feed(0, ask(2, "alpha", release(), None));
-    fleet.feed(0, ask(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&once_key(hour, 1))));
+    fleet.feed(0, arrival(2, "alpha", release(), None));
+    fleet.feed(0, arrival(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
     callers.run(&mut fleet, 200);
 
     assert_eq!(
@@ -208,7 +208,7 @@
     fleet.log_faults.late_effects = 1;
     fleet.log_faults.late_us = 6_000_000;
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     fleet.run_ms(10);
     fleet.log_faults.outage = true;
     callers.run(&mut fleet, 4_000);
@@ -226,7 +226,7 @@
     fleet.log_cut.insert(0);
 
     for ticket in 1..=20 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
     callers.run(&mut fleet, 600);
     let finished =
@@ -251,10 +251,10 @@
     fleet.log_faults.outage = true;
 
     for ticket in 1..=10 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
-    fleet.feed(0, ask(11, "alpha", chat("small", None), Some("order-5")));
-    fleet.feed(1, ask(12, "alpha", chat("small", None), Some("order-5")));
+    fleet.feed(0, arrival(11, "alpha", chat("small", None), Some("order-5")));
+    fleet.feed(1, arrival(12, "alpha", chat("small", None), Some("order-5")));
     callers.run(&mut fleet, 60_000);
     fleet.log_faults.outage = false;
     fleet.log_faults.lose_acks = 3;
@@ -283,7 +283,7 @@
     fleet.log_faults.outage = true;
 
     for ticket in 1..=9 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
         callers.run(&mut fleet, 40);
     }
     callers.run(&mut fleet, 2_000);
@@ -301,7 +301,7 @@
     let mut callers = Callers { withhold_answers: true, ..Callers::default() };
 
     for ticket in [1, 2] {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
     callers.drive(&mut fleet);
     for _ in 0..4 {
@@ -344,7 +344,7 @@
     for index in 0..9 {
         for round in 0..8 {
             let ticket = (index * 8 + round) as u64;
-            fleet.feed(index, ask(ticket, "alpha", chat("small", None), None));
+            fleet.feed(index, arrival(ticket, "alpha", chat("small", None), None));
         }
     }
     for (_, effect) in &fleet.effects {
@@ -372,7 +372,7 @@
         "peers learn it directly, before the box list changes"
     );
     for ticket in 1..=50 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
         callers.run(&mut fleet, 100);
     }
     let mut may_exit = false;
@@ -453,7 +453,7 @@
     assert_eq!(state(&fleet, 0), FreshState::CutOff);
     assert_eq!(state(&fleet, 1), FreshState::OutageMajority);
     let mut callers = Callers::default();
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
     assert_eq!(callers.results[&1], CallerResult::Refused(ReasonCode::CutOff, RunState::NotRun));
 
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -78,7 +78,12 @@
     fleet.take(LogStream::Bundles, vec![record]);
 }
 
-pub fn ask(ticket: u64, key: &str, target: RequestTarget, caller_key: Option<&str>) -> BoxEvent {
+pub fn arrival(
+    ticket: u64,
+    key: &str,
+    target: RequestTarget,
+    caller_key: Option<&str>,
+) -> BoxEvent {
     BoxEvent::RequestArrived(RequestDetails {
         ticket: RequestTicket(ticket),
         id: u128::from(ticket),
