--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -29,7 +29,7 @@
     fleet.feed(0, arrival(1, "beta", chat("small", None), None));
     fleet.feed(0, arrival(2, "beta", chat(V2, None), None));
     fleet.feed(0, arrival(3, "nobody", chat(V2, None), None));
-    fleet.feed(0, arrival(4, "beta", release(), Some(&once_key(0, 1))));
+    fleet.feed(0, arrival(4, "beta", release(), Some(&claim_key(0, 1))));
     callers.run(&mut fleet, 200);
 
     assert_eq!(
@@ -118,7 +118,7 @@
         fleet.log_faults.lose_acks = lost;
         fleet.log_faults.late_effects = late;
         fleet.log_faults.late_us = 700_000;
-        let key = once_key(0, 1);
+        let key = claim_key(0, 1);
 
         fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
         fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
@@ -135,7 +135,7 @@
 fn at_most_once_request_of_a_killed_box_is_not_run_again_nor_reported_not_run() {
     let mut fleet = fleet(3);
     let mut callers = Callers { withhold_answers: true, ..Callers::default() };
-    let key = once_key(0, 1);
+    let key = claim_key(0, 1);
 
     fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 200);
@@ -158,7 +158,7 @@
 fn at_most_once_box_paused_past_its_deadline_does_not_send() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
-    let key = once_key(0, 1);
+    let key = claim_key(0, 1);
 
     fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     fleet.pause(0);
@@ -184,7 +184,7 @@
     let mut callers = Callers::default();
     let hour = ravenspoke_bench::fixture::RETENTION_MS;
 
-    fleet.feed(0, arrival(1, "alpha", release(), Some(&once_key(hour, 1))));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&claim_key(hour, 1))));
     fleet.feed(0, arrival(2, "alpha", release(), None));
     fleet.feed(0, arrival(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
     callers.run(&mut fleet, 200);
@@ -204,7 +204,7 @@
 fn not_run_holds_when_the_log_is_down_and_the_claim_is_appended_late() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
-    let key = once_key(0, 1);
+    let key = claim_key(0, 1);
     fleet.log_faults.late_effects = 1;
     fleet.log_faults.late_us = 6_000_000;
 
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -106,7 +106,7 @@
 }
 
 /// A UUIDv7 whose time is `age_ms` before virtual time zero.
-pub fn once_key(age_ms: u64, tail: u16) -> String {
+pub fn claim_key(age_ms: u64, tail: u16) -> String {
     let millis = WALL_START_MS - age_ms;
     format!("{:08x}-{:04x}-7000-8000-00000000{tail:04x}", millis >> 16, millis & 0xffff)
 }
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -270,7 +270,7 @@
     }
 }
 
-fn once_key(tail: u8) -> String {
+fn claim_key(tail: u8) -> String {
     let millis = WALL_START_MS;
     format!("{:08x}-{:04x}-7000-8000-0000000000{tail:02x}", millis >> 16, millis & 0xffff)
 }
@@ -287,7 +287,7 @@
     trace.rate(2, false);
     trace.complete(2);
     trace.wait(200);
-    let key = once_key(1);
+    let key = claim_key(1);
     trace.filing(3, 0, service, &key);
     trace.wait(200);
     trace.complete(3);
@@ -386,9 +386,9 @@
     trace.chat(1, 0, "analise-curta", 0);
     trace.complete(1);
     trace.wait(500);
-    trace.filing(2, 0, "portal", &once_key(2));
+    trace.filing(2, 0, "portal", &claim_key(2));
     trace.wait(4_000);
-    trace.filing(3, 0, "portal", &once_key(3));
+    trace.filing(3, 0, "portal", &claim_key(3));
     trace.write_line("> box-0 dies");
     trace.fleet.kill(0);
     trace.wait(2_000);
@@ -401,17 +401,17 @@
 #[test]
 fn claim_owner_is_paused_past_its_deadline() {
     let mut trace = AGENCY.start_trace();
-    trace.filing(1, 0, "portal", &once_key(4));
+    trace.filing(1, 0, "portal", &claim_key(4));
     trace.write_line("> box-0 is paused");
     trace.fleet.pause(0);
     trace.wait(6_000);
-    trace.filing(2, 1, "portal", &once_key(4));
+    trace.filing(2, 1, "portal", &claim_key(4));
     trace.wait(200);
     trace.write_line("> box-0 goes on");
     trace.fleet.resume(0);
     trace.process_effects();
     trace.wait(500);
-    trace.filing(3, 1, "portal", &once_key(4));
+    trace.filing(3, 1, "portal", &claim_key(4));
     trace.wait(200);
     trace.complete(3);
     trace.wait(200);
