--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -137,7 +137,9 @@
     fn chat(&mut self, ticket: u64, index: usize, name: &str, class: u8) {
         let session = self.token.clone();
         let suffix = if session.is_some() { ", in the session" } else { "" };
-        self.write_line(&format!("> request {ticket} to box-{index}: {name}, class {class}{kept}"));
+        self.write_line(&format!(
+            "> request {ticket} to box-{index}: {name}, class {class}{suffix}"
+        ));
         let target = RequestTarget::Model {
             name: name.to_owned(),
             prompt_tokens: 40,
