--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -113,7 +113,7 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerResult {
+pub enum RequestEnd {
     Refused(ReasonCode, RunState),
     Finished,
     Replayed(u32),
@@ -127,7 +127,7 @@
     pub sends: BTreeMap<u64, u32>,
     /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
-    pub results: BTreeMap<u64, CallerResult>,
+    pub results: BTreeMap<u64, RequestEnd>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
     /// Whether backend servers withhold their answers.
@@ -164,13 +164,13 @@
                 }
             }
             BoxEffect::Finish(ticket, _) => {
-                drop(self.results.insert(ticket.0, CallerResult::Finished))
+                drop(self.results.insert(ticket.0, RequestEnd::Finished))
             }
             BoxEffect::Refuse(ticket, refusal) => {
-                self.results.insert(ticket.0, CallerResult::Refused(refusal.reason, refusal.run()));
+                self.results.insert(ticket.0, RequestEnd::Refused(refusal.reason, refusal.run()));
             }
             BoxEffect::Replay(ticket, outcome) => {
-                self.results.insert(ticket.0, CallerResult::Replayed(outcome.status));
+                self.results.insert(ticket.0, RequestEnd::Replayed(outcome.status));
             }
             _ => {}
         }
