--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -32,10 +32,10 @@
     fleet.feed(0, arrival(4, "beta", release(), Some(&claim_key(0, 1))));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
-    assert_eq!(callers.results[&2], RequestEnd::Finished);
-    assert_eq!(callers.results[&3], RequestEnd::Refused(ReasonCode::UnknownKey, RunState::NotRun));
-    assert_eq!(callers.results[&4], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
+    assert_eq!(callers.ends[&2], RequestEnd::Finished);
+    assert_eq!(callers.ends[&3], RequestEnd::Refused(ReasonCode::UnknownKey, RunState::NotRun));
+    assert_eq!(callers.ends[&4], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
     assert_eq!(callers.runs(), 1);
 }
 
@@ -51,7 +51,7 @@
     fleet.effects.extend(assigned);
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::Withdrawn, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::Withdrawn, RunState::NotRun));
     assert_eq!(callers.runs(), 0);
 }
 
@@ -77,7 +77,7 @@
             "box {index} learns of the bundle from its peers"
         );
         let refused = RequestEnd::Refused(ReasonCode::Withdrawn, RunState::NotRun);
-        assert_eq!(callers.results[&(100 + index)], refused);
+        assert_eq!(callers.ends[&(100 + index)], refused);
     }
 }
 
@@ -98,7 +98,7 @@
 
     assert_eq!(callers.versions[&2], [V1], "the session keeps its version while that drains");
     assert_eq!(callers.versions[&3], [V2], "a new session does not start on a draining version");
-    assert_eq!(callers.results[&4], RequestEnd::Refused(ReasonCode::BadToken, RunState::NotRun));
+    assert_eq!(callers.ends[&4], RequestEnd::Refused(ReasonCode::BadToken, RunState::NotRun));
 }
 
 #[test]
@@ -117,8 +117,8 @@
         fleet.feed(2, arrival(3, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 1_000);
 
-        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.results);
-        assert_eq!(callers.results[&3], RequestEnd::Replayed(200));
+        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.ends);
+        assert_eq!(callers.ends[&3], RequestEnd::Replayed(200));
     }
 }
 
@@ -141,7 +141,7 @@
     assert_eq!(callers.runs(), 1);
     for ticket in [2, 3] {
         let unknown = RequestEnd::Refused(ReasonCode::AlreadyClaimed, RunState::Unknown);
-        assert_eq!(callers.results[&ticket], unknown);
+        assert_eq!(callers.ends[&ticket], unknown);
     }
 }
 
@@ -158,11 +158,11 @@
     callers.run(&mut fleet, 1_000);
 
     assert_eq!(callers.runs(), 0);
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 1_000);
     assert_eq!(
-        callers.results[&2],
+        callers.ends[&2],
         RequestEnd::Finished,
         "the void record lets another box run the request"
     );
@@ -180,10 +180,10 @@
     fleet.feed(0, arrival(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::KeyExpired, RunState::Unknown));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::KeyExpired, RunState::Unknown));
     for ticket in [2, 3] {
         let refused = RequestEnd::Refused(ReasonCode::BadClaimKey, RunState::NotRun);
-        assert_eq!(callers.results[&ticket], refused);
+        assert_eq!(callers.ends[&ticket], refused);
     }
     assert_eq!(callers.runs(), 0);
 }
@@ -200,7 +200,7 @@
     fleet.run_ms(10);
     fleet.log_faults.outage = true;
     callers.run(&mut fleet, 4_000);
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.log_faults.outage = false;
     callers.run(&mut fleet, 10_000);
 
@@ -217,8 +217,7 @@
         fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
     callers.run(&mut fleet, 600);
-    let finished =
-        callers.results.values().filter(|result| **result == RequestEnd::Finished).count();
+    let finished = callers.ends.values().filter(|end| **end == RequestEnd::Finished).count();
     assert_eq!(finished, 20, "witnessed bills let the answers finish");
     assert_eq!(bills(&fleet).bills.len(), 0, "no bill of box 0 reaches the log");
     fleet.kill(0);
@@ -248,11 +247,7 @@
     fleet.log_faults.lose_acks = 3;
     callers.run(&mut fleet, 20_000);
 
-    assert!(
-        callers.results.values().all(|result| *result == RequestEnd::Finished),
-        "{:?}",
-        callers.results
-    );
+    assert!(callers.ends.values().all(|end| *end == RequestEnd::Finished), "{:?}", callers.ends);
     let fold = bills(&fleet);
     assert_eq!(fold.bills.len(), 11, "ten bills without a key, one for the key that ran twice");
 }
@@ -279,7 +274,7 @@
     callers.run(&mut fleet, 5_000);
 
     let refused = RequestEnd::Refused(ReasonCode::BillBacklog, RunState::NotRun);
-    assert_eq!(callers.results.values().filter(|result| **result == refused).count(), 4);
+    assert_eq!(callers.ends.values().filter(|end| **end == refused).count(), 4);
     assert_eq!(bills(&fleet).bills.len(), 5);
 }
 
@@ -301,11 +296,8 @@
         callers.drive(&mut fleet);
     }
 
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::WrongEcho, RunState::Unknown));
-    assert_eq!(
-        callers.results[&2],
-        RequestEnd::Refused(ReasonCode::StreamBroken, RunState::Unknown)
-    );
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::WrongEcho, RunState::Unknown));
+    assert_eq!(callers.ends[&2], RequestEnd::Refused(ReasonCode::StreamBroken, RunState::Unknown));
     assert_eq!(callers.versions[&2], [V1, V1, V1], "an aborted stream is retried on its version");
     assert_eq!(bills(&fleet).bills.len(), 0);
 }
@@ -366,8 +358,7 @@
         may_exit |= fleet.take_effects().contains(&(0, BoxEffect::ExitAllowed));
     }
 
-    let finished =
-        callers.results.values().filter(|result| **result == RequestEnd::Finished).count();
+    let finished = callers.ends.values().filter(|end| **end == RequestEnd::Finished).count();
     assert_eq!(finished, 50, "a planned stop aborts no request");
     assert!(may_exit);
     assert_eq!(bills(&fleet).bills.len(), 50);
@@ -440,7 +431,7 @@
     let mut callers = Callers::default();
     fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
-    assert_eq!(callers.results[&1], RequestEnd::Refused(ReasonCode::CutOff, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::CutOff, RunState::NotRun));
 
     fleet.cut.clear();
     fleet.log_faults.outage = false;
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a fleet with a bundle in force, requests, and callers that record results.
+//! Fixtures: a fleet with a bundle in force, requests, and callers that record ends.
 
 use std::collections::BTreeMap;
 
@@ -119,7 +119,7 @@
     Replayed(u32),
 }
 
-/// Carries out the effects for requests as a box does, and records runs and results. The backend
+/// Carries out the effects for requests as a box does, and records runs and ends. The backend
 /// servers answer at once.
 #[derive(Default)]
 pub struct Callers {
@@ -127,7 +127,7 @@
     pub sends: BTreeMap<u64, u32>,
     /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
-    pub results: BTreeMap<u64, RequestEnd>,
+    pub ends: BTreeMap<u64, RequestEnd>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
     /// Whether backend servers withhold their answers.
@@ -163,14 +163,12 @@
                     self.answer(fleet, index, ticket.0);
                 }
             }
-            BoxEffect::Finish(ticket, _) => {
-                drop(self.results.insert(ticket.0, RequestEnd::Finished))
-            }
+            BoxEffect::Finish(ticket, _) => drop(self.ends.insert(ticket.0, RequestEnd::Finished)),
             BoxEffect::Refuse(ticket, refusal) => {
-                self.results.insert(ticket.0, RequestEnd::Refused(refusal.reason, refusal.run()));
+                self.ends.insert(ticket.0, RequestEnd::Refused(refusal.reason, refusal.run()));
             }
             BoxEffect::Replay(ticket, outcome) => {
-                self.results.insert(ticket.0, RequestEnd::Replayed(outcome.status));
+                self.ends.insert(ticket.0, RequestEnd::Replayed(outcome.status));
             }
             _ => {}
         }
