--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,6 +1,7 @@
-//! Cost of one decision at today's size and at the target's.
+//! Time of one routing decision, for a deployment of `DecisionSize::TODAY` and of `TARGET`, and of
+//! one placement of a prompt.
 
-// The group macro writes a function without documentation.
+// `criterion_group!` generates a function without documentation.
 #![allow(missing_docs)]
 
 use std::time::{Duration, Instant};
@@ -15,6 +16,7 @@
 use ravenspoke_core::route::event::{CallerRequest, PromptSize, RouteEvent};
 use ravenspoke_core::time::{BoxTime, WallTime};
 
+/// Times the choice of a replica for one request that arrives.
 fn decision(criterion: &mut Criterion) {
     for (name, size) in [("today", DecisionSize::TODAY), ("target", DecisionSize::TARGET)] {
         let mut state = loaded_box(size);
@@ -28,7 +30,7 @@
                     let started = Instant::now();
                     let effects = state.apply(stamp(number), ask);
                     spent += started.elapsed();
-                    // The request is ended outside the timed part, so that the box does not fill up.
+                    // The request ends outside the timed part, so that requests don't pile up in the box.
                     end(&mut state, number, effects);
                 }
                 spent
@@ -37,7 +39,8 @@
     }
 }
 
-/// A prompt placed among 140 replicas that each have prompts of this box waiting.
+/// Times the placement of a prompt among 140 replicas that have prompts of this box waiting, three
+/// a replica on average.
 fn placement(criterion: &mut Criterion) {
     let mut site = PromptSite::draw(0.5, &mut StdRng::seed_from_u64(1));
     site.engines = (0..PLACEMENT_REPLICAS).map(|row| row % 3).collect();
@@ -63,7 +66,7 @@
     });
 }
 
-/// Replicas of the placement's service.
+/// Number of replicas of the service in `placement`.
 const PLACEMENT_REPLICAS: usize = 140;
 
 fn prompt_stamp(number: u64) -> EventStamp {
--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -1,4 +1,5 @@
-//! Runs every scenario under every policy, over seeds: JSON lines on stdout, a table on stderr.
+//! Runs every scenario under every policy, once for each seed. Prints every measure as a JSON line
+//! on stdout and a table of medians on stderr.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc;
@@ -16,10 +17,11 @@
 /// Median over the seeds, by scenario, policy and measure.
 type Medians = BTreeMap<(String, String, &'static str), f64>;
 
-/// Shares of the time for which prompts would keep all engines busy, without trouble.
+/// Load levels of the prompt scenarios: share of the time for which all engines are busy, without
+/// faults.
 const PROMPT_LOADS: [(&str, f64); 2] = [("half", 0.5), ("full", 0.9)];
 
-/// What a row plays.
+/// What a row runs: a scenario of calls or of long prompts, under a policy.
 enum BenchPlay {
     Calls(Box<ScenarioPlan>, BenchPolicy),
     Prompts(PromptTrouble, PromptPolicy, f64),
@@ -34,7 +36,7 @@
     }
 }
 
-/// A scenario under a policy.
+/// A scenario under a policy, with the names that results give to both.
 struct BenchRow {
     scenario: String,
     policy: String,
@@ -71,7 +73,7 @@
     }
 }
 
-/// Every row.
+/// All rows whose scenario's name contains `only`, or all without it.
 fn runs(only: Option<&str>) -> Vec<BenchRow> {
     let mut rows = call_rows();
     rows.extend(prompt_rows());
@@ -79,7 +81,7 @@
     rows
 }
 
-/// Long prompts on deployments drawn at random, by the reducer of routing boxes.
+/// Scenarios of long prompts on random deployments, which exercise the reducer of routing boxes.
 fn prompt_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (load_name, load) in PROMPT_LOADS {
@@ -96,7 +98,7 @@
     rows
 }
 
-/// Calls by signed bundles, by the reducer of boxes with a log.
+/// Scenarios of calls under signed bundles, which exercise the reducer of boxes with a log.
 fn call_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (deployment, coteau) in [("coteau", true), ("agency", false)] {
@@ -153,7 +155,7 @@
         (0..rows.len()).flat_map(|row| (1..=seeds).map(move |seed| (row, seed))).collect();
     let next = std::sync::atomic::AtomicUsize::new(0);
     let (sender, receiver) = mpsc::channel::<(usize, u64, RunMeasures)>();
-    // Half of the machine: the rest is for whoever else works on it.
+    // Half of the processors, to leave the others to other users of the machine.
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().div_ceil(2));
     std::thread::scope(|scope| {
         for _ in 0..threads {
--- a/crates/bench/examples/capacity.rs
+++ b/crates/bench/examples/capacity.rs
@@ -1,4 +1,5 @@
-//! Slopes for docs/CAPACITY.md: state in bytes by resident memory, control traffic, decision time.
+//! Figures for docs/CAPACITY.md: resident memory of a box's state, decision time, control traffic
+//! and sizes of log records.
 
 use std::time::Instant;
 
@@ -10,13 +11,14 @@
 use ravenspoke_core::fold::change_record;
 use ravenspoke_core::message::{BillRecord, ClaimRecord, WitnessBills};
 
+/// Resident memory of this process in bytes, with pages of 4,096 bytes; 0 if unknown.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text.split(' ').nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
     pages * 4_096
 }
 
-/// Resident bytes that one more box state of this size takes: the mean over several.
+/// Resident bytes of one box state of this size, as the mean over `COPIES` states.
 fn state_bytes(size: DecisionSize) -> u64 {
     const COPIES: u64 = 4;
     let before = resident_bytes();
