--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -26,9 +26,9 @@
                 let mut spent = Duration::ZERO;
                 for _ in 0..iterations {
                     number += 1;
-                    let ask = arrival(number);
+                    let request = arrival(number);
                     let started = Instant::now();
-                    let effects = state.apply(stamp(number), ask);
+                    let effects = state.apply(stamp(number), request);
                     spent += started.elapsed();
                     // The request ends outside the timed part, so that requests don't pile up in the box.
                     end(&mut state, number, effects);
@@ -58,8 +58,8 @@
                 let started = Instant::now();
                 drop(state.apply(prompt_stamp(number), arrival));
                 spent += started.elapsed();
-                let left = RouteEvent::CallerDisconnected(RequestTicket(number));
-                drop(state.apply(prompt_stamp(number), left));
+                let disconnect = RouteEvent::CallerDisconnected(RequestTicket(number));
+                drop(state.apply(prompt_stamp(number), disconnect));
             }
             spent
         });
@@ -74,7 +74,7 @@
 }
 
 fn prompt_arrival(number: u64) -> RouteEvent {
-    let ask = CallerRequest {
+    let request = CallerRequest {
         id: number.to_string(),
         host: "api.example".to_owned(),
         path: "/0/x".to_owned(),
@@ -84,7 +84,7 @@
         any_model: true,
         ..CallerRequest::default()
     };
-    RouteEvent::RequestArrived(RequestTicket(number), ask)
+    RouteEvent::RequestArrived(RequestTicket(number), request)
 }
 
 criterion_group!(benches, decision, placement);
--- a/crates/bench/examples/capacity.rs
+++ b/crates/bench/examples/capacity.rs
@@ -55,9 +55,9 @@
         let mut state = loaded_box(size);
         let mut spent = std::time::Duration::ZERO;
         for number in 1..=20_000 {
-            let ask = arrival(number);
+            let request = arrival(number);
             let started = Instant::now();
-            let effects = state.apply(stamp(number), ask);
+            let effects = state.apply(stamp(number), request);
             spent += started.elapsed();
             end(&mut state, number, effects);
         }
