--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -22,12 +22,12 @@
 const PROMPT_LOADS: [(&str, f64); 2] = [("half", 0.5), ("full", 0.9)];
 
 /// What a row runs: a scenario of calls or of long prompts, under a policy.
-enum BenchPlay {
+enum RunKind {
     Calls(Box<ScenarioPlan>, BenchPolicy),
     Prompts(PromptTrouble, PromptPolicy, f64),
 }
 
-impl BenchPlay {
+impl RunKind {
     fn run(&self, seed: u64) -> RunMeasures {
         match self {
             Self::Calls(plan, policy) => scenario::run(**plan, *policy, seed),
@@ -40,7 +40,7 @@
 struct BenchRow {
     scenario: String,
     policy: String,
-    play: BenchPlay,
+    run_kind: RunKind,
 }
 
 struct Options {
@@ -90,7 +90,7 @@
                 rows.push(BenchRow {
                     scenario: format!("prompts_{load_name}/{trouble_name}"),
                     policy: policy_name.to_owned(),
-                    play: BenchPlay::Prompts(trouble, policy, load),
+                    run_kind: RunKind::Prompts(trouble, policy, load),
                 });
             }
         }
@@ -123,8 +123,8 @@
                     BenchPolicy::Ravenspoke(boxes) => boxes,
                     BenchPolicy::Baseline(_) => plan.boxes,
                 };
-                let play = BenchPlay::Calls(Box::new(ScenarioPlan { boxes, ..plan }), policy);
-                rows.push(BenchRow { scenario: name.clone(), policy: label, play });
+                let run_kind = RunKind::Calls(Box::new(ScenarioPlan { boxes, ..plan }), policy);
+                rows.push(BenchRow { scenario: name.clone(), policy: label, run_kind });
             }
         }
     }
@@ -163,7 +163,7 @@
             scope.spawn(move || loop {
                 let task = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let Some((row, seed)) = tasks.get(task) else { return };
-                let measures = rows[*row].play.run(*seed);
+                let measures = rows[*row].run_kind.run(*seed);
                 if sender.send((*row, *seed, measures)).is_err() {
                     return;
                 }
