--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -30,7 +30,7 @@
                     let started = Instant::now();
                     let effects = state.apply(stamp(number), request);
                     spent += started.elapsed();
-                    // The request ends outside the timed part, so that requests don't pile up in the box.
+                    // The request ends outside the timed part, so that none pile up in the box.
                     end(&mut state, number, effects);
                 }
                 spent
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a fleet with a bundle in force, requests, and callers that record ends.
+//! Fixtures: a fleet with a bundle in force, requests, and callers that record results.
 
 use std::collections::BTreeMap;
 
@@ -119,8 +119,8 @@
     Replayed(u32),
 }
 
-/// Carries out the effects for requests as a box does, and records runs and ends. The backend
-/// servers answer at once.
+/// Carries out the effects for each request as a box does, and records its runs and its end. The
+/// backend servers answer at once.
 #[derive(Default)]
 pub struct Callers {
     /// Number of sends to backend servers, by ticket.
