--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -1,32 +1,35 @@
-//! What operators do today, as routers of the bench; and the oracle, which bounds what can be done.
+//! Baseline routers: common routing policies, and an oracle that serves as an upper bound.
 //!
-//! `round_robin` and `least_reported_load` choose the model as ravenspoke does, from ratings of their
-//! own, so that they differ in the replica only. None of them limits, queues or refuses.
+//! `round_robin` and `least_reported_load` choose the model as ravenspoke does, from their own
+//! ratings, so that they differ in the choice of the replica only. No baseline limits the rate of
+//! requests, queues them or refuses them.
 
 use ravenspoke_core::cascade::{QualityTable, RungView};
 
 use crate::workload::{meets, BenchRequest};
 
-/// A baseline.
+/// Kind of a baseline router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselineKind {
     /// The strong model for everything, least reported load.
     AlwaysStrong,
     /// The cheap model for everything, rated before release, then the strong one.
     CheapFirst,
-    /// Learned model, replicas in turn.
+    /// Model by learned quality, replicas in turn.
     RoundRobin,
-    /// Learned model, least reported load.
+    /// Model by learned quality, least reported load.
     LeastReportedLoad,
-    /// As the one before, with 5% of requests on the new version for ten minutes.
+    /// As `least_reported_load`, with 5% of the requests for the cheap model on the new version for
+    /// ten minutes.
     FixedCanary,
-    /// As `least_reported_load`, but each prefix always goes to one replica, however loaded.
+    /// As `least_reported_load`, but each prefix always goes to the same replica, whatever its
+    /// load.
     UnboundedAffinity,
     /// Knows each request's difficulty and each engine's load.
     Oracle,
 }
 
-/// Model to use: 0 cheap, 1 strong; and whether the answer is rated before release.
+/// Model to use, and whether its answer is rated before release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelChoice {
     /// 0 cheap, 1 strong.
@@ -35,18 +38,18 @@
     pub gated: bool,
 }
 
-/// State of a baseline.
+/// A baseline router with its state.
 #[derive(Debug)]
 pub struct BaselineRouter {
-    /// Which.
+    /// Kind of the baseline.
     pub kind: BaselineKind,
-    /// What it learnt.
+    /// Quality of each model, learned from ratings.
     pub quality: QualityTable,
     turn: usize,
 }
 
 impl BaselineRouter {
-    /// A baseline that knows nothing.
+    /// A baseline without ratings.
     pub fn new(kind: BaselineKind) -> Self {
         Self { kind, quality: QualityTable::default(), turn: 0 }
     }
@@ -78,7 +81,8 @@
         }
     }
 
-    /// Chooses one of the engines in `pool`, by what was `reported` or what is true `now`.
+    /// Chooses one of the engines in `pool`. `reported` holds the last reported load of each
+    /// engine, and `now` its current load, which only the oracle uses.
     pub fn replica(
         &mut self,
         pool: &[usize],
--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Measurements for docs/CAPACITY.md: one decision, state in bytes, control messages in virtual time.
+//! Measurements for docs/CAPACITY.md: time of one decision, size of a box's state, and control
+//! messages in virtual time.
 
 use ravenspoke_core::appender::LogStream;
 use ravenspoke_core::bundle::BundleSpec;
@@ -14,7 +15,7 @@
 use crate::fixture::{box_settings, bundle, caller_hash, listed_box, signed_record};
 use crate::fleet::VirtualFleet;
 
-/// Size at which a decision is timed.
+/// Size of the deployment for which a decision is timed.
 #[derive(Clone, Copy, Debug)]
 pub struct DecisionSize {
     /// Listed boxes.
@@ -28,13 +29,13 @@
 }
 
 impl DecisionSize {
-    /// Today.
+    /// Size of a present-day deployment.
     pub const TODAY: Self = Self { boxes: 9, versions: 6, replicas: 20, accounts: 10 };
-    /// The target.
+    /// Size that the design must support.
     pub const TARGET: Self = Self { boxes: 930, versions: 31, replicas: 7_400, accounts: 1_000 };
 }
 
-/// A bundle of this size: one model for each version, a cascade over the first two.
+/// A bundle of this size: one model for each version, and a cascade over the first two models.
 pub fn sized_bundle(size: DecisionSize) -> BundleSpec {
     let mut text = String::new();
     for version in 0..size.versions {
@@ -53,7 +54,7 @@
     bundle(&text)
 }
 
-/// Replicas as the box list names them.
+/// `count` replicas as rows of the box list.
 pub fn sized_replicas(count: usize) -> Vec<ListedReplica> {
     let row = |index| ListedReplica {
         name: format!("engine-{index}"),
@@ -66,14 +67,15 @@
     (0..count).map(row).collect()
 }
 
-/// The stamp of request `number`.
+/// The event stamp of request `number`.
 pub fn stamp(number: u64) -> EventStamp {
-    // Ten microseconds a request: the reducer is never asked to catch up with idle time.
+    // Requests are ten microseconds apart, so that the reducer has no idle time to catch up with.
     let now = BoxTime::from_micros(5_000_000 + number * 10);
     EventStamp { now, wall: WallTime(1), random: number.wrapping_mul(0x9E37_79B9_7F4A_7C15) }
 }
 
-/// A box of this size with a bundle in force and every replica's load reported.
+/// A box in a deployment of this size, with a bundle in force, a load report of every replica and
+/// 400 ratings of each of two versions.
 pub fn loaded_box(size: DecisionSize) -> BoxState {
     let mut settings = box_settings("box-0", "zone-0", 1);
     settings.rate_share = 0;
@@ -116,7 +118,7 @@
     state
 }
 
-/// The arrival of a request.
+/// The event that request `number` arrives.
 pub fn arrival(number: u64) -> BoxEvent {
     BoxEvent::RequestArrived(RequestDetails {
         ticket: RequestTicket(number),
@@ -133,7 +135,7 @@
     })
 }
 
-/// Carries a request on from its placing to its bill; gives the attempts made.
+/// Runs a request from its placement to its bill, and returns the number of attempts.
 pub fn end(state: &mut BoxState, number: u64, effects: Vec<BoxEffect>) -> u32 {
     let mut attempts = 0;
     for effect in effects {
@@ -148,7 +150,7 @@
     attempts
 }
 
-/// One request from arrival to its bill; gives the attempts made.
+/// Runs a request from its arrival to its bill, and returns the number of attempts.
 pub fn decide(state: &mut BoxState, number: u64) -> u32 {
     let effects = state.apply(stamp(number), arrival(number));
     end(state, number, effects)
@@ -162,19 +164,20 @@
 /// Control traffic of a fleet without requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlTraffic {
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Messages a second a box.
+    /// Messages that each box sends a second.
     pub messages: f64,
-    /// Bytes a second a box, framing of TCP and IP left out.
+    /// Bytes that each box sends a second, without TCP and IP headers.
     pub bytes: f64,
-    /// Milliseconds until a bundle that one box read from the log was in force on every box.
+    /// Milliseconds until a bundle that one box reads from the log is in force on every box.
     pub spread_ms: u64,
-    /// Milliseconds until every box had heard of a leaving replica.
+    /// Milliseconds until every box knows that a replica is leaving.
     pub leaving_ms: u64,
 }
 
-/// Measures heartbeats, and the spread of a bundle and of a leaving mark by peers alone.
+/// Measures the traffic of heartbeats, and the time in which a bundle and a leaving replica become
+/// known through peers alone.
 pub fn control_traffic(boxes: usize, seed: u64) -> ControlTraffic {
     let mut fleet = VirtualFleet::new(boxes, 7, seed, sized_replicas(4));
     let spec = sized_bundle(DecisionSize { accounts: 10, ..DecisionSize::TODAY });
@@ -228,6 +231,7 @@
     }
 }
 
+/// Runs the fleet until `done`, and returns the milliseconds that it took, `BOUND_MS` at most.
 fn time_until(fleet: &mut VirtualFleet, done: impl Fn(&VirtualFleet) -> bool) -> u64 {
     /// Longest wait, in milliseconds.
     const BOUND_MS: u64 = 60_000;
--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -1,32 +1,32 @@
 //! A small model of an engine: a bounded batch, prefill and decode rates, a prefix cache.
 //!
-//! When a request enters the batch its times follow from the batch's load then; a freeze moves what
-//! falls behind its start. No network is modelled.
+//! The times of a request are computed from the load of the batch when the request enters it. A
+//! freeze delays the times that fall after its start. No network is modelled.
 
 use std::collections::VecDeque;
 
-/// Kind of engine.
+/// Parameters of a kind of engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineKind {
-    /// Requests that the batch takes.
+    /// Requests in a full batch.
     pub slots: u32,
-    /// Prompt tokens a second.
+    /// Prompt tokens read a second on an idle engine.
     pub prefill_rate: f64,
-    /// Microseconds between tokens of an idle engine.
+    /// Microseconds between output tokens on an idle engine.
     pub token_us: f64,
-    /// Prefixes that the cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     pub prefixes: usize,
 }
 
-/// The cheap model's engine.
+/// An engine of the cheap model.
 pub const SMALL: EngineKind =
     EngineKind { slots: 16, prefill_rate: 8_000.0, token_us: 15_000.0, prefixes: 24 };
 
-/// The strong model's engine.
+/// An engine of the strong model.
 pub const LARGE: EngineKind =
     EngineKind { slots: 8, prefill_rate: 3_000.0, token_us: 26_000.0, prefixes: 12 };
 
-/// Work for an engine.
+/// A request as an engine sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineJob {
     /// Number of the job.
@@ -39,7 +39,7 @@
     pub prefix: u64,
 }
 
-/// When a job's first and last token come, and the time between tokens.
+/// Times at which a job emits its first and last token, and the time between tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct JobTimes {
     /// Number of the job.
@@ -50,22 +50,22 @@
     pub done_us: u64,
     /// Time between tokens, in microseconds.
     pub token_us: f64,
-    /// Whether the prefix was cached.
+    /// Whether the prefix was in the cache.
     pub hit: bool,
 }
 
-/// An engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
-    /// Its kind.
+    /// Parameters.
     pub kind: EngineKind,
     /// Requests in the batch.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests waiting for a place in the batch.
     pub waiting: VecDeque<EngineJob>,
-    /// A time during which it does nothing, in microseconds.
+    /// Start and end of a period in which the engine stalls, in microseconds.
     pub frozen: (u64, u64),
-    /// Whether it is gone.
+    /// Whether the engine has left the pool; it finishes its jobs.
     pub gone: bool,
     cache: VecDeque<u64>,
 }
@@ -77,7 +77,7 @@
         Self { kind, running: 0, waiting, frozen: (0, 0), gone: false, cache }
     }
 
-    /// Takes a job; gives its times if it starts now.
+    /// Adds a job. Returns its times if it starts now, or `None` if it has to wait.
     pub fn submit(&mut self, job: EngineJob, now_us: u64) -> Option<JobTimes> {
         if self.running >= self.kind.slots {
             self.waiting.push_back(job);
@@ -86,7 +86,7 @@
         Some(self.start(job, now_us))
     }
 
-    /// Ends a job; gives the times of the one that starts in its place.
+    /// Removes a finished job from the batch. Returns the times of the job that takes its place.
     pub fn finish(&mut self, now_us: u64) -> Option<JobTimes> {
         self.running = self.running.saturating_sub(1);
         let job = self.waiting.pop_front()?;
@@ -106,6 +106,7 @@
         JobTimes { id: job.id, first_us: first, done_us: done, token_us, hit }
     }
 
+    /// Delays `time_us` of a job that starts at `start_us` by the part of the freeze that it meets.
     fn thaw(&self, start_us: u64, time_us: u64) -> u64 {
         let (from, to) = self.frozen;
         if time_us <= from || start_us >= to {
@@ -114,6 +115,7 @@
         time_us + (to - from.max(start_us))
     }
 
+    /// Puts `prefix` at the head of the cache, and returns whether it was there before.
     fn touch(&mut self, prefix: u64) -> bool {
         let place = self.cache.iter().position(|cached| *cached == prefix);
         if let Some(place) = place {
--- a/crates/bench/src/fixture.rs
+++ b/crates/bench/src/fixture.rs
@@ -1,4 +1,4 @@
-//! Bundles, keys and settings for reducers that run in virtual time.
+//! Bundles, keys and settings for simulated boxes.
 
 use ed25519_dalek::{Signer, SigningKey};
 use ravenspoke_core::bundle::{signed_bytes, BundleSpec};
@@ -13,22 +13,22 @@
 /// Retention of the log, in milliseconds.
 pub const RETENTION_MS: u64 = 3_600_000;
 
-/// Hash of a caller key.
+/// SHA-256 hash of a caller's API key.
 pub fn caller_hash(key: &str) -> [u8; 32] {
     Sha256::digest(key).into()
 }
 
-/// The operator's key.
+/// Signing key of the only operator.
 pub fn signing_key() -> SigningKey {
     SigningKey::from_bytes(&[7; 32])
 }
 
-/// One operator, one sign-off.
+/// A rule that needs one sign-off, of the only operator.
 pub fn sign_off_rule() -> SignOffRule {
     SignOffRule { needed: 1, keys: vec![("ada".to_owned(), signing_key().verifying_key())] }
 }
 
-/// Settings of a box.
+/// Settings of a simulated box.
 pub fn box_settings(name: &str, zone: &str, incarnation: u64) -> BoxSettings {
     BoxSettings {
         name: name.to_owned(),
@@ -45,7 +45,7 @@
     }
 }
 
-/// Row of a box in the box list.
+/// A box as a row of the box list.
 pub fn listed_box(name: &str, zone: &str) -> ListedBox {
     ListedBox {
         name: name.to_owned(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Row of a replica in the box list.
+/// A replica as a row of the box list.
 pub fn listed_replica(name: &str, service: &str, engine: bool) -> ListedReplica {
     ListedReplica {
         name: name.to_owned(),
@@ -68,7 +68,7 @@
     }
 }
 
-/// The signed record that brings `spec` into force after `base`.
+/// The signed record that puts `spec` into force after `base`.
 pub fn signed_record(base: Option<&BundleInForce>, spec: &BundleSpec) -> BundleRecord {
     let mut record = change_record(base, &spec.sections(), Vec::new());
     let bytes = signed_bytes(record.sequence, &record.base, &record.digest);
@@ -77,10 +77,10 @@
     record
 }
 
-/// A bundle from TOML.
+/// Parses a bundle from TOML.
 ///
 /// # Panics
-/// If it has findings; fixtures have none.
+/// Panics if the text has findings.
 pub fn bundle(text: &str) -> BundleSpec {
     ravenspoke_config::bundle_file::read_bundle("fixture.toml", text)
         .unwrap_or_else(|findings| panic!("{}", findings.lines().join("\n")))
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Reducers, a log and a clock in one process.
+//! A simulated fleet: reducers, a log and a virtual clock in one process.
 //!
-//! Each box keeps its own clock from its start. Messages take a delay; a cut link loses them. The
-//! log takes appends with or without an acknowledgement, at once or late. Effects that concern a
-//! request are handed to whoever runs the requests.
+//! The clock of each box starts with the box. Messages arrive after a delay, and a cut link drops
+//! them. The log can lose the acknowledgement of an append, or apply an append late after it
+//! failed. Effects that concern requests are collected for the caller of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -20,22 +20,22 @@
 
 use crate::fixture::{box_settings, listed_box};
 
-/// One-way time between boxes, in microseconds.
+/// One-way network delay between boxes, in microseconds.
 pub const PEER_DELAY_US: u64 = 1_500;
 
-/// Time of an append or a read, in microseconds.
+/// Duration of an append to the log or of a read, in microseconds.
 pub const LOG_DELAY_US: u64 = 4_000;
 
-/// Time between reads of each stream that find nothing new, in microseconds.
+/// Interval of the periodic reads of each stream, in microseconds.
 pub const POLL_US: u64 = 1_000_000;
 
-/// Time between ticks, in microseconds.
+/// Interval between ticks of a box, in microseconds.
 pub const TICK_US: u64 = 20_000;
 
 /// Wall-clock time at virtual time zero, in milliseconds.
 pub const WALL_START_MS: u64 = 1_800_000_000_000;
 
-/// What happens at a time.
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
 enum Due {
     Tick(usize, u64),
@@ -49,50 +49,50 @@
 /// Faults of the log.
 #[derive(Clone, Debug, Default)]
 pub struct LogFaults {
-    /// Nothing is taken or read.
+    /// Whether all appends and reads fail.
     pub outage: bool,
-    /// This many appends take effect without an acknowledgement.
+    /// Number of appends to come that succeed without an acknowledgement.
     pub lose_acks: u32,
-    /// This many appends are refused and take effect this much later, in microseconds.
+    /// Number of appends to come that fail and still take effect `late_us` later.
     pub late_effects: u32,
-    /// How much later.
+    /// Delay of late appends, in microseconds.
     pub late_us: u64,
 }
 
-/// A box with its state.
+/// A simulated box.
 pub struct VirtualBox {
     /// The reducer's state.
     pub state: BoxState,
     /// Box name.
     pub name: String,
-    /// Whether it runs.
+    /// Whether the box runs.
     pub alive: bool,
-    /// Whether it is paused: events wait.
+    /// Whether the box is paused; its events wait.
     pub paused: bool,
     started_us: u64,
     incarnation: u64,
     waiting: Vec<BoxEvent>,
-    /// Control bytes that it sent, and messages.
+    /// Bytes of control messages sent, with a length prefix of 4 bytes each.
     pub sent_bytes: u64,
-    /// Messages that it sent.
+    /// Number of control messages sent.
     pub sent_messages: u64,
 }
 
-/// Reducers, a log and a clock.
+/// A simulated fleet with its log and clock.
 pub struct VirtualFleet {
     /// Boxes.
     pub boxes: Vec<VirtualBox>,
     /// Faults of the log.
     pub log_faults: LogFaults,
-    /// Boxes that do not reach the log.
+    /// Boxes that can't reach the log.
     pub log_cut: BTreeSet<usize>,
-    /// Pairs of boxes that do not reach each other.
+    /// Pairs of boxes that can't reach each other, the lower index first.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Records of each stream; the first offset kept, then the records.
+    /// First offset and records of each stream.
     pub streams: BTreeMap<LogStream, (u64, Vec<LogRecord>)>,
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appends: u64,
-    /// Effects that concern requests, with the box that gave them.
+    /// Effects that concern requests, with the index of the box that returned them.
     pub effects: Vec<(usize, BoxEffect)>,
     now_us: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
@@ -105,12 +105,13 @@
 }
 
 impl VirtualFleet {
-    /// A fleet of `count` boxes in `zones` availability zones.
+    /// Creates a fleet of `count` boxes in `zones` availability zones.
     pub fn new(count: usize, zones: usize, seed: u64, replicas: Vec<ListedReplica>) -> Self {
         Self::tuned(count, zones, seed, replicas, |_| {})
     }
 
-    /// A fleet whose boxes' settings are changed by `tune`.
+    /// Creates a fleet as [`VirtualFleet::new`] does, with the settings of each box changed by
+    /// `tune`.
     pub fn tuned(
         count: usize,
         zones: usize,
@@ -170,7 +171,7 @@
         self.at(self.now_us + jitter, Due::Poll(index, incarnation));
     }
 
-    /// Hands the box list to a box.
+    /// Feeds the box list to a box.
     pub fn list_to(&mut self, index: usize) {
         let zones = self.zones;
         let zone_of = |index: usize| format!("zone-{}", index % zones);
@@ -180,6 +181,7 @@
         self.feed(index, BoxEvent::ListRead { boxes, replicas });
     }
 
+    /// Schedules an event at `time`, in microseconds.
     fn at(&mut self, time: u64, due: Due) {
         self.next_event += 1;
         self.due.push(Reverse((time, self.next_event)));
@@ -201,7 +203,7 @@
         BoxTime::from_micros(self.now_us - self.boxes[index].started_us)
     }
 
-    /// Hands an event to a box; a paused box gets it when it goes on, a dead one never.
+    /// Feeds an event to a box. A paused box receives it when it resumes, a dead one never does.
     pub fn feed(&mut self, index: usize, event: BoxEvent) {
         if !self.boxes[index].alive {
             return;
@@ -266,7 +268,7 @@
         self.at(end, Due::AppendEnd(index, incarnation, stream, acknowledged));
     }
 
-    /// Puts records into the log, as an operator or a late effect does.
+    /// Adds records to the log and lets all boxes read them, except bills, which boxes don't read.
     pub fn take(&mut self, stream: LogStream, batch: Vec<LogRecord>) {
         self.appends += 1;
         self.streams.entry(stream).or_default().1.extend(batch);
@@ -318,7 +320,7 @@
         self.now_us = until_us;
     }
 
-    /// Runs the fleet for `millis` more.
+    /// Runs the fleet for `millis` milliseconds.
     pub fn run_ms(&mut self, millis: u64) {
         self.run_until(self.now_us + millis * 1_000);
     }
@@ -367,13 +369,13 @@
         }
     }
 
-    /// Kills a box.
+    /// Kills a box, with all events that wait for it.
     pub fn kill(&mut self, index: usize) {
         self.boxes[index].alive = false;
         self.boxes[index].waiting.clear();
     }
 
-    /// Starts a killed box again: a new incarnation that knows nothing.
+    /// Restarts a killed box under a new incarnation, with empty state.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.rng.gen();
         let (name, zone) = (self.boxes[index].name.clone(), format!("zone-{}", index % self.zones));
@@ -384,12 +386,12 @@
         self.start_box(index);
     }
 
-    /// Pauses a box.
+    /// Pauses a box, as a stopped process: messages for it wait in its sockets.
     pub fn pause(&mut self, index: usize) {
         self.boxes[index].paused = true;
     }
 
-    /// Lets a paused box go on: what waited in its sockets arrives now.
+    /// Resumes a paused box, which receives all waiting events at once.
     pub fn resume(&mut self, index: usize) {
         self.boxes[index].paused = false;
         for event in std::mem::take(&mut self.boxes[index].waiting) {
@@ -397,7 +399,7 @@
         }
     }
 
-    /// Takes the effects that concern requests.
+    /// Removes and returns the collected effects that concern requests.
     pub fn take_effects(&mut self) -> Vec<(usize, BoxEffect)> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,11 +1,12 @@
-//! The bench: real reducers in virtual time, and small models of engines and ratings. Unpublished.
+//! Simulations that run the real reducers in virtual time, with small models of engines and
+//! ratings. This crate is not published.
 //!
-//! [`fleet`] holds reducers, a log and a clock in one process: what a box would read from a socket is
-//! handed to it as an event after a delay, and bytes are counted by the encoded size of each message.
-//! [`engine`] models a replica, [`workload`] draws requests, [`policy`] routes them by the reducer or
-//! by a baseline, [`plan`] names the scenarios, and [`scenario`] runs one and measures. [`prompts`] does the
-//! same for the reducer of routing boxes, over deployments drawn at random: [`prompt_engine`] reads prompts,
-//! [`prompt_router`] routes them.
+//! [`fleet`] holds reducers, a log and a clock in one process: a box receives each message as an
+//! event after a delay, and traffic is counted by the encoded size of each message. [`engine`]
+//! models a replica, [`workload`] generates requests, [`policy`] names the policies (the reducer or
+//! a baseline), [`plan`] defines the scenarios, and [`scenario`] runs and measures one. [`prompts`]
+//! does the same for the reducer of routing boxes, on random deployments: [`prompt_engine`] models
+//! an engine that reads prompts, and [`prompt_router`] routes them.
 
 pub mod baseline;
 pub mod capacity;
--- a/crates/bench/src/plan.rs
+++ b/crates/bench/src/plan.rs
@@ -1,4 +1,4 @@
-//! The scenarios: workload, faults and bundle of each.
+//! The scenarios of calls: workload, faults and bundle of each.
 
 use crate::fixture::caller_hash;
 use crate::policy::{COST, TARGET};
@@ -7,53 +7,54 @@
 /// Time between load reports, in microseconds.
 pub const REPORT_US: u64 = 250_000;
 
-/// How a new version is bad.
+/// Quality of the new version in a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadKind {
     /// There is no roll-out.
     None,
-    /// It is as good as the old one.
+    /// As good as the old version.
     Good,
-    /// Half of its answers are bad, at once.
+    /// Half of its answers are bad from the start.
     AtOnce,
-    /// A third of its answers is bad, from the fourth minute on.
+    /// A third of its answers are bad from the fourth minute on.
     Slowly,
     /// Half of its answers of class 1 are bad.
     OneClass,
 }
 
-/// A scenario.
+/// A scenario: its workload, size and faults.
 #[derive(Clone, Copy, Debug)]
 pub struct ScenarioPlan {
     /// Name in results.
     pub name: &'static str,
-    /// Cheap and strong engines.
+    /// Number of engines of the cheap and of the strong model.
     pub engines: (usize, usize),
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Arrivals.
+    /// Workload.
     pub work: WorkloadPlan,
-    /// The new version.
+    /// Quality of the new version, if one is rolled out.
     pub bad: BadKind,
-    /// From this second on the rating service is down.
+    /// Second from which on the rating service is down.
     pub rating_down: Option<u64>,
-    /// From this second on the log is down.
+    /// Second from which on the log is down.
     pub log_down: Option<u64>,
-    /// From this second on half of the strong pool is gone.
+    /// Second from which on half of the engines of the strong model are gone.
     pub pool_out: Option<u64>,
-    /// Lag of load reports, in microseconds.
+    /// Age of load reports when they arrive, in microseconds.
     pub lag_us: u64,
-    /// One engine of each pool does nothing in these seconds.
+    /// Start and end of a stall of one engine of each model, in seconds.
     pub frozen: Option<(u64, u64)>,
-    /// Callers ask again at once when refused.
+    /// Whether refused callers retry after 10 ms.
     pub storm: bool,
-    /// Requests of account 0 are left out.
+    /// Whether requests of account 0 are left out.
     pub without_large: bool,
-    /// Requests before this second are served and not measured: every policy starts knowing nothing.
+    /// Requests before this second are served but not measured, because every policy starts without
+    /// learned state.
     pub measure_from: u64,
 }
 
-/// The scenarios of a deployment: name, cheap and strong engines, boxes, requests a second.
+/// The scenarios of the Coteau deployment, or of the agency's if `coteau` is false.
 pub fn scenarios(coteau: bool) -> Vec<ScenarioPlan> {
     let (engines, boxes, rate) = if coteau { ((14, 6), 9, 5.0) } else { ((8, 4), 7, 3.0) };
     let work = WorkloadPlan {
@@ -111,7 +112,7 @@
     ]
 }
 
-/// The bundle of a scenario.
+/// The bundle of a scenario, as TOML.
 pub fn bundle_text(plan: ScenarioPlan) -> String {
     let rollout = match plan.bad {
         BadKind::None => "",
--- a/crates/bench/src/plot.rs
+++ b/crates/bench/src/plot.rs
@@ -1,4 +1,4 @@
-//! A plot as SVG: cost against quality, and the latency of the bad hour.
+//! Scatter plots of policies as SVG, one panel for each pair of measures.
 
 use std::fmt::Write;
 
@@ -12,7 +12,7 @@
     pub y: f64,
 }
 
-/// A panel.
+/// A panel with its axes and points.
 pub struct PlotPanel {
     /// Title.
     pub title: String,
@@ -24,11 +24,12 @@
     pub points: Vec<PlotPoint>,
 }
 
+/// Size of a panel and width of its margins, in SVG units.
 const WIDTH: f64 = 520.0;
 const HEIGHT: f64 = 360.0;
 const EDGE: f64 = 60.0;
 
-/// Draws panels side by side.
+/// Draws panels side by side, and returns the SVG document.
 pub fn draw_svg(panels: &[PlotPanel]) -> String {
     let mut svg = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{}\" height=\"{HEIGHT}\" \
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,11 +1,11 @@
-//! Policies under test, and what models cost and can do.
+//! Policies under test, and the cost and strength of the simulated models.
 
 use crate::baseline::BaselineKind;
 
-/// Cost units for 1,000 tokens: cheap, strong.
+/// Cost units for 1,000 tokens of the cheap and of the strong model.
 pub const COST: [f64; 2] = [1.0, 10.0];
 
-/// A model meets the target on requests below this difficulty: cheap, strong.
+/// Difficulty below which an answer meets the quality target, for the cheap and the strong model.
 pub const STRENGTH: [f64; 2] = [0.6, 0.985];
 
 /// Share of answers that must meet the target.
@@ -14,9 +14,9 @@
 /// A policy under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BenchPolicy {
-    /// The reducer, on this many boxes.
+    /// The reducer on this number of boxes.
     Ravenspoke(usize),
-    /// A baseline.
+    /// A baseline router.
     Baseline(BaselineKind),
 }
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Every baseline.
+    /// All baselines, in the order of results.
     pub const BASELINES: [BaselineKind; 7] = [
         BaselineKind::AlwaysStrong,
         BaselineKind::CheapFirst,
--- a/crates/bench/src/prompt_engine.rs
+++ b/crates/bench/src/prompt_engine.rs
@@ -1,48 +1,49 @@
-//! An engine that reads prompts one after another, the more urgent first, and keeps what it read.
+//! A simulated engine that reads one prompt at a time, the most urgent first, and caches shared
+//! prompt parts.
 
 use std::collections::VecDeque;
 
 /// A prompt for an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptJob {
-    /// Row of the request.
+    /// Index of the request.
     pub request: usize,
     /// Number of the attempt within the request.
     pub attempt: u32,
-    /// Row of the model.
+    /// Index of the model.
     pub model: usize,
-    /// Urgency, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub urgency: u8,
-    /// Its shared parts with its model.
+    /// Cache key of the shared parts with this model.
     pub subject: u64,
-    /// Tokens in shared parts and in the rest.
+    /// Tokens in the shared parts and in the rest of the prompt.
     pub tokens: (f64, f64),
-    /// Time for a token, in microseconds.
+    /// Time to read a token, in microseconds.
     pub token_us: f64,
 }
 
-/// An engine.
+/// State of a simulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// Whether it takes prompts.
+    /// Whether the engine accepts prompts.
     pub up: bool,
-    /// Number of its life: what was begun in an earlier one is lost.
+    /// Number of restarts; work that began before the last one is lost.
     pub life: u64,
-    /// How many times its usual time it takes.
+    /// Factor by which reading a prompt takes longer than usual.
     pub slowness: f64,
-    /// Share of its answers that fail.
+    /// Share of answers that fail.
     pub grey: f64,
-    /// Answers that have begun and are not whole.
+    /// Answers that have begun and are not complete.
     pub running: u32,
     queue: VecDeque<PromptJob>,
     reading: Option<(PromptJob, f64)>,
-    /// Shared parts kept, the latest first, with their tokens.
+    /// Cached shared parts with their tokens, the most recently used first.
     kept: VecDeque<(u64, f64)>,
     memory: f64,
 }
 
 impl EngineState {
-    /// An idle engine that keeps `memory` tokens.
+    /// Creates an idle engine that caches up to `memory` tokens.
     pub fn new(memory: f64) -> Self {
         Self {
             up: true,
@@ -57,23 +58,24 @@
         }
     }
 
-    /// Prompts that wait or are read.
+    /// Number of prompts that wait or are being read.
     pub fn waiting(&self) -> usize {
         self.queue.len() + usize::from(self.reading.is_some())
     }
 
-    /// Takes a prompt, behind those that are as urgent.
+    /// Queues a prompt behind those of the same urgency.
     pub fn submit(&mut self, job: PromptJob) {
         let place = self.queue.iter().position(|other| other.urgency > job.urgency);
         self.queue.insert(place.unwrap_or(self.queue.len()), job);
     }
 
-    /// Drops what waits of a request.
+    /// Removes the queued prompts of a request.
     pub fn cancel(&mut self, request: usize) {
         self.queue.retain(|job| job.request != request);
     }
 
-    /// Begins to read the next prompt, if none is read; gives the time that it takes, in microseconds.
+    /// Starts to read the next prompt unless one is being read. Returns the time that it takes, in
+    /// microseconds.
     pub fn start(&mut self) -> Option<u64> {
         if self.reading.is_some() {
             return None;
@@ -85,14 +87,14 @@
         Some(took_us as u64)
     }
 
-    /// Ends the reading of a prompt, whose answer begins.
+    /// Finishes the reading of a prompt, whose answer begins, and returns the prompt.
     pub fn read(&mut self) -> Option<PromptJob> {
         let (job, _) = self.reading.take()?;
         self.running += 1;
         Some(job)
     }
 
-    /// Loses all that it has, and gives the prompts that were there.
+    /// Stops the engine, which loses its cache and its prompts, and returns the prompts.
     pub fn stop(&mut self) -> Vec<PromptJob> {
         self.up = false;
         self.life += 1;
@@ -101,19 +103,21 @@
         self.reading.take().map(|row| row.0).into_iter().chain(self.queue.drain(..)).collect()
     }
 
-    /// Time to read a prompt here, in microseconds.
+    /// Time to read a prompt on this engine, in microseconds.
     pub fn work_us(&self, job: &PromptJob) -> f64 {
         let held = self.kept.iter().any(|(subject, _)| *subject == job.subject);
         let tokens = job.tokens.1 + if held { 0.0 } else { job.tokens.0 };
         tokens * job.token_us * self.slowness
     }
 
-    /// Work that waits here, in microseconds, what is being read in full.
+    /// Time to read all prompts of this engine, in microseconds. The prompt that is being read
+    /// counts in full.
     pub fn queued_us(&self) -> f64 {
         let reading = self.reading.map_or(0.0, |(_, took_us)| took_us);
         reading + self.queue.iter().map(|job| self.work_us(job)).sum::<f64>()
     }
 
+    /// Caches shared parts, and evicts the least recently used ones beyond the memory.
     fn keep(&mut self, subject: u64, tokens: f64) {
         self.kept.retain(|(other, _)| *other != subject);
         self.kept.push_front((subject, tokens));
--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -1,4 +1,4 @@
-//! Who routes prompts in the bench: the boxes' reducer, least reported load, or an oracle.
+//! Routers of prompts: the reducer of the boxes, least reported load, or an oracle.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -20,75 +20,76 @@
 use crate::prompt_site::{PromptClass, PromptRequest, PromptSite};
 use crate::prompts::PromptPolicy;
 
-/// Slots that engines tell: far more than prompts that run at once here.
+/// Slots that engines report, far more than the prompts that run at once in a simulation.
 const SLOTS: u32 = 64;
 
-/// Sends of one request, at most.
+/// Maximum number of sends of one request.
 const ATTEMPTS: u32 = 3;
 
-/// Answers of which a model is less sure are asked of the largest by the baseline, of 100.
+/// Confidence, 0 to 100, below which the baseline sends the request to the largest model.
 const BASELINE_SURE: u8 = 50;
 
 const SERVICE: &str = "pool";
 const HOST: &str = "api.example";
 
-/// What there is when a router decides.
+/// State of the simulation when a router decides.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptScene<'a> {
     /// The deployment.
     pub site: &'a PromptSite,
-    /// Its engines, which only the oracle sees.
+    /// The state of its engines, which only the oracle sees.
     pub engines: &'a [EngineState],
     /// All requests.
     pub requests: &'a [PromptRequest],
-    /// The time, in microseconds.
+    /// Virtual time, in microseconds.
     pub now_us: u64,
 }
 
-/// What a router does with a request next.
+/// Decision of a router on a request.
 #[derive(Clone, Copy, Debug)]
 pub enum RouterStep {
-    /// Sends it to an engine.
+    /// Send the request to an engine.
     Send {
-        /// Row of the engine.
+        /// Index of the engine.
         engine: usize,
-        /// Row of the model.
+        /// Index of the model.
         model: usize,
-        /// Urgency there.
+        /// Urgency in the queue of the engine.
         urgency: u8,
-        /// Ask again after this time without an answer, in microseconds.
+        /// Time without a response head after which the attempt counts as stalled, in microseconds.
         patience_us: Option<u64>,
     },
-    /// Passes the answer on.
+    /// Relay the answer to the caller.
     Relay,
-    /// Waits for the answer under way.
+    /// Wait for the attempt in flight.
     Wait,
-    /// Gives up.
+    /// Refuse the request.
     Refuse,
 }
 
-/// A head that came: the engine, whether it is good, the model's opinion, waiting and running requests.
+/// A received response head: the engine, whether the attempt succeeded, the model's confidence, and
+/// the engine's waiting and running requests.
 pub type ComeHead = (usize, bool, u8, u32, u32);
 
-/// What a baseline remembers of a request.
+/// State of a request in a baseline: its last model and the number of its sends.
 #[derive(Clone, Copy, Debug, Default)]
 struct BaselineRow {
     model: usize,
     sends: u32,
 }
 
-/// A router.
+/// A router under one of the policies.
 pub struct PromptRouter {
     policy: PromptPolicy,
     boxes: Vec<RouteState>,
     rows: HashMap<usize, BaselineRow>,
-    /// Last reports by engine.
+    /// Last reported load of each engine.
     reported: Vec<u32>,
     random: u64,
 }
 
 impl PromptRouter {
-    /// A router for a site whose replicas are all known.
+    /// Creates a router that knows all replicas of a site.
     pub fn new(policy: PromptPolicy, site: &PromptSite) -> Self {
         let boxes = match policy {
             PromptPolicy::Ravenspoke => {
@@ -100,7 +101,7 @@
         Self { policy, boxes, rows: HashMap::new(), reported, random: 1 }
     }
 
-    /// A request arrives.
+    /// Handles the arrival of a request.
     pub fn arrive(&mut self, row: usize, scene: &PromptScene) -> RouterStep {
         let request = &scene.requests[row];
         if self.policy == PromptPolicy::Ravenspoke {
@@ -129,7 +130,7 @@
         self.send(row, model, scene)
     }
 
-    /// The head of an answer came.
+    /// Handles a response head.
     pub fn head(
         &mut self,
         row: usize,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// A connection broke, or none came about.
+    /// Handles a failed connection; `sent` tells whether the request had been sent.
     pub fn broken(
         &mut self,
         row: usize,
@@ -179,7 +180,7 @@
             let event = RouteEvent::AttemptFailed(RequestTicket(row as u64), failure);
             return self.feed(request.asked_box, row, event, scene.now_us);
         }
-        // It looks full until it answers again.
+        // The engine counts as full until its next report.
         self.reported[engine] += SLOTS;
         let known = self.rows.get(&row).copied().unwrap_or_default();
         if known.sends >= ATTEMPTS {
@@ -188,7 +189,7 @@
         self.send(row, known.model, scene)
     }
 
-    /// Nothing came for as long as the order said.
+    /// Handles an attempt without a response head within its time.
     pub fn paused(&mut self, row: usize, asked_box: usize, now_us: u64) -> RouterStep {
         match self.policy {
             PromptPolicy::Ravenspoke => {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// An answer is whole.
+    /// Handles a complete answer.
     pub fn finished(&mut self, row: usize, asked_box: usize, now_us: u64) {
         if self.policy == PromptPolicy::Ravenspoke {
             let event = RouteEvent::ResponseFinished(RequestTicket(row as u64));
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Time passes for all boxes, which read that their plan stands.
+    /// Ticks all boxes, and confirms that their plan is current.
     pub fn tick(&mut self, now_us: u64) {
         for number in 0..self.boxes.len() {
             let asked_at = BoxTime::from_micros(now_us);
@@ -218,7 +219,8 @@
         }
     }
 
-    /// Feeds a box, hands on what it tells others, and gives what is to be done with request `row`.
+    /// Feeds an event to a box, delivers its messages to other boxes, and returns the decision on
+    /// request `row`.
     fn feed(&mut self, number: usize, row: usize, event: RouteEvent, now_us: u64) -> RouterStep {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let stamp = EventStamp {
@@ -259,13 +261,14 @@
         step
     }
 
+    /// Indexes of the boxes with these gossip addresses.
     fn heard_by(&self, addresses: &[String]) -> Vec<usize> {
         let count = self.boxes.len();
         let row = |address: &String| address.strip_suffix(":90")?.parse().ok();
         addresses.iter().filter_map(row).filter(|row| *row < count).collect()
     }
 
-    /// Sends by a baseline.
+    /// Chooses the engine by a baseline and sends the request there.
     fn send(&mut self, row: usize, model: usize, scene: &PromptScene) -> RouterStep {
         let (request, site, engines) = (&scene.requests[row], scene.site, scene.engines);
         let known = self.rows.entry(row).or_default();
@@ -291,13 +294,14 @@
         let shift = row % engines.len();
         let rows = (0..engines.len()).map(|engine| (engine + shift) % engines.len());
         let engine = rows.min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap_or(0);
-        // What was sent since the last report counts as in the boxes' own estimate.
+        // Requests sent since the last report count, as in the load estimate of the boxes.
         self.reported[engine] += 1;
         RouterStep::Send { engine, model, urgency: 5, patience_us: None }
     }
 }
 
-/// The reducer of box `row` of a site, which knows the plan, all replicas and where other boxes are.
+/// The reducer of box `row` of a site, which knows the plan, all replicas and the addresses of the
+/// other boxes.
 pub fn new_box(site: &PromptSite, row: usize) -> RouteState {
     let mut state = RouteState::new(RouteSettings {
         name: row.to_string(),
--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -1,5 +1,4 @@
-//! What a run of [`crate::prompts`] is played on: a deployment drawn at random, its requests, and a kind of
-//! trouble.
+//! Inputs of a run of [`crate::prompts`]: a random deployment, its requests, and a kind of fault.
 
 use rand::rngs::StdRng;
 use rand::Rng;
@@ -7,7 +6,7 @@
 /// Length of a run, in microseconds.
 pub(crate) const LENGTH_US: u64 = 60_000_000;
 
-/// Time before the first arrival, in microseconds: boxes hear of each other.
+/// Time before the first arrival, in microseconds, in which boxes learn of each other by gossip.
 const WARM_US: u64 = 2_000_000;
 
 /// A class of requests.
@@ -15,37 +14,40 @@
 pub struct PromptClass {
     /// Share of the requests.
     pub share: f64,
-    /// Payoff of an answer in time.
+    /// Value of an answer in time.
     pub worth: f64,
-    /// Time within which an answer is to begin, in microseconds.
+    /// Target for the time until an answer begins, in microseconds.
     pub target_us: u64,
-    /// Mean tokens in shared parts and in the rest.
+    /// Mean tokens in the shared parts and in the rest of a prompt.
     pub tokens: (f64, f64),
-    /// Shared prompts in use.
+    /// Number of shared prompts in use.
     pub subjects: u64,
 }
 
-/// A deployment.
+/// A random deployment.
 #[derive(Clone, Debug)]
 pub struct PromptSite {
-    /// Boxes and engines by zone number.
+    /// Zone of each box.
     pub boxes: Vec<usize>,
     /// Zone of each engine.
     pub engines: Vec<usize>,
-    /// How many times an engine's usual time each model takes, and the difficulty up to which it does well.
+    /// For each model, the factor on `token_us`, and the difficulty up to which its answers are
+    /// good.
     pub models: Vec<(f64, f64)>,
-    /// Time that an engine takes for a token, in microseconds.
+    /// Time that an engine takes to read a token, in microseconds.
     pub token_us: f64,
-    /// Tokens that an engine keeps.
+    /// Tokens that an engine caches.
     pub memory: f64,
-    /// Classes; the first is the dearest.
+    /// Request classes; the first has the highest value.
     pub classes: Vec<PromptClass>,
     /// Requests a second.
     pub rate: f64,
 }
 
 impl PromptSite {
-    /// Draws a deployment whose engines would be busy `load` of the time with what needs the largest model.
+    /// Generates a deployment. Its request rate keeps engines busy for the share `load` of the
+    /// time, if each request runs on the smallest model, and on the largest too where the smallest
+    /// is too weak.
     pub fn draw(load: f64, rng: &mut StdRng) -> Self {
         let zones = rng.gen_range(2..5);
         let (boxes, engines) = (rng.gen_range(2..4), rng.gen_range(3..6));
@@ -77,7 +79,7 @@
         site
     }
 
-    /// Engine seconds a request takes on the mean, if half of its shared parts is held where it goes.
+    /// Mean engine seconds of a request, if half of its shared parts are cached.
     fn second_work(&self) -> f64 {
         let (first, last) = (self.models[0], self.models[self.models.len() - 1]);
         let paces = first.0 + last.0 * (1.0 - first.1);
@@ -86,23 +88,23 @@
     }
 }
 
-/// Trouble of a run; each comes in the middle third.
+/// Fault of a run, which lasts for the middle third of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptTrouble {
-    /// None.
+    /// No fault.
     Calm,
-    /// A quarter of the engines goes down, and comes back empty after ten seconds.
+    /// A quarter of the engines go down, and restart with empty caches after ten seconds.
     EnginesDown,
-    /// The dearest class comes three times as often.
+    /// The class of the highest value arrives three times as often.
     DearBurst,
-    /// A client account sends as much as all others, on one shared prompt.
+    /// One client account sends as many requests as all others, with one shared prompt.
     HotAccount,
-    /// A quarter of the engines is five times slower; an eighth fails half of its answers.
+    /// A quarter of the engines are five times slower, and one engine fails half of its answers.
     SlowAndGrey,
 }
 
 impl PromptTrouble {
-    /// All, with their names in results.
+    /// All faults, with their names in results.
     pub const ALL: [(&'static str, Self); 5] = [
         ("calm", Self::Calm),
         ("engines_down", Self::EnginesDown),
@@ -111,6 +113,7 @@
         ("slow_and_grey", Self::SlowAndGrey),
     ];
 
+    /// Factor on the arrival rate of `class` at `now_us`.
     fn factor(self, now_us: u64, class: usize) -> f64 {
         match self {
             Self::DearBurst if in_trouble(now_us) && class == 0 => 3.0,
@@ -120,44 +123,45 @@
     }
 }
 
-/// Whether the trouble of a run goes on.
+/// Whether a run is in its middle third, in which its fault lasts.
 pub(crate) fn in_trouble(now_us: u64) -> bool {
     (LENGTH_US / 3..LENGTH_US * 2 / 3).contains(&now_us)
 }
 
-/// A request.
+/// A simulated request with a long prompt.
 #[derive(Clone, Copy, Debug)]
 pub struct PromptRequest {
-    /// Arrival, in microseconds.
+    /// Arrival time, in microseconds.
     pub at_us: u64,
-    /// Row of its class.
+    /// Index of the class.
     pub class: usize,
-    /// Row of the box that its caller asks.
+    /// Index of the box that receives the request.
     pub asked_box: usize,
-    /// Its shared prompt; never 0.
+    /// Id of the shared prompt; never 0.
     pub subject: u64,
-    /// Tokens in shared parts and in the rest.
+    /// Tokens in the shared parts and in the rest of the prompt.
     pub tokens: (f64, f64),
     /// Difficulty, 0 to 1.
     pub difficulty: f64,
-    /// What is added to each model's opinion of its answer.
+    /// Error added to each model's confidence in its answer.
     pub noise: f64,
 }
 
 impl PromptRequest {
-    /// A model's opinion of its answer, 0 to 100.
+    /// Confidence, 0 to 100, in the answer of a model that is good up to the difficulty `quality`.
     pub fn opinion(&self, quality: f64) -> u8 {
         (50.0 + 150.0 * (quality - self.difficulty) + self.noise).clamp(0.0, 100.0) as u8
     }
 
-    /// How much larger it is than its class's mean, which its payoff follows.
+    /// Factor on the value of an answer, which grows with the prompt's size relative to the mean of
+    /// its class, and is at most 4.
     pub(crate) fn size(&self, class: &PromptClass) -> f64 {
         let mean = class.tokens.0 + class.tokens.1;
         (0.3 + 0.7 * (self.tokens.0 + self.tokens.1) / mean).min(4.0)
     }
 }
 
-/// The requests of a run, by their arrival.
+/// Generates the requests of a run, in order of arrival.
 pub(crate) fn draw_requests(
     site: &PromptSite,
     trouble: PromptTrouble,
@@ -165,7 +169,7 @@
 ) -> Vec<PromptRequest> {
     let mut requests = Vec::new();
     let mut at_us = WARM_US as f64;
-    // The fastest that any trouble makes; what is too much is passed over.
+    // Arrivals are generated at the highest rate of any fault, and thinned to the current rate.
     let top = 3.0;
     while at_us < LENGTH_US as f64 {
         at_us += -(1.0 - rng.gen::<f64>()).ln() / (site.rate * top) * 1e6;
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -1,8 +1,9 @@
-//! Engines that read long prompts behind routing boxes, in virtual time: runs of the deployments and requests of
-//! [`crate::prompt_site`], and what callers got of them.
+//! Simulation of engines that read long prompts behind routing boxes, in virtual time. Runs the
+//! deployments and requests of [`crate::prompt_site`], and measures the results for callers.
 //!
-//! One loop serves every policy. Engines read one prompt after another, the more urgent first, keep what
-//! they read while memory lasts, and begin an answer when its prompt is read. No bytes are sent.
+//! One event loop serves every policy. Engines read one prompt at a time, the most urgent first,
+//! cache shared parts as far as their memory allows, and begin an answer when its prompt is read.
+//! No bytes are sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -17,29 +18,30 @@
 };
 use crate::scenario::RunMeasures;
 
-/// One way between any two processes, in microseconds.
+/// One-way network delay between any two processes, in microseconds.
 const NET_US: u64 = 1_000;
 
-/// Part of the payoff of an answer that is late, and of one whose model was too weak.
+/// Share of the value that is left of a late answer, and of an answer of a model that is too weak.
 const LATE_PART: f64 = 0.3;
 const POOR_PART: f64 = 0.05;
 
-/// Time between two steps of the boxes' clocks, in microseconds.
+/// Interval between ticks of the boxes, in microseconds.
 const TICK_US: u64 = 100_000;
 
-/// Who routes.
+/// Policy that routes prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptPolicy {
     /// The reducer of the boxes.
     Ravenspoke,
-    /// The engine whose last report, to any box, was lowest; a larger model below the neutral opinion.
+    /// Chooses the engine whose last report to any box was the lowest, and the largest model if the
+    /// confidence of the first is below 50.
     LeastReportedLoad,
-    /// Knows each engine's queue and memory and each request's difficulty.
+    /// Knows the queue and cache of each engine and the difficulty of each request.
     Oracle,
 }
 
 impl PromptPolicy {
-    /// All, with their names in results.
+    /// All policies, with their names in results.
     pub const ALL: [(&'static str, Self); 3] = [
         ("ravenspoke", Self::Ravenspoke),
         ("least_reported_load", Self::LeastReportedLoad),
@@ -47,34 +49,34 @@
     ];
 }
 
-/// Something that will happen.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     /// A request arrives.
     Arrive(usize),
-    /// An engine has read a prompt, if it still lives its `life`.
+    /// An engine has read a prompt, unless it restarted since `life`.
     Read { engine: usize, life: u64 },
-    /// The head of an answer reaches its box.
+    /// A response head reaches its box.
     Head { request: usize, attempt: u32, engine: usize, good: bool, waiting: u32, running: u32 },
-    /// A connection broke, or none came about.
+    /// A connection failed; `sent` tells whether the request had been sent.
     Broken { request: usize, attempt: u32, sent: bool },
-    /// Nothing came for as long as the order says.
+    /// An attempt has no response head within the time of its order.
     Pause { request: usize, attempt: u32 },
-    /// An answer is whole.
+    /// An answer is complete.
     Done { request: usize, engine: usize, life: u64 },
-    /// The boxes' clocks go on.
+    /// The boxes tick.
     Tick,
-    /// Engines change their state.
+    /// The fault begins, reaches its half or ends.
     Trouble,
 }
 
-/// What became of a request.
+/// State and result of a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct PromptOutcome {
     attempt: u32,
     engine: usize,
     model: usize,
-    /// When its answer was passed on, in microseconds.
+    /// Time at which its answer began at the caller's box, in microseconds.
     begun_us: Option<u64>,
     crossed: u32,
     sends: u32,
@@ -93,7 +95,7 @@
     rng: StdRng,
 }
 
-/// Plays one run and measures it.
+/// Runs one simulation and measures it.
 pub fn run(trouble: PromptTrouble, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
     let mut rng = StdRng::seed_from_u64(seed);
     let site = PromptSite::draw(load, &mut rng);
@@ -115,6 +117,7 @@
 }
 
 impl PromptRun<'_> {
+    /// Schedules an event.
     fn at(&mut self, at_us: u64, due: Due) {
         self.number += 1;
         self.due.push(Reverse((at_us, self.number, due)));
@@ -207,13 +210,13 @@
         }
     }
 
-    /// Whether an attempt is under way whose answer has not begun.
+    /// Whether this attempt is in flight and its answer has not begun.
     fn waits(&self, request: usize, attempt: u32) -> bool {
         let outcome = &self.outcomes[request];
         outcome.attempt == attempt && outcome.begun_us.is_none()
     }
 
-    /// Does what the router decided.
+    /// Carries out the decision of the router.
     fn follow(&mut self, row: usize, step: RouterStep) {
         match step {
             RouterStep::Send { engine, model, urgency, patience_us } => {
@@ -269,7 +272,7 @@
         self.at(self.now_us + NET_US + took_us, Due::Read { engine, life });
     }
 
-    /// An engine has read a prompt: its answer begins.
+    /// Begins the answer of a prompt that an engine has read, and starts to read the next.
     fn begin(&mut self, engine: usize) {
         let grey = self.engines[engine].grey;
         let good = self.rng.gen::<f64>() >= grey;
@@ -284,7 +287,7 @@
         self.read_next(engine);
     }
 
-    /// The begin, the half and the end of the trouble.
+    /// Changes the state of the engines at the begin, the half and the end of the fault.
     fn trouble(&mut self) {
         let (count, over) = (self.engines.len(), !in_trouble(self.now_us));
         let begins = self.now_us == LENGTH_US / 3;
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Runs a scenario under one policy in virtual time, and measures it.
 //!
-//! One loop serves every policy. It pops the next thing that happens (an arrival, a token, a rating,
-//! a load report) and hands it to the reducers or to the baseline; engines, ratings and callers are
-//! the same for all.
+//! One event loop serves every policy. It takes the next event (an arrival, a token, a rating or a
+//! load report) and feeds it to the reducers or to the baseline. Engines, ratings and callers are
+//! the same for all policies.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -27,26 +27,26 @@
 use crate::policy::{BenchPolicy, COST, STRENGTH, TARGET};
 use crate::workload::{meets, BenchRequest};
 
-/// Time before arrivals begin, in microseconds: boxes start and read.
+/// Time before the first arrival, in microseconds, in which boxes start and read the log.
 const WARM_US: u64 = 4_000_000;
 
-/// Time of a rating, in microseconds.
+/// Duration of a rating, in microseconds.
 const RATING_US: u64 = 250_000;
 
 /// Share of ratings that are wrong.
 const RATING_ERROR: f64 = 0.02;
 
-/// A first token later than this is late, in microseconds.
+/// Time to the first token above which an answer is late, in microseconds.
 const LATE_US: u64 = 2_000_000;
 
-/// Times that a caller of `retry_storm` asks again.
+/// Maximum number of tries of a caller in `retry_storm`.
 const STORM_TRIES: u32 = 3;
 
-/// What a run measured.
+/// Measures of a run, by name.
 #[derive(Clone, Debug, Default)]
 pub struct RunMeasures(pub BTreeMap<&'static str, f64>);
 
-/// Something that will happen.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Due {
     Arrive(usize),
@@ -70,7 +70,7 @@
     good: bool,
 }
 
-/// What became of a request.
+/// State and result of a request.
 #[derive(Clone, Debug, Default)]
 struct Fate {
     first_us: Option<u64>,
@@ -163,6 +163,7 @@
         }
     }
 
+    /// Schedules an event.
     fn at(&mut self, time_us: u64, due: Due) {
         self.events.push(due);
         let id = self.events.len();
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Lets the fleet's own events before `time_us` happen first.
+    /// Runs the fleet's own events up to `time_us`.
     fn advance(&mut self, time_us: u64) {
         while self.fleet.as_ref().is_some_and(|fleet| fleet.next_due_us() <= time_us) {
             let Some(fleet) = &mut self.fleet else { break };
@@ -199,6 +200,7 @@
         self.now_us = time_us;
     }
 
+    /// Whether the time is at or after `second` of the workload.
     fn since(&self, second: Option<u64>) -> bool {
         second.is_some_and(|second| self.now_us >= WARM_US + second * 1_000_000)
     }
@@ -413,7 +415,8 @@
         if self.reports.len() > 64 {
             self.reports.drain(..32);
         }
-        // A fleet of hundreds asks less often, as the capacity page has it.
+        // A fleet of more than 50 boxes asks for reports a quarter as often, as docs/CAPACITY.md
+        // says.
         let slower = if self.plan.boxes > 50 { 4 } else { 1 };
         self.at(self.now_us + REPORT_US * slower, Due::Report);
     }
@@ -444,7 +447,7 @@
         }
     }
 
-    /// Carries out what the reducers asked for.
+    /// Carries out the effects that the reducers returned.
     fn effects(&mut self) {
         loop {
             let Some(fleet) = &mut self.fleet else { return };
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,18 +1,19 @@
-//! Draws requests: arrivals, accounts, classes, prompts, and a difficulty that no router sees.
+//! Random workloads: arrivals, accounts, classes, prompts, and a difficulty that only the oracle
+//! sees.
 
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// A request of the bench.
+/// A simulated request.
 #[derive(Clone, Copy, Debug)]
 pub struct BenchRequest {
-    /// Arrival, in microseconds.
+    /// Arrival time, in microseconds.
     pub at_us: u64,
     /// Client account; 0 is the large one.
     pub account: usize,
     /// Request class, 0 (easy) to 2 (hard).
     pub class: u8,
-    /// Hidden difficulty, 0 to 1.
+    /// Difficulty, 0 to 1, hidden from all policies but the oracle.
     pub difficulty: f64,
     /// Tokens in the prompt.
     pub prompt: u32,
@@ -25,27 +26,28 @@
 /// How requests arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkloadPlan {
-    /// Requests a second in quiet times.
+    /// Requests a second outside bursts.
     pub rate: f64,
     /// Length, in seconds.
     pub seconds: u64,
-    /// From this second on, arrivals rise within a minute ...
+    /// Second at which the burst begins; its arrivals rise linearly within a minute.
     pub burst_from: u64,
-    /// ... and end at this second ...
+    /// Second at which the burst ends.
     pub burst_to: u64,
-    /// ... to this multiple.
+    /// Multiple of `rate` that the burst reaches.
     pub burst: f64,
-    /// Whether requests of the burst are long dossiers.
+    /// Whether half of the requests of the burst have long prompts.
     pub dossiers: bool,
-    /// Client accounts.
+    /// Number of client accounts.
     pub accounts: usize,
     /// Share of requests of account 0.
     pub large_share: f64,
-    /// Prefixes in use.
+    /// Number of prefixes in use.
     pub prefixes: u64,
 }
 
 impl WorkloadPlan {
+    /// Multiple of `rate` at `second`.
     fn factor(&self, second: f64) -> f64 {
         let (from, to) = (self.burst_from as f64, self.burst_to as f64);
         if second < from || second >= to {
@@ -54,7 +56,7 @@
         1.0 + (self.burst - 1.0) * ((second - from) / 60.0).min(1.0)
     }
 
-    /// Draws all requests, in order of arrival.
+    /// Generates all requests, in order of arrival.
     pub fn draw(&self, rng: &mut StdRng) -> Vec<BenchRequest> {
         let mut requests = Vec::new();
         let mut second = 0.0;
@@ -81,13 +83,13 @@
             difficulty: rng.gen_range(low..high),
             prompt: if long { rng.gen_range(3_000..6_000) } else { rng.gen_range(150..900) },
             tokens: rng.gen_range(40..200),
-            // Squared, so that a few prefixes are hot.
+            // The square makes a few prefixes much more frequent than the others.
             prefix: 1 + (rng.gen::<f64>().powi(2) * self.prefixes as f64) as u64,
         }
     }
 }
 
-/// Whether an answer of a model of `strength` meets the quality target.
+/// Whether the answer of a model of this `strength` meets the quality target.
 pub fn meets(strength: f64, request: &BenchRequest) -> bool {
     request.difficulty < strength
 }
