--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -37,7 +37,7 @@
 
 /// A scheduled event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
+enum DueEvent {
     Tick(usize, u64),
     Poll(usize, u64),
     Read(usize, u64, LogStream, u64),
@@ -96,7 +96,7 @@
     pub effects: Vec<(usize, BoxEffect)>,
     now_us: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Due>,
+    events: BTreeMap<u64, DueEvent>,
     next_event: u64,
     rng: StdRng,
     replicas: Vec<ListedReplica>,
@@ -167,8 +167,8 @@
         let incarnation = self.boxes[index].incarnation;
         let jitter = self.rng.gen_range(0..TICK_US);
         self.list_to(index);
-        self.at(self.now_us + jitter, Due::Tick(index, incarnation));
-        self.at(self.now_us + jitter, Due::Poll(index, incarnation));
+        self.at(self.now_us + jitter, DueEvent::Tick(index, incarnation));
+        self.at(self.now_us + jitter, DueEvent::Poll(index, incarnation));
     }
 
     /// Feeds the box list to a box.
@@ -182,7 +182,7 @@
     }
 
     /// Schedules an event at `time`, in microseconds.
-    fn at(&mut self, time: u64, due: Due) {
+    fn at(&mut self, time: u64, due: DueEvent) {
         self.next_event += 1;
         self.due.push(Reverse((time, self.next_event)));
         self.events.insert(self.next_event, due);
@@ -237,12 +237,12 @@
                 let Some(to) = self.boxes.iter().position(|row| row.name == name) else { return };
                 let pair = (index.min(to), index.max(to));
                 if !self.cut.contains(&pair) {
-                    self.at(self.now_us + PEER_DELAY_US, Due::Deliver(to, message));
+                    self.at(self.now_us + PEER_DELAY_US, DueEvent::Deliver(to, message));
                 }
             }
             BoxEffect::ReadBundles => {
                 let incarnation = self.boxes[index].incarnation;
-                let read = Due::Read(index, incarnation, LogStream::Bundles, self.now_us);
+                let read = DueEvent::Read(index, incarnation, LogStream::Bundles, self.now_us);
                 self.at(self.now_us + LOG_DELAY_US, read);
             }
             other => self.effects.push((index, other)),
@@ -253,19 +253,19 @@
         let incarnation = self.boxes[index].incarnation;
         let end = self.now_us + LOG_DELAY_US;
         if self.log_faults.outage || self.log_cut.contains(&index) {
-            self.at(end, Due::AppendEnd(index, incarnation, stream, false));
+            self.at(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
         if self.log_faults.late_effects > 0 {
             self.log_faults.late_effects -= 1;
-            self.at(end + self.log_faults.late_us, Due::LateEffect(stream, batch));
-            self.at(end, Due::AppendEnd(index, incarnation, stream, false));
+            self.at(end + self.log_faults.late_us, DueEvent::LateEffect(stream, batch));
+            self.at(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
         self.take(stream, batch);
         let acknowledged = self.log_faults.lose_acks == 0;
         self.log_faults.lose_acks = self.log_faults.lose_acks.saturating_sub(1);
-        self.at(end, Due::AppendEnd(index, incarnation, stream, acknowledged));
+        self.at(end, DueEvent::AppendEnd(index, incarnation, stream, acknowledged));
     }
 
     /// Adds records to the log and lets all boxes read them, except bills, which boxes don't read.
@@ -277,7 +277,7 @@
         }
         for index in 0..self.boxes.len() {
             let incarnation = self.boxes[index].incarnation;
-            let read = Due::Read(index, incarnation, stream, self.now_us);
+            let read = DueEvent::Read(index, incarnation, stream, self.now_us);
             self.at(self.now_us + LOG_DELAY_US, read);
         }
     }
@@ -329,15 +329,15 @@
         self.boxes[index].alive && self.boxes[index].incarnation == incarnation
     }
 
-    fn happen(&mut self, due: Due) {
+    fn happen(&mut self, due: DueEvent) {
         match due {
-            Due::Tick(index, incarnation) if self.is_current(index, incarnation) => {
+            DueEvent::Tick(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
                     self.feed(index, BoxEvent::Tick);
                 }
-                self.at(self.now_us + TICK_US, Due::Tick(index, incarnation));
+                self.at(self.now_us + TICK_US, DueEvent::Tick(index, incarnation));
             }
-            Due::Poll(index, incarnation) if self.is_current(index, incarnation) => {
+            DueEvent::Poll(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
                     for stream in [
                         LogStream::Bundles,
@@ -345,17 +345,19 @@
                         LogStream::Verdicts,
                         LogStream::Leases,
                     ] {
-                        let read = Due::Read(index, incarnation, stream, self.now_us);
+                        let read = DueEvent::Read(index, incarnation, stream, self.now_us);
                         self.at(self.now_us + LOG_DELAY_US, read);
                     }
                 }
-                self.at(self.now_us + POLL_US, Due::Poll(index, incarnation));
+                self.at(self.now_us + POLL_US, DueEvent::Poll(index, incarnation));
             }
-            Due::Read(index, incarnation, stream, asked) if self.is_current(index, incarnation) => {
+            DueEvent::Read(index, incarnation, stream, asked)
+                if self.is_current(index, incarnation) =>
+            {
                 self.read(index, stream, asked);
             }
-            Due::Deliver(index, message) => self.feed(index, BoxEvent::PeerMessage(message)),
-            Due::AppendEnd(index, incarnation, stream, done)
+            DueEvent::Deliver(index, message) => self.feed(index, BoxEvent::PeerMessage(message)),
+            DueEvent::AppendEnd(index, incarnation, stream, done)
                 if self.is_current(index, incarnation) =>
             {
                 let event = match done {
@@ -364,8 +366,11 @@
                 };
                 self.feed(index, event);
             }
-            Due::LateEffect(stream, batch) => self.take(stream, batch),
-            Due::Tick(..) | Due::Poll(..) | Due::Read(..) | Due::AppendEnd(..) => {}
+            DueEvent::LateEffect(stream, batch) => self.take(stream, batch),
+            DueEvent::Tick(..)
+            | DueEvent::Poll(..)
+            | DueEvent::Read(..)
+            | DueEvent::AppendEnd(..) => {}
         }
     }
 
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -51,7 +51,7 @@
 
 /// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum DueEvent {
     /// A request arrives.
     Arrive(usize),
     /// An engine has read a prompt, unless it restarted since `life`.
@@ -86,7 +86,7 @@
     site: &'a PromptSite,
     trouble: PromptTrouble,
     now_us: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    due: BinaryHeap<Reverse<(u64, u64, DueEvent)>>,
     number: u64,
     engines: Vec<EngineState>,
     requests: Vec<PromptRequest>,
@@ -118,19 +118,19 @@
 
 impl PromptRun<'_> {
     /// Schedules an event.
-    fn at(&mut self, at_us: u64, due: Due) {
+    fn at(&mut self, at_us: u64, due: DueEvent) {
         self.number += 1;
         self.due.push(Reverse((at_us, self.number, due)));
     }
 
     fn play(&mut self) {
         for row in 0..self.requests.len() {
-            self.at(self.requests[row].at_us, Due::Arrive(row));
+            self.at(self.requests[row].at_us, DueEvent::Arrive(row));
         }
-        self.at(0, Due::Tick);
-        self.at(LENGTH_US / 3, Due::Trouble);
-        self.at(LENGTH_US / 2, Due::Trouble);
-        self.at(LENGTH_US * 2 / 3, Due::Trouble);
+        self.at(0, DueEvent::Tick);
+        self.at(LENGTH_US / 3, DueEvent::Trouble);
+        self.at(LENGTH_US / 2, DueEvent::Trouble);
+        self.at(LENGTH_US * 2 / 3, DueEvent::Trouble);
         while let Some(Reverse((at_us, _, due))) = self.due.pop() {
             if at_us > LENGTH_US + LENGTH_US / 3 {
                 return;
@@ -140,9 +140,9 @@
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn happen(&mut self, due: DueEvent) {
         match due {
-            Due::Arrive(row) => {
+            DueEvent::Arrive(row) => {
                 let step = self.router.arrive(
                     row,
                     &PromptScene {
@@ -154,14 +154,16 @@
                 );
                 self.follow(row, step);
             }
-            Due::Read { engine, life } if life == self.engines[engine].life => self.begin(engine),
-            Due::Done { request, engine, life } => {
+            DueEvent::Read { engine, life } if life == self.engines[engine].life => {
+                self.begin(engine)
+            }
+            DueEvent::Done { request, engine, life } => {
                 if life == self.engines[engine].life {
                     self.engines[engine].running -= 1;
                 }
                 self.router.finished(request, self.requests[request].asked_box, self.now_us);
             }
-            Due::Head { request, attempt, engine, good, waiting, running } => {
+            DueEvent::Head { request, attempt, engine, good, waiting, running } => {
                 if attempt != self.outcomes[request].attempt {
                     return;
                 }
@@ -180,7 +182,9 @@
                 );
                 self.follow(request, step);
             }
-            Due::Broken { request, attempt, sent } if attempt == self.outcomes[request].attempt => {
+            DueEvent::Broken { request, attempt, sent }
+                if attempt == self.outcomes[request].attempt =>
+            {
                 let engine = self.outcomes[request].engine;
                 let step = self.router.broken(
                     request,
@@ -194,18 +198,18 @@
                 );
                 self.follow(request, step);
             }
-            Due::Pause { request, attempt } if self.waits(request, attempt) => {
+            DueEvent::Pause { request, attempt } if self.waits(request, attempt) => {
                 let asked_box = self.requests[request].asked_box;
                 let step = self.router.paused(request, asked_box, self.now_us);
                 self.follow(request, step);
             }
-            Due::Tick => {
+            DueEvent::Tick => {
                 self.router.tick(self.now_us);
                 if self.now_us < LENGTH_US {
-                    self.at(self.now_us + TICK_US, Due::Tick);
+                    self.at(self.now_us + TICK_US, DueEvent::Tick);
                 }
             }
-            Due::Trouble => self.trouble(),
+            DueEvent::Trouble => self.trouble(),
             _ => {}
         }
     }
@@ -232,7 +236,7 @@
                 outcome.crossed += u32::from(far);
                 let attempt = outcome.attempt;
                 if let Some(patience_us) = patience_us {
-                    self.at(self.now_us + patience_us, Due::Pause { request: row, attempt });
+                    self.at(self.now_us + patience_us, DueEvent::Pause { request: row, attempt });
                 }
                 self.submit(row, attempt, engine, model, urgency);
             }
@@ -241,7 +245,7 @@
                 let (engine, model) = (self.outcomes[row].engine, self.outcomes[row].model);
                 let life = self.engines[engine].life;
                 let decode_us = (self.site.models[model].0 * 600_000.0) as u64;
-                self.at(self.now_us + decode_us, Due::Done { request: row, engine, life });
+                self.at(self.now_us + decode_us, DueEvent::Done { request: row, engine, life });
             }
             RouterStep::Wait | RouterStep::Refuse => {}
         }
@@ -249,7 +253,10 @@
 
     fn submit(&mut self, row: usize, attempt: u32, engine: usize, model: usize, urgency: u8) {
         if !self.engines[engine].up {
-            self.at(self.now_us + 2 * NET_US, Due::Broken { request: row, attempt, sent: false });
+            self.at(
+                self.now_us + 2 * NET_US,
+                DueEvent::Broken { request: row, attempt, sent: false },
+            );
             return;
         }
         let request = &self.requests[row];
@@ -269,7 +276,7 @@
     fn read_next(&mut self, engine: usize) {
         let Some(took_us) = self.engines[engine].start() else { return };
         let life = self.engines[engine].life;
-        self.at(self.now_us + NET_US + took_us, Due::Read { engine, life });
+        self.at(self.now_us + NET_US + took_us, DueEvent::Read { engine, life });
     }
 
     /// Begins the answer of a prompt that an engine has read, and starts to read the next.
@@ -282,7 +289,7 @@
         let (request, attempt) = (job.request, job.attempt);
         self.at(
             self.now_us + NET_US,
-            Due::Head { request, attempt, engine, good, waiting, running },
+            DueEvent::Head { request, attempt, engine, good, waiting, running },
         );
         self.read_next(engine);
     }
@@ -296,7 +303,7 @@
                 for engine in 0..count.div_ceil(4) {
                     if begins {
                         for job in self.engines[engine].stop() {
-                            let due = Due::Broken {
+                            let due = DueEvent::Broken {
                                 request: job.request,
                                 attempt: job.attempt,
                                 sent: true,
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -48,7 +48,7 @@
 
 /// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum DueEvent {
     Arrive(usize),
     First(usize),
     Done(usize),
@@ -98,7 +98,7 @@
     fleet: Option<VirtualFleet>,
     baseline: Option<BaselineRouter>,
     due: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    events: Vec<Due>,
+    events: Vec<DueEvent>,
     now_us: u64,
     halted_at: Option<u64>,
     tokens: Histogram<u64>,
@@ -164,7 +164,7 @@
     }
 
     /// Schedules an event.
-    fn at(&mut self, time_us: u64, due: Due) {
+    fn at(&mut self, time_us: u64, due: DueEvent) {
         self.events.push(due);
         let id = self.events.len();
         self.due.push(Reverse((time_us, id as u64, id - 1)));
@@ -172,9 +172,9 @@
 
     fn run(&mut self) {
         for index in 0..self.requests.len() {
-            self.at(WARM_US + self.requests[index].at_us, Due::Arrive(index));
+            self.at(WARM_US + self.requests[index].at_us, DueEvent::Arrive(index));
         }
-        self.at(WARM_US - 1_000_000, Due::Report);
+        self.at(WARM_US - 1_000_000, DueEvent::Report);
         let end_us = WARM_US + (self.plan.work.seconds + 40) * 1_000_000;
         while let Some(Reverse((time_us, _, id))) = self.due.pop() {
             if time_us > end_us {
@@ -205,14 +205,14 @@
         second.is_some_and(|second| self.now_us >= WARM_US + second * 1_000_000)
     }
 
-    fn happen(&mut self, due: Due) {
+    fn happen(&mut self, due: DueEvent) {
         match due {
-            Due::Arrive(request) => self.arrive(request),
-            Due::First(job) => self.first(job),
-            Due::Done(job) => self.done(job),
-            Due::Judged(job) => self.judged(job),
-            Due::Rated(job) => self.rated(job),
-            Due::Report => self.report(),
+            DueEvent::Arrive(request) => self.arrive(request),
+            DueEvent::First(job) => self.first(job),
+            DueEvent::Done(job) => self.done(job),
+            DueEvent::Judged(job) => self.judged(job),
+            DueEvent::Rated(job) => self.rated(job),
+            DueEvent::Report => self.report(),
         }
     }
 
@@ -300,8 +300,8 @@
 
     fn started(&mut self, times: Option<JobTimes>) {
         let Some(times) = times else { return };
-        self.at(times.first_us, Due::First(times.id));
-        self.at(times.done_us, Due::Done(times.id));
+        self.at(times.first_us, DueEvent::First(times.id));
+        self.at(times.done_us, DueEvent::Done(times.id));
         self.hits.0 += u64::from(times.hit);
         self.hits.1 += 1;
         let _ = self.tokens.record(times.token_us as u64);
@@ -344,9 +344,9 @@
         }
         let learns = self.rng.gen_bool(16.0 / 256.0);
         if gated {
-            self.at(self.now_us + RATING_US, Due::Judged(job));
+            self.at(self.now_us + RATING_US, DueEvent::Judged(job));
         } else if learns {
-            self.at(self.now_us + RATING_US, Due::Rated(job));
+            self.at(self.now_us + RATING_US, DueEvent::Rated(job));
         }
     }
 
@@ -418,7 +418,7 @@
         // A fleet of more than 50 boxes asks for reports a quarter as often, as docs/CAPACITY.md
         // says.
         let slower = if self.plan.boxes > 50 { 4 } else { 1 };
-        self.at(self.now_us + REPORT_US * slower, Due::Report);
+        self.at(self.now_us + REPORT_US * slower, DueEvent::Report);
     }
 
     fn hand_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
@@ -475,11 +475,11 @@
             BoxEffect::Send(ticket) => self.send(home, index(ticket)),
             BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, Due::Judged(job));
+                self.at(self.now_us + RATING_US, DueEvent::Judged(job));
             }
             BoxEffect::RateReleasedAnswer(ticket) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, Due::Rated(job));
+                self.at(self.now_us + RATING_US, DueEvent::Rated(job));
             }
             BoxEffect::Refuse(ticket, refusal) => {
                 self.refused(index(ticket), refusal.run(), refusal.retry_after_ms);
@@ -510,7 +510,7 @@
         fate.refused = true;
         fate.tries += 1;
         if self.plan.storm && fate.tries < STORM_TRIES {
-            self.at(self.now_us + 10_000, Due::Arrive(index));
+            self.at(self.now_us + 10_000, DueEvent::Arrive(index));
         }
     }
 
