--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -167,8 +167,8 @@
         let incarnation = self.boxes[index].incarnation;
         let jitter = self.rng.gen_range(0..TICK_US);
         self.list_to(index);
-        self.at(self.now_us + jitter, DueEvent::Tick(index, incarnation));
-        self.at(self.now_us + jitter, DueEvent::Poll(index, incarnation));
+        self.schedule(self.now_us + jitter, DueEvent::Tick(index, incarnation));
+        self.schedule(self.now_us + jitter, DueEvent::Poll(index, incarnation));
     }
 
     /// Feeds the box list to a box.
@@ -182,7 +182,7 @@
     }
 
     /// Schedules an event at `time`, in microseconds.
-    fn at(&mut self, time: u64, due: DueEvent) {
+    fn schedule(&mut self, time: u64, due: DueEvent) {
         self.next_event += 1;
         self.due.push(Reverse((time, self.next_event)));
         self.events.insert(self.next_event, due);
@@ -237,13 +237,13 @@
                 let Some(to) = self.boxes.iter().position(|row| row.name == name) else { return };
                 let pair = (index.min(to), index.max(to));
                 if !self.cut.contains(&pair) {
-                    self.at(self.now_us + PEER_DELAY_US, DueEvent::Deliver(to, message));
+                    self.schedule(self.now_us + PEER_DELAY_US, DueEvent::Deliver(to, message));
                 }
             }
             BoxEffect::ReadBundles => {
                 let incarnation = self.boxes[index].incarnation;
                 let read = DueEvent::Read(index, incarnation, LogStream::Bundles, self.now_us);
-                self.at(self.now_us + LOG_DELAY_US, read);
+                self.schedule(self.now_us + LOG_DELAY_US, read);
             }
             other => self.effects.push((index, other)),
         }
@@ -253,19 +253,19 @@
         let incarnation = self.boxes[index].incarnation;
         let end = self.now_us + LOG_DELAY_US;
         if self.log_faults.outage || self.log_cut.contains(&index) {
-            self.at(end, DueEvent::AppendEnd(index, incarnation, stream, false));
+            self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
         if self.log_faults.late_effects > 0 {
             self.log_faults.late_effects -= 1;
-            self.at(end + self.log_faults.late_us, DueEvent::LateEffect(stream, batch));
-            self.at(end, DueEvent::AppendEnd(index, incarnation, stream, false));
+            self.schedule(end + self.log_faults.late_us, DueEvent::LateEffect(stream, batch));
+            self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
         self.take(stream, batch);
         let acknowledged = self.log_faults.lose_acks == 0;
         self.log_faults.lose_acks = self.log_faults.lose_acks.saturating_sub(1);
-        self.at(end, DueEvent::AppendEnd(index, incarnation, stream, acknowledged));
+        self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, acknowledged));
     }
 
     /// Adds records to the log and lets all boxes read them, except bills, which boxes don't read.
@@ -278,7 +278,7 @@
         for index in 0..self.boxes.len() {
             let incarnation = self.boxes[index].incarnation;
             let read = DueEvent::Read(index, incarnation, stream, self.now_us);
-            self.at(self.now_us + LOG_DELAY_US, read);
+            self.schedule(self.now_us + LOG_DELAY_US, read);
         }
     }
 
@@ -335,7 +335,7 @@
                 if !self.boxes[index].paused {
                     self.feed(index, BoxEvent::Tick);
                 }
-                self.at(self.now_us + TICK_US, DueEvent::Tick(index, incarnation));
+                self.schedule(self.now_us + TICK_US, DueEvent::Tick(index, incarnation));
             }
             DueEvent::Poll(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
@@ -346,10 +346,10 @@
                         LogStream::Leases,
                     ] {
                         let read = DueEvent::Read(index, incarnation, stream, self.now_us);
-                        self.at(self.now_us + LOG_DELAY_US, read);
+                        self.schedule(self.now_us + LOG_DELAY_US, read);
                     }
                 }
-                self.at(self.now_us + POLL_US, DueEvent::Poll(index, incarnation));
+                self.schedule(self.now_us + POLL_US, DueEvent::Poll(index, incarnation));
             }
             DueEvent::Read(index, incarnation, stream, asked)
                 if self.is_current(index, incarnation) =>
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -118,19 +118,19 @@
 
 impl PromptRun<'_> {
     /// Schedules an event.
-    fn at(&mut self, at_us: u64, due: DueEvent) {
+    fn schedule(&mut self, at_us: u64, due: DueEvent) {
         self.number += 1;
         self.due.push(Reverse((at_us, self.number, due)));
     }
 
     fn play(&mut self) {
         for row in 0..self.requests.len() {
-            self.at(self.requests[row].at_us, DueEvent::Arrive(row));
+            self.schedule(self.requests[row].at_us, DueEvent::Arrive(row));
         }
-        self.at(0, DueEvent::Tick);
-        self.at(LENGTH_US / 3, DueEvent::Trouble);
-        self.at(LENGTH_US / 2, DueEvent::Trouble);
-        self.at(LENGTH_US * 2 / 3, DueEvent::Trouble);
+        self.schedule(0, DueEvent::Tick);
+        self.schedule(LENGTH_US / 3, DueEvent::Trouble);
+        self.schedule(LENGTH_US / 2, DueEvent::Trouble);
+        self.schedule(LENGTH_US * 2 / 3, DueEvent::Trouble);
         while let Some(Reverse((at_us, _, due))) = self.due.pop() {
             if at_us > LENGTH_US + LENGTH_US / 3 {
                 return;
@@ -206,7 +206,7 @@
             DueEvent::Tick => {
                 self.router.tick(self.now_us);
                 if self.now_us < LENGTH_US {
-                    self.at(self.now_us + TICK_US, DueEvent::Tick);
+                    self.schedule(self.now_us + TICK_US, DueEvent::Tick);
                 }
             }
             DueEvent::Trouble => self.trouble(),
@@ -236,7 +236,10 @@
                 outcome.crossed += u32::from(far);
                 let attempt = outcome.attempt;
                 if let Some(patience_us) = patience_us {
-                    self.at(self.now_us + patience_us, DueEvent::Pause { request: row, attempt });
+                    self.schedule(
+                        self.now_us + patience_us,
+                        DueEvent::Pause { request: row, attempt },
+                    );
                 }
                 self.submit(row, attempt, engine, model, urgency);
             }
@@ -245,7 +248,10 @@
                 let (engine, model) = (self.outcomes[row].engine, self.outcomes[row].model);
                 let life = self.engines[engine].life;
                 let decode_us = (self.site.models[model].0 * 600_000.0) as u64;
-                self.at(self.now_us + decode_us, DueEvent::Done { request: row, engine, life });
+                self.schedule(
+                    self.now_us + decode_us,
+                    DueEvent::Done { request: row, engine, life },
+                );
             }
             RouterStep::Wait | RouterStep::Refuse => {}
         }
@@ -253,7 +259,7 @@
 
     fn submit(&mut self, row: usize, attempt: u32, engine: usize, model: usize, urgency: u8) {
         if !self.engines[engine].up {
-            self.at(
+            self.schedule(
                 self.now_us + 2 * NET_US,
                 DueEvent::Broken { request: row, attempt, sent: false },
             );
@@ -276,7 +282,7 @@
     fn read_next(&mut self, engine: usize) {
         let Some(took_us) = self.engines[engine].start() else { return };
         let life = self.engines[engine].life;
-        self.at(self.now_us + NET_US + took_us, DueEvent::Read { engine, life });
+        self.schedule(self.now_us + NET_US + took_us, DueEvent::Read { engine, life });
     }
 
     /// Begins the answer of a prompt that an engine has read, and starts to read the next.
@@ -287,7 +293,7 @@
         let (waiting, running) =
             (self.engines[engine].waiting() as u32, self.engines[engine].running);
         let (request, attempt) = (job.request, job.attempt);
-        self.at(
+        self.schedule(
             self.now_us + NET_US,
             DueEvent::Head { request, attempt, engine, good, waiting, running },
         );
@@ -308,7 +314,7 @@
                                 attempt: job.attempt,
                                 sent: true,
                             };
-                            self.at(self.now_us + NET_US, due);
+                            self.schedule(self.now_us + NET_US, due);
                         }
                     } else if !over {
                         self.engines[engine].up = true;
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -164,7 +164,7 @@
     }
 
     /// Schedules an event.
-    fn at(&mut self, time_us: u64, due: DueEvent) {
+    fn schedule(&mut self, time_us: u64, due: DueEvent) {
         self.events.push(due);
         let id = self.events.len();
         self.due.push(Reverse((time_us, id as u64, id - 1)));
@@ -172,9 +172,9 @@
 
     fn run(&mut self) {
         for index in 0..self.requests.len() {
-            self.at(WARM_US + self.requests[index].at_us, DueEvent::Arrive(index));
+            self.schedule(WARM_US + self.requests[index].at_us, DueEvent::Arrive(index));
         }
-        self.at(WARM_US - 1_000_000, DueEvent::Report);
+        self.schedule(WARM_US - 1_000_000, DueEvent::Report);
         let end_us = WARM_US + (self.plan.work.seconds + 40) * 1_000_000;
         while let Some(Reverse((time_us, _, id))) = self.due.pop() {
             if time_us > end_us {
@@ -300,8 +300,8 @@
 
     fn started(&mut self, times: Option<JobTimes>) {
         let Some(times) = times else { return };
-        self.at(times.first_us, DueEvent::First(times.id));
-        self.at(times.done_us, DueEvent::Done(times.id));
+        self.schedule(times.first_us, DueEvent::First(times.id));
+        self.schedule(times.done_us, DueEvent::Done(times.id));
         self.hits.0 += u64::from(times.hit);
         self.hits.1 += 1;
         let _ = self.tokens.record(times.token_us as u64);
@@ -344,9 +344,9 @@
         }
         let learns = self.rng.gen_bool(16.0 / 256.0);
         if gated {
-            self.at(self.now_us + RATING_US, DueEvent::Judged(job));
+            self.schedule(self.now_us + RATING_US, DueEvent::Judged(job));
         } else if learns {
-            self.at(self.now_us + RATING_US, DueEvent::Rated(job));
+            self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
         }
     }
 
@@ -418,7 +418,7 @@
         // A fleet of more than 50 boxes asks for reports a quarter as often, as docs/CAPACITY.md
         // says.
         let slower = if self.plan.boxes > 50 { 4 } else { 1 };
-        self.at(self.now_us + REPORT_US * slower, DueEvent::Report);
+        self.schedule(self.now_us + REPORT_US * slower, DueEvent::Report);
     }
 
     fn hand_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
@@ -475,11 +475,11 @@
             BoxEffect::Send(ticket) => self.send(home, index(ticket)),
             BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, DueEvent::Judged(job));
+                self.schedule(self.now_us + RATING_US, DueEvent::Judged(job));
             }
             BoxEffect::RateReleasedAnswer(ticket) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, DueEvent::Rated(job));
+                self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
             }
             BoxEffect::Refuse(ticket, refusal) => {
                 self.refused(index(ticket), refusal.run(), refusal.retry_after_ms);
@@ -510,7 +510,7 @@
         fate.refused = true;
         fate.tries += 1;
         if self.plan.storm && fate.tries < STORM_TRIES {
-            self.at(self.now_us + 10_000, DueEvent::Arrive(index));
+            self.schedule(self.now_us + 10_000, DueEvent::Arrive(index));
         }
     }
 
