--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -314,7 +314,7 @@
             self.due.pop();
             self.now_us = time;
             if let Some(due) = self.events.remove(&id) {
-                self.happen(due);
+                self.handle(due);
             }
         }
         self.now_us = until_us;
@@ -329,7 +329,7 @@
         self.boxes[index].alive && self.boxes[index].incarnation == incarnation
     }
 
-    fn happen(&mut self, due: DueEvent) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
             DueEvent::Tick(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -136,11 +136,11 @@
                 return;
             }
             self.now_us = at_us;
-            self.happen(due);
+            self.handle(due);
         }
     }
 
-    fn happen(&mut self, due: DueEvent) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
             DueEvent::Arrive(row) => {
                 let step = self.router.arrive(
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -181,7 +181,7 @@
                 break;
             }
             self.advance(time_us);
-            self.happen(self.events[id]);
+            self.handle(self.events[id]);
             self.effects();
         }
     }
@@ -205,7 +205,7 @@
         second.is_some_and(|second| self.now_us >= WARM_US + second * 1_000_000)
     }
 
-    fn happen(&mut self, due: DueEvent) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
             DueEvent::Arrive(request) => self.arrive(request),
             DueEvent::First(job) => self.first(job),
