--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -185,7 +185,7 @@
         let base = fleet.boxes[0].state.in_force().cloned();
         let record = signed_record(base.as_ref(), spec);
         let body = Some(RecordBody::Bundle(record));
-        fleet.take(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
+        fleet.append_records(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
     };
     publish(&mut fleet, &spec);
     fleet.run_ms(10_000);
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -262,14 +262,14 @@
             self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
-        self.take(stream, batch);
+        self.append_records(stream, batch);
         let acknowledged = self.log_faults.lose_acks == 0;
         self.log_faults.lose_acks = self.log_faults.lose_acks.saturating_sub(1);
         self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, acknowledged));
     }
 
     /// Adds records to the log and lets all boxes read them, except bills, which boxes don't read.
-    pub fn take(&mut self, stream: LogStream, batch: Vec<LogRecord>) {
+    pub fn append_records(&mut self, stream: LogStream, batch: Vec<LogRecord>) {
         self.appends += 1;
         self.streams.entry(stream).or_default().1.extend(batch);
         if matches!(stream, LogStream::Bills) {
@@ -366,7 +366,7 @@
                 };
                 self.feed(index, event);
             }
-            DueEvent::LateEffect(stream, batch) => self.take(stream, batch),
+            DueEvent::LateEffect(stream, batch) => self.append_records(stream, batch),
             DueEvent::Tick(..)
             | DueEvent::Poll(..)
             | DueEvent::Read(..)
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -582,6 +582,6 @@
     let spec = bundle(&bundle_text(plan));
     let record = signed_record(None, &spec);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
     fleet
 }
--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -374,7 +374,7 @@
     for spec in &racers {
         let record = signed_record(base.as_ref(), spec);
         let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-        fleet.take(LogStream::Bundles, vec![record]);
+        fleet.append_records(LogStream::Bundles, vec![record]);
     }
     // The second operator builds on its own bundle before it learns that it lost the race.
     let mut loser = BundleFold::new(sign_off_rule());
@@ -383,7 +383,7 @@
     let child = signed_record(loser.in_force(), &racers[2]);
     assert_eq!(child.sequence, 3);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(child)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
     fleet.run_ms(2_000);
 
     let winner = ravenspoke_core::bundle::bundle_digest(&racers[0].sections());
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -75,7 +75,7 @@
     let in_force = base.and_then(|index| fleet.boxes[index].state.in_force().cloned());
     let record = signed_record(in_force.as_ref(), spec);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
 }
 
 pub fn arrival(
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -124,7 +124,7 @@
         let base = self.fleet.boxes[1].state.in_force().cloned();
         let record = signed_record(base.as_ref(), spec);
         let body = Some(RecordBody::Bundle(record));
-        self.fleet.take(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
+        self.fleet.append_records(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
     }
 
     fn wait(&mut self, millis: u64) {
