--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -166,13 +166,13 @@
     fn start_box(&mut self, index: usize) {
         let incarnation = self.boxes[index].incarnation;
         let jitter = self.rng.gen_range(0..TICK_US);
-        self.list_to(index);
+        self.feed_box_list(index);
         self.schedule(self.now_us + jitter, DueEvent::Tick(index, incarnation));
         self.schedule(self.now_us + jitter, DueEvent::Poll(index, incarnation));
     }
 
     /// Feeds the box list to a box.
-    pub fn list_to(&mut self, index: usize) {
+    pub fn feed_box_list(&mut self, index: usize) {
         let zones = self.zones;
         let zone_of = |index: usize| format!("zone-{}", index % zones);
         let listed = |row: &VirtualBox, i: usize| listed_box(&row.name, &zone_of(i));
