--- a/crates/bench/src/capacity.rs
+++ b/crates/bench/src/capacity.rs
@@ -199,7 +199,7 @@
     let after = sent(&fleet);
     let per_box = |count: u64| count as f64 / 10.0 / boxes as f64;
 
-    fleet.log_cut.extend(1..boxes);
+    fleet.log_unreachable.extend(1..boxes);
     let changed = BundleSpec {
         cascades: [("assist".to_owned(), spec.cascades["assist"].clone())]
             .into_iter()
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -85,7 +85,7 @@
     /// Faults of the log.
     pub log_faults: LogFaults,
     /// Boxes that can't reach the log.
-    pub log_cut: BTreeSet<usize>,
+    pub log_unreachable: BTreeSet<usize>,
     /// Pairs of boxes that can't reach each other, the lower index first.
     pub cut: BTreeSet<(usize, usize)>,
     /// First offset and records of each stream.
@@ -122,7 +122,7 @@
         let mut fleet = Self {
             boxes: Vec::new(),
             log_faults: LogFaults::default(),
-            log_cut: BTreeSet::new(),
+            log_unreachable: BTreeSet::new(),
             cut: BTreeSet::new(),
             streams: BTreeMap::new(),
             appends: 0,
@@ -252,7 +252,7 @@
     fn append(&mut self, index: usize, stream: LogStream, batch: Vec<LogRecord>) {
         let incarnation = self.boxes[index].incarnation;
         let end = self.now_us + LOG_DELAY_US;
-        if self.log_faults.outage || self.log_cut.contains(&index) {
+        if self.log_faults.outage || self.log_unreachable.contains(&index) {
             self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
@@ -291,7 +291,10 @@
     }
 
     fn read(&mut self, index: usize, stream: LogStream, asked_us: u64) {
-        if self.log_faults.outage || self.log_cut.contains(&index) || !self.boxes[index].alive {
+        if self.log_faults.outage
+            || self.log_unreachable.contains(&index)
+            || !self.boxes[index].alive
+        {
             return;
         }
         let (first, rows) = self.streams.entry(stream).or_default();
--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -58,7 +58,7 @@
 #[test]
 fn withdrawn_version_gets_no_new_requests_on_any_box_within_seconds() {
     let mut fleet = fleet(9);
-    fleet.log_cut.extend(4..9);
+    fleet.log_unreachable.extend(4..9);
 
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(4_000);
@@ -211,7 +211,7 @@
 fn billed_once_when_the_owner_is_killed_before_its_append() {
     let mut fleet = fleet(4);
     let mut callers = Callers::default();
-    fleet.log_cut.insert(0);
+    fleet.log_unreachable.insert(0);
 
     for ticket in 1..=20 {
         fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
@@ -444,7 +444,7 @@
     // A restarted box has forgotten the bundle that it confirmed, so a majority that counts it
     // can miss that bundle.
     let mut fleet = fleet(3);
-    fleet.log_cut.insert(0);
+    fleet.log_unreachable.insert(0);
     fleet.cut.extend([(0, 1), (0, 2)]);
 
     publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
@@ -452,7 +452,7 @@
     assert_eq!(fleet.boxes[1].state.sequence() + fleet.boxes[2].state.sequence(), 4);
     fleet.kill(1);
     fleet.kill(2);
-    fleet.log_cut.extend([1, 2]);
+    fleet.log_unreachable.extend([1, 2]);
     fleet.restart(2);
     fleet.cut.remove(&(0, 2));
     fleet.run_ms(8_000);
@@ -469,7 +469,7 @@
     fleet.run_ms(1_000);
     fleet.pause(0);
     fleet.run_ms(3_000);
-    fleet.log_cut.insert(0);
+    fleet.log_unreachable.insert(0);
     fleet.cut.extend([(0, 1), (0, 2)]);
     fleet.run_ms(27_000);
     fleet.resume(0);
@@ -485,7 +485,7 @@
     for phase in 0..40 {
         let mut fleet = fleet(3);
         fleet.pause(0);
-        fleet.log_cut.insert(0);
+        fleet.log_unreachable.insert(0);
         fleet.cut.extend([(0, 1), (0, 2)]);
         publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
         fleet.run_ms(6_000 + phase * 27);
--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -111,7 +111,7 @@
     let holder = engines.tokens[0].0;
 
     // The holder can't read its successor's lease, and its own orders are due for repetition.
-    fleet.log_cut.insert(holder);
+    fleet.log_unreachable.insert(holder);
     fleet.pause(holder);
     engines.run(&mut fleet, 140, false);
     let before = engines.tokens.len();
