--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -87,7 +87,7 @@
     /// Boxes that can't reach the log.
     pub log_unreachable: BTreeSet<usize>,
     /// Pairs of boxes that can't reach each other, the lower index first.
-    pub cut: BTreeSet<(usize, usize)>,
+    pub cut_links: BTreeSet<(usize, usize)>,
     /// First offset and records of each stream.
     pub streams: BTreeMap<LogStream, (u64, Vec<LogRecord>)>,
     /// Number of appends that took effect.
@@ -123,7 +123,7 @@
             boxes: Vec::new(),
             log_faults: LogFaults::default(),
             log_unreachable: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             streams: BTreeMap::new(),
             appends: 0,
             effects: Vec::new(),
@@ -236,7 +236,7 @@
                 row.sent_messages += 1;
                 let Some(to) = self.boxes.iter().position(|row| row.name == name) else { return };
                 let pair = (index.min(to), index.max(to));
-                if !self.cut.contains(&pair) {
+                if !self.cut_links.contains(&pair) {
                     self.schedule(self.now_us + PEER_DELAY_US, DueEvent::Deliver(to, message));
                 }
             }
--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -424,7 +424,7 @@
     fleet.run_ms(60_000);
     assert!((0..5).all(|index| state(&fleet, index) == FreshState::OutageMajority));
 
-    fleet.cut.extend((1..5).map(|other| (0, other)));
+    fleet.cut_links.extend((1..5).map(|other| (0, other)));
     fleet.run_ms(8_000);
     assert_eq!(state(&fleet, 0), FreshState::CutOff);
     assert_eq!(state(&fleet, 1), FreshState::OutageMajority);
@@ -433,7 +433,7 @@
     callers.run(&mut fleet, 100);
     assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::CutOff, RunState::NotRun));
 
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.log_faults.outage = false;
     fleet.run_ms(3_000);
     assert!((0..5).all(|index| state(&fleet, index) == FreshState::Fresh));
@@ -445,7 +445,7 @@
     // can miss that bundle.
     let mut fleet = fleet(3);
     fleet.log_unreachable.insert(0);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.cut_links.extend([(0, 1), (0, 2)]);
 
     publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(200);
@@ -454,7 +454,7 @@
     fleet.kill(2);
     fleet.log_unreachable.extend([1, 2]);
     fleet.restart(2);
-    fleet.cut.remove(&(0, 2));
+    fleet.cut_links.remove(&(0, 2));
     fleet.run_ms(8_000);
 
     let now = fleet.box_time(0);
@@ -470,7 +470,7 @@
     fleet.pause(0);
     fleet.run_ms(3_000);
     fleet.log_unreachable.insert(0);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.cut_links.extend([(0, 1), (0, 2)]);
     fleet.run_ms(27_000);
     fleet.resume(0);
 
@@ -486,11 +486,11 @@
         let mut fleet = fleet(3);
         fleet.pause(0);
         fleet.log_unreachable.insert(0);
-        fleet.cut.extend([(0, 1), (0, 2)]);
+        fleet.cut_links.extend([(0, 1), (0, 2)]);
         publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
         fleet.run_ms(6_000 + phase * 27);
         fleet.resume(0);
-        fleet.cut.clear();
+        fleet.cut_links.clear();
         for _ in 0..1_500 {
             let state = &fleet.boxes[0].state;
             let fresh = state.fresh_state(fleet.box_time(0));
