--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -9,7 +9,7 @@
 use ravenspoke_bench::plan::{scenarios, BadKind, ScenarioPlan};
 use ravenspoke_bench::plot::{draw_svg, PlotPanel, PlotPoint};
 use ravenspoke_bench::policy::BenchPolicy;
-use ravenspoke_bench::prompt_site::PromptTrouble;
+use ravenspoke_bench::prompt_site::PromptFault;
 use ravenspoke_bench::prompts::{self, PromptPolicy};
 use ravenspoke_bench::scenario::{self, RunMeasures};
 use serde_json::json;
@@ -24,7 +24,7 @@
 /// What a row runs: a scenario of calls or of long prompts, under a policy.
 enum RunKind {
     Calls(Box<ScenarioPlan>, BenchPolicy),
-    Prompts(PromptTrouble, PromptPolicy, f64),
+    Prompts(PromptFault, PromptPolicy, f64),
 }
 
 impl RunKind {
@@ -85,7 +85,7 @@
 fn prompt_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (load_name, load) in PROMPT_LOADS {
-        for (trouble_name, trouble) in PromptTrouble::ALL {
+        for (trouble_name, trouble) in PromptFault::ALL {
             for (policy_name, policy) in PromptPolicy::ALL {
                 rows.push(BenchRow {
                     scenario: format!("prompts_{load_name}/{trouble_name}"),
--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -90,7 +90,7 @@
 
 /// Fault of a run, which lasts for the middle third of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PromptTrouble {
+pub enum PromptFault {
     /// No fault.
     Calm,
     /// A quarter of the engines go down, and restart with empty caches after ten seconds.
@@ -103,7 +103,7 @@
     SlowAndGrey,
 }
 
-impl PromptTrouble {
+impl PromptFault {
     /// All faults, with their names in results.
     pub const ALL: [(&'static str, Self); 5] = [
         ("calm", Self::Calm),
@@ -164,7 +164,7 @@
 /// Generates the requests of a run, in order of arrival.
 pub(crate) fn draw_requests(
     site: &PromptSite,
-    trouble: PromptTrouble,
+    trouble: PromptFault,
     rng: &mut StdRng,
 ) -> Vec<PromptRequest> {
     let mut requests = Vec::new();
@@ -181,7 +181,7 @@
         let class = class.unwrap_or(site.classes.len() - 1);
         let factor = trouble.factor(at_us as u64, class);
         let kept = rng.gen::<f64>() * top < factor;
-        let hot = factor > 1.0 && trouble == PromptTrouble::HotAccount && rng.gen_bool(0.5);
+        let hot = factor > 1.0 && trouble == PromptFault::HotAccount && rng.gen_bool(0.5);
         let spec = &site.classes[class];
         let subject = if hot { 0 } else { rng.gen_range(0..spec.subjects) };
         let spread =
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -14,7 +14,7 @@
 use crate::prompt_engine::{EngineState, PromptJob};
 use crate::prompt_router::{PromptRouter, PromptScene, RouterStep};
 use crate::prompt_site::{
-    draw_requests, in_trouble, PromptRequest, PromptSite, PromptTrouble, LENGTH_US,
+    draw_requests, in_trouble, PromptFault, PromptRequest, PromptSite, LENGTH_US,
 };
 use crate::scenario::RunMeasures;
 
@@ -84,7 +84,7 @@
 
 struct PromptRun<'a> {
     site: &'a PromptSite,
-    trouble: PromptTrouble,
+    trouble: PromptFault,
     now_us: u64,
     due: BinaryHeap<Reverse<(u64, u64, DueEvent)>>,
     number: u64,
@@ -96,7 +96,7 @@
 }
 
 /// Runs one simulation and measures it.
-pub fn run(trouble: PromptTrouble, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
+pub fn run(trouble: PromptFault, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
     let mut rng = StdRng::seed_from_u64(seed);
     let site = PromptSite::draw(load, &mut rng);
     let requests = draw_requests(&site, trouble, &mut rng);
@@ -305,7 +305,7 @@
         let (count, over) = (self.engines.len(), !in_trouble(self.now_us));
         let begins = self.now_us == LENGTH_US / 3;
         match self.trouble {
-            PromptTrouble::EnginesDown => {
+            PromptFault::EnginesDown => {
                 for engine in 0..count.div_ceil(4) {
                     if begins {
                         for job in self.engines[engine].stop() {
@@ -321,7 +321,7 @@
                     }
                 }
             }
-            PromptTrouble::SlowAndGrey => {
+            PromptFault::SlowAndGrey => {
                 for engine in 0..count.div_ceil(4) {
                     self.engines[engine].slowness = if over { 1.0 } else { 5.0 };
                 }
