--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -31,7 +31,7 @@
     fn run(&self, seed: u64) -> RunMeasures {
         match self {
             Self::Calls(plan, policy) => scenario::run(**plan, *policy, seed),
-            Self::Prompts(trouble, policy, load) => prompts::run(*trouble, *policy, *load, seed),
+            Self::Prompts(fault, policy, load) => prompts::run(*fault, *policy, *load, seed),
         }
     }
 }
@@ -85,12 +85,12 @@
 fn prompt_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (load_name, load) in PROMPT_LOADS {
-        for (trouble_name, trouble) in PromptFault::ALL {
+        for (trouble_name, fault) in PromptFault::ALL {
             for (policy_name, policy) in PromptPolicy::ALL {
                 rows.push(BenchRow {
                     scenario: format!("prompts_{load_name}/{trouble_name}"),
                     policy: policy_name.to_owned(),
-                    run_kind: RunKind::Prompts(trouble, policy, load),
+                    run_kind: RunKind::Prompts(fault, policy, load),
                 });
             }
         }
--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -164,7 +164,7 @@
 /// Generates the requests of a run, in order of arrival.
 pub(crate) fn draw_requests(
     site: &PromptSite,
-    trouble: PromptFault,
+    fault: PromptFault,
     rng: &mut StdRng,
 ) -> Vec<PromptRequest> {
     let mut requests = Vec::new();
@@ -179,9 +179,9 @@
             left < 0.0
         });
         let class = class.unwrap_or(site.classes.len() - 1);
-        let factor = trouble.factor(at_us as u64, class);
+        let factor = fault.factor(at_us as u64, class);
         let kept = rng.gen::<f64>() * top < factor;
-        let hot = factor > 1.0 && trouble == PromptFault::HotAccount && rng.gen_bool(0.5);
+        let hot = factor > 1.0 && fault == PromptFault::HotAccount && rng.gen_bool(0.5);
         let spec = &site.classes[class];
         let subject = if hot { 0 } else { rng.gen_range(0..spec.subjects) };
         let spread =
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -84,7 +84,7 @@
 
 struct PromptRun<'a> {
     site: &'a PromptSite,
-    trouble: PromptFault,
+    fault: PromptFault,
     now_us: u64,
     due: BinaryHeap<Reverse<(u64, u64, DueEvent)>>,
     number: u64,
@@ -96,13 +96,13 @@
 }
 
 /// Runs one simulation and measures it.
-pub fn run(trouble: PromptFault, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
+pub fn run(fault: PromptFault, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
     let mut rng = StdRng::seed_from_u64(seed);
     let site = PromptSite::draw(load, &mut rng);
-    let requests = draw_requests(&site, trouble, &mut rng);
+    let requests = draw_requests(&site, fault, &mut rng);
     let mut run = PromptRun {
         site: &site,
-        trouble,
+        fault,
         now_us: 0,
         due: BinaryHeap::new(),
         number: 0,
@@ -209,7 +209,7 @@
                     self.schedule(self.now_us + TICK_US, DueEvent::Tick);
                 }
             }
-            DueEvent::Trouble => self.trouble(),
+            DueEvent::Trouble => self.fault(),
             _ => {}
         }
     }
@@ -301,10 +301,10 @@
     }
 
     /// Changes the state of the engines at the begin, the half and the end of the fault.
-    fn trouble(&mut self) {
+    fn fault(&mut self) {
         let (count, over) = (self.engines.len(), !in_trouble(self.now_us));
         let begins = self.now_us == LENGTH_US / 3;
-        match self.trouble {
+        match self.fault {
             PromptFault::EnginesDown => {
                 for engine in 0..count.div_ceil(4) {
                     if begins {
--- a/crates/bench/tests/prompts.rs
+++ b/crates/bench/tests/prompts.rs
@@ -5,10 +5,10 @@
 
 /// Mean of `measure` over four deployments whose engines are busy with prompts for the share `load`
 /// of the time.
-fn mean(trouble: PromptFault, policy: PromptPolicy, load: f64, measure: &str) -> f64 {
+fn mean(fault: PromptFault, policy: PromptPolicy, load: f64, measure: &str) -> f64 {
     let seeds = 1..=4;
     let count = seeds.clone().count() as f64;
-    seeds.map(|seed| run(trouble, policy, load, seed).0[measure]).sum::<f64>() / count
+    seeds.map(|seed| run(fault, policy, load, seed).0[measure]).sum::<f64>() / count
 }
 
 #[test]
