--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -85,7 +85,7 @@
 fn prompt_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (load_name, load) in PROMPT_LOADS {
-        for (trouble_name, fault) in PromptFault::ALL {
+        for (fault_name, fault) in PromptFault::ALL {
             for (policy_name, policy) in PromptPolicy::ALL {
                 rows.push(BenchRow {
                     scenario: format!("prompts_{load_name}/{trouble_name}"),
