--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -67,7 +67,7 @@
     /// The boxes tick.
     Tick,
     /// The fault begins, reaches its half or ends.
-    Trouble,
+    FaultChange,
 }
 
 /// State and result of a request.
@@ -128,9 +128,9 @@
             self.schedule(self.requests[row].at_us, DueEvent::Arrive(row));
         }
         self.schedule(0, DueEvent::Tick);
-        self.schedule(LENGTH_US / 3, DueEvent::Trouble);
-        self.schedule(LENGTH_US / 2, DueEvent::Trouble);
-        self.schedule(LENGTH_US * 2 / 3, DueEvent::Trouble);
+        self.schedule(LENGTH_US / 3, DueEvent::FaultChange);
+        self.schedule(LENGTH_US / 2, DueEvent::FaultChange);
+        self.schedule(LENGTH_US * 2 / 3, DueEvent::FaultChange);
         while let Some(Reverse((at_us, _, due))) = self.due.pop() {
             if at_us > LENGTH_US + LENGTH_US / 3 {
                 return;
@@ -209,7 +209,7 @@
                     self.schedule(self.now_us + TICK_US, DueEvent::Tick);
                 }
             }
-            DueEvent::Trouble => self.fault(),
+            DueEvent::FaultChange => self.fault(),
             _ => {}
         }
     }
