--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -116,15 +116,15 @@
     /// Factor on the arrival rate of `class` at `now_us`.
     fn factor(self, now_us: u64, class: usize) -> f64 {
         match self {
-            Self::DearBurst if in_trouble(now_us) && class == 0 => 3.0,
-            Self::HotAccount if in_trouble(now_us) => 2.0,
+            Self::DearBurst if in_fault_period(now_us) && class == 0 => 3.0,
+            Self::HotAccount if in_fault_period(now_us) => 2.0,
             _ => 1.0,
         }
     }
 }
 
 /// Whether a run is in its middle third, in which its fault lasts.
-pub(crate) fn in_trouble(now_us: u64) -> bool {
+pub(crate) fn in_fault_period(now_us: u64) -> bool {
     (LENGTH_US / 3..LENGTH_US * 2 / 3).contains(&now_us)
 }
 
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -14,7 +14,7 @@
 use crate::prompt_engine::{EngineState, PromptJob};
 use crate::prompt_router::{PromptRouter, PromptScene, RouterStep};
 use crate::prompt_site::{
-    draw_requests, in_trouble, PromptFault, PromptRequest, PromptSite, LENGTH_US,
+    draw_requests, in_fault_period, PromptFault, PromptRequest, PromptSite, LENGTH_US,
 };
 use crate::scenario::RunMeasures;
 
@@ -302,7 +302,7 @@
 
     /// Changes the state of the engines at the begin, the half and the end of the fault.
     fn fault(&mut self) {
-        let (count, over) = (self.engines.len(), !in_trouble(self.now_us));
+        let (count, over) = (self.engines.len(), !in_fault_period(self.now_us));
         let begins = self.now_us == LENGTH_US / 3;
         match self.fault {
             PromptFault::EnginesDown => {
