--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -96,7 +96,7 @@
     /// A quarter of the engines go down, and restart with empty caches after ten seconds.
     EnginesDown,
     /// The class of the highest value arrives three times as often.
-    DearBurst,
+    HighValueBurst,
     /// One client account sends as many requests as all others, with one shared prompt.
     HotAccount,
     /// A quarter of the engines are five times slower, and one engine fails half of its answers.
@@ -108,7 +108,7 @@
     pub const ALL: [(&'static str, Self); 5] = [
         ("calm", Self::Calm),
         ("engines_down", Self::EnginesDown),
-        ("dear_burst", Self::DearBurst),
+        ("dear_burst", Self::HighValueBurst),
         ("hot_account", Self::HotAccount),
         ("slow_and_grey", Self::SlowAndGrey),
     ];
@@ -116,7 +116,7 @@
     /// Factor on the arrival rate of `class` at `now_us`.
     fn factor(self, now_us: u64, class: usize) -> f64 {
         match self {
-            Self::DearBurst if in_fault_period(now_us) && class == 0 => 3.0,
+            Self::HighValueBurst if in_fault_period(now_us) && class == 0 => 3.0,
             Self::HotAccount if in_fault_period(now_us) => 2.0,
             _ => 1.0,
         }
--- a/crates/bench/tests/prompts.rs
+++ b/crates/bench/tests/prompts.rs
@@ -26,8 +26,8 @@
 
 #[test]
 fn burst_of_the_high_value_class_keeps_most_of_the_value() {
-    let worth = mean(PromptFault::DearBurst, PromptPolicy::Ravenspoke, 0.9, "worth");
-    let baseline = mean(PromptFault::DearBurst, PromptPolicy::LeastReportedLoad, 0.9, "worth");
+    let worth = mean(PromptFault::HighValueBurst, PromptPolicy::Ravenspoke, 0.9, "worth");
+    let baseline = mean(PromptFault::HighValueBurst, PromptPolicy::LeastReportedLoad, 0.9, "worth");
     assert!(worth > 0.65 && worth > baseline + 0.2, "{worth} {baseline}");
 }
 
