--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -100,7 +100,7 @@
     /// One client account sends as many requests as all others, with one shared prompt.
     HotAccount,
     /// A quarter of the engines are five times slower, and one engine fails half of its answers.
-    SlowAndGrey,
+    SlowAndFailing,
 }
 
 impl PromptFault {
@@ -110,7 +110,7 @@
         ("engines_down", Self::EnginesDown),
         ("dear_burst", Self::HighValueBurst),
         ("hot_account", Self::HotAccount),
-        ("slow_and_grey", Self::SlowAndGrey),
+        ("slow_and_grey", Self::SlowAndFailing),
     ];
 
     /// Factor on the arrival rate of `class` at `now_us`.
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -321,7 +321,7 @@
                     }
                 }
             }
-            PromptFault::SlowAndGrey => {
+            PromptFault::SlowAndFailing => {
                 for engine in 0..count.div_ceil(4) {
                     self.engines[engine].slowness = if over { 1.0 } else { 5.0 };
                 }
--- a/crates/bench/tests/prompts.rs
+++ b/crates/bench/tests/prompts.rs
@@ -33,6 +33,6 @@
 
 #[test]
 fn slow_and_failing_engines_lose_almost_no_request() {
-    let lost = mean(PromptFault::SlowAndGrey, PromptPolicy::Ravenspoke, 0.5, "lost");
+    let lost = mean(PromptFault::SlowAndFailing, PromptPolicy::Ravenspoke, 0.5, "lost");
     assert!(lost < 0.002, "{lost}");
 }
