--- a/crates/bench/src/prompt_engine.rs
+++ b/crates/bench/src/prompt_engine.rs
@@ -32,7 +32,7 @@
     /// Factor by which reading a prompt takes longer than usual.
     pub slowness: f64,
     /// Share of answers that fail.
-    pub grey: f64,
+    pub failure_rate: f64,
     /// Answers that have begun and are not complete.
     pub running: u32,
     queue: VecDeque<PromptJob>,
@@ -49,7 +49,7 @@
             up: true,
             life: 0,
             slowness: 1.0,
-            grey: 0.0,
+            failure_rate: 0.0,
             running: 0,
             queue: VecDeque::new(),
             reading: None,
--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -287,7 +287,7 @@
             PromptPolicy::Oracle if !engines[*engine].up => f64::INFINITY,
             PromptPolicy::Oracle => {
                 let state = &engines[*engine];
-                state.queued_us() + 2.0 * state.work_us(&job) + state.grey * 1e7
+                state.queued_us() + 2.0 * state.work_us(&job) + state.failure_rate * 1e7
             }
             _ => f64::from(self.reported[*engine]),
         };
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -287,8 +287,8 @@
 
     /// Begins the answer of a prompt that an engine has read, and starts to read the next.
     fn begin(&mut self, engine: usize) {
-        let grey = self.engines[engine].grey;
-        let good = self.rng.gen::<f64>() >= grey;
+        let failure_rate = self.engines[engine].failure_rate;
+        let good = self.rng.gen::<f64>() >= failure_rate;
         let Some(job) = self.engines[engine].read() else { return };
         let (waiting, running) =
             (self.engines[engine].waiting() as u32, self.engines[engine].running);
@@ -325,7 +325,7 @@
                 for engine in 0..count.div_ceil(4) {
                     self.engines[engine].slowness = if over { 1.0 } else { 5.0 };
                 }
-                self.engines[count - 1].grey = if over { 0.0 } else { 0.5 };
+                self.engines[count - 1].failure_rate = if over { 0.0 } else { 0.5 };
             }
             _ => {}
         }
