--- a/crates/bench/src/prompt_engine.rs
+++ b/crates/bench/src/prompt_engine.rs
@@ -28,7 +28,7 @@
     /// Whether the engine accepts prompts.
     pub up: bool,
     /// Number of restarts; work that began before the last one is lost.
-    pub life: u64,
+    pub generation: u64,
     /// Factor by which reading a prompt takes longer than usual.
     pub slowness: f64,
     /// Share of answers that fail.
@@ -47,7 +47,7 @@
     pub fn new(memory: f64) -> Self {
         Self {
             up: true,
-            life: 0,
+            generation: 0,
             slowness: 1.0,
             failure_rate: 0.0,
             running: 0,
@@ -97,7 +97,7 @@
     /// Stops the engine, which loses its cache and its prompts, and returns the prompts.
     pub fn stop(&mut self) -> Vec<PromptJob> {
         self.up = false;
-        self.life += 1;
+        self.generation += 1;
         self.running = 0;
         self.kept.clear();
         self.reading.take().map(|row| row.0).into_iter().chain(self.queue.drain(..)).collect()
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -54,8 +54,8 @@
 enum DueEvent {
     /// A request arrives.
     Arrive(usize),
-    /// An engine has read a prompt, unless it restarted since `life`.
-    Read { engine: usize, life: u64 },
+    /// An engine has read a prompt, unless it restarted since `generation`.
+    Read { engine: usize, generation: u64 },
     /// A response head reaches its box.
     Head { request: usize, attempt: u32, engine: usize, good: bool, waiting: u32, running: u32 },
     /// A connection failed; `sent` tells whether the request had been sent.
@@ -63,7 +63,7 @@
     /// An attempt has no response head within the time of its order.
     Pause { request: usize, attempt: u32 },
     /// An answer is complete.
-    Done { request: usize, engine: usize, life: u64 },
+    Done { request: usize, engine: usize, generation: u64 },
     /// The boxes tick.
     Tick,
     /// The fault begins, reaches its half or ends.
@@ -154,11 +154,13 @@
                 );
                 self.follow(row, step);
             }
-            DueEvent::Read { engine, life } if life == self.engines[engine].life => {
+            DueEvent::Read { engine, generation }
+                if generation == self.engines[engine].generation =>
+            {
                 self.begin(engine)
             }
-            DueEvent::Done { request, engine, life } => {
-                if life == self.engines[engine].life {
+            DueEvent::Done { request, engine, generation } => {
+                if generation == self.engines[engine].generation {
                     self.engines[engine].running -= 1;
                 }
                 self.router.finished(request, self.requests[request].asked_box, self.now_us);
@@ -246,11 +248,11 @@
             RouterStep::Relay => {
                 self.outcomes[row].begun_us = Some(self.now_us);
                 let (engine, model) = (self.outcomes[row].engine, self.outcomes[row].model);
-                let life = self.engines[engine].life;
+                let generation = self.engines[engine].generation;
                 let decode_us = (self.site.models[model].0 * 600_000.0) as u64;
                 self.schedule(
                     self.now_us + decode_us,
-                    DueEvent::Done { request: row, engine, life },
+                    DueEvent::Done { request: row, engine, generation },
                 );
             }
             RouterStep::Wait | RouterStep::Refuse => {}
@@ -281,8 +283,8 @@
 
     fn read_next(&mut self, engine: usize) {
         let Some(took_us) = self.engines[engine].start() else { return };
-        let life = self.engines[engine].life;
-        self.schedule(self.now_us + NET_US + took_us, DueEvent::Read { engine, life });
+        let generation = self.engines[engine].generation;
+        self.schedule(self.now_us + NET_US + took_us, DueEvent::Read { engine, generation });
     }
 
     /// Begins the answer of a prompt that an engine has read, and starts to read the next.
