--- a/crates/bench/src/prompt_engine.rs
+++ b/crates/bench/src/prompt_engine.rs
@@ -38,7 +38,7 @@
     queue: VecDeque<PromptJob>,
     reading: Option<(PromptJob, f64)>,
     /// Cached shared parts with their tokens, the most recently used first.
-    kept: VecDeque<(u64, f64)>,
+    cached: VecDeque<(u64, f64)>,
     memory: f64,
 }
 
@@ -53,7 +53,7 @@
             running: 0,
             queue: VecDeque::new(),
             reading: None,
-            kept: VecDeque::new(),
+            cached: VecDeque::new(),
             memory,
         }
     }
@@ -99,13 +99,13 @@
         self.up = false;
         self.generation += 1;
         self.running = 0;
-        self.kept.clear();
+        self.cached.clear();
         self.reading.take().map(|row| row.0).into_iter().chain(self.queue.drain(..)).collect()
     }
 
     /// Time to read a prompt on this engine, in microseconds.
     pub fn work_us(&self, job: &PromptJob) -> f64 {
-        let held = self.kept.iter().any(|(subject, _)| *subject == job.subject);
+        let held = self.cached.iter().any(|(subject, _)| *subject == job.subject);
         let tokens = job.tokens.1 + if held { 0.0 } else { job.tokens.0 };
         tokens * job.token_us * self.slowness
     }
@@ -119,11 +119,11 @@
 
     /// Caches shared parts, and evicts the least recently used ones beyond the memory.
     fn keep(&mut self, subject: u64, tokens: f64) {
-        self.kept.retain(|(other, _)| *other != subject);
-        self.kept.push_front((subject, tokens));
+        self.cached.retain(|(other, _)| *other != subject);
+        self.cached.push_front((subject, tokens));
         let mut total = 0.0;
         let memory = self.memory;
-        self.kept.retain(|(_, tokens)| {
+        self.cached.retain(|(_, tokens)| {
             total += tokens;
             total <= memory
         });
