--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -134,7 +134,7 @@
     pub fn head(
         &mut self,
         row: usize,
-        (engine, good, opinion, waiting, running): ComeHead,
+        (engine, good, confidence, waiting, running): ComeHead,
         scene: &PromptScene,
     ) -> RouterStep {
         let request = &scene.requests[row];
@@ -143,7 +143,7 @@
             let head = AnswerHead {
                 status: if good { 200 } else { 500 },
                 load: Some(BackendLoad { running, waiting, slots: SLOTS }),
-                confidence: good.then_some(opinion),
+                confidence: good.then_some(confidence),
                 limit_per_s: None,
                 rest_ms: None,
                 leaving: false,
@@ -159,7 +159,7 @@
             return if good { RouterStep::Relay } else { RouterStep::Refuse };
         }
         let last = scene.site.models.len() - 1;
-        let unsure = self.policy == PromptPolicy::LeastReportedLoad && opinion < BASELINE_SURE;
+        let unsure = self.policy == PromptPolicy::LeastReportedLoad && confidence < BASELINE_SURE;
         match (good, unsure && known.model < last) {
             (false, _) => self.send(row, known.model, scene),
             (true, true) => self.send(row, last, scene),
--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -149,7 +149,7 @@
 
 impl PromptRequest {
     /// Confidence, 0 to 100, in the answer of a model that is good up to the difficulty `quality`.
-    pub fn opinion(&self, quality: f64) -> u8 {
+    pub fn confidence(&self, quality: f64) -> u8 {
         (50.0 + 150.0 * (quality - self.difficulty) + self.noise).clamp(0.0, 100.0) as u8
     }
 
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -170,8 +170,8 @@
                     return;
                 }
                 let model = self.outcomes[request].model;
-                let opinion = self.requests[request].opinion(self.site.models[model].1);
-                let head = (engine, good, opinion, waiting, running);
+                let confidence = self.requests[request].confidence(self.site.models[model].1);
+                let head = (engine, good, confidence, waiting, running);
                 let step = self.router.head(
                     request,
                     head,
