--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -15,7 +15,7 @@
     /// Share of the requests.
     pub share: f64,
     /// Value of an answer in time.
-    pub worth: f64,
+    pub value: f64,
     /// Target for the time until an answer begins, in microseconds.
     pub target_us: u64,
     /// Mean tokens in the shared parts and in the rest of a prompt.
@@ -57,9 +57,9 @@
             (rng.gen_range(0.6..1.0), weak + rng.gen_range(0.05..0.25)),
             (rng.gen_range(2.0..4.0), 1.0),
         ];
-        let mut class = |share, worth: f64, shared: f64| PromptClass {
+        let mut class = |share, value: f64, shared: f64| PromptClass {
             share,
-            worth: worth * rng.gen_range(0.7..1.4),
+            value: value * rng.gen_range(0.7..1.4),
             target_us: rng.gen_range(1_500_000..4_000_000),
             tokens: (shared * rng.gen_range(0.5..1.5), shared.sqrt() * rng.gen_range(20.0..40.0)),
             subjects: rng.gen_range(20..100),
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -339,8 +339,8 @@
         let mut waits = Vec::new();
         for (request, outcome) in self.requests.iter().zip(&self.outcomes) {
             let class = &self.site.classes[request.class];
-            let worth = class.worth * request.size(class);
-            owed += worth;
+            let value = class.value * request.size(class);
+            owed += value;
             crossed += f64::from(outcome.crossed) * (request.tokens.0 + request.tokens.1) / 1_000.0;
             sends += f64::from(outcome.sends);
             let Some(begun_us) = outcome.begun_us else {
@@ -354,7 +354,7 @@
             late += f64::from(u8::from(!in_time));
             poor += f64::from(u8::from(weak));
             let part = if in_time { 1.0 } else { LATE_PART };
-            earned += worth * part * if weak { POOR_PART } else { 1.0 };
+            earned += value * part * if weak { POOR_PART } else { 1.0 };
         }
         waits.sort_by(f64::total_cmp);
         let count = self.requests.len().max(1) as f64;
