--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -23,7 +23,7 @@
 
 /// Share of the value that is left of a late answer, and of an answer of a model that is too weak.
 const LATE_VALUE_SHARE: f64 = 0.3;
-const POOR_PART: f64 = 0.05;
+const POOR_VALUE_SHARE: f64 = 0.05;
 
 /// Interval between ticks of the boxes, in microseconds.
 const TICK_US: u64 = 100_000;
@@ -354,7 +354,7 @@
             late += f64::from(u8::from(!in_time));
             poor += f64::from(u8::from(weak));
             let part = if in_time { 1.0 } else { LATE_VALUE_SHARE };
-            earned += value * part * if weak { POOR_PART } else { 1.0 };
+            earned += value * part * if weak { POOR_VALUE_SHARE } else { 1.0 };
         }
         waits.sort_by(f64::total_cmp);
         let count = self.requests.len().max(1) as f64;
