--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -69,7 +69,7 @@
 
 /// A received response head: the engine, whether the attempt succeeded, the model's confidence, and
 /// the engine's waiting and running requests.
-pub type ComeHead = (usize, bool, u8, u32, u32);
+pub type ReceivedHead = (usize, bool, u8, u32, u32);
 
 /// State of a request in a baseline: its last model and the number of its sends.
 #[derive(Clone, Copy, Debug, Default)]
@@ -134,7 +134,7 @@
     pub fn head(
         &mut self,
         row: usize,
-        (engine, good, confidence, waiting, running): ComeHead,
+        (engine, good, confidence, waiting, running): ReceivedHead,
         scene: &PromptScene,
     ) -> RouterStep {
         let request = &scene.requests[row];
