--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -245,13 +245,13 @@
                     step = RouterStep::Refuse
                 }
                 RouteEffect::SendGossip(to, note) => {
-                    for target in self.heard_by(&to) {
+                    for target in self.box_indexes(&to) {
                         let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
                 RouteEffect::SendPlacement(to, told) => {
-                    for target in self.heard_by(&to) {
+                    for target in self.box_indexes(&to) {
                         drop(self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(told)));
                     }
                 }
@@ -262,7 +262,7 @@
     }
 
     /// Indexes of the boxes with these gossip addresses.
-    fn heard_by(&self, addresses: &[String]) -> Vec<usize> {
+    fn box_indexes(&self, addresses: &[String]) -> Vec<usize> {
         let count = self.boxes.len();
         let row = |address: &String| address.strip_suffix(":90")?.parse().ok();
         addresses.iter().filter_map(row).filter(|row| *row < count).collect()
