--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -57,7 +57,7 @@
         /// Urgency in the queue of the engine.
         urgency: u8,
         /// Time without a response head after which the attempt counts as stalled, in microseconds.
-        patience_us: Option<u64>,
+        head_timeout_us: Option<u64>,
     },
     /// Relay the answer to the caller.
     Relay,
@@ -237,7 +237,7 @@
                         engine: order.replica_id.parse().expect("replicas are named by row"),
                         model: model.unwrap_or(0),
                         urgency: order.urgency.unwrap_or(5),
-                        patience_us: Some(order.head_ms * 1_000),
+                        head_timeout_us: Some(order.head_ms * 1_000),
                     };
                 }
                 RouteEffect::Relay(_) => step = RouterStep::Relay,
@@ -296,7 +296,7 @@
         let engine = rows.min_by(|a, b| cost(a).total_cmp(&cost(b))).unwrap_or(0);
         // Requests sent since the last report count, as in the load estimate of the boxes.
         self.reported[engine] += 1;
-        RouterStep::Send { engine, model, urgency: 5, patience_us: None }
+        RouterStep::Send { engine, model, urgency: 5, head_timeout_us: None }
     }
 }
 
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -225,7 +225,7 @@
     /// Carries out the decision of the router.
     fn follow(&mut self, row: usize, step: RouterStep) {
         match step {
-            RouterStep::Send { engine, model, urgency, patience_us } => {
+            RouterStep::Send { engine, model, urgency, head_timeout_us } => {
                 let old = self.outcomes[row];
                 self.engines[old.engine].cancel(row);
                 let outcome = &mut self.outcomes[row];
@@ -237,9 +237,9 @@
                     self.site.engines[engine] != self.site.boxes[self.requests[row].asked_box];
                 outcome.crossed += u32::from(far);
                 let attempt = outcome.attempt;
-                if let Some(patience_us) = patience_us {
+                if let Some(head_timeout_us) = head_timeout_us {
                     self.schedule(
-                        self.now_us + patience_us,
+                        self.now_us + head_timeout_us,
                         DueEvent::Pause { request: row, attempt },
                     );
                 }
