--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -119,7 +119,7 @@
                 ..CallerRequest::default()
             };
             let event = RouteEvent::RequestArrived(RequestTicket(row as u64), ask);
-            return self.feed(request.asked_box, row, event, scene.now_us);
+            return self.feed(request.entry_box, row, event, scene.now_us);
         }
         let site = scene.site;
         let able = |model: &usize| request.difficulty <= site.models[*model].1;
@@ -152,7 +152,7 @@
                 proven: true,
             };
             let event = RouteEvent::HeadReceived(RequestTicket(row as u64), head);
-            return self.feed(request.asked_box, row, event, scene.now_us);
+            return self.feed(request.entry_box, row, event, scene.now_us);
         }
         let known = self.rows.get(&row).copied().unwrap_or_default();
         if known.sends >= ATTEMPTS {
@@ -178,7 +178,7 @@
         if self.policy == PromptPolicy::Ravenspoke {
             let failure = if sent { AttemptFailure::Broken } else { AttemptFailure::NeverSent };
             let event = RouteEvent::AttemptFailed(RequestTicket(row as u64), failure);
-            return self.feed(request.asked_box, row, event, scene.now_us);
+            return self.feed(request.entry_box, row, event, scene.now_us);
         }
         // The engine counts as full until its next report.
         self.reported[engine] += SLOTS;
@@ -190,21 +190,21 @@
     }
 
     /// Handles an attempt without a response head within its time.
-    pub fn paused(&mut self, row: usize, asked_box: usize, now_us: u64) -> RouterStep {
+    pub fn paused(&mut self, row: usize, entry_box: usize, now_us: u64) -> RouterStep {
         match self.policy {
             PromptPolicy::Ravenspoke => {
                 let event = RouteEvent::AttemptStalled(RequestTicket(row as u64));
-                self.feed(asked_box, row, event, now_us)
+                self.feed(entry_box, row, event, now_us)
             }
             _ => RouterStep::Wait,
         }
     }
 
     /// Handles a complete answer.
-    pub fn finished(&mut self, row: usize, asked_box: usize, now_us: u64) {
+    pub fn finished(&mut self, row: usize, entry_box: usize, now_us: u64) {
         if self.policy == PromptPolicy::Ravenspoke {
             let event = RouteEvent::ResponseFinished(RequestTicket(row as u64));
-            self.feed(asked_box, row, event, now_us);
+            self.feed(entry_box, row, event, now_us);
         }
     }
 
--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -136,7 +136,7 @@
     /// Index of the class.
     pub class: usize,
     /// Index of the box that receives the request.
-    pub asked_box: usize,
+    pub entry_box: usize,
     /// Id of the shared prompt; never 0.
     pub subject: u64,
     /// Tokens in the shared parts and in the rest of the prompt.
@@ -189,7 +189,7 @@
         let request = PromptRequest {
             at_us: at_us as u64,
             class,
-            asked_box: rng.gen_range(0..site.boxes.len()),
+            entry_box: rng.gen_range(0..site.boxes.len()),
             subject: 1 + subject + 1_000 * class as u64,
             tokens: (spec.tokens.0, spread(spec.tokens.1, rng)),
             difficulty: rng.gen_range(0.0..1.0),
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -163,7 +163,7 @@
                 if generation == self.engines[engine].generation {
                     self.engines[engine].running -= 1;
                 }
-                self.router.finished(request, self.requests[request].asked_box, self.now_us);
+                self.router.finished(request, self.requests[request].entry_box, self.now_us);
             }
             DueEvent::Head { request, attempt, engine, good, waiting, running } => {
                 if attempt != self.outcomes[request].attempt {
@@ -201,8 +201,8 @@
                 self.follow(request, step);
             }
             DueEvent::Pause { request, attempt } if self.waits(request, attempt) => {
-                let asked_box = self.requests[request].asked_box;
-                let step = self.router.paused(request, asked_box, self.now_us);
+                let entry_box = self.requests[request].entry_box;
+                let step = self.router.paused(request, entry_box, self.now_us);
                 self.follow(request, step);
             }
             DueEvent::Tick => {
@@ -234,7 +234,7 @@
                 outcome.engine = engine;
                 outcome.model = model;
                 let far =
-                    self.site.engines[engine] != self.site.boxes[self.requests[row].asked_box];
+                    self.site.engines[engine] != self.site.boxes[self.requests[row].entry_box];
                 outcome.crossed += u32::from(far);
                 let attempt = outcome.attempt;
                 if let Some(head_timeout_us) = head_timeout_us {
