--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -27,7 +27,7 @@
 const ATTEMPTS: u32 = 3;
 
 /// Confidence, 0 to 100, below which the baseline sends the request to the largest model.
-const BASELINE_SURE: u8 = 50;
+const BASELINE_CONFIDENCE: u8 = 50;
 
 const SERVICE: &str = "pool";
 const HOST: &str = "api.example";
@@ -159,7 +159,8 @@
             return if good { RouterStep::Relay } else { RouterStep::Refuse };
         }
         let last = scene.site.models.len() - 1;
-        let unsure = self.policy == PromptPolicy::LeastReportedLoad && confidence < BASELINE_SURE;
+        let unsure =
+            self.policy == PromptPolicy::LeastReportedLoad && confidence < BASELINE_CONFIDENCE;
         match (good, unsure && known.model < last) {
             (false, _) => self.send(row, known.model, scene),
             (true, true) => self.send(row, last, scene),
