--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -105,7 +105,7 @@
     pub fn arrive(&mut self, row: usize, scene: &PromptScene) -> RouterStep {
         let request = &scene.requests[row];
         if self.policy == PromptPolicy::Ravenspoke {
-            let ask = CallerRequest {
+            let caller_request = CallerRequest {
                 id: row.to_string(),
                 host: HOST.to_owned(),
                 path: format!("/{}/x", request.class),
@@ -118,7 +118,7 @@
                 any_model: true,
                 ..CallerRequest::default()
             };
-            let event = RouteEvent::RequestArrived(RequestTicket(row as u64), ask);
+            let event = RouteEvent::RequestArrived(RequestTicket(row as u64), caller_request);
             return self.feed(request.entry_box, row, event, scene.now_us);
         }
         let site = scene.site;
