--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -251,9 +251,11 @@
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
-                RouteEffect::SendPlacement(to, told) => {
+                RouteEffect::SendPlacement(to, update) => {
                     for target in self.box_indexes(&to) {
-                        drop(self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(told)));
+                        drop(
+                            self.boxes[target].apply(stamp, RouteEvent::PlacementReceived(update)),
+                        );
                     }
                 }
                 _ => {}
