--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -245,9 +245,9 @@
                 RouteEffect::Refuse(..) | RouteEffect::AbortResponse(..) => {
                     step = RouterStep::Refuse
                 }
-                RouteEffect::SendGossip(to, note) => {
+                RouteEffect::SendGossip(to, message) => {
                     for target in self.box_indexes(&to) {
-                        let event = RouteEvent::GossipReceived(Box::new((*note).clone()));
+                        let event = RouteEvent::GossipReceived(Box::new((*message).clone()));
                         drop(self.boxes[target].apply(stamp, event));
                     }
                 }
