--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -154,15 +154,15 @@
             let event = RouteEvent::HeadReceived(RequestTicket(row as u64), head);
             return self.feed(request.entry_box, row, event, scene.now_us);
         }
-        let known = self.rows.get(&row).copied().unwrap_or_default();
-        if known.sends >= ATTEMPTS {
+        let row_state = self.rows.get(&row).copied().unwrap_or_default();
+        if row_state.sends >= ATTEMPTS {
             return if good { RouterStep::Relay } else { RouterStep::Refuse };
         }
         let last = scene.site.models.len() - 1;
         let unsure =
             self.policy == PromptPolicy::LeastReportedLoad && confidence < BASELINE_CONFIDENCE;
-        match (good, unsure && known.model < last) {
-            (false, _) => self.send(row, known.model, scene),
+        match (good, unsure && row_state.model < last) {
+            (false, _) => self.send(row, row_state.model, scene),
             (true, true) => self.send(row, last, scene),
             (true, false) => RouterStep::Relay,
         }
@@ -183,11 +183,11 @@
         }
         // The engine counts as full until its next report.
         self.reported[engine] += SLOTS;
-        let known = self.rows.get(&row).copied().unwrap_or_default();
-        if known.sends >= ATTEMPTS {
+        let row_state = self.rows.get(&row).copied().unwrap_or_default();
+        if row_state.sends >= ATTEMPTS {
             return RouterStep::Refuse;
         }
-        self.send(row, known.model, scene)
+        self.send(row, row_state.model, scene)
     }
 
     /// Handles an attempt without a response head within its time.
@@ -274,9 +274,9 @@
     /// Chooses the engine by a baseline and sends the request there.
     fn send(&mut self, row: usize, model: usize, scene: &PromptScene) -> RouterStep {
         let (request, site, engines) = (&scene.requests[row], scene.site, scene.engines);
-        let known = self.rows.entry(row).or_default();
-        known.model = model;
-        known.sends += 1;
+        let row_state = self.rows.entry(row).or_default();
+        row_state.model = model;
+        row_state.sends += 1;
         let job = PromptJob {
             request: row,
             attempt: 0,
