--- a/crates/bench/src/prompt_router.rs
+++ b/crates/bench/src/prompt_router.rs
@@ -191,7 +191,7 @@
     }
 
     /// Handles an attempt without a response head within its time.
-    pub fn paused(&mut self, row: usize, entry_box: usize, now_us: u64) -> RouterStep {
+    pub fn stalled(&mut self, row: usize, entry_box: usize, now_us: u64) -> RouterStep {
         match self.policy {
             PromptPolicy::Ravenspoke => {
                 let event = RouteEvent::AttemptStalled(RequestTicket(row as u64));
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -202,7 +202,7 @@
             }
             DueEvent::Pause { request, attempt } if self.waits(request, attempt) => {
                 let entry_box = self.requests[request].entry_box;
-                let step = self.router.paused(request, entry_box, self.now_us);
+                let step = self.router.stalled(request, entry_box, self.now_us);
                 self.follow(request, step);
             }
             DueEvent::Tick => {
