--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -61,7 +61,7 @@
     /// A connection failed; `sent` tells whether the request had been sent.
     Broken { request: usize, attempt: u32, sent: bool },
     /// An attempt has no response head within the time of its order.
-    Pause { request: usize, attempt: u32 },
+    Stalled { request: usize, attempt: u32 },
     /// An answer is complete.
     Done { request: usize, engine: usize, generation: u64 },
     /// The boxes tick.
@@ -200,7 +200,7 @@
                 );
                 self.follow(request, step);
             }
-            DueEvent::Pause { request, attempt } if self.waits(request, attempt) => {
+            DueEvent::Stalled { request, attempt } if self.waits(request, attempt) => {
                 let entry_box = self.requests[request].entry_box;
                 let step = self.router.stalled(request, entry_box, self.now_us);
                 self.follow(request, step);
@@ -240,7 +240,7 @@
                 if let Some(head_timeout_us) = head_timeout_us {
                     self.schedule(
                         self.now_us + head_timeout_us,
-                        DueEvent::Pause { request: row, attempt },
+                        DueEvent::Stalled { request: row, attempt },
                     );
                 }
                 self.submit(row, attempt, engine, model, urgency);
