--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -152,7 +152,7 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(row, step);
+                self.carry_out(row, step);
             }
             DueEvent::Read { engine, generation }
                 if generation == self.engines[engine].generation =>
@@ -182,7 +182,7 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(request, step);
+                self.carry_out(request, step);
             }
             DueEvent::Broken { request, attempt, sent }
                 if attempt == self.outcomes[request].attempt =>
@@ -198,12 +198,12 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(request, step);
+                self.carry_out(request, step);
             }
             DueEvent::Stalled { request, attempt } if self.waits(request, attempt) => {
                 let entry_box = self.requests[request].entry_box;
                 let step = self.router.stalled(request, entry_box, self.now_us);
-                self.follow(request, step);
+                self.carry_out(request, step);
             }
             DueEvent::Tick => {
                 self.router.tick(self.now_us);
@@ -223,7 +223,7 @@
     }
 
     /// Carries out the decision of the router.
-    fn follow(&mut self, row: usize, step: RouterStep) {
+    fn carry_out(&mut self, row: usize, step: RouterStep) {
         match step {
             RouterStep::Send { engine, model, urgency, head_timeout_us } => {
                 let old = self.outcomes[row];
