--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -112,7 +112,7 @@
         requests,
         rng,
     };
-    run.play();
+    run.run_events();
     run.measure()
 }
 
@@ -123,7 +123,7 @@
         self.due.push(Reverse((at_us, self.number, due)));
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         for row in 0..self.requests.len() {
             self.schedule(self.requests[row].at_us, DueEvent::Arrive(row));
         }
