--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -72,7 +72,7 @@
 
 /// State and result of a request.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct RequestState {
     first_us: Option<u64>,
     attempts: u32,
     tries: u32,
@@ -88,7 +88,7 @@
     plan: ScenarioPlan,
     rng: StdRng,
     requests: Vec<BenchRequest>,
-    fates: Vec<Fate>,
+    fates: Vec<RequestState>,
     engines: Vec<EngineModel>,
     jobs: Vec<BenchJob>,
     keys: BTreeMap<usize, RequestKey>,
@@ -143,7 +143,7 @@
         };
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
-            fates: vec![Fate::default(); requests.len()],
+            fates: vec![RequestState::default(); requests.len()],
             seen_loads: vec![0; engines.len()],
             last_jobs: vec![0; requests.len()],
             plan,
