--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -88,7 +88,7 @@
     plan: ScenarioPlan,
     rng: StdRng,
     requests: Vec<BenchRequest>,
-    fates: Vec<RequestState>,
+    states: Vec<RequestState>,
     engines: Vec<EngineModel>,
     jobs: Vec<BenchJob>,
     keys: BTreeMap<usize, RequestKey>,
@@ -143,7 +143,7 @@
         };
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
-            fates: vec![RequestState::default(); requests.len()],
+            states: vec![RequestState::default(); requests.len()],
             seen_loads: vec![0; engines.len()],
             last_jobs: vec![0; requests.len()],
             plan,
@@ -218,13 +218,13 @@
 
     fn arrive(&mut self, index: usize) {
         let request = self.requests[index];
-        self.fates[index].refused = false;
+        self.states[index].refused = false;
         let down = self.since(self.plan.log_down);
         if let Some(fleet) = &mut self.fleet {
             fleet.log_faults.outage = down;
             let home = self.rng.gen_range(0..fleet.boxes.len());
-            self.fates[index].home = home;
-            let ticket = RequestTicket(index as u64 * 8 + u64::from(self.fates[index].tries));
+            self.states[index].home = home;
+            let ticket = RequestTicket(index as u64 * 8 + u64::from(self.states[index].tries));
             fleet.feed(
                 home,
                 BoxEvent::RequestArrived(RequestDetails {
@@ -281,7 +281,7 @@
     ) {
         let request = self.requests[index];
         let good = self.is_good(&request, model, new_version);
-        let fate = &mut self.fates[index];
+        let fate = &mut self.states[index];
         fate.attempts += 1;
         fate.exposed |= new_version;
         fate.cost += COST[model] * f64::from(request.tokens) / 1_000.0;
@@ -325,7 +325,7 @@
             fleet.feed(home, BoxEvent::FirstToken(key));
         }
         if !gated {
-            self.fates[request].first_us.get_or_insert(self.now_us);
+            self.states[request].first_us.get_or_insert(self.now_us);
         }
     }
 
@@ -334,7 +334,7 @@
         let next = self.engines[engine].finish(self.now_us);
         self.started(next);
         if !gated {
-            self.fates[request].good = Some(good);
+            self.states[request].good = Some(good);
         }
         if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
             let tokens = self.requests[request].tokens;
@@ -361,8 +361,8 @@
         let rating = self.rating(job);
         let BenchJob { request, model, owner, good, .. } = self.jobs[job];
         if rating == Some(true) {
-            self.fates[request].first_us.get_or_insert(self.now_us);
-            self.fates[request].good = Some(good);
+            self.states[request].first_us.get_or_insert(self.now_us);
+            self.states[request].good = Some(good);
         }
         if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
             fleet.feed(home, BoxEvent::HeldAnswerRated(key, rating));
@@ -465,11 +465,11 @@
         let index = |ticket: RequestTicket| (ticket.0 / 8) as usize;
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
-                self.fates[index(ticket)].order = Some(order);
+                self.states[index(ticket)].order = Some(order);
                 if let Some(fleet) = &mut self.fleet {
                     fleet.feed(home, BoxEvent::SendStarting(key));
                 }
-                self.fates[index(ticket)].home = home;
+                self.states[index(ticket)].home = home;
                 self.keys.insert(index(ticket), key);
             }
             BoxEffect::Send(ticket) => self.send(home, index(ticket)),
@@ -496,7 +496,7 @@
     }
 
     fn send(&mut self, home: usize, index: usize) {
-        let Some(order) = self.fates[index].order.clone() else { return };
+        let Some(order) = self.states[index].order.clone() else { return };
         let engine = order.replica.trim_start_matches("engine-").parse().unwrap_or(0);
         let model = usize::from(engine >= self.plan.engines.0);
         let key = self.keys.get(&index).copied();
@@ -506,7 +506,7 @@
 
     fn refused(&mut self, index: usize, run: RunState, _retry_ms: Option<u64>) {
         debug_assert_eq!(run, RunState::NotRun);
-        let fate = &mut self.fates[index];
+        let fate = &mut self.states[index];
         fate.refused = true;
         fate.tries += 1;
         if self.plan.storm && fate.tries < STORM_TRIES {
@@ -522,7 +522,7 @@
         let mut attempts = 0u64;
         let from_us = self.plan.measure_from * 1_000_000;
         let measured = |request: &BenchRequest| request.at_us >= from_us;
-        for (fate, request) in self.fates.iter().zip(&self.requests) {
+        for (fate, request) in self.states.iter().zip(&self.requests) {
             exposed += u64::from(fate.exposed);
             if !measured(request) {
                 continue;
