--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -281,10 +281,10 @@
     ) {
         let request = self.requests[index];
         let good = self.is_good(&request, model, new_version);
-        let fate = &mut self.states[index];
-        fate.attempts += 1;
-        fate.exposed |= new_version;
-        fate.cost += COST[model] * f64::from(request.tokens) / 1_000.0;
+        let state = &mut self.states[index];
+        state.attempts += 1;
+        state.exposed |= new_version;
+        state.cost += COST[model] * f64::from(request.tokens) / 1_000.0;
         let id = self.jobs.len();
         self.jobs.push(BenchJob { request: index, engine, model, new_version, gated, owner, good });
         self.last_jobs[index] = id;
@@ -506,10 +506,10 @@
 
     fn refused(&mut self, index: usize, run: RunState, _retry_ms: Option<u64>) {
         debug_assert_eq!(run, RunState::NotRun);
-        let fate = &mut self.states[index];
-        fate.refused = true;
-        fate.tries += 1;
-        if self.plan.storm && fate.tries < STORM_TRIES {
+        let state = &mut self.states[index];
+        state.refused = true;
+        state.tries += 1;
+        if self.plan.storm && state.tries < STORM_TRIES {
             self.schedule(self.now_us + 10_000, DueEvent::Arrive(index));
         }
     }
@@ -522,16 +522,16 @@
         let mut attempts = 0u64;
         let from_us = self.plan.measure_from * 1_000_000;
         let measured = |request: &BenchRequest| request.at_us >= from_us;
-        for (fate, request) in self.states.iter().zip(&self.requests) {
-            exposed += u64::from(fate.exposed);
+        for (state, request) in self.states.iter().zip(&self.requests) {
+            exposed += u64::from(state.exposed);
             if !measured(request) {
                 continue;
             }
-            attempts += u64::from(fate.attempts);
-            refused += u64::from(fate.refused);
-            cost += fate.cost;
-            let Some(first_us) = fate.first_us else {
-                late += u64::from(!fate.refused);
+            attempts += u64::from(state.attempts);
+            refused += u64::from(state.refused);
+            cost += state.cost;
+            let Some(first_us) = state.first_us else {
+                late += u64::from(!state.refused);
                 continue;
             };
             let wait = first_us - (WARM_US + request.at_us).min(first_us);
@@ -541,7 +541,7 @@
             }
             late += u64::from(wait > LATE_US);
             answered += 1;
-            good += u64::from(fate.good == Some(true));
+            good += u64::from(state.good == Some(true));
         }
         let count = self.requests.iter().filter(|row| measured(row)).count().max(1) as f64;
         let ms = |histogram: &Histogram<u64>, quantile| {
