--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -52,7 +52,7 @@
     Arrive(usize),
     First(usize),
     Done(usize),
-    Judged(usize),
+    HeldRated(usize),
     Rated(usize),
     Report,
 }
@@ -210,7 +210,7 @@
             DueEvent::Arrive(request) => self.arrive(request),
             DueEvent::First(job) => self.first(job),
             DueEvent::Done(job) => self.done(job),
-            DueEvent::Judged(job) => self.judged(job),
+            DueEvent::HeldRated(job) => self.judged(job),
             DueEvent::Rated(job) => self.rated(job),
             DueEvent::Report => self.report(),
         }
@@ -344,7 +344,7 @@
         }
         let learns = self.rng.gen_bool(16.0 / 256.0);
         if gated {
-            self.schedule(self.now_us + RATING_US, DueEvent::Judged(job));
+            self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
         } else if learns {
             self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
         }
@@ -475,7 +475,7 @@
             BoxEffect::Send(ticket) => self.send(home, index(ticket)),
             BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
-                self.schedule(self.now_us + RATING_US, DueEvent::Judged(job));
+                self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
             }
             BoxEffect::RateReleasedAnswer(ticket) => {
                 let job = self.last_job(index(ticket));
