--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -210,7 +210,7 @@
             DueEvent::Arrive(request) => self.arrive(request),
             DueEvent::First(job) => self.first(job),
             DueEvent::Done(job) => self.done(job),
-            DueEvent::HeldRated(job) => self.judged(job),
+            DueEvent::HeldRated(job) => self.on_held_rated(job),
             DueEvent::Rated(job) => self.rated(job),
             DueEvent::Report => self.report(),
         }
@@ -357,7 +357,7 @@
         Some(self.jobs[job].good != self.rng.gen_bool(RATING_ERROR))
     }
 
-    fn judged(&mut self, job: usize) {
+    fn on_held_rated(&mut self, job: usize) {
         let rating = self.rating(job);
         let BenchJob { request, model, owner, good, .. } = self.jobs[job];
         if rating == Some(true) {
