--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -310,13 +310,13 @@
     fn is_good(&mut self, request: &BenchRequest, model: usize, new_version: bool) -> bool {
         let good = meets(STRENGTH[model], request);
         let minutes = self.now_us.saturating_sub(WARM_US) / 60_000_000;
-        let spoilt = match self.plan.bad {
+        let bad_share = match self.plan.bad {
             BadKind::AtOnce => 0.5,
             BadKind::Slowly if minutes >= 3 => 0.33,
             BadKind::OneClass if request.class == 1 => 0.5,
             _ => 0.0,
         };
-        good && !(new_version && self.rng.gen_bool(spoilt))
+        good && !(new_version && self.rng.gen_bool(bad_share))
     }
 
     fn first(&mut self, job: usize) {
