--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -342,10 +342,10 @@
             fleet.feed(home, BoxEvent::AttemptEnded(key, end));
             return;
         }
-        let learns = self.rng.gen_bool(16.0 / 256.0);
+        let is_sampled = self.rng.gen_bool(16.0 / 256.0);
         if gated {
             self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
-        } else if learns {
+        } else if is_sampled {
             self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
         }
     }
