--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -94,7 +94,7 @@
     keys: BTreeMap<usize, RequestKey>,
     last_jobs: Vec<usize>,
     reports: Vec<(u64, Vec<(u32, u32)>)>,
-    seen_loads: Vec<u32>,
+    reported_loads: Vec<u32>,
     fleet: Option<VirtualFleet>,
     baseline: Option<BaselineRouter>,
     due: BinaryHeap<Reverse<(u64, u64, usize)>>,
@@ -144,7 +144,7 @@
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
             states: vec![RequestState::default(); requests.len()],
-            seen_loads: vec![0; engines.len()],
+            reported_loads: vec![0; engines.len()],
             last_jobs: vec![0; requests.len()],
             plan,
             requests,
@@ -266,7 +266,7 @@
             .collect();
         let (prefix, random) = (self.requests[index].prefix, self.rng.gen());
         let Some(router) = &mut self.baseline else { return };
-        let engine = router.replica(&pool, &self.seen_loads, &now, prefix, random);
+        let engine = router.replica(&pool, &self.reported_loads, &now, prefix, random);
         self.submit(index, engine, model, gated, new_version, None);
     }
 
@@ -423,7 +423,7 @@
 
     fn hand_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
         let small = self.plan.engines.0;
-        self.seen_loads = loads.iter().map(|(running, waiting)| running + waiting).collect();
+        self.reported_loads = loads.iter().map(|(running, waiting)| running + waiting).collect();
         let Some(fleet) = &mut self.fleet else { return };
         for (engine, (running, waiting)) in loads.iter().enumerate() {
             let versions = match engine < small {
