--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -410,7 +410,7 @@
         let asked = self.now_us.saturating_sub(self.plan.lag_us);
         let row = self.reports.iter().rev().find(|(at, _)| *at <= asked).cloned();
         if let Some((at_us, loads)) = row {
-            self.hand_report(at_us, &loads);
+            self.feed_report(at_us, &loads);
         }
         if self.reports.len() > 64 {
             self.reports.drain(..32);
@@ -421,7 +421,7 @@
         self.schedule(self.now_us + REPORT_US * slower, DueEvent::Report);
     }
 
-    fn hand_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
+    fn feed_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
         let small = self.plan.engines.0;
         self.reported_loads = loads.iter().map(|(running, waiting)| running + waiting).collect();
         let Some(fleet) = &mut self.fleet else { return };
