--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -81,7 +81,7 @@
     refused: bool,
     exposed: bool,
     order: Option<AttemptOrder>,
-    home: usize,
+    box_index: usize,
 }
 
 struct ScenarioRun {
@@ -222,11 +222,11 @@
         let down = self.since(self.plan.log_down);
         if let Some(fleet) = &mut self.fleet {
             fleet.log_faults.outage = down;
-            let home = self.rng.gen_range(0..fleet.boxes.len());
-            self.states[index].home = home;
+            let box_index = self.rng.gen_range(0..fleet.boxes.len());
+            self.states[index].box_index = box_index;
             let ticket = RequestTicket(index as u64 * 8 + u64::from(self.states[index].tries));
             fleet.feed(
-                home,
+                box_index,
                 BoxEvent::RequestArrived(RequestDetails {
                     ticket,
                     id: u128::from(ticket.0),
@@ -321,8 +321,8 @@
 
     fn first(&mut self, job: usize) {
         let BenchJob { request, gated, owner, .. } = self.jobs[job];
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
-            fleet.feed(home, BoxEvent::FirstToken(key));
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
+            fleet.feed(box_index, BoxEvent::FirstToken(key));
         }
         if !gated {
             self.states[request].first_us.get_or_insert(self.now_us);
@@ -336,10 +336,10 @@
         if !gated {
             self.states[request].good = Some(good);
         }
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
             let tokens = self.requests[request].tokens;
             let end = AttemptEnd::Answered { tokens, status: 200, body: Vec::new() };
-            fleet.feed(home, BoxEvent::AttemptEnded(key, end));
+            fleet.feed(box_index, BoxEvent::AttemptEnded(key, end));
             return;
         }
         let is_sampled = self.rng.gen_bool(16.0 / 256.0);
@@ -364,8 +364,8 @@
             self.states[request].first_us.get_or_insert(self.now_us);
             self.states[request].good = Some(good);
         }
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
-            fleet.feed(home, BoxEvent::HeldAnswerRated(key, rating));
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
+            fleet.feed(box_index, BoxEvent::HeldAnswerRated(key, rating));
             return;
         }
         self.learn(request, model, rating);
@@ -377,11 +377,11 @@
     fn rated(&mut self, job: usize) {
         let rating = self.rating(job);
         let BenchJob { request, model, new_version, owner, .. } = self.jobs[job];
-        if let (Some((home, _)), Some(fleet)) = (owner, &mut self.fleet) {
+        if let (Some((box_index, _)), Some(fleet)) = (owner, &mut self.fleet) {
             let version = if new_version { "small-2" } else { ["small-1", "large-1"][model] };
             let class = self.requests[request].class;
             let version = version.to_owned();
-            fleet.feed(home, BoxEvent::ReleasedAnswerRated { version, class, good: rating });
+            fleet.feed(box_index, BoxEvent::ReleasedAnswerRated { version, class, good: rating });
             return;
         }
         self.learn(request, model, rating);
@@ -437,10 +437,10 @@
                 slots: self.engines[engine].kind.slots,
                 leaving: self.engines[engine].gone,
             };
-            for home in 0..fleet.boxes.len() {
+            for box_index in 0..fleet.boxes.len() {
                 let (replica, report) = (format!("engine-{engine}"), report.clone());
                 fleet.feed(
-                    home,
+                    box_index,
                     BoxEvent::LoadReported { replica, at: BoxTime::from_micros(at_us), report },
                 );
             }
@@ -455,24 +455,24 @@
             if effects.is_empty() {
                 return;
             }
-            for (home, effect) in effects {
-                self.effect(home, effect);
+            for (box_index, effect) in effects {
+                self.effect(box_index, effect);
             }
         }
     }
 
-    fn effect(&mut self, home: usize, effect: BoxEffect) {
+    fn effect(&mut self, box_index: usize, effect: BoxEffect) {
         let index = |ticket: RequestTicket| (ticket.0 / 8) as usize;
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.states[index(ticket)].order = Some(order);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.feed(home, BoxEvent::SendStarting(key));
+                    fleet.feed(box_index, BoxEvent::SendStarting(key));
                 }
-                self.states[index(ticket)].home = home;
+                self.states[index(ticket)].box_index = box_index;
                 self.keys.insert(index(ticket), key);
             }
-            BoxEffect::Send(ticket) => self.send(home, index(ticket)),
+            BoxEffect::Send(ticket) => self.send(box_index, index(ticket)),
             BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
                 self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
@@ -495,12 +495,12 @@
         self.last_jobs[request]
     }
 
-    fn send(&mut self, home: usize, index: usize) {
+    fn send(&mut self, box_index: usize, index: usize) {
         let Some(order) = self.states[index].order.clone() else { return };
         let engine = order.replica.trim_start_matches("engine-").parse().unwrap_or(0);
         let model = usize::from(engine >= self.plan.engines.0);
         let key = self.keys.get(&index).copied();
-        let owner = key.map(|key| (home, key));
+        let owner = key.map(|key| (box_index, key));
         self.submit(index, engine, model, order.buffered, order.version == "small-2", owner);
     }
 
