--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -101,13 +101,14 @@
         let crowd = 1.0 + f64::from(self.running) / f64::from(self.kind.slots);
         let prefill = prompt / self.kind.prefill_rate * 1e6 * crowd;
         let token_us = self.kind.token_us * crowd;
-        let first = self.thaw(now_us, now_us + prefill as u64);
-        let done = self.thaw(now_us, now_us + (prefill + token_us * f64::from(job.tokens)) as u64);
+        let first = self.delay_by_freeze(now_us, now_us + prefill as u64);
+        let done = self
+            .delay_by_freeze(now_us, now_us + (prefill + token_us * f64::from(job.tokens)) as u64);
         JobTimes { id: job.id, first_us: first, done_us: done, token_us, hit }
     }
 
     /// Delays `time_us` of a job that starts at `start_us` by the part of the freeze that it meets.
-    fn thaw(&self, start_us: u64, time_us: u64) -> u64 {
+    fn delay_by_freeze(&self, start_us: u64, time_us: u64) -> u64 {
         let (from, to) = self.frozen;
         if time_us <= from || start_us >= to {
             return time_us;
