--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -98,9 +98,9 @@
         let hit = self.touch(job.prefix);
         // Half of the prompt is its prefix.
         let prompt = f64::from(job.prompt) * if hit { 0.5 } else { 1.0 };
-        let crowd = 1.0 + f64::from(self.running) / f64::from(self.kind.slots);
-        let prefill = prompt / self.kind.prefill_rate * 1e6 * crowd;
-        let token_us = self.kind.token_us * crowd;
+        let slowdown = 1.0 + f64::from(self.running) / f64::from(self.kind.slots);
+        let prefill = prompt / self.kind.prefill_rate * 1e6 * slowdown;
+        let token_us = self.kind.token_us * slowdown;
         let first = self.delay_by_freeze(now_us, now_us + prefill as u64);
         let done = self
             .delay_by_freeze(now_us, now_us + (prefill + token_us * f64::from(job.tokens)) as u64);
