--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -88,7 +88,7 @@
         for (fault_name, fault) in PromptFault::ALL {
             for (policy_name, policy) in PromptPolicy::ALL {
                 rows.push(BenchRow {
-                    scenario: format!("prompts_{load_name}/{trouble_name}"),
+                    scenario: format!("prompts_{load_name}/{fault_name}"),
                     policy: policy_name.to_owned(),
                     run_kind: RunKind::Prompts(fault, policy, load),
                 });
