--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -31,7 +31,7 @@
 impl SimulatedEngines {
     /// Records the orders since the last call, then reports to every box. With `obey`, the engines
     /// complete all loads at once; otherwise they never do.
-    fn take(&mut self, fleet: &mut VirtualFleet, obey: bool) {
+    fn record_orders(&mut self, fleet: &mut VirtualFleet, obey: bool) {
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
                 self.tokens.push((index, order.token, order.replica.clone()));
@@ -70,7 +70,7 @@
     fn run(&mut self, fleet: &mut VirtualFleet, seconds: u64, obey: bool) {
         for _ in 0..seconds {
             fleet.run_ms(1_000);
-            self.take(fleet, obey);
+            self.record_orders(fleet, obey);
         }
     }
 }
