--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -25,7 +25,7 @@
     loaded: BTreeMap<String, Vec<String>>,
     tokens: Vec<(usize, u64, String)>,
     in_flight: usize,
-    most_at_once: usize,
+    max_in_flight: usize,
 }
 
 impl SimulatedEngines {
@@ -36,7 +36,7 @@
             if let BoxEffect::Order(order) = effect {
                 self.tokens.push((index, order.token, order.replica.clone()));
                 self.in_flight += 1;
-                self.most_at_once = self.most_at_once.max(self.in_flight);
+                self.max_in_flight = self.max_in_flight.max(self.in_flight);
                 if obey {
                     self.loaded.insert(order.replica, order.versions);
                 }
@@ -96,7 +96,7 @@
         engines.run(&mut fleet, 60, true);
 
         assert_eq!(engines.loaded.len(), 6, "another box completes the roll-out");
-        assert!(engines.most_at_once <= 2, "at most two replicas load at once");
+        assert!(engines.max_in_flight <= 2, "at most two replicas load at once");
         let later = engines.tokens.iter().filter(|(index, ..)| *index != holder);
         assert!(later.clone().count() > 0);
         assert!(later.clone().all(|(_, later, _)| *later > token));
