--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -29,20 +29,20 @@
 }
 
 impl SimulatedEngines {
-    /// Records the orders since the last call, then reports to every box. With `obey`, the engines
+    /// Records the orders since the last call, then reports to every box. With `complete_loads`, the engines
     /// complete all loads at once; otherwise they never do.
-    fn record_orders(&mut self, fleet: &mut VirtualFleet, obey: bool) {
+    fn record_orders(&mut self, fleet: &mut VirtualFleet, complete_loads: bool) {
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
                 self.tokens.push((index, order.token, order.replica.clone()));
                 self.in_flight += 1;
                 self.max_in_flight = self.max_in_flight.max(self.in_flight);
-                if obey {
+                if complete_loads {
                     self.loaded.insert(order.replica, order.versions);
                 }
             }
         }
-        if obey {
+        if complete_loads {
             self.in_flight = 0;
         }
         for index in 0..fleet.boxes.len() {
@@ -57,20 +57,20 @@
     }
 
     /// Runs until a box gives an order; panics after two minutes without one.
-    fn run_to_first_order(&mut self, fleet: &mut VirtualFleet, obey: bool) {
+    fn run_to_first_order(&mut self, fleet: &mut VirtualFleet, complete_loads: bool) {
         for _ in 0..120 {
             if !self.tokens.is_empty() {
                 return;
             }
-            self.run(fleet, 1, obey);
+            self.run(fleet, 1, complete_loads);
         }
         panic!("no box gave an order within two minutes");
     }
 
-    fn run(&mut self, fleet: &mut VirtualFleet, seconds: u64, obey: bool) {
+    fn run(&mut self, fleet: &mut VirtualFleet, seconds: u64, complete_loads: bool) {
         for _ in 0..seconds {
             fleet.run_ms(1_000);
-            self.record_orders(fleet, obey);
+            self.record_orders(fleet, complete_loads);
         }
     }
 }
