--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -75,12 +75,12 @@
             classes,
             rate: 1.0,
         };
-        site.rate = load * site.engines.len() as f64 / site.second_work();
+        site.rate = load * site.engines.len() as f64 / site.mean_work_s();
         site
     }
 
     /// Mean engine seconds of a request, if half of its shared parts are cached.
-    fn second_work(&self) -> f64 {
+    fn mean_work_s(&self) -> f64 {
         let (first, last) = (self.models[0], self.models[self.models.len() - 1]);
         let paces = first.0 + last.0 * (1.0 - first.1);
         let tokens = |class: &PromptClass| class.share * (class.tokens.0 / 2.0 + class.tokens.1);
