--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -82,9 +82,9 @@
     /// Mean engine seconds of a request, if half of its shared parts are cached.
     fn mean_work_s(&self) -> f64 {
         let (first, last) = (self.models[0], self.models[self.models.len() - 1]);
-        let paces = first.0 + last.0 * (1.0 - first.1);
+        let factors = first.0 + last.0 * (1.0 - first.1);
         let tokens = |class: &PromptClass| class.share * (class.tokens.0 / 2.0 + class.tokens.1);
-        self.classes.iter().map(tokens).sum::<f64>() * self.token_us * paces / 1e6
+        self.classes.iter().map(tokens).sum::<f64>() * self.token_us * factors / 1e6
     }
 }
 
