--- a/crates/bench/src/prompt_site.rs
+++ b/crates/bench/src/prompt_site.rs
@@ -170,9 +170,9 @@
     let mut requests = Vec::new();
     let mut at_us = WARM_US as f64;
     // Arrivals are generated at the highest rate of any fault, and thinned to the current rate.
-    let top = 3.0;
+    let max_factor = 3.0;
     while at_us < LENGTH_US as f64 {
-        at_us += -(1.0 - rng.gen::<f64>()).ln() / (site.rate * top) * 1e6;
+        at_us += -(1.0 - rng.gen::<f64>()).ln() / (site.rate * max_factor) * 1e6;
         let mut left = rng.gen::<f64>();
         let class = site.classes.iter().position(|class| {
             left -= class.share;
@@ -180,7 +180,7 @@
         });
         let class = class.unwrap_or(site.classes.len() - 1);
         let factor = fault.factor(at_us as u64, class);
-        let kept = rng.gen::<f64>() * top < factor;
+        let kept = rng.gen::<f64>() * max_factor < factor;
         let hot = factor > 1.0 && fault == PromptFault::HotAccount && rng.gen_bool(0.5);
         let spec = &site.classes[class];
         let subject = if hot { 0 } else { rng.gen_range(0..spec.subjects) };
