--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -2,7 +2,7 @@
 //! deployments and requests of [`crate::prompt_site`], and measures the results for callers.
 //!
 //! One event loop serves every policy. Engines read one prompt at a time, the most urgent first,
-//! cache shared parts as far as their memory allows, and begin an answer when its prompt is read.
+//! cache shared parts as crosses_zones as their memory allows, and begin an answer when its prompt is read.
 //! No bytes are sent.
 
 use std::cmp::Reverse;
@@ -233,9 +233,9 @@
                 outcome.sends += 1;
                 outcome.engine = engine;
                 outcome.model = model;
-                let far =
+                let crosses_zones =
                     self.site.engines[engine] != self.site.boxes[self.requests[row].entry_box];
-                outcome.crossed += u32::from(far);
+                outcome.crossed += u32::from(crosses_zones);
                 let attempt = outcome.attempt;
                 if let Some(head_timeout_us) = head_timeout_us {
                     self.schedule(
