--- a/crates/bench/src/plan.rs
+++ b/crates/bench/src/plan.rs
@@ -46,7 +46,7 @@
     /// Start and end of a stall of one engine of each model, in seconds.
     pub frozen: Option<(u64, u64)>,
     /// Whether refused callers retry after 10 ms.
-    pub storm: bool,
+    pub retry_storm: bool,
     /// Whether requests of account 0 are left out.
     pub without_large: bool,
     /// Requests before this second are served but not measured, because every policy starts without
@@ -79,7 +79,7 @@
         pool_out: None,
         lag_us: REPORT_US,
         frozen: None,
-        storm: false,
+        retry_storm: false,
         without_large: false,
         measure_from: 60,
     };
@@ -106,7 +106,7 @@
         ScenarioPlan { name: "pool_out", work: busy, pool_out: Some(100), ..base },
         ScenarioPlan { name: "stale_reports", work: busy, lag_us: 2_000_000, ..base },
         ScenarioPlan { name: "frozen_replica", work: busy, frozen: Some((100, 160)), ..base },
-        ScenarioPlan { name: "retry_storm", work: burst, storm: true, ..base },
+        ScenarioPlan { name: "retry_storm", work: burst, retry_storm: true, ..base },
         ScenarioPlan { name: "one_large_account", work: greedy, ..base },
         ScenarioPlan { name: "without_large_account", work: greedy, without_large: true, ..base },
     ]
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -509,7 +509,7 @@
         let state = &mut self.states[index];
         state.refused = true;
         state.tries += 1;
-        if self.plan.storm && state.tries < STORM_TRIES {
+        if self.plan.retry_storm && state.tries < STORM_TRIES {
             self.schedule(self.now_us + 10_000, DueEvent::Arrive(index));
         }
     }
