--- a/crates/bench/src/plan.rs
+++ b/crates/bench/src/plan.rs
@@ -63,7 +63,7 @@
         burst_from: u64::MAX,
         burst_to: 0,
         burst: 1.0,
-        dossiers: false,
+        long_prompts: false,
         accounts: 10,
         large_share: 0.3,
         prefixes: 120,
@@ -94,7 +94,7 @@
         ScenarioPlan { name: "shift_start", work: burst, ..base },
         ScenarioPlan {
             name: "tender_deadline",
-            work: WorkloadPlan { dossiers: true, burst: 4.0, ..burst },
+            work: WorkloadPlan { long_prompts: true, burst: 4.0, ..burst },
             ..base
         },
         rolled("bad_version_at_once", BadKind::AtOnce),
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -37,7 +37,7 @@
     /// Multiple of `rate` that the burst reaches.
     pub burst: f64,
     /// Whether half of the requests of the burst have long prompts.
-    pub dossiers: bool,
+    pub long_prompts: bool,
     /// Number of client accounts.
     pub accounts: usize,
     /// Share of requests of account 0.
@@ -71,7 +71,7 @@
     fn request(&self, second: f64, in_burst: bool, rng: &mut StdRng) -> BenchRequest {
         let class = [0, 0, 0, 0, 0, 1, 1, 1, 2, 2][rng.gen_range(0..10)];
         let (low, high) = [(0.0, 0.62), (0.2, 0.8), (0.5, 1.0)][usize::from(class)];
-        let long = self.dossiers && in_burst && rng.gen_bool(0.5);
+        let long = self.long_prompts && in_burst && rng.gen_bool(0.5);
         let account = match rng.gen_bool(self.large_share) {
             true => 0,
             false => rng.gen_range(1..self.accounts.max(2)),
