--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -66,7 +66,7 @@
     /// Start and end of a period in which the engine stalls, in microseconds.
     pub frozen: (u64, u64),
     /// Whether the engine has left the pool; it finishes its jobs.
-    pub gone: bool,
+    pub removed: bool,
     cache: VecDeque<u64>,
 }
 
@@ -74,7 +74,7 @@
     /// An idle engine.
     pub fn new(kind: EngineKind) -> Self {
         let (waiting, cache) = (VecDeque::new(), VecDeque::new());
-        Self { kind, running: 0, waiting, frozen: (0, 0), gone: false, cache }
+        Self { kind, running: 0, waiting, frozen: (0, 0), removed: false, cache }
     }
 
     /// Adds a job. Returns its times if it starts now, or `None` if it has to wait.
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -257,7 +257,7 @@
     fn baseline_send(&mut self, index: usize, model: usize, gated: bool, new_version: bool) {
         let small = self.plan.engines.0;
         let pool: Vec<usize> = (0..self.engines.len())
-            .filter(|engine| (*engine >= small) == (model == 1) && !self.engines[*engine].gone)
+            .filter(|engine| (*engine >= small) == (model == 1) && !self.engines[*engine].removed)
             .collect();
         let now: Vec<u32> = self
             .engines
@@ -402,7 +402,7 @@
             let large = small..self.engines.len();
             let half = large.len() / 2;
             for engine in large.take(half) {
-                self.engines[engine].gone = true;
+                self.engines[engine].removed = true;
             }
         }
         let loads = self.engines.iter().map(|e| (e.running, e.waiting.len() as u32)).collect();
@@ -435,7 +435,7 @@
                 running: *running,
                 waiting: *waiting,
                 slots: self.engines[engine].kind.slots,
-                leaving: self.engines[engine].gone,
+                leaving: self.engines[engine].removed,
             };
             for box_index in 0..fleet.boxes.len() {
                 let (replica, report) = (format!("engine-{engine}"), report.clone());
