--- a/crates/bench/src/baseline.rs
+++ b/crates/bench/src/baseline.rs
@@ -29,7 +29,7 @@
     Oracle,
 }
 
-/// Model to use, and whether its answer is rated before release.
+/// Model to use, 0 (cheap) or 1 (strong), and whether its answer is rated before release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ModelChoice {
     /// 0 cheap, 1 strong.
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -2,8 +2,8 @@
 //! deployments and requests of [`crate::prompt_site`], and measures the results for callers.
 //!
 //! One event loop serves every policy. Engines read one prompt at a time, the most urgent first,
-//! cache shared parts as crosses_zones as their memory allows, and begin an answer when its prompt is read.
-//! No bytes are sent.
+//! cache shared parts as far as their memory allows, and begin an answer when its prompt is
+//! read. No bytes are sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -29,8 +29,8 @@
 }
 
 impl SimulatedEngines {
-    /// Records the orders since the last call, then reports to every box. With `complete_loads`, the engines
-    /// complete all loads at once; otherwise they never do.
+    /// Records the orders since the last call, then reports to every box. With `complete_loads`,
+    /// the engines complete all loads at once; otherwise they never do.
     fn record_orders(&mut self, fleet: &mut VirtualFleet, complete_loads: bool) {
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
