--- a/crates/bench/examples/bench-policy.rs
+++ b/crates/bench/examples/bench-policy.rs
@@ -1,4 +1,5 @@
-//! Runs every scenario under every policy, over seeds: JSON lines on stdout, a table on stderr.
+//! Runs every scenario under every policy, once for each seed. Prints every measure as a JSON line
+//! on stdout and a table of medians on stderr.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc;
@@ -8,7 +9,7 @@
 use ravenspoke_bench::plan::{scenarios, BadKind, ScenarioPlan};
 use ravenspoke_bench::plot::{draw_svg, PlotPanel, PlotPoint};
 use ravenspoke_bench::policy::BenchPolicy;
-use ravenspoke_bench::prompt_site::PromptTrouble;
+use ravenspoke_bench::prompt_site::PromptFault;
 use ravenspoke_bench::prompts::{self, PromptPolicy};
 use ravenspoke_bench::scenario::{self, RunMeasures};
 use serde_json::json;
@@ -16,29 +17,30 @@
 /// Median over the seeds, by scenario, policy and measure.
 type Medians = BTreeMap<(String, String, &'static str), f64>;
 
-/// Shares of the time for which prompts would keep all engines busy, without trouble.
+/// Load levels of the prompt scenarios: share of the time for which all engines are busy, without
+/// faults.
 const PROMPT_LOADS: [(&str, f64); 2] = [("half", 0.5), ("full", 0.9)];
 
-/// What a row plays.
-enum BenchPlay {
+/// What a row runs: a scenario of calls or of long prompts, under a policy.
+enum RunKind {
     Calls(Box<ScenarioPlan>, BenchPolicy),
-    Prompts(PromptTrouble, PromptPolicy, f64),
+    Prompts(PromptFault, PromptPolicy, f64),
 }
 
-impl BenchPlay {
+impl RunKind {
     fn run(&self, seed: u64) -> RunMeasures {
         match self {
             Self::Calls(plan, policy) => scenario::run(**plan, *policy, seed),
-            Self::Prompts(trouble, policy, load) => prompts::run(*trouble, *policy, *load, seed),
+            Self::Prompts(fault, policy, load) => prompts::run(*fault, *policy, *load, seed),
         }
     }
 }
 
-/// A scenario under a policy.
+/// A scenario under a policy, with the names that results give to both.
 struct BenchRow {
     scenario: String,
     policy: String,
-    play: BenchPlay,
+    run_kind: RunKind,
 }
 
 struct Options {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Every row.
+/// All rows whose scenario's name contains `only`, or all without it.
 fn runs(only: Option<&str>) -> Vec<BenchRow> {
     let mut rows = call_rows();
     rows.extend(prompt_rows());
@@ -79,16 +81,16 @@
     rows
 }
 
-/// Long prompts on deployments drawn at random, by the reducer of routing boxes.
+/// Scenarios of long prompts on random deployments, which exercise the reducer of routing boxes.
 fn prompt_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (load_name, load) in PROMPT_LOADS {
-        for (trouble_name, trouble) in PromptTrouble::ALL {
+        for (fault_name, fault) in PromptFault::ALL {
             for (policy_name, policy) in PromptPolicy::ALL {
                 rows.push(BenchRow {
-                    scenario: format!("prompts_{load_name}/{trouble_name}"),
+                    scenario: format!("prompts_{load_name}/{fault_name}"),
                     policy: policy_name.to_owned(),
-                    play: BenchPlay::Prompts(trouble, policy, load),
+                    run_kind: RunKind::Prompts(fault, policy, load),
                 });
             }
         }
@@ -96,7 +98,7 @@
     rows
 }
 
-/// Calls by signed bundles, by the reducer of boxes with a log.
+/// Scenarios of calls under signed bundles, which exercise the reducer of boxes with a log.
 fn call_rows() -> Vec<BenchRow> {
     let mut rows = Vec::new();
     for (deployment, coteau) in [("coteau", true), ("agency", false)] {
@@ -121,8 +123,8 @@
                     BenchPolicy::Ravenspoke(boxes) => boxes,
                     BenchPolicy::Baseline(_) => plan.boxes,
                 };
-                let play = BenchPlay::Calls(Box::new(ScenarioPlan { boxes, ..plan }), policy);
-                rows.push(BenchRow { scenario: name.clone(), policy: label, play });
+                let run_kind = RunKind::Calls(Box::new(ScenarioPlan { boxes, ..plan }), policy);
+                rows.push(BenchRow { scenario: name.clone(), policy: label, run_kind });
             }
         }
     }
@@ -153,7 +155,7 @@
         (0..rows.len()).flat_map(|row| (1..=seeds).map(move |seed| (row, seed))).collect();
     let next = std::sync::atomic::AtomicUsize::new(0);
     let (sender, receiver) = mpsc::channel::<(usize, u64, RunMeasures)>();
-    // Half of the machine: the rest is for whoever else works on it.
+    // Half of the processors, to leave the others to other users of the machine.
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get().div_ceil(2));
     std::thread::scope(|scope| {
         for _ in 0..threads {
@@ -161,7 +163,7 @@
             scope.spawn(move || loop {
                 let task = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                 let Some((row, seed)) = tasks.get(task) else { return };
-                let measures = rows[*row].play.run(*seed);
+                let measures = rows[*row].run_kind.run(*seed);
                 if sender.send((*row, *seed, measures)).is_err() {
                     return;
                 }
--- a/crates/bench/src/fleet.rs
+++ b/crates/bench/src/fleet.rs
@@ -1,8 +1,8 @@
-//! Reducers, a log and a clock in one process.
+//! A simulated fleet: reducers, a log and a virtual clock in one process.
 //!
-//! Each box keeps its own clock from its start. Messages take a delay; a cut link loses them. The
-//! log takes appends with or without an acknowledgement, at once or late. Effects that concern a
-//! request are handed to whoever runs the requests.
+//! The clock of each box starts with the box. Messages arrive after a delay, and a cut link drops
+//! them. The log can lose the acknowledgement of an append, or apply an append late after it
+//! failed. Effects that concern requests are collected for the caller of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -20,24 +20,24 @@
 
 use crate::fixture::{box_settings, listed_box};
 
-/// One-way time between boxes, in microseconds.
+/// One-way network delay between boxes, in microseconds.
 pub const PEER_DELAY_US: u64 = 1_500;
 
-/// Time of an append or a read, in microseconds.
+/// Duration of an append to the log or of a read, in microseconds.
 pub const LOG_DELAY_US: u64 = 4_000;
 
-/// Time between reads of each stream that find nothing new, in microseconds.
+/// Interval of the periodic reads of each stream, in microseconds.
 pub const POLL_US: u64 = 1_000_000;
 
-/// Time between ticks, in microseconds.
+/// Interval between ticks of a box, in microseconds.
 pub const TICK_US: u64 = 20_000;
 
 /// Wall-clock time at virtual time zero, in milliseconds.
 pub const WALL_START_MS: u64 = 1_800_000_000_000;
 
-/// What happens at a time.
+/// A scheduled event of the simulation.
 #[derive(Clone, Debug, PartialEq)]
-enum Due {
+enum DueEvent {
     Tick(usize, u64),
     Poll(usize, u64),
     Read(usize, u64, LogStream, u64),
@@ -49,54 +49,54 @@
 /// Faults of the log.
 #[derive(Clone, Debug, Default)]
 pub struct LogFaults {
-    /// Nothing is taken or read.
+    /// Whether all appends and reads fail.
     pub outage: bool,
-    /// This many appends take effect without an acknowledgement.
+    /// Number of appends to come that succeed without an acknowledgement.
     pub lose_acks: u32,
-    /// This many appends are refused and take effect this much later, in microseconds.
+    /// Number of appends to come that fail and still take effect `late_us` later.
     pub late_effects: u32,
-    /// How much later.
+    /// Delay of late appends, in microseconds.
     pub late_us: u64,
 }
 
-/// A box with its state.
+/// A simulated box.
 pub struct VirtualBox {
     /// The reducer's state.
     pub state: BoxState,
     /// Box name.
     pub name: String,
-    /// Whether it runs.
+    /// Whether the box runs.
     pub alive: bool,
-    /// Whether it is paused: events wait.
+    /// Whether the box is paused; its events wait.
     pub paused: bool,
     started_us: u64,
     incarnation: u64,
     waiting: Vec<BoxEvent>,
-    /// Control bytes that it sent, and messages.
+    /// Bytes of control messages sent, with a length prefix of 4 bytes each.
     pub sent_bytes: u64,
-    /// Messages that it sent.
+    /// Number of control messages sent.
     pub sent_messages: u64,
 }
 
-/// Reducers, a log and a clock.
+/// A simulated fleet with its log and clock.
 pub struct VirtualFleet {
     /// Boxes.
     pub boxes: Vec<VirtualBox>,
     /// Faults of the log.
     pub log_faults: LogFaults,
-    /// Boxes that do not reach the log.
-    pub log_cut: BTreeSet<usize>,
-    /// Pairs of boxes that do not reach each other.
-    pub cut: BTreeSet<(usize, usize)>,
-    /// Records of each stream; the first offset kept, then the records.
+    /// Boxes that can't reach the log.
+    pub log_unreachable: BTreeSet<usize>,
+    /// Pairs of boxes that can't reach each other, the lower index first.
+    pub cut_links: BTreeSet<(usize, usize)>,
+    /// First offset and records of each stream.
     pub streams: BTreeMap<LogStream, (u64, Vec<LogRecord>)>,
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appends: u64,
-    /// Effects that concern requests, with the box that gave them.
+    /// Effects that concern requests, with the index of the box that returned them.
     pub effects: Vec<(usize, BoxEffect)>,
     now_us: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, Due>,
+    events: BTreeMap<u64, DueEvent>,
     next_event: u64,
     rng: StdRng,
     replicas: Vec<ListedReplica>,
@@ -105,12 +105,13 @@
 }
 
 impl VirtualFleet {
-    /// A fleet of `count` boxes in `zones` availability zones.
+    /// Creates a fleet of `count` boxes in `zones` availability zones.
     pub fn new(count: usize, zones: usize, seed: u64, replicas: Vec<ListedReplica>) -> Self {
         Self::tuned(count, zones, seed, replicas, |_| {})
     }
 
-    /// A fleet whose boxes' settings are changed by `tune`.
+    /// Creates a fleet as [`VirtualFleet::new`] does, with the settings of each box changed by
+    /// `tune`.
     pub fn tuned(
         count: usize,
         zones: usize,
@@ -121,8 +122,8 @@
         let mut fleet = Self {
             boxes: Vec::new(),
             log_faults: LogFaults::default(),
-            log_cut: BTreeSet::new(),
-            cut: BTreeSet::new(),
+            log_unreachable: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             streams: BTreeMap::new(),
             appends: 0,
             effects: Vec::new(),
@@ -165,13 +166,13 @@
     fn start_box(&mut self, index: usize) {
         let incarnation = self.boxes[index].incarnation;
         let jitter = self.rng.gen_range(0..TICK_US);
-        self.list_to(index);
-        self.at(self.now_us + jitter, Due::Tick(index, incarnation));
-        self.at(self.now_us + jitter, Due::Poll(index, incarnation));
+        self.feed_box_list(index);
+        self.schedule(self.now_us + jitter, DueEvent::Tick(index, incarnation));
+        self.schedule(self.now_us + jitter, DueEvent::Poll(index, incarnation));
     }
 
-    /// Hands the box list to a box.
-    pub fn list_to(&mut self, index: usize) {
+    /// Feeds the box list to a box.
+    pub fn feed_box_list(&mut self, index: usize) {
         let zones = self.zones;
         let zone_of = |index: usize| format!("zone-{}", index % zones);
         let listed = |row: &VirtualBox, i: usize| listed_box(&row.name, &zone_of(i));
@@ -180,7 +181,8 @@
         self.feed(index, BoxEvent::ListRead { boxes, replicas });
     }
 
-    fn at(&mut self, time: u64, due: Due) {
+    /// Schedules an event at `time`, in microseconds.
+    fn schedule(&mut self, time: u64, due: DueEvent) {
         self.next_event += 1;
         self.due.push(Reverse((time, self.next_event)));
         self.events.insert(self.next_event, due);
@@ -201,7 +203,7 @@
         BoxTime::from_micros(self.now_us - self.boxes[index].started_us)
     }
 
-    /// Hands an event to a box; a paused box gets it when it goes on, a dead one never.
+    /// Feeds an event to a box. A paused box receives it when it resumes, a dead one never does.
     pub fn feed(&mut self, index: usize, event: BoxEvent) {
         if !self.boxes[index].alive {
             return;
@@ -234,14 +236,14 @@
                 row.sent_messages += 1;
                 let Some(to) = self.boxes.iter().position(|row| row.name == name) else { return };
                 let pair = (index.min(to), index.max(to));
-                if !self.cut.contains(&pair) {
-                    self.at(self.now_us + PEER_DELAY_US, Due::Deliver(to, message));
+                if !self.cut_links.contains(&pair) {
+                    self.schedule(self.now_us + PEER_DELAY_US, DueEvent::Deliver(to, message));
                 }
             }
             BoxEffect::ReadBundles => {
                 let incarnation = self.boxes[index].incarnation;
-                let read = Due::Read(index, incarnation, LogStream::Bundles, self.now_us);
-                self.at(self.now_us + LOG_DELAY_US, read);
+                let read = DueEvent::Read(index, incarnation, LogStream::Bundles, self.now_us);
+                self.schedule(self.now_us + LOG_DELAY_US, read);
             }
             other => self.effects.push((index, other)),
         }
@@ -250,24 +252,24 @@
     fn append(&mut self, index: usize, stream: LogStream, batch: Vec<LogRecord>) {
         let incarnation = self.boxes[index].incarnation;
         let end = self.now_us + LOG_DELAY_US;
-        if self.log_faults.outage || self.log_cut.contains(&index) {
-            self.at(end, Due::AppendEnd(index, incarnation, stream, false));
+        if self.log_faults.outage || self.log_unreachable.contains(&index) {
+            self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
         if self.log_faults.late_effects > 0 {
             self.log_faults.late_effects -= 1;
-            self.at(end + self.log_faults.late_us, Due::LateEffect(stream, batch));
-            self.at(end, Due::AppendEnd(index, incarnation, stream, false));
+            self.schedule(end + self.log_faults.late_us, DueEvent::LateEffect(stream, batch));
+            self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, false));
             return;
         }
-        self.take(stream, batch);
+        self.append_records(stream, batch);
         let acknowledged = self.log_faults.lose_acks == 0;
         self.log_faults.lose_acks = self.log_faults.lose_acks.saturating_sub(1);
-        self.at(end, Due::AppendEnd(index, incarnation, stream, acknowledged));
+        self.schedule(end, DueEvent::AppendEnd(index, incarnation, stream, acknowledged));
     }
 
-    /// Puts records into the log, as an operator or a late effect does.
-    pub fn take(&mut self, stream: LogStream, batch: Vec<LogRecord>) {
+    /// Adds records to the log and lets all boxes read them, except bills, which boxes don't read.
+    pub fn append_records(&mut self, stream: LogStream, batch: Vec<LogRecord>) {
         self.appends += 1;
         self.streams.entry(stream).or_default().1.extend(batch);
         if matches!(stream, LogStream::Bills) {
@@ -275,8 +277,8 @@
         }
         for index in 0..self.boxes.len() {
             let incarnation = self.boxes[index].incarnation;
-            let read = Due::Read(index, incarnation, stream, self.now_us);
-            self.at(self.now_us + LOG_DELAY_US, read);
+            let read = DueEvent::Read(index, incarnation, stream, self.now_us);
+            self.schedule(self.now_us + LOG_DELAY_US, read);
         }
     }
 
@@ -289,7 +291,10 @@
     }
 
     fn read(&mut self, index: usize, stream: LogStream, asked_us: u64) {
-        if self.log_faults.outage || self.log_cut.contains(&index) || !self.boxes[index].alive {
+        if self.log_faults.outage
+            || self.log_unreachable.contains(&index)
+            || !self.boxes[index].alive
+        {
             return;
         }
         let (first, rows) = self.streams.entry(stream).or_default();
@@ -312,13 +317,13 @@
             self.due.pop();
             self.now_us = time;
             if let Some(due) = self.events.remove(&id) {
-                self.happen(due);
+                self.handle(due);
             }
         }
         self.now_us = until_us;
     }
 
-    /// Runs the fleet for `millis` more.
+    /// Runs the fleet for `millis` milliseconds.
     pub fn run_ms(&mut self, millis: u64) {
         self.run_until(self.now_us + millis * 1_000);
     }
@@ -327,15 +332,15 @@
         self.boxes[index].alive && self.boxes[index].incarnation == incarnation
     }
 
-    fn happen(&mut self, due: Due) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
-            Due::Tick(index, incarnation) if self.is_current(index, incarnation) => {
+            DueEvent::Tick(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
                     self.feed(index, BoxEvent::Tick);
                 }
-                self.at(self.now_us + TICK_US, Due::Tick(index, incarnation));
+                self.schedule(self.now_us + TICK_US, DueEvent::Tick(index, incarnation));
             }
-            Due::Poll(index, incarnation) if self.is_current(index, incarnation) => {
+            DueEvent::Poll(index, incarnation) if self.is_current(index, incarnation) => {
                 if !self.boxes[index].paused {
                     for stream in [
                         LogStream::Bundles,
@@ -343,17 +348,19 @@
                         LogStream::Verdicts,
                         LogStream::Leases,
                     ] {
-                        let read = Due::Read(index, incarnation, stream, self.now_us);
-                        self.at(self.now_us + LOG_DELAY_US, read);
+                        let read = DueEvent::Read(index, incarnation, stream, self.now_us);
+                        self.schedule(self.now_us + LOG_DELAY_US, read);
                     }
                 }
-                self.at(self.now_us + POLL_US, Due::Poll(index, incarnation));
+                self.schedule(self.now_us + POLL_US, DueEvent::Poll(index, incarnation));
             }
-            Due::Read(index, incarnation, stream, asked) if self.is_current(index, incarnation) => {
+            DueEvent::Read(index, incarnation, stream, asked)
+                if self.is_current(index, incarnation) =>
+            {
                 self.read(index, stream, asked);
             }
-            Due::Deliver(index, message) => self.feed(index, BoxEvent::PeerMessage(message)),
-            Due::AppendEnd(index, incarnation, stream, done)
+            DueEvent::Deliver(index, message) => self.feed(index, BoxEvent::PeerMessage(message)),
+            DueEvent::AppendEnd(index, incarnation, stream, done)
                 if self.is_current(index, incarnation) =>
             {
                 let event = match done {
@@ -362,18 +369,21 @@
                 };
                 self.feed(index, event);
             }
-            Due::LateEffect(stream, batch) => self.take(stream, batch),
-            Due::Tick(..) | Due::Poll(..) | Due::Read(..) | Due::AppendEnd(..) => {}
+            DueEvent::LateEffect(stream, batch) => self.append_records(stream, batch),
+            DueEvent::Tick(..)
+            | DueEvent::Poll(..)
+            | DueEvent::Read(..)
+            | DueEvent::AppendEnd(..) => {}
         }
     }
 
-    /// Kills a box.
+    /// Kills a box, with all events that wait for it.
     pub fn kill(&mut self, index: usize) {
         self.boxes[index].alive = false;
         self.boxes[index].waiting.clear();
     }
 
-    /// Starts a killed box again: a new incarnation that knows nothing.
+    /// Restarts a killed box under a new incarnation, with empty state.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.rng.gen();
         let (name, zone) = (self.boxes[index].name.clone(), format!("zone-{}", index % self.zones));
@@ -384,12 +394,12 @@
         self.start_box(index);
     }
 
-    /// Pauses a box.
+    /// Pauses a box, as a stopped process: messages for it wait in its sockets.
     pub fn pause(&mut self, index: usize) {
         self.boxes[index].paused = true;
     }
 
-    /// Lets a paused box go on: what waited in its sockets arrives now.
+    /// Resumes a paused box, which receives all waiting events at once.
     pub fn resume(&mut self, index: usize) {
         self.boxes[index].paused = false;
         for event in std::mem::take(&mut self.boxes[index].waiting) {
@@ -397,7 +407,7 @@
         }
     }
 
-    /// Takes the effects that concern requests.
+    /// Removes and returns the collected effects that concern requests.
     pub fn take_effects(&mut self) -> Vec<(usize, BoxEffect)> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/bench/src/prompts.rs
+++ b/crates/bench/src/prompts.rs
@@ -1,8 +1,9 @@
-//! Engines that read long prompts behind routing boxes, in virtual time: runs of the deployments and requests of
-//! [`crate::prompt_site`], and what callers got of them.
+//! Simulation of engines that read long prompts behind routing boxes, in virtual time. Runs the
+//! deployments and requests of [`crate::prompt_site`], and measures the results for callers.
 //!
-//! One loop serves every policy. Engines read one prompt after another, the more urgent first, keep what
-//! they read while memory lasts, and begin an answer when its prompt is read. No bytes are sent.
+//! One event loop serves every policy. Engines read one prompt at a time, the most urgent first,
+//! cache shared parts as far as their memory allows, and begin an answer when its prompt is
+//! read. No bytes are sent.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,33 +14,34 @@
 use crate::prompt_engine::{EngineState, PromptJob};
 use crate::prompt_router::{PromptRouter, PromptScene, RouterStep};
 use crate::prompt_site::{
-    draw_requests, in_trouble, PromptRequest, PromptSite, PromptTrouble, LENGTH_US,
+    draw_requests, in_fault_period, PromptFault, PromptRequest, PromptSite, LENGTH_US,
 };
 use crate::scenario::RunMeasures;
 
-/// One way between any two processes, in microseconds.
+/// One-way network delay between any two processes, in microseconds.
 const NET_US: u64 = 1_000;
 
-/// Part of the payoff of an answer that is late, and of one whose model was too weak.
-const LATE_PART: f64 = 0.3;
-const POOR_PART: f64 = 0.05;
+/// Share of the value that is left of a late answer, and of an answer of a model that is too weak.
+const LATE_VALUE_SHARE: f64 = 0.3;
+const POOR_VALUE_SHARE: f64 = 0.05;
 
-/// Time between two steps of the boxes' clocks, in microseconds.
+/// Interval between ticks of the boxes, in microseconds.
 const TICK_US: u64 = 100_000;
 
-/// Who routes.
+/// Policy that routes prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromptPolicy {
     /// The reducer of the boxes.
     Ravenspoke,
-    /// The engine whose last report, to any box, was lowest; a larger model below the neutral opinion.
+    /// Chooses the engine whose last report to any box was the lowest, and the largest model if the
+    /// confidence of the first is below 50.
     LeastReportedLoad,
-    /// Knows each engine's queue and memory and each request's difficulty.
+    /// Knows the queue and cache of each engine and the difficulty of each request.
     Oracle,
 }
 
 impl PromptPolicy {
-    /// All, with their names in results.
+    /// All policies, with their names in results.
     pub const ALL: [(&'static str, Self); 3] = [
         ("ravenspoke", Self::Ravenspoke),
         ("least_reported_load", Self::LeastReportedLoad),
@@ -47,34 +49,34 @@
     ];
 }
 
-/// Something that will happen.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum DueEvent {
     /// A request arrives.
     Arrive(usize),
-    /// An engine has read a prompt, if it still lives its `life`.
-    Read { engine: usize, life: u64 },
-    /// The head of an answer reaches its box.
+    /// An engine has read a prompt, unless it restarted since `generation`.
+    Read { engine: usize, generation: u64 },
+    /// A response head reaches its box.
     Head { request: usize, attempt: u32, engine: usize, good: bool, waiting: u32, running: u32 },
-    /// A connection broke, or none came about.
+    /// A connection failed; `sent` tells whether the request had been sent.
     Broken { request: usize, attempt: u32, sent: bool },
-    /// Nothing came for as long as the order says.
-    Pause { request: usize, attempt: u32 },
-    /// An answer is whole.
-    Done { request: usize, engine: usize, life: u64 },
-    /// The boxes' clocks go on.
+    /// An attempt has no response head within the time of its order.
+    Stalled { request: usize, attempt: u32 },
+    /// An answer is complete.
+    Done { request: usize, engine: usize, generation: u64 },
+    /// The boxes tick.
     Tick,
-    /// Engines change their state.
-    Trouble,
+    /// The fault begins, reaches its half or ends.
+    FaultChange,
 }
 
-/// What became of a request.
+/// State and result of a request.
 #[derive(Clone, Copy, Debug, Default)]
 struct PromptOutcome {
     attempt: u32,
     engine: usize,
     model: usize,
-    /// When its answer was passed on, in microseconds.
+    /// Time at which its answer began at the caller's box, in microseconds.
     begun_us: Option<u64>,
     crossed: u32,
     sends: u32,
@@ -82,9 +84,9 @@
 
 struct PromptRun<'a> {
     site: &'a PromptSite,
-    trouble: PromptTrouble,
+    fault: PromptFault,
     now_us: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    due: BinaryHeap<Reverse<(u64, u64, DueEvent)>>,
     number: u64,
     engines: Vec<EngineState>,
     requests: Vec<PromptRequest>,
@@ -93,14 +95,14 @@
     rng: StdRng,
 }
 
-/// Plays one run and measures it.
-pub fn run(trouble: PromptTrouble, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
+/// Runs one simulation and measures it.
+pub fn run(fault: PromptFault, policy: PromptPolicy, load: f64, seed: u64) -> RunMeasures {
     let mut rng = StdRng::seed_from_u64(seed);
     let site = PromptSite::draw(load, &mut rng);
-    let requests = draw_requests(&site, trouble, &mut rng);
+    let requests = draw_requests(&site, fault, &mut rng);
     let mut run = PromptRun {
         site: &site,
-        trouble,
+        fault,
         now_us: 0,
         due: BinaryHeap::new(),
         number: 0,
@@ -110,36 +112,37 @@
         requests,
         rng,
     };
-    run.play();
+    run.run_events();
     run.measure()
 }
 
 impl PromptRun<'_> {
-    fn at(&mut self, at_us: u64, due: Due) {
+    /// Schedules an event.
+    fn schedule(&mut self, at_us: u64, due: DueEvent) {
         self.number += 1;
         self.due.push(Reverse((at_us, self.number, due)));
     }
 
-    fn play(&mut self) {
+    fn run_events(&mut self) {
         for row in 0..self.requests.len() {
-            self.at(self.requests[row].at_us, Due::Arrive(row));
+            self.schedule(self.requests[row].at_us, DueEvent::Arrive(row));
         }
-        self.at(0, Due::Tick);
-        self.at(LENGTH_US / 3, Due::Trouble);
-        self.at(LENGTH_US / 2, Due::Trouble);
-        self.at(LENGTH_US * 2 / 3, Due::Trouble);
+        self.schedule(0, DueEvent::Tick);
+        self.schedule(LENGTH_US / 3, DueEvent::FaultChange);
+        self.schedule(LENGTH_US / 2, DueEvent::FaultChange);
+        self.schedule(LENGTH_US * 2 / 3, DueEvent::FaultChange);
         while let Some(Reverse((at_us, _, due))) = self.due.pop() {
             if at_us > LENGTH_US + LENGTH_US / 3 {
                 return;
             }
             self.now_us = at_us;
-            self.happen(due);
+            self.handle(due);
         }
     }
 
-    fn happen(&mut self, due: Due) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
-            Due::Arrive(row) => {
+            DueEvent::Arrive(row) => {
                 let step = self.router.arrive(
                     row,
                     &PromptScene {
@@ -149,22 +152,26 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(row, step);
+                self.carry_out(row, step);
             }
-            Due::Read { engine, life } if life == self.engines[engine].life => self.begin(engine),
-            Due::Done { request, engine, life } => {
-                if life == self.engines[engine].life {
+            DueEvent::Read { engine, generation }
+                if generation == self.engines[engine].generation =>
+            {
+                self.begin(engine)
+            }
+            DueEvent::Done { request, engine, generation } => {
+                if generation == self.engines[engine].generation {
                     self.engines[engine].running -= 1;
                 }
-                self.router.finished(request, self.requests[request].asked_box, self.now_us);
+                self.router.finished(request, self.requests[request].entry_box, self.now_us);
             }
-            Due::Head { request, attempt, engine, good, waiting, running } => {
+            DueEvent::Head { request, attempt, engine, good, waiting, running } => {
                 if attempt != self.outcomes[request].attempt {
                     return;
                 }
                 let model = self.outcomes[request].model;
-                let opinion = self.requests[request].opinion(self.site.models[model].1);
-                let head = (engine, good, opinion, waiting, running);
+                let confidence = self.requests[request].confidence(self.site.models[model].1);
+                let head = (engine, good, confidence, waiting, running);
                 let step = self.router.head(
                     request,
                     head,
@@ -175,9 +182,11 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(request, step);
+                self.carry_out(request, step);
             }
-            Due::Broken { request, attempt, sent } if attempt == self.outcomes[request].attempt => {
+            DueEvent::Broken { request, attempt, sent }
+                if attempt == self.outcomes[request].attempt =>
+            {
                 let engine = self.outcomes[request].engine;
                 let step = self.router.broken(
                     request,
@@ -189,34 +198,34 @@
                         now_us: self.now_us,
                     },
                 );
-                self.follow(request, step);
+                self.carry_out(request, step);
             }
-            Due::Pause { request, attempt } if self.waits(request, attempt) => {
-                let asked_box = self.requests[request].asked_box;
-                let step = self.router.paused(request, asked_box, self.now_us);
-                self.follow(request, step);
+            DueEvent::Stalled { request, attempt } if self.waits(request, attempt) => {
+                let entry_box = self.requests[request].entry_box;
+                let step = self.router.stalled(request, entry_box, self.now_us);
+                self.carry_out(request, step);
             }
-            Due::Tick => {
+            DueEvent::Tick => {
                 self.router.tick(self.now_us);
                 if self.now_us < LENGTH_US {
-                    self.at(self.now_us + TICK_US, Due::Tick);
+                    self.schedule(self.now_us + TICK_US, DueEvent::Tick);
                 }
             }
-            Due::Trouble => self.trouble(),
+            DueEvent::FaultChange => self.fault(),
             _ => {}
         }
     }
 
-    /// Whether an attempt is under way whose answer has not begun.
+    /// Whether this attempt is in flight and its answer has not begun.
     fn waits(&self, request: usize, attempt: u32) -> bool {
         let outcome = &self.outcomes[request];
         outcome.attempt == attempt && outcome.begun_us.is_none()
     }
 
-    /// Does what the router decided.
-    fn follow(&mut self, row: usize, step: RouterStep) {
+    /// Carries out the decision of the router.
+    fn carry_out(&mut self, row: usize, step: RouterStep) {
         match step {
-            RouterStep::Send { engine, model, urgency, retry_after_us } => {
+            RouterStep::Send { engine, model, urgency, head_timeout_us } => {
                 let old = self.outcomes[row];
                 self.engines[old.engine].cancel(row);
                 let outcome = &mut self.outcomes[row];
@@ -224,21 +233,27 @@
                 outcome.sends += 1;
                 outcome.engine = engine;
                 outcome.model = model;
-                let far =
-                    self.site.engines[engine] != self.site.boxes[self.requests[row].asked_box];
-                outcome.crossed += u32::from(far);
+                let crosses_zones =
+                    self.site.engines[engine] != self.site.boxes[self.requests[row].entry_box];
+                outcome.crossed += u32::from(crosses_zones);
                 let attempt = outcome.attempt;
-                if let Some(retry_after_us) = retry_after_us {
-                    self.at(self.now_us + retry_after_us, Due::Pause { request: row, attempt });
+                if let Some(head_timeout_us) = head_timeout_us {
+                    self.schedule(
+                        self.now_us + head_timeout_us,
+                        DueEvent::Stalled { request: row, attempt },
+                    );
                 }
                 self.submit(row, attempt, engine, model, urgency);
             }
             RouterStep::Relay => {
                 self.outcomes[row].begun_us = Some(self.now_us);
                 let (engine, model) = (self.outcomes[row].engine, self.outcomes[row].model);
-                let life = self.engines[engine].life;
+                let generation = self.engines[engine].generation;
                 let decode_us = (self.site.models[model].0 * 600_000.0) as u64;
-                self.at(self.now_us + decode_us, Due::Done { request: row, engine, life });
+                self.schedule(
+                    self.now_us + decode_us,
+                    DueEvent::Done { request: row, engine, generation },
+                );
             }
             RouterStep::Wait | RouterStep::Refuse => {}
         }
@@ -246,7 +261,10 @@
 
     fn submit(&mut self, row: usize, attempt: u32, engine: usize, model: usize, urgency: u8) {
         if !self.engines[engine].up {
-            self.at(self.now_us + 2 * NET_US, Due::Broken { request: row, attempt, sent: false });
+            self.schedule(
+                self.now_us + 2 * NET_US,
+                DueEvent::Broken { request: row, attempt, sent: false },
+            );
             return;
         }
         let request = &self.requests[row];
@@ -265,51 +283,51 @@
 
     fn read_next(&mut self, engine: usize) {
         let Some(took_us) = self.engines[engine].start() else { return };
-        let life = self.engines[engine].life;
-        self.at(self.now_us + NET_US + took_us, Due::Read { engine, life });
+        let generation = self.engines[engine].generation;
+        self.schedule(self.now_us + NET_US + took_us, DueEvent::Read { engine, generation });
     }
 
-    /// An engine has read a prompt: its answer begins.
+    /// Begins the answer of a prompt that an engine has read, and starts to read the next.
     fn begin(&mut self, engine: usize) {
-        let grey = self.engines[engine].grey;
-        let good = self.rng.gen::<f64>() >= grey;
+        let failure_rate = self.engines[engine].failure_rate;
+        let good = self.rng.gen::<f64>() >= failure_rate;
         let Some(job) = self.engines[engine].read() else { return };
         let (waiting, running) =
             (self.engines[engine].waiting() as u32, self.engines[engine].running);
         let (request, attempt) = (job.request, job.attempt);
-        self.at(
+        self.schedule(
             self.now_us + NET_US,
-            Due::Head { request, attempt, engine, good, waiting, running },
+            DueEvent::Head { request, attempt, engine, good, waiting, running },
         );
         self.read_next(engine);
     }
 
-    /// The begin, the half and the end of the trouble.
-    fn trouble(&mut self) {
-        let (count, over) = (self.engines.len(), !in_trouble(self.now_us));
+    /// Changes the state of the engines at the begin, the half and the end of the fault.
+    fn fault(&mut self) {
+        let (count, over) = (self.engines.len(), !in_fault_period(self.now_us));
         let begins = self.now_us == LENGTH_US / 3;
-        match self.trouble {
-            PromptTrouble::EnginesDown => {
+        match self.fault {
+            PromptFault::EnginesDown => {
                 for engine in 0..count.div_ceil(4) {
                     if begins {
                         for job in self.engines[engine].stop() {
-                            let due = Due::Broken {
+                            let due = DueEvent::Broken {
                                 request: job.request,
                                 attempt: job.attempt,
                                 sent: true,
                             };
-                            self.at(self.now_us + NET_US, due);
+                            self.schedule(self.now_us + NET_US, due);
                         }
                     } else if !over {
                         self.engines[engine].up = true;
                     }
                 }
             }
-            PromptTrouble::SlowAndGrey => {
+            PromptFault::SlowAndFailing => {
                 for engine in 0..count.div_ceil(4) {
                     self.engines[engine].slowness = if over { 1.0 } else { 5.0 };
                 }
-                self.engines[count - 1].grey = if over { 0.0 } else { 0.5 };
+                self.engines[count - 1].failure_rate = if over { 0.0 } else { 0.5 };
             }
             _ => {}
         }
@@ -321,8 +339,8 @@
         let mut waits = Vec::new();
         for (request, outcome) in self.requests.iter().zip(&self.outcomes) {
             let class = &self.site.classes[request.class];
-            let worth = class.worth * request.size(class);
-            owed += worth;
+            let value = class.value * request.size(class);
+            owed += value;
             crossed += f64::from(outcome.crossed) * (request.tokens.0 + request.tokens.1) / 1_000.0;
             sends += f64::from(outcome.sends);
             let Some(begun_us) = outcome.begun_us else {
@@ -335,8 +353,8 @@
             let weak = request.difficulty > self.site.models[outcome.model].1;
             late += f64::from(u8::from(!in_time));
             poor += f64::from(u8::from(weak));
-            let part = if in_time { 1.0 } else { LATE_PART };
-            earned += worth * part * if weak { POOR_PART } else { 1.0 };
+            let part = if in_time { 1.0 } else { LATE_VALUE_SHARE };
+            earned += value * part * if weak { POOR_VALUE_SHARE } else { 1.0 };
         }
         waits.sort_by(f64::total_cmp);
         let count = self.requests.len().max(1) as f64;
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,8 +1,8 @@
 //! Runs a scenario under one policy in virtual time, and measures it.
 //!
-//! One loop serves every policy. It pops the next thing that happens (an arrival, a token, a rating,
-//! a load report) and hands it to the reducers or to the baseline; engines, ratings and callers are
-//! the same for all.
+//! One event loop serves every policy. It takes the next event (an arrival, a token, a rating or a
+//! load report) and feeds it to the reducers or to the baseline. Engines, ratings and callers are
+//! the same for all policies.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -27,32 +27,32 @@
 use crate::policy::{BenchPolicy, COST, STRENGTH, TARGET};
 use crate::workload::{meets, BenchRequest};
 
-/// Time before arrivals begin, in microseconds: boxes start and read.
+/// Time before the first arrival, in microseconds, in which boxes start and read the log.
 const WARM_US: u64 = 4_000_000;
 
-/// Time of a rating, in microseconds.
+/// Duration of a rating, in microseconds.
 const RATING_US: u64 = 250_000;
 
 /// Share of ratings that are wrong.
 const RATING_ERROR: f64 = 0.02;
 
-/// A first token later than this is late, in microseconds.
+/// Time to the first token above which an answer is late, in microseconds.
 const LATE_US: u64 = 2_000_000;
 
-/// Times that a caller of `retry_storm` asks again.
+/// Maximum number of tries of a caller in `retry_storm`.
 const STORM_TRIES: u32 = 3;
 
-/// What a run measured.
+/// Measures of a run, by name.
 #[derive(Clone, Debug, Default)]
 pub struct RunMeasures(pub BTreeMap<&'static str, f64>);
 
-/// Something that will happen.
+/// A scheduled event of the simulation.
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum DueEvent {
     Arrive(usize),
     First(usize),
     Done(usize),
-    Judged(usize),
+    HeldRated(usize),
     Rated(usize),
     Report,
 }
@@ -70,9 +70,9 @@
     good: bool,
 }
 
-/// What became of a request.
+/// State and result of a request.
 #[derive(Clone, Debug, Default)]
-struct Fate {
+struct RequestState {
     first_us: Option<u64>,
     attempts: u32,
     tries: u32,
@@ -81,24 +81,24 @@
     refused: bool,
     exposed: bool,
     order: Option<AttemptOrder>,
-    home: usize,
+    box_index: usize,
 }
 
 struct ScenarioRun {
     plan: ScenarioPlan,
     rng: StdRng,
     requests: Vec<BenchRequest>,
-    fates: Vec<Fate>,
+    states: Vec<RequestState>,
     engines: Vec<EngineModel>,
     jobs: Vec<BenchJob>,
     keys: BTreeMap<usize, RequestKey>,
     last_jobs: Vec<usize>,
     reports: Vec<(u64, Vec<(u32, u32)>)>,
-    seen_loads: Vec<u32>,
+    reported_loads: Vec<u32>,
     fleet: Option<VirtualFleet>,
     baseline: Option<BaselineRouter>,
     due: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    events: Vec<Due>,
+    events: Vec<DueEvent>,
     now_us: u64,
     halted_at: Option<u64>,
     tokens: Histogram<u64>,
@@ -143,8 +143,8 @@
         };
         Self {
             rng: StdRng::seed_from_u64(seed ^ 0x5eed),
-            fates: vec![Fate::default(); requests.len()],
-            seen_loads: vec![0; engines.len()],
+            states: vec![RequestState::default(); requests.len()],
+            reported_loads: vec![0; engines.len()],
             last_jobs: vec![0; requests.len()],
             plan,
             requests,
@@ -163,7 +163,8 @@
         }
     }
 
-    fn at(&mut self, time_us: u64, due: Due) {
+    /// Schedules an event.
+    fn schedule(&mut self, time_us: u64, due: DueEvent) {
         self.events.push(due);
         let id = self.events.len();
         self.due.push(Reverse((time_us, id as u64, id - 1)));
@@ -171,21 +172,21 @@
 
     fn run(&mut self) {
         for index in 0..self.requests.len() {
-            self.at(WARM_US + self.requests[index].at_us, Due::Arrive(index));
+            self.schedule(WARM_US + self.requests[index].at_us, DueEvent::Arrive(index));
         }
-        self.at(WARM_US - 1_000_000, Due::Report);
+        self.schedule(WARM_US - 1_000_000, DueEvent::Report);
         let end_us = WARM_US + (self.plan.work.seconds + 40) * 1_000_000;
         while let Some(Reverse((time_us, _, id))) = self.due.pop() {
             if time_us > end_us {
                 break;
             }
             self.advance(time_us);
-            self.happen(self.events[id]);
+            self.handle(self.events[id]);
             self.effects();
         }
     }
 
-    /// Lets the fleet's own events before `time_us` happen first.
+    /// Runs the fleet's own events up to `time_us`.
     fn advance(&mut self, time_us: u64) {
         while self.fleet.as_ref().is_some_and(|fleet| fleet.next_due_us() <= time_us) {
             let Some(fleet) = &mut self.fleet else { break };
@@ -199,32 +200,33 @@
         self.now_us = time_us;
     }
 
+    /// Whether the time is at or after `second` of the workload.
     fn since(&self, second: Option<u64>) -> bool {
         second.is_some_and(|second| self.now_us >= WARM_US + second * 1_000_000)
     }
 
-    fn happen(&mut self, due: Due) {
+    fn handle(&mut self, due: DueEvent) {
         match due {
-            Due::Arrive(request) => self.arrive(request),
-            Due::First(job) => self.first(job),
-            Due::Done(job) => self.done(job),
-            Due::Judged(job) => self.judged(job),
-            Due::Rated(job) => self.rated(job),
-            Due::Report => self.report(),
+            DueEvent::Arrive(request) => self.arrive(request),
+            DueEvent::First(job) => self.first(job),
+            DueEvent::Done(job) => self.done(job),
+            DueEvent::HeldRated(job) => self.on_held_rated(job),
+            DueEvent::Rated(job) => self.rated(job),
+            DueEvent::Report => self.report(),
         }
     }
 
     fn arrive(&mut self, index: usize) {
         let request = self.requests[index];
-        self.fates[index].refused = false;
+        self.states[index].refused = false;
         let down = self.since(self.plan.log_down);
         if let Some(fleet) = &mut self.fleet {
             fleet.log_faults.outage = down;
-            let home = self.rng.gen_range(0..fleet.boxes.len());
-            self.fates[index].home = home;
-            let ticket = RequestTicket(index as u64 * 8 + u64::from(self.fates[index].tries));
+            let box_index = self.rng.gen_range(0..fleet.boxes.len());
+            self.states[index].box_index = box_index;
+            let ticket = RequestTicket(index as u64 * 8 + u64::from(self.states[index].tries));
             fleet.feed(
-                home,
+                box_index,
                 BoxEvent::RequestArrived(RequestDetails {
                     ticket,
                     id: u128::from(ticket.0),
@@ -255,7 +257,7 @@
     fn baseline_send(&mut self, index: usize, model: usize, gated: bool, new_version: bool) {
         let small = self.plan.engines.0;
         let pool: Vec<usize> = (0..self.engines.len())
-            .filter(|engine| (*engine >= small) == (model == 1) && !self.engines[*engine].gone)
+            .filter(|engine| (*engine >= small) == (model == 1) && !self.engines[*engine].removed)
             .collect();
         let now: Vec<u32> = self
             .engines
@@ -264,7 +266,7 @@
             .collect();
         let (prefix, random) = (self.requests[index].prefix, self.rng.gen());
         let Some(router) = &mut self.baseline else { return };
-        let engine = router.replica(&pool, &self.seen_loads, &now, prefix, random);
+        let engine = router.replica(&pool, &self.reported_loads, &now, prefix, random);
         self.submit(index, engine, model, gated, new_version, None);
     }
 
@@ -279,10 +281,10 @@
     ) {
         let request = self.requests[index];
         let good = self.is_good(&request, model, new_version);
-        let fate = &mut self.fates[index];
-        fate.attempts += 1;
-        fate.exposed |= new_version;
-        fate.cost += COST[model] * f64::from(request.tokens) / 1_000.0;
+        let state = &mut self.states[index];
+        state.attempts += 1;
+        state.exposed |= new_version;
+        state.cost += COST[model] * f64::from(request.tokens) / 1_000.0;
         let id = self.jobs.len();
         self.jobs.push(BenchJob { request: index, engine, model, new_version, gated, owner, good });
         self.last_jobs[index] = id;
@@ -298,8 +300,8 @@
 
     fn started(&mut self, times: Option<JobTimes>) {
         let Some(times) = times else { return };
-        self.at(times.first_us, Due::First(times.id));
-        self.at(times.done_us, Due::Done(times.id));
+        self.schedule(times.first_us, DueEvent::First(times.id));
+        self.schedule(times.done_us, DueEvent::Done(times.id));
         self.hits.0 += u64::from(times.hit);
         self.hits.1 += 1;
         let _ = self.tokens.record(times.token_us as u64);
@@ -308,22 +310,22 @@
     fn is_good(&mut self, request: &BenchRequest, model: usize, new_version: bool) -> bool {
         let good = meets(STRENGTH[model], request);
         let minutes = self.now_us.saturating_sub(WARM_US) / 60_000_000;
-        let spoilt = match self.plan.bad {
+        let bad_share = match self.plan.bad {
             BadKind::AtOnce => 0.5,
             BadKind::Slowly if minutes >= 3 => 0.33,
             BadKind::OneClass if request.class == 1 => 0.5,
             _ => 0.0,
         };
-        good && !(new_version && self.rng.gen_bool(spoilt))
+        good && !(new_version && self.rng.gen_bool(bad_share))
     }
 
     fn first(&mut self, job: usize) {
         let BenchJob { request, gated, owner, .. } = self.jobs[job];
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
-            fleet.feed(home, BoxEvent::FirstToken(key));
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
+            fleet.feed(box_index, BoxEvent::FirstToken(key));
         }
         if !gated {
-            self.fates[request].first_us.get_or_insert(self.now_us);
+            self.states[request].first_us.get_or_insert(self.now_us);
         }
     }
 
@@ -332,19 +334,19 @@
         let next = self.engines[engine].finish(self.now_us);
         self.started(next);
         if !gated {
-            self.fates[request].good = Some(good);
+            self.states[request].good = Some(good);
         }
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
             let tokens = self.requests[request].tokens;
             let end = AttemptEnd::Answered { tokens, status: 200, body: Vec::new() };
-            fleet.feed(home, BoxEvent::AttemptEnded(key, end));
+            fleet.feed(box_index, BoxEvent::AttemptEnded(key, end));
             return;
         }
-        let learns = self.rng.gen_bool(16.0 / 256.0);
+        let is_sampled = self.rng.gen_bool(16.0 / 256.0);
         if gated {
-            self.at(self.now_us + RATING_US, Due::Judged(job));
-        } else if learns {
-            self.at(self.now_us + RATING_US, Due::Rated(job));
+            self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
+        } else if is_sampled {
+            self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
         }
     }
 
@@ -355,15 +357,15 @@
         Some(self.jobs[job].good != self.rng.gen_bool(RATING_ERROR))
     }
 
-    fn judged(&mut self, job: usize) {
+    fn on_held_rated(&mut self, job: usize) {
         let rating = self.rating(job);
         let BenchJob { request, model, owner, good, .. } = self.jobs[job];
         if rating == Some(true) {
-            self.fates[request].first_us.get_or_insert(self.now_us);
-            self.fates[request].good = Some(good);
+            self.states[request].first_us.get_or_insert(self.now_us);
+            self.states[request].good = Some(good);
         }
-        if let (Some((home, key)), Some(fleet)) = (owner, &mut self.fleet) {
-            fleet.feed(home, BoxEvent::HeldAnswerRated(key, rating));
+        if let (Some((box_index, key)), Some(fleet)) = (owner, &mut self.fleet) {
+            fleet.feed(box_index, BoxEvent::HeldAnswerRated(key, rating));
             return;
         }
         self.learn(request, model, rating);
@@ -375,11 +377,11 @@
     fn rated(&mut self, job: usize) {
         let rating = self.rating(job);
         let BenchJob { request, model, new_version, owner, .. } = self.jobs[job];
-        if let (Some((home, _)), Some(fleet)) = (owner, &mut self.fleet) {
+        if let (Some((box_index, _)), Some(fleet)) = (owner, &mut self.fleet) {
             let version = if new_version { "small-2" } else { ["small-1", "large-1"][model] };
             let class = self.requests[request].class;
             let version = version.to_owned();
-            fleet.feed(home, BoxEvent::ReleasedAnswerRated { version, class, good: rating });
+            fleet.feed(box_index, BoxEvent::ReleasedAnswerRated { version, class, good: rating });
             return;
         }
         self.learn(request, model, rating);
@@ -400,7 +402,7 @@
             let large = small..self.engines.len();
             let half = large.len() / 2;
             for engine in large.take(half) {
-                self.engines[engine].gone = true;
+                self.engines[engine].removed = true;
             }
         }
         let loads = self.engines.iter().map(|e| (e.running, e.waiting.len() as u32)).collect();
@@ -408,19 +410,20 @@
         let asked = self.now_us.saturating_sub(self.plan.lag_us);
         let row = self.reports.iter().rev().find(|(at, _)| *at <= asked).cloned();
         if let Some((at_us, loads)) = row {
-            self.hand_report(at_us, &loads);
+            self.feed_report(at_us, &loads);
         }
         if self.reports.len() > 64 {
             self.reports.drain(..32);
         }
-        // A fleet of hundreds asks less often, as the capacity page has it.
+        // A fleet of more than 50 boxes asks for reports a quarter as often, as docs/CAPACITY.md
+        // says.
         let slower = if self.plan.boxes > 50 { 4 } else { 1 };
-        self.at(self.now_us + REPORT_US * slower, Due::Report);
+        self.schedule(self.now_us + REPORT_US * slower, DueEvent::Report);
     }
 
-    fn hand_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
+    fn feed_report(&mut self, at_us: u64, loads: &[(u32, u32)]) {
         let small = self.plan.engines.0;
-        self.seen_loads = loads.iter().map(|(running, waiting)| running + waiting).collect();
+        self.reported_loads = loads.iter().map(|(running, waiting)| running + waiting).collect();
         let Some(fleet) = &mut self.fleet else { return };
         for (engine, (running, waiting)) in loads.iter().enumerate() {
             let versions = match engine < small {
@@ -432,19 +435,19 @@
                 running: *running,
                 waiting: *waiting,
                 slots: self.engines[engine].kind.slots,
-                leaving: self.engines[engine].gone,
+                leaving: self.engines[engine].removed,
             };
-            for home in 0..fleet.boxes.len() {
+            for box_index in 0..fleet.boxes.len() {
                 let (replica, report) = (format!("engine-{engine}"), report.clone());
                 fleet.feed(
-                    home,
+                    box_index,
                     BoxEvent::LoadReported { replica, at: BoxTime::from_micros(at_us), report },
                 );
             }
         }
     }
 
-    /// Carries out what the reducers asked for.
+    /// Carries out the effects that the reducers returned.
     fn effects(&mut self) {
         loop {
             let Some(fleet) = &mut self.fleet else { return };
@@ -452,31 +455,31 @@
             if effects.is_empty() {
                 return;
             }
-            for (home, effect) in effects {
-                self.effect(home, effect);
+            for (box_index, effect) in effects {
+                self.effect(box_index, effect);
             }
         }
     }
 
-    fn effect(&mut self, home: usize, effect: BoxEffect) {
+    fn effect(&mut self, box_index: usize, effect: BoxEffect) {
         let index = |ticket: RequestTicket| (ticket.0 / 8) as usize;
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
-                self.fates[index(ticket)].order = Some(order);
+                self.states[index(ticket)].order = Some(order);
                 if let Some(fleet) = &mut self.fleet {
-                    fleet.feed(home, BoxEvent::SendStarting(key));
+                    fleet.feed(box_index, BoxEvent::SendStarting(key));
                 }
-                self.fates[index(ticket)].home = home;
+                self.states[index(ticket)].box_index = box_index;
                 self.keys.insert(index(ticket), key);
             }
-            BoxEffect::Send(ticket) => self.send(home, index(ticket)),
+            BoxEffect::Send(ticket) => self.send(box_index, index(ticket)),
             BoxEffect::RateHeldAnswer(ticket, _) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, Due::Judged(job));
+                self.schedule(self.now_us + RATING_US, DueEvent::HeldRated(job));
             }
             BoxEffect::RateReleasedAnswer(ticket) => {
                 let job = self.last_job(index(ticket));
-                self.at(self.now_us + RATING_US, Due::Rated(job));
+                self.schedule(self.now_us + RATING_US, DueEvent::Rated(job));
             }
             BoxEffect::Refuse(ticket, refusal) => {
                 self.refused(index(ticket), refusal.run(), refusal.retry_after_ms);
@@ -492,22 +495,22 @@
         self.last_jobs[request]
     }
 
-    fn send(&mut self, home: usize, index: usize) {
-        let Some(order) = self.fates[index].order.clone() else { return };
+    fn send(&mut self, box_index: usize, index: usize) {
+        let Some(order) = self.states[index].order.clone() else { return };
         let engine = order.replica.trim_start_matches("engine-").parse().unwrap_or(0);
         let model = usize::from(engine >= self.plan.engines.0);
         let key = self.keys.get(&index).copied();
-        let owner = key.map(|key| (home, key));
+        let owner = key.map(|key| (box_index, key));
         self.submit(index, engine, model, order.buffered, order.version == "small-2", owner);
     }
 
     fn refused(&mut self, index: usize, run: RunState, _retry_ms: Option<u64>) {
         debug_assert_eq!(run, RunState::NotRun);
-        let fate = &mut self.fates[index];
-        fate.refused = true;
-        fate.tries += 1;
-        if self.plan.storm && fate.tries < STORM_TRIES {
-            self.at(self.now_us + 10_000, Due::Arrive(index));
+        let state = &mut self.states[index];
+        state.refused = true;
+        state.tries += 1;
+        if self.plan.retry_storm && state.tries < STORM_TRIES {
+            self.schedule(self.now_us + 10_000, DueEvent::Arrive(index));
         }
     }
 
@@ -519,16 +522,16 @@
         let mut attempts = 0u64;
         let from_us = self.plan.measure_from * 1_000_000;
         let measured = |request: &BenchRequest| request.at_us >= from_us;
-        for (fate, request) in self.fates.iter().zip(&self.requests) {
-            exposed += u64::from(fate.exposed);
+        for (state, request) in self.states.iter().zip(&self.requests) {
+            exposed += u64::from(state.exposed);
             if !measured(request) {
                 continue;
             }
-            attempts += u64::from(fate.attempts);
-            refused += u64::from(fate.refused);
-            cost += fate.cost;
-            let Some(first_us) = fate.first_us else {
-                late += u64::from(!fate.refused);
+            attempts += u64::from(state.attempts);
+            refused += u64::from(state.refused);
+            cost += state.cost;
+            let Some(first_us) = state.first_us else {
+                late += u64::from(!state.refused);
                 continue;
             };
             let wait = first_us - (WARM_US + request.at_us).min(first_us);
@@ -538,7 +541,7 @@
             }
             late += u64::from(wait > LATE_US);
             answered += 1;
-            good += u64::from(fate.good == Some(true));
+            good += u64::from(state.good == Some(true));
         }
         let count = self.requests.iter().filter(|row| measured(row)).count().max(1) as f64;
         let ms = |histogram: &Histogram<u64>, quantile| {
@@ -579,6 +582,6 @@
     let spec = bundle(&bundle_text(plan));
     let record = signed_record(None, &spec);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
     fleet
 }
--- a/crates/bench/tests/promises/main.rs
+++ b/crates/bench/tests/promises/main.rs
@@ -1,7 +1,8 @@
 //! The ten promises, each under the failures that threaten it, on real reducers in virtual time.
 //!
-//! The witness is what the log holds and what the reducers told their boxes to write: a `Send` is a
-//! run. Each test was seen to fail without its mechanism; docs/PROMISES.md says how.
+//! The tests check the content of the log and the effects that the reducers return: each `Send`
+//! counts as a run. Each test fails without the mechanism that it guards, as docs/PROMISES.md
+//! shows.
 
 mod orders;
 mod support;
@@ -21,28 +22,28 @@
 use support::*;
 
 #[test]
-fn allowed_only_a_request_runs_only_on_what_its_account_allows() {
+fn allowed_only_account_cannot_use_other_models_or_services() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
-    fleet.feed(0, ask(1, "beta", chat("small", None), None));
-    fleet.feed(0, ask(2, "beta", chat(V2, None), None));
-    fleet.feed(0, ask(3, "nobody", chat(V2, None), None));
-    fleet.feed(0, ask(4, "beta", release(), Some(&once_key(0, 1))));
+    fleet.feed(0, arrival(1, "beta", chat("small", None), None));
+    fleet.feed(0, arrival(2, "beta", chat(V2, None), None));
+    fleet.feed(0, arrival(3, "nobody", chat(V2, None), None));
+    fleet.feed(0, arrival(4, "beta", release(), Some(&claim_key(0, 1))));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::NotAllowed, RunState::NotRun));
-    assert_eq!(callers.seen[&2], Seen::Finished);
-    assert_eq!(callers.seen[&3], Seen::Refused(ReasonCode::UnknownKey, RunState::NotRun));
-    assert_eq!(callers.seen[&4], Seen::Refused(ReasonCode::NotAllowed, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
+    assert_eq!(callers.ends[&2], RequestEnd::Finished);
+    assert_eq!(callers.ends[&3], RequestEnd::Refused(ReasonCode::UnknownKey, RunState::NotRun));
+    assert_eq!(callers.ends[&4], RequestEnd::Refused(ReasonCode::NotAllowed, RunState::NotRun));
     assert_eq!(callers.runs(), 1);
 }
 
 #[test]
-fn allowed_only_is_checked_again_at_the_write() {
+fn allowed_only_is_checked_again_before_sending() {
     let mut fleet = fleet(3);
 
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     let assigned = fleet.take_effects();
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(200);
@@ -50,29 +51,33 @@
     fleet.effects.extend(assigned);
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::Withdrawn, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::Withdrawn, RunState::NotRun));
     assert_eq!(callers.runs(), 0);
 }
 
 #[test]
-fn withdrawn_version_gets_no_new_work_on_any_box_within_seconds() {
+fn withdrawn_version_gets_no_new_requests_on_any_box_within_seconds() {
     let mut fleet = fleet(9);
-    fleet.log_cut.extend(4..9);
+    fleet.log_unreachable.extend(4..9);
 
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(4_000);
     let mut callers = Callers::default();
     for index in 0..9 {
         report_loads(&mut fleet, index);
-        fleet.feed(index, ask(index as u64, "alpha", chat("small", None), None));
-        fleet.feed(index, ask(100 + index as u64, "alpha", chat(V1, None), None));
+        fleet.feed(index, arrival(index as u64, "alpha", chat("small", None), None));
+        fleet.feed(index, arrival(100 + index as u64, "alpha", chat(V1, None), None));
     }
     callers.run(&mut fleet, 300);
 
     for index in 0..9 {
-        assert_eq!(callers.versions[&index], [V2], "box {index} was told by its peers");
-        let refused = Seen::Refused(ReasonCode::Withdrawn, RunState::NotRun);
-        assert_eq!(callers.seen[&(100 + index)], refused);
+        assert_eq!(
+            callers.versions[&index],
+            [V2],
+            "box {index} learns of the bundle from its peers"
+        );
+        let refused = RequestEnd::Refused(ReasonCode::Withdrawn, RunState::NotRun);
+        assert_eq!(callers.ends[&(100 + index)], refused);
     }
 }
 
@@ -81,142 +86,149 @@
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
     let token = callers.tokens[&1].clone();
     publish(&mut fleet, Some(0), &bundle_text(V2, "draining"));
     fleet.run_ms(500);
-    fleet.feed(2, ask(2, "alpha", chat("small", Some(token.clone())), None));
-    fleet.feed(2, ask(3, "alpha", chat("small", None), None));
-    fleet.feed(2, ask(4, "beta", chat(V2, Some(token)), None));
+    fleet.feed(2, arrival(2, "alpha", chat("small", Some(token.clone())), None));
+    fleet.feed(2, arrival(3, "alpha", chat("small", None), None));
+    fleet.feed(2, arrival(4, "beta", chat(V2, Some(token)), None));
     callers.run(&mut fleet, 100);
 
-    assert_eq!(callers.versions[&2], [V1], "the session stays while its version drains");
-    assert_eq!(callers.versions[&3], [V2], "a new session does not open there");
-    assert_eq!(callers.seen[&4], Seen::Refused(ReasonCode::BadToken, RunState::NotRun));
+    assert_eq!(callers.versions[&2], [V1], "the session keeps its version while that drains");
+    assert_eq!(callers.versions[&3], [V2], "a new session does not start on a draining version");
+    assert_eq!(callers.ends[&4], RequestEnd::Refused(ReasonCode::BadToken, RunState::NotRun));
 }
 
 #[test]
-fn at_most_once_two_boxes_race_and_lost_acks_and_late_effects_do_not_matter() {
+fn at_most_once_with_two_racing_boxes_lost_acks_and_late_appends() {
     for (lost, late) in [(0, 0), (2, 0), (0, 1), (1, 1)] {
         let mut fleet = fleet(3);
         let mut callers = Callers::default();
         fleet.log_faults.lose_acks = lost;
         fleet.log_faults.late_effects = late;
         fleet.log_faults.late_us = 700_000;
-        let key = once_key(0, 1);
+        let key = claim_key(0, 1);
 
-        fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
-        fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+        fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
+        fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 5_000);
-        fleet.feed(2, ask(3, "alpha", release(), Some(&key)));
+        fleet.feed(2, arrival(3, "alpha", release(), Some(&key)));
         callers.run(&mut fleet, 1_000);
 
-        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.seen);
-        assert_eq!(callers.seen[&3], Seen::Replayed(200));
+        assert_eq!(callers.runs(), 1, "lost {lost}, late {late}: {:?}", callers.ends);
+        assert_eq!(callers.ends[&3], RequestEnd::Replayed(200));
     }
 }
 
 #[test]
-fn at_most_once_a_box_that_dies_after_its_write_is_never_run_again_nor_called_not_run() {
+fn at_most_once_request_of_a_killed_box_is_not_run_again_nor_reported_not_run() {
     let mut fleet = fleet(3);
-    let mut callers = Callers { hold: true, ..Callers::default() };
-    let key = once_key(0, 1);
+    let mut callers = Callers { withhold_answers: true, ..Callers::default() };
+    let key = claim_key(0, 1);
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 200);
     assert_eq!(callers.runs(), 1);
     fleet.kill(0);
-    fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+    fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
     fleet.restart(0);
     callers.run(&mut fleet, 3_000);
-    fleet.feed(0, ask(3, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(3, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 3_000);
 
     assert_eq!(callers.runs(), 1);
     for ticket in [2, 3] {
-        let unknown = Seen::Refused(ReasonCode::AlreadyClaimed, RunState::Unknown);
-        assert_eq!(callers.seen[&ticket], unknown);
+        let unknown = RequestEnd::Refused(ReasonCode::AlreadyClaimed, RunState::Unknown);
+        assert_eq!(callers.ends[&ticket], unknown);
     }
 }
 
 #[test]
-fn at_most_once_a_box_paused_past_its_deadline_does_not_write() {
+fn at_most_once_box_paused_past_its_deadline_does_not_send() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
-    let key = once_key(0, 1);
+    let key = claim_key(0, 1);
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     fleet.pause(0);
     fleet.run_ms(10_000);
     fleet.resume(0);
     callers.run(&mut fleet, 1_000);
 
     assert_eq!(callers.runs(), 0);
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::LogDown, RunState::NotRun));
-    fleet.feed(1, ask(2, "alpha", release(), Some(&key)));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
+    fleet.feed(1, arrival(2, "alpha", release(), Some(&key)));
     callers.run(&mut fleet, 1_000);
-    assert_eq!(callers.seen[&2], Seen::Finished, "the void let another box run it");
+    assert_eq!(
+        callers.ends[&2],
+        RequestEnd::Finished,
+        "the void record lets another box run the request"
+    );
     assert_eq!(callers.runs(), 1);
 }
 
 #[test]
-fn at_most_once_a_key_older_than_the_log_remembers_is_refused_without_a_promise() {
+fn at_most_once_key_older_than_log_retention_is_refused_as_unknown() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
     let hour = ravenspoke_bench::fixture::RETENTION_MS;
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&once_key(hour, 1))));
-    fleet.feed(0, ask(2, "alpha", release(), None));
-    fleet.feed(0, ask(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&claim_key(hour, 1))));
+    fleet.feed(0, arrival(2, "alpha", release(), None));
+    fleet.feed(0, arrival(3, "alpha", release(), Some("8b6c1d1e-3c1f-4c55-9d43-6f4b1a1f2a3b")));
     callers.run(&mut fleet, 200);
 
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::KeyExpired, RunState::Unknown));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::KeyExpired, RunState::Unknown));
     for ticket in [2, 3] {
-        let refused = Seen::Refused(ReasonCode::BadClaimKey, RunState::NotRun);
-        assert_eq!(callers.seen[&ticket], refused);
+        let refused = RequestEnd::Refused(ReasonCode::BadClaimKey, RunState::NotRun);
+        assert_eq!(callers.ends[&ticket], refused);
     }
     assert_eq!(callers.runs(), 0);
 }
 
 #[test]
-fn not_run_is_true_when_the_log_is_down_and_its_claim_lands_late() {
+fn not_run_holds_when_the_log_is_down_and_the_claim_is_appended_late() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
-    let key = once_key(0, 1);
+    let key = claim_key(0, 1);
     fleet.log_faults.late_effects = 1;
     fleet.log_faults.late_us = 6_000_000;
 
-    fleet.feed(0, ask(1, "alpha", release(), Some(&key)));
+    fleet.feed(0, arrival(1, "alpha", release(), Some(&key)));
     fleet.run_ms(10);
     fleet.log_faults.outage = true;
     callers.run(&mut fleet, 4_000);
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::LogDown, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::LogDown, RunState::NotRun));
     fleet.log_faults.outage = false;
     callers.run(&mut fleet, 10_000);
 
-    assert_eq!(callers.runs(), 0, "the late claim never dispatches");
+    assert_eq!(callers.runs(), 0, "the late claim never leads to a run");
 }
 
 #[test]
 fn billed_once_when_the_owner_is_killed_before_its_append() {
     let mut fleet = fleet(4);
     let mut callers = Callers::default();
-    fleet.log_cut.insert(0);
+    fleet.log_unreachable.insert(0);
 
     for ticket in 1..=20 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
     callers.run(&mut fleet, 600);
-    let finished = callers.seen.values().filter(|seen| **seen == Seen::Finished).count();
-    assert_eq!(finished, 20, "witnesses let the answers end");
-    assert_eq!(bills(&fleet).bills.len(), 0, "nothing of box 0 reached the log");
+    let finished = callers.ends.values().filter(|end| **end == RequestEnd::Finished).count();
+    assert_eq!(finished, 20, "witnessed bills let the answers finish");
+    assert_eq!(bills(&fleet).bills.len(), 0, "no bill of box 0 reaches the log");
     fleet.kill(0);
     callers.run(&mut fleet, 20_000);
 
     let fold = bills(&fleet);
     assert_eq!(fold.bills.len(), 20);
-    assert_eq!(fold.repeats, 20, "both witnesses appended, and the reader dropped the repeats");
+    assert_eq!(
+        fold.repeats, 20,
+        "both witnesses append each bill, and the reader drops the repeats"
+    );
 }
 
 #[test]
@@ -226,22 +238,22 @@
     fleet.log_faults.outage = true;
 
     for ticket in 1..=10 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
-    fleet.feed(0, ask(11, "alpha", chat("small", None), Some("order-5")));
-    fleet.feed(1, ask(12, "alpha", chat("small", None), Some("order-5")));
+    fleet.feed(0, arrival(11, "alpha", chat("small", None), Some("order-5")));
+    fleet.feed(1, arrival(12, "alpha", chat("small", None), Some("order-5")));
     callers.run(&mut fleet, 60_000);
     fleet.log_faults.outage = false;
     fleet.log_faults.lose_acks = 3;
     callers.run(&mut fleet, 20_000);
 
-    assert!(callers.seen.values().all(|seen| *seen == Seen::Finished), "{:?}", callers.seen);
+    assert!(callers.ends.values().all(|end| *end == RequestEnd::Finished), "{:?}", callers.ends);
     let fold = bills(&fleet);
-    assert_eq!(fold.bills.len(), 11, "ten without a key, one for the key that ran twice");
+    assert_eq!(fold.bills.len(), 11, "ten bills without a key, one for the key that ran twice");
 }
 
 #[test]
-fn bill_backlog_refuses_new_work_truthfully_and_loses_nothing() {
+fn full_bill_backlog_refuses_new_requests_as_not_run_and_loses_no_bill() {
     let replicas = vec![
         listed_replica("engine-1", "engines", true),
         listed_replica("engine-2", "engines", true),
@@ -254,25 +266,25 @@
     fleet.log_faults.outage = true;
 
     for ticket in 1..=9 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
         callers.run(&mut fleet, 40);
     }
     callers.run(&mut fleet, 2_000);
     fleet.log_faults.outage = false;
     callers.run(&mut fleet, 5_000);
 
-    let refused = Seen::Refused(ReasonCode::BillBacklog, RunState::NotRun);
-    assert_eq!(callers.seen.values().filter(|seen| **seen == refused).count(), 4);
+    let refused = RequestEnd::Refused(ReasonCode::BillBacklog, RunState::NotRun);
+    assert_eq!(callers.ends.values().filter(|end| **end == refused).count(), 4);
     assert_eq!(bills(&fleet).bills.len(), 5);
 }
 
 #[test]
-fn whole_answer_a_mismatch_or_a_break_is_never_finished() {
+fn whole_answer_mismatched_or_aborted_answer_is_never_finished() {
     let mut fleet = fleet(3);
-    let mut callers = Callers { hold: true, ..Callers::default() };
+    let mut callers = Callers { withhold_answers: true, ..Callers::default() };
 
     for ticket in [1, 2] {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
     }
     callers.drive(&mut fleet);
     for _ in 0..4 {
@@ -285,14 +297,14 @@
         callers.drive(&mut fleet);
     }
 
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::WrongEcho, RunState::Unknown));
-    assert_eq!(callers.seen[&2], Seen::Refused(ReasonCode::StreamBroken, RunState::Unknown));
-    assert_eq!(callers.versions[&2], [V1, V1, V1], "a broken stream goes on on its version");
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::WrongEcho, RunState::Unknown));
+    assert_eq!(callers.ends[&2], RequestEnd::Refused(ReasonCode::StreamBroken, RunState::Unknown));
+    assert_eq!(callers.versions[&2], [V1, V1, V1], "an aborted stream is retried on its version");
     assert_eq!(bills(&fleet).bills.len(), 0);
 }
 
 #[test]
-fn leaving_replica_gets_no_new_work_on_boxes_that_only_heard_of_it() {
+fn leaving_replica_gets_no_new_requests_from_boxes_that_learn_it_by_gossip() {
     let mut fleet = fleet(9);
     let mut callers = Callers::default();
 
@@ -310,7 +322,7 @@
     for index in 0..9 {
         for round in 0..8 {
             let ticket = (index * 8 + round) as u64;
-            fleet.feed(index, ask(ticket, "alpha", chat("small", None), None));
+            fleet.feed(index, arrival(ticket, "alpha", chat("small", None), None));
         }
     }
     for (_, effect) in &fleet.effects {
@@ -325,7 +337,7 @@
 }
 
 #[test]
-fn planned_stop_leaves_the_entry_list_serves_on_and_ends_with_every_bill_in_the_log() {
+fn planned_stop_leaves_the_entry_list_and_finishes_every_request_and_bill() {
     let mut fleet = fleet(3);
     let mut callers = Callers::default();
 
@@ -333,9 +345,12 @@
     fleet.run_ms(100);
     let now = fleet.box_time(1);
     let entries = fleet.boxes[1].state.members().entries(None, 1, now);
-    assert!(entries.iter().all(|row| row.name != "box-0"), "told directly, ahead of the box list");
+    assert!(
+        entries.iter().all(|row| row.name != "box-0"),
+        "peers learn it directly, before the box list changes"
+    );
     for ticket in 1..=50 {
-        fleet.feed(0, ask(ticket, "alpha", chat("small", None), None));
+        fleet.feed(0, arrival(ticket, "alpha", chat("small", None), None));
         callers.run(&mut fleet, 100);
     }
     let mut may_exit = false;
@@ -344,14 +359,14 @@
         may_exit |= fleet.take_effects().contains(&(0, BoxEffect::ExitAllowed));
     }
 
-    let finished = callers.seen.values().filter(|seen| **seen == Seen::Finished).count();
-    assert_eq!(finished, 50, "a planned stop cuts no request");
+    let finished = callers.ends.values().filter(|end| **end == RequestEnd::Finished).count();
+    assert_eq!(finished, 50, "a planned stop aborts no request");
     assert!(may_exit);
     assert_eq!(bills(&fleet).bills.len(), 50);
 }
 
 #[test]
-fn racing_operators_the_first_in_log_order_wins_everywhere() {
+fn racing_operators_first_bundle_in_log_order_wins_on_every_box() {
     let mut fleet = fleet(9);
     let base = fleet.boxes[0].state.in_force().cloned();
     let racers =
@@ -360,16 +375,16 @@
     for spec in &racers {
         let record = signed_record(base.as_ref(), spec);
         let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-        fleet.take(LogStream::Bundles, vec![record]);
+        fleet.append_records(LogStream::Bundles, vec![record]);
     }
-    // The second operator goes on from its own bundle before it learns that it lost.
+    // The second operator builds on its own bundle before it learns that it lost the race.
     let mut loser = BundleFold::new(sign_off_rule());
     loser.fold_record(0, &signed_record(None, &bundle_text(V1, "serving")));
     loser.fold_record(1, &signed_record(base.as_ref(), &racers[1]));
     let child = signed_record(loser.in_force(), &racers[2]);
     assert_eq!(child.sequence, 3);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(child)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
     fleet.run_ms(2_000);
 
     let winner = ravenspoke_core::bundle::bundle_digest(&racers[0].sections());
@@ -385,10 +400,10 @@
     publish(&mut fleet, Some(0), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(1_000);
 
-    // A quarter of the retention later a box has carried the bundle forward, and the rest is trimmed.
+    // A quarter of the retention later a box has appended the bundle anew; the rest is trimmed.
     fleet.run_ms(ravenspoke_bench::fixture::RETENTION_MS / 2 + 10_000);
     let carried = fleet.streams[&LogStream::Bundles].1.len();
-    assert!(carried > 2, "the bundle was carried forward");
+    assert!(carried > 2, "the bundle is appended anew");
     fleet.trim(LogStream::Bundles, 1);
     for index in 0..4 {
         fleet.kill(index);
@@ -400,7 +415,7 @@
 }
 
 #[test]
-fn cut_off_box_stops_and_an_outage_for_all_does_not_stop_the_fleet() {
+fn cut_off_box_stops_but_a_log_outage_for_all_does_not_stop_the_fleet() {
     let mut fleet = fleet(5);
     let state = |fleet: &VirtualFleet, index: usize| {
         fleet.boxes[index].state.fresh_state(fleet.box_time(index))
@@ -410,52 +425,53 @@
     fleet.run_ms(60_000);
     assert!((0..5).all(|index| state(&fleet, index) == FreshState::OutageMajority));
 
-    fleet.cut.extend((1..5).map(|other| (0, other)));
+    fleet.cut_links.extend((1..5).map(|other| (0, other)));
     fleet.run_ms(8_000);
     assert_eq!(state(&fleet, 0), FreshState::CutOff);
     assert_eq!(state(&fleet, 1), FreshState::OutageMajority);
     let mut callers = Callers::default();
-    fleet.feed(0, ask(1, "alpha", chat("small", None), None));
+    fleet.feed(0, arrival(1, "alpha", chat("small", None), None));
     callers.run(&mut fleet, 100);
-    assert_eq!(callers.seen[&1], Seen::Refused(ReasonCode::CutOff, RunState::NotRun));
+    assert_eq!(callers.ends[&1], RequestEnd::Refused(ReasonCode::CutOff, RunState::NotRun));
 
-    fleet.cut.clear();
+    fleet.cut_links.clear();
     fleet.log_faults.outage = false;
     fleet.run_ms(3_000);
     assert!((0..5).all(|index| state(&fleet, index) == FreshState::Fresh));
 }
 
 #[test]
-fn restarted_box_does_not_vouch_for_a_majority_in_an_outage() {
-    // Found by the model check: a box that restarted forgot the bundle that it had confirmed.
+fn restarted_box_does_not_count_towards_a_majority_in_an_outage() {
+    // A restarted box has forgotten the bundle that it confirmed, so a majority that counts it
+    // can miss that bundle.
     let mut fleet = fleet(3);
-    fleet.log_cut.insert(0);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.log_unreachable.insert(0);
+    fleet.cut_links.extend([(0, 1), (0, 2)]);
 
     publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
     fleet.run_ms(200);
     assert_eq!(fleet.boxes[1].state.sequence() + fleet.boxes[2].state.sequence(), 4);
     fleet.kill(1);
     fleet.kill(2);
-    fleet.log_cut.extend([1, 2]);
+    fleet.log_unreachable.extend([1, 2]);
     fleet.restart(2);
-    fleet.cut.remove(&(0, 2));
+    fleet.cut_links.remove(&(0, 2));
     fleet.run_ms(8_000);
 
     let now = fleet.box_time(0);
-    assert_eq!(fleet.boxes[0].state.sequence(), 1, "nobody could tell it of bundle 2");
+    assert_eq!(fleet.boxes[0].state.sequence(), 1, "no reachable box knows bundle 2");
     assert_eq!(fleet.boxes[0].state.fresh_state(now), FreshState::CutOff);
 }
 
 #[test]
-fn paused_box_is_not_fresh_by_answers_that_waited_in_its_sockets() {
+fn paused_box_does_not_become_fresh_from_answers_buffered_in_its_sockets() {
     let mut fleet = fleet(3);
 
     fleet.run_ms(1_000);
     fleet.pause(0);
     fleet.run_ms(3_000);
-    fleet.log_cut.insert(0);
-    fleet.cut.extend([(0, 1), (0, 2)]);
+    fleet.log_unreachable.insert(0);
+    fleet.cut_links.extend([(0, 1), (0, 2)]);
     fleet.run_ms(27_000);
     fleet.resume(0);
 
@@ -464,18 +480,18 @@
 }
 
 #[test]
-fn paused_box_that_hears_of_a_newer_bundle_does_not_serve_before_it_has_it() {
-    // Found by reading, after a test on processes failed once: the answers that told a box of a newer
-    // bundle also made it see a majority again, and it served by the old one until the new one came.
+fn paused_box_that_learns_of_a_newer_bundle_does_not_serve_by_the_old_one() {
+    // The answers that announce a newer bundle also let the box see a majority again. It must not
+    // serve by the old bundle until the new one arrives.
     for phase in 0..40 {
         let mut fleet = fleet(3);
         fleet.pause(0);
-        fleet.log_cut.insert(0);
-        fleet.cut.extend([(0, 1), (0, 2)]);
+        fleet.log_unreachable.insert(0);
+        fleet.cut_links.extend([(0, 1), (0, 2)]);
         publish(&mut fleet, Some(1), &bundle_text(V2, "withdrawn"));
         fleet.run_ms(6_000 + phase * 27);
         fleet.resume(0);
-        fleet.cut.clear();
+        fleet.cut_links.clear();
         for _ in 0..1_500 {
             let state = &fleet.boxes[0].state;
             let fresh = state.fresh_state(fleet.box_time(0));
--- a/crates/bench/tests/promises/orders.rs
+++ b/crates/bench/tests/promises/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to pools: paced, fenced, and taken up by another box.
+//! Orders to pools: limited in number, fenced by tokens, and resumed by another box.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::support::*;
 
-/// A bundle whose pool should load both versions, two replicas at once.
+/// A bundle with a pool of engines that loads the model on at most two replicas at once.
 fn pooled(checks_token: bool) -> BundleSpec {
     let mut spec = bundle_text(V1, "serving");
     let pool = PoolSpec { models: vec!["small".to_owned()], checks_token, loads_at_once: 2 };
@@ -19,30 +19,31 @@
     spec
 }
 
-/// Engines that obey orders at once, and report to every box.
+/// Simulated engines that record the orders of the fleet and report their versions to every box.
 #[derive(Default)]
-struct Engines {
+struct SimulatedEngines {
     loaded: BTreeMap<String, Vec<String>>,
     tokens: Vec<(usize, u64, String)>,
-    under_way: usize,
-    most_at_once: usize,
+    in_flight: usize,
+    max_in_flight: usize,
 }
 
-impl Engines {
-    /// Takes the orders that the fleet gave since the last time; with `obey`, loads end.
-    fn take(&mut self, fleet: &mut VirtualFleet, obey: bool) {
+impl SimulatedEngines {
+    /// Records the orders since the last call, then reports to every box. With `complete_loads`,
+    /// the engines complete all loads at once; otherwise they never do.
+    fn record_orders(&mut self, fleet: &mut VirtualFleet, complete_loads: bool) {
         for (index, effect) in fleet.take_effects() {
             if let BoxEffect::Order(order) = effect {
                 self.tokens.push((index, order.token, order.replica.clone()));
-                self.under_way += 1;
-                self.most_at_once = self.most_at_once.max(self.under_way);
-                if obey {
+                self.in_flight += 1;
+                self.max_in_flight = self.max_in_flight.max(self.in_flight);
+                if complete_loads {
                     self.loaded.insert(order.replica, order.versions);
                 }
             }
         }
-        if obey {
-            self.under_way = 0;
+        if complete_loads {
+            self.in_flight = 0;
         }
         for index in 0..fleet.boxes.len() {
             for number in 0..6 {
@@ -55,21 +56,21 @@
         }
     }
 
-    /// Runs until a box gives an order, two minutes at the longest.
-    fn run_to_first_order(&mut self, fleet: &mut VirtualFleet, obey: bool) {
+    /// Runs until a box gives an order; panics after two minutes without one.
+    fn run_to_first_order(&mut self, fleet: &mut VirtualFleet, complete_loads: bool) {
         for _ in 0..120 {
             if !self.tokens.is_empty() {
                 return;
             }
-            self.run(fleet, 1, obey);
+            self.run(fleet, 1, complete_loads);
         }
         panic!("no box gave an order within two minutes");
     }
 
-    fn run(&mut self, fleet: &mut VirtualFleet, seconds: u64, obey: bool) {
+    fn run(&mut self, fleet: &mut VirtualFleet, seconds: u64, complete_loads: bool) {
         for _ in 0..seconds {
             fleet.run_ms(1_000);
-            self.take(fleet, obey);
+            self.record_orders(fleet, complete_loads);
         }
     }
 }
@@ -83,19 +84,19 @@
 }
 
 #[test]
-fn orders_are_paced_and_an_interrupted_roll_out_goes_on_with_a_higher_token() {
+fn orders_keep_the_load_limit_and_an_interrupted_roll_out_resumes_with_a_higher_token() {
     for checks in [true, false] {
         let mut fleet = pooled_fleet(checks);
-        let mut engines = Engines::default();
+        let mut engines = SimulatedEngines::default();
 
         engines.run_to_first_order(&mut fleet, true);
         let (holder, token, _) = engines.tokens[0].clone();
-        assert!(engines.loaded.len() <= 2, "halfway");
+        assert!(engines.loaded.len() <= 2, "the roll-out is not complete yet");
         fleet.kill(holder);
         engines.run(&mut fleet, 60, true);
 
-        assert_eq!(engines.loaded.len(), 6, "another box went on");
-        assert!(engines.most_at_once <= 2, "the weight store feeds two at once");
+        assert_eq!(engines.loaded.len(), 6, "another box completes the roll-out");
+        assert!(engines.max_in_flight <= 2, "at most two replicas load at once");
         let later = engines.tokens.iter().filter(|(index, ..)| *index != holder);
         assert!(later.clone().count() > 0);
         assert!(later.clone().all(|(_, later, _)| *later > token));
@@ -103,14 +104,14 @@
 }
 
 #[test]
-fn paused_holder_gives_no_order_after_its_term() {
+fn paused_lease_holder_gives_no_order_after_its_lease_ends() {
     let mut fleet = pooled_fleet(false);
-    let mut engines = Engines::default();
+    let mut engines = SimulatedEngines::default();
     engines.run_to_first_order(&mut fleet, false);
     let holder = engines.tokens[0].0;
 
-    // It reads nothing of its successor's lease, and its own orders are old enough to be given again.
-    fleet.log_cut.insert(holder);
+    // The holder can't read its successor's lease, and its own orders are due for repetition.
+    fleet.log_unreachable.insert(holder);
     fleet.pause(holder);
     engines.run(&mut fleet, 140, false);
     let before = engines.tokens.len();
@@ -120,8 +121,8 @@
     let late = engines.tokens[before..].iter().filter(|(index, ..)| *index == holder);
     assert_eq!(late.count(), 0);
     let others = engines.tokens.iter().filter(|(index, ..)| *index != holder);
-    assert!(others.count() > 0, "its successor went on");
+    assert!(others.count() > 0, "its successor gives orders");
 
     engines.run(&mut fleet, 150, true);
-    assert_eq!(engines.loaded.len(), 6, "its successor did the work");
+    assert_eq!(engines.loaded.len(), 6, "its successor completes the loads");
 }
--- a/crates/bench/tests/promises/support.rs
+++ b/crates/bench/tests/promises/support.rs
@@ -1,4 +1,4 @@
-//! Fixtures: a fleet with a bundle in force, requests, and callers that keep count.
+//! Fixtures: a fleet with a bundle in force, requests, and callers that record results.
 
 use std::collections::BTreeMap;
 
@@ -70,15 +70,20 @@
     }
 }
 
-/// Publishes `spec` over what box `base` has in force.
+/// Publishes `spec` on top of the bundle in force on box `base`, or as the first bundle.
 pub fn publish(fleet: &mut VirtualFleet, base: Option<usize>, spec: &BundleSpec) {
     let in_force = base.and_then(|index| fleet.boxes[index].state.in_force().cloned());
     let record = signed_record(in_force.as_ref(), spec);
     let record = LogRecord { incarnation: 0, body: Some(RecordBody::Bundle(record)) };
-    fleet.take(LogStream::Bundles, vec![record]);
+    fleet.append_records(LogStream::Bundles, vec![record]);
 }
 
-pub fn ask(ticket: u64, key: &str, target: RequestTarget, caller_key: Option<&str>) -> BoxEvent {
+pub fn arrival(
+    ticket: u64,
+    key: &str,
+    target: RequestTarget,
+    caller_key: Option<&str>,
+) -> BoxEvent {
     BoxEvent::RequestArrived(RequestDetails {
         ticket: RequestTicket(ticket),
         id: u128::from(ticket),
@@ -101,31 +106,32 @@
 }
 
 /// A UUIDv7 whose time is `age_ms` before virtual time zero.
-pub fn once_key(age_ms: u64, tail: u16) -> String {
+pub fn claim_key(age_ms: u64, tail: u16) -> String {
     let millis = WALL_START_MS - age_ms;
     format!("{:08x}-{:04x}-7000-8000-00000000{tail:04x}", millis >> 16, millis & 0xffff)
 }
 
-/// How a request ended, or how far it came.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum RequestEnd {
     Refused(ReasonCode, RunState),
     Finished,
     Replayed(u32),
 }
 
-/// Drives requests as a box does, with backend servers that answer at once, and keeps count.
+/// Carries out the effects for each request as a box does, and records its runs and its end. The
+/// backend servers answer at once.
 #[derive(Default)]
 pub struct Callers {
-    /// Writes to backend servers, by ticket.
-    pub ran: BTreeMap<u64, u32>,
-    /// Versions written to, by ticket.
+    /// Number of sends to backend servers, by ticket.
+    pub sends: BTreeMap<u64, u32>,
+    /// Versions of the attempts, by ticket.
     pub versions: BTreeMap<u64, Vec<String>>,
-    pub seen: BTreeMap<u64, Seen>,
+    pub ends: BTreeMap<u64, RequestEnd>,
     pub tokens: BTreeMap<u64, String>,
     pub keys: BTreeMap<(usize, u64), RequestKey>,
-    /// Whether backend servers answer.
-    pub hold: bool,
+    /// Whether backend servers withhold their answers.
+    pub withhold_answers: bool,
 }
 
 impl Callers {
@@ -152,17 +158,17 @@
                 fleet.feed(index, BoxEvent::SendStarting(key));
             }
             BoxEffect::Send(ticket) => {
-                *self.ran.entry(ticket.0).or_default() += 1;
-                if !self.hold {
+                *self.sends.entry(ticket.0).or_default() += 1;
+                if !self.withhold_answers {
                     self.answer(fleet, index, ticket.0);
                 }
             }
-            BoxEffect::Finish(ticket, _) => drop(self.seen.insert(ticket.0, Seen::Finished)),
+            BoxEffect::Finish(ticket, _) => drop(self.ends.insert(ticket.0, RequestEnd::Finished)),
             BoxEffect::Refuse(ticket, refusal) => {
-                self.seen.insert(ticket.0, Seen::Refused(refusal.reason, refusal.run()));
+                self.ends.insert(ticket.0, RequestEnd::Refused(refusal.reason, refusal.run()));
             }
             BoxEffect::Replay(ticket, outcome) => {
-                self.seen.insert(ticket.0, Seen::Replayed(outcome.status));
+                self.ends.insert(ticket.0, RequestEnd::Replayed(outcome.status));
             }
             _ => {}
         }
@@ -183,7 +189,7 @@
     }
 
     pub fn runs(&self) -> u32 {
-        self.ran.values().sum()
+        self.sends.values().sum()
     }
 }
 
--- a/crates/bench/tests/sessions.rs
+++ b/crates/bench/tests/sessions.rs
@@ -1,7 +1,7 @@
-//! Golden files: whole sessions event by event, with their effects, readable as a story.
+//! Golden files: scenarios as traces of events and of the effects that follow them.
 //!
-//! Each session is a list of events on real reducers in virtual time; the files under
-//! `tests/golden` hold what came of them. `UPDATE_EXPECT=1 cargo test` writes them anew.
+//! Each scenario is a list of events on real reducers in virtual time. The files under
+//! `tests/golden` hold the expected traces; `UPDATE_EXPECT=1 cargo test` rewrites them.
 
 use std::fmt::Write;
 
@@ -16,8 +16,8 @@
 use ravenspoke_core::message::{LogRecord, RecordBody};
 use ravenspoke_core::replica::LoadReport;
 
-/// A session being told.
-struct Story {
+/// A scenario that runs on a virtual fleet, and its trace so far.
+struct ScenarioTrace {
     fleet: VirtualFleet,
     text: String,
     keys: std::collections::BTreeMap<u64, (usize, RequestKey)>,
@@ -25,7 +25,7 @@
     versions: [String; 3],
 }
 
-/// A deployment: cheap, new cheap and strong version, cascade, account, service.
+/// Names that a deployment gives to its small and large model, cascade, account and service.
 struct Deployment {
     small: &'static str,
     large: &'static str,
@@ -73,7 +73,7 @@
         ))
     }
 
-    fn story(&self) -> Story {
+    fn start_trace(&self) -> ScenarioTrace {
         let replicas = vec![
             listed_replica("engine-1", "engines", true),
             listed_replica("engine-2", "engines", true),
@@ -82,20 +82,25 @@
         let versions =
             [format!("{}-1", self.small), format!("{}-2", self.small), format!("{}-1", self.large)];
         let fleet = VirtualFleet::new(3, 3, 42, replicas);
-        let mut story =
-            Story { fleet, text: String::new(), keys: Default::default(), token: None, versions };
-        story.publish("bundle 1", &self.bundle(1, "serving", false));
-        story.wait(3_000);
-        story.loads();
-        story
+        let mut trace = ScenarioTrace {
+            fleet,
+            text: String::new(),
+            keys: Default::default(),
+            token: None,
+            versions,
+        };
+        trace.publish("bundle 1", &self.bundle(1, "serving", false));
+        trace.wait(3_000);
+        trace.loads();
+        trace
     }
 }
 
-impl Story {
-    fn say(&mut self, words: &str) {
+impl ScenarioTrace {
+    fn write_line(&mut self, text: &str) {
         let millis = self.fleet.now_us() / 1_000;
         // Writing to a string does not fail.
-        let _ = writeln!(self.text, "{millis:>7} ms  {words}");
+        let _ = writeln!(self.text, "{millis:>7} ms  {text}");
     }
 
     fn loads(&mut self) {
@@ -111,28 +116,30 @@
                 self.fleet.feed(index, BoxEvent::LoadReported { replica, at, report });
             }
         }
-        self.tell();
+        self.process_effects();
     }
 
     fn publish(&mut self, name: &str, spec: &BundleSpec) {
-        self.say(&format!("> an operator publishes {name}"));
+        self.write_line(&format!("> an operator publishes {name}"));
         let base = self.fleet.boxes[1].state.in_force().cloned();
         let record = signed_record(base.as_ref(), spec);
         let body = Some(RecordBody::Bundle(record));
-        self.fleet.take(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
+        self.fleet.append_records(LogStream::Bundles, vec![LogRecord { incarnation: 0, body }]);
     }
 
     fn wait(&mut self, millis: u64) {
         for _ in 0..millis / 10 {
             self.fleet.run_ms(10);
-            self.tell();
+            self.process_effects();
         }
     }
 
     fn chat(&mut self, ticket: u64, index: usize, name: &str, class: u8) {
         let session = self.token.clone();
-        let kept = if session.is_some() { ", in the session" } else { "" };
-        self.say(&format!("> request {ticket} to box-{index}: {name}, class {class}{kept}"));
+        let suffix = if session.is_some() { ", in the session" } else { "" };
+        self.write_line(&format!(
+            "> request {ticket} to box-{index}: {name}, class {class}{suffix}"
+        ));
         let target = RequestTarget::Model {
             name: name.to_owned(),
             prompt_tokens: 40,
@@ -140,63 +147,73 @@
             prefix: 0,
             session,
         };
-        self.ask(ticket, index, target, None);
+        self.send_request(ticket, index, target, None);
     }
 
     fn filing(&mut self, ticket: u64, index: usize, service: &str, key: &str) {
-        self.say(&format!("> request {ticket} to box-{index}: POST /filings, key {}", &key[24..]));
+        self.write_line(&format!(
+            "> request {ticket} to box-{index}: POST /filings, key {}",
+            &key[24..]
+        ));
         let target = RequestTarget::Service {
             name: service.to_owned(),
             method: "POST".to_owned(),
             path: "/filings".to_owned(),
         };
-        self.ask(ticket, index, target, Some(key.to_owned()));
+        self.send_request(ticket, index, target, Some(key.to_owned()));
     }
 
-    fn ask(&mut self, ticket: u64, index: usize, target: RequestTarget, key: Option<String>) {
-        let ask = RequestDetails {
+    fn send_request(
+        &mut self,
+        ticket: u64,
+        index: usize,
+        target: RequestTarget,
+        key: Option<String>,
+    ) {
+        let request = RequestDetails {
             ticket: RequestTicket(ticket),
             id: u128::from(ticket),
             key_hash: caller_hash("key"),
             target,
             caller_key: key,
         };
-        self.fleet.feed(index, BoxEvent::RequestArrived(ask));
-        self.tell();
+        self.fleet.feed(index, BoxEvent::RequestArrived(request));
+        self.process_effects();
     }
 
-    fn answer(&mut self, ticket: u64, words: &str, end: AttemptEnd) {
-        self.say(&format!("> the replica: {words} (request {ticket})"));
+    fn answer(&mut self, ticket: u64, description: &str, end: AttemptEnd) {
+        self.write_line(&format!("> the replica: {description} (request {ticket})"));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::AttemptEnded(key, end));
-        self.tell();
+        self.process_effects();
     }
 
-    fn whole(&mut self, ticket: u64) {
+    fn complete(&mut self, ticket: u64) {
         let end = AttemptEnd::Answered { tokens: 50, status: 200, body: b"filed".to_vec() };
         self.answer(ticket, "a whole answer of 50 tokens", end);
     }
 
-    fn judge(&mut self, ticket: u64, good: bool) {
-        self.say(&format!(
+    fn rate(&mut self, ticket: u64, good: bool) {
+        self.write_line(&format!(
             "> the rating service: request {ticket} is {}",
             if good { "good" } else { "bad" }
         ));
         let (index, key) = self.keys[&ticket];
         self.fleet.feed(index, BoxEvent::HeldAnswerRated(key, Some(good)));
-        self.tell();
+        self.process_effects();
     }
 
-    /// Tells the effects that concern requests and operators, and carries out what a box would.
-    fn tell(&mut self) {
+    /// Traces the effects that concern requests and operators, and sends prepared attempts as a box
+    /// would, until no effect is left.
+    fn process_effects(&mut self) {
         loop {
             let effects = self.fleet.take_effects();
             if effects.is_empty() {
                 return;
             }
             for (index, effect) in effects {
-                if let Some(words) = self.words(index, &effect) {
-                    self.say(&format!("  box-{index}: {words}"));
+                if let Some(description) = self.describe(index, &effect) {
+                    self.write_line(&format!("  box-{index}: {description}"));
                 }
                 if let BoxEffect::PrepareAttempt(_, key, _) = effect {
                     self.fleet.feed(index, BoxEvent::SendStarting(key));
@@ -205,7 +222,7 @@
         }
     }
 
-    fn words(&mut self, index: usize, effect: &BoxEffect) -> Option<String> {
+    fn describe(&mut self, index: usize, effect: &BoxEffect) -> Option<String> {
         Some(match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.keys.insert(ticket.0, (index, *key));
@@ -255,171 +272,171 @@
     }
 }
 
-fn once_key(tail: u8) -> String {
+fn claim_key(tail: u8) -> String {
     let millis = WALL_START_MS;
     format!("{:08x}-{:04x}-7000-8000-0000000000{tail:02x}", millis >> 16, millis & 0xffff)
 }
 
-fn a_day(deployment: &Deployment) -> Story {
-    let mut story = deployment.story();
+fn ordinary_requests(deployment: &Deployment) -> ScenarioTrace {
+    let mut trace = deployment.start_trace();
     let Deployment { cascade, small, service, .. } = *deployment;
-    story.chat(1, 0, cascade, 0);
-    story.whole(1);
-    story.judge(1, true);
-    story.wait(200);
-    story.chat(2, 1, cascade, 2);
-    story.whole(2);
-    story.judge(2, false);
-    story.whole(2);
-    story.wait(200);
-    let key = once_key(1);
-    story.filing(3, 0, service, &key);
-    story.wait(200);
-    story.whole(3);
-    story.wait(200);
-    story.filing(4, 2, service, &key);
-    story.publish(
+    trace.chat(1, 0, cascade, 0);
+    trace.complete(1);
+    trace.rate(1, true);
+    trace.wait(200);
+    trace.chat(2, 1, cascade, 2);
+    trace.complete(2);
+    trace.rate(2, false);
+    trace.complete(2);
+    trace.wait(200);
+    let key = claim_key(1);
+    trace.filing(3, 0, service, &key);
+    trace.wait(200);
+    trace.complete(3);
+    trace.wait(200);
+    trace.filing(4, 2, service, &key);
+    trace.publish(
         "bundle 2: the second version is the default, the first drains",
         &deployment.bundle(2, "draining", false),
     );
-    story.wait(200);
-    story.chat(5, 2, small, 0);
-    story.whole(5);
-    story.token = None;
-    story.chat(6, 2, small, 0);
-    story.whole(6);
-    story.wait(200);
-    story
+    trace.wait(200);
+    trace.chat(5, 2, small, 0);
+    trace.complete(5);
+    trace.token = None;
+    trace.chat(6, 2, small, 0);
+    trace.complete(6);
+    trace.wait(200);
+    trace
 }
 
 #[test]
-fn a_callers_day_at_coteau() {
-    expect_file!["golden/coteau_day.txt"].assert_eq(&a_day(&COTEAU).text);
+fn ordinary_requests_at_coteau() {
+    expect_file!["golden/coteau_day.txt"].assert_eq(&ordinary_requests(&COTEAU).text);
 }
 
 #[test]
-fn a_callers_day_at_the_agency() {
-    expect_file!["golden/agency_day.txt"].assert_eq(&a_day(&AGENCY).text);
+fn ordinary_requests_at_the_agency() {
+    expect_file!["golden/agency_day.txt"].assert_eq(&ordinary_requests(&AGENCY).text);
 }
 
 #[test]
-fn withdrawn_under_a_session() {
-    let mut story = COTEAU.story();
-    story.chat(1, 0, "assist-small", 0);
-    story.whole(1);
-    story.wait(100);
-    story
+fn version_withdrawn_during_a_session() {
+    let mut trace = COTEAU.start_trace();
+    trace.chat(1, 0, "assist-small", 0);
+    trace.complete(1);
+    trace.wait(100);
+    trace
         .publish("bundle 2: the first version is withdrawn", &COTEAU.bundle(2, "withdrawn", false));
-    story.wait(100);
-    story.chat(2, 1, "assist-small", 0);
-    story.token = None;
-    story.chat(3, 1, "assist-small", 0);
-    story.whole(3);
-    story.wait(100);
-    expect_file!["golden/withdrawn_session.txt"].assert_eq(&story.text);
+    trace.wait(100);
+    trace.chat(2, 1, "assist-small", 0);
+    trace.token = None;
+    trace.chat(3, 1, "assist-small", 0);
+    trace.complete(3);
+    trace.wait(100);
+    expect_file!["golden/withdrawn_session.txt"].assert_eq(&trace.text);
 }
 
 #[test]
-fn a_version_turns_bad_and_is_halted() {
-    let mut story = AGENCY.story();
-    story.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
-    story.wait(200);
+fn rollout_of_a_bad_version_is_halted() {
+    let mut trace = AGENCY.start_trace();
+    trace.publish("bundle 2: the second version is rolled in", &AGENCY.bundle(1, "serving", true));
+    trace.wait(200);
     let mut ticket = 1;
-    while !story.text.contains("is halted") && ticket < 60 {
+    while !trace.text.contains("is halted") && ticket < 60 {
         for index in 0..3 {
-            story.token = None;
-            story.chat(ticket, index, "analise-curta", 0);
-            story.whole(ticket);
+            trace.token = None;
+            trace.chat(ticket, index, "analise-curta", 0);
+            trace.complete(ticket);
             let (version, good) = ("analise-curta-2".to_owned(), Some(false));
-            if story
+            if trace
                 .text
                 .rsplit("attempt 1: ")
                 .next()
                 .is_some_and(|text| text.starts_with(&version))
             {
-                story.say("> the rating service: bad");
-                story.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
-                story.wait(10);
+                trace.write_line("> the rating service: bad");
+                trace.fleet.feed(index, BoxEvent::ReleasedAnswerRated { version, class: 0, good });
+                trace.wait(10);
             }
             ticket += 1;
         }
-        story.wait(100);
+        trace.wait(100);
     }
-    story.chat(100, 0, "analise-curta", 0);
-    expect_file!["golden/bad_version.txt"].assert_eq(&story.text);
+    trace.chat(100, 0, "analise-curta", 0);
+    expect_file!["golden/bad_version.txt"].assert_eq(&trace.text);
 }
 
 #[test]
-fn a_stream_breaks_and_is_resumed() {
-    let mut story = COTEAU.story();
-    story.chat(1, 0, "assist-small", 0);
-    story.answer(1, "breaks off behind 12 tokens", AttemptEnd::Aborted { delivered: 12 });
-    story.whole(1);
-    story.wait(100);
-    story.chat(2, 0, "assist-small", 0);
-    story.answer(2, "says that it is leaving", AttemptEnd::Declined { leaving: true });
-    story.whole(2);
-    story.wait(100);
-    expect_file!["golden/broken_stream.txt"].assert_eq(&story.text);
+fn aborted_stream_is_resumed() {
+    let mut trace = COTEAU.start_trace();
+    trace.chat(1, 0, "assist-small", 0);
+    trace.answer(1, "breaks off behind 12 tokens", AttemptEnd::Aborted { delivered: 12 });
+    trace.complete(1);
+    trace.wait(100);
+    trace.chat(2, 0, "assist-small", 0);
+    trace.answer(2, "says that it is leaving", AttemptEnd::Declined { leaving: true });
+    trace.complete(2);
+    trace.wait(100);
+    expect_file!["golden/broken_stream.txt"].assert_eq(&trace.text);
 }
 
 #[test]
-fn the_platform_is_out_and_a_box_dies() {
-    let mut story = AGENCY.story();
-    story.say("> the log goes down");
-    story.fleet.log_faults.outage = true;
-    story.chat(1, 0, "analise-curta", 0);
-    story.whole(1);
-    story.wait(500);
-    story.filing(2, 0, "portal", &once_key(2));
-    story.wait(4_000);
-    story.filing(3, 0, "portal", &once_key(3));
-    story.say("> box-0 dies");
-    story.fleet.kill(0);
-    story.wait(2_000);
-    story.say("> the log comes back");
-    story.fleet.log_faults.outage = false;
-    story.wait(12_000);
-    expect_file!["golden/outage_and_death.txt"].assert_eq(&story.text);
+fn log_outage_and_box_crash() {
+    let mut trace = AGENCY.start_trace();
+    trace.write_line("> the log goes down");
+    trace.fleet.log_faults.outage = true;
+    trace.chat(1, 0, "analise-curta", 0);
+    trace.complete(1);
+    trace.wait(500);
+    trace.filing(2, 0, "portal", &claim_key(2));
+    trace.wait(4_000);
+    trace.filing(3, 0, "portal", &claim_key(3));
+    trace.write_line("> box-0 dies");
+    trace.fleet.kill(0);
+    trace.wait(2_000);
+    trace.write_line("> the log comes back");
+    trace.fleet.log_faults.outage = false;
+    trace.wait(12_000);
+    expect_file!["golden/outage_and_death.txt"].assert_eq(&trace.text);
 }
 
 #[test]
-fn a_holder_is_paused_past_its_deadline() {
-    let mut story = AGENCY.story();
-    story.filing(1, 0, "portal", &once_key(4));
-    story.say("> box-0 is paused");
-    story.fleet.pause(0);
-    story.wait(6_000);
-    story.filing(2, 1, "portal", &once_key(4));
-    story.wait(200);
-    story.say("> box-0 goes on");
-    story.fleet.resume(0);
-    story.tell();
-    story.wait(500);
-    story.filing(3, 1, "portal", &once_key(4));
-    story.wait(200);
-    story.whole(3);
-    story.wait(200);
-    expect_file!["golden/paused_holder.txt"].assert_eq(&story.text);
+fn claim_owner_is_paused_past_its_deadline() {
+    let mut trace = AGENCY.start_trace();
+    trace.filing(1, 0, "portal", &claim_key(4));
+    trace.write_line("> box-0 is paused");
+    trace.fleet.pause(0);
+    trace.wait(6_000);
+    trace.filing(2, 1, "portal", &claim_key(4));
+    trace.wait(200);
+    trace.write_line("> box-0 goes on");
+    trace.fleet.resume(0);
+    trace.process_effects();
+    trace.wait(500);
+    trace.filing(3, 1, "portal", &claim_key(4));
+    trace.wait(200);
+    trace.complete(3);
+    trace.wait(200);
+    expect_file!["golden/paused_holder.txt"].assert_eq(&trace.text);
 }
 
 #[test]
-fn operators_race_and_a_box_stops_as_planned() {
-    let mut story = COTEAU.story();
+fn operators_race_and_a_box_is_stopped() {
+    let mut trace = COTEAU.start_trace();
     let first = COTEAU.bundle(2, "serving", false);
     let second = COTEAU.bundle(2, "withdrawn", false);
-    story.publish("bundle 2", &first);
-    story.publish("another bundle 2, on the same base", &second);
-    story.wait(200);
-    story.say("> an operator stops box-0");
-    story.fleet.feed(0, BoxEvent::StopRequested);
-    story.chat(1, 0, "assist-small", 0);
-    story.whole(1);
+    trace.publish("bundle 2", &first);
+    trace.publish("another bundle 2, on the same base", &second);
+    trace.wait(200);
+    trace.write_line("> an operator stops box-0");
+    trace.fleet.feed(0, BoxEvent::StopRequested);
+    trace.chat(1, 0, "assist-small", 0);
+    trace.complete(1);
     for _ in 0..1_200 {
-        story.wait(10);
-        if story.text.contains("nothing is owed") {
+        trace.wait(10);
+        if trace.text.contains("nothing is owed") {
             break;
         }
     }
-    expect_file!["golden/race_and_stop.txt"].assert_eq(&story.text);
+    expect_file!["golden/race_and_stop.txt"].assert_eq(&trace.text);
 }
