--- a/crates/cli/src/command.rs
+++ b/crates/cli/src/command.rs
@@ -43,7 +43,7 @@
 /// A parsed command line.
 #[derive(Debug, Default)]
 pub struct CommandLine {
-    words: Vec<String>,
+    arguments: Vec<String>,
     config: Option<String>,
     id: Option<String>,
     key: Option<String>,
@@ -71,7 +71,7 @@
                 Long("json") => line.json = true,
                 Short('h') | Long("help") => line.help = true,
                 Short('V') | Long("version") => line.version = true,
-                Value(word) => line.words.push(word.string().map_err(usage)?),
+                Value(argument) => line.arguments.push(argument.string().map_err(usage)?),
                 other => return Err(usage(other.unexpected())),
             }
         }
@@ -91,8 +91,8 @@
     /// # Errors
     /// Returns [`CommandError`] if the command fails.
     pub async fn run(&self) -> Result<Value, CommandError> {
-        let words: Vec<&str> = self.words.iter().map(String::as_str).collect();
-        match words.as_slice() {
+        let arguments: Vec<&str> = self.arguments.iter().map(String::as_str).collect();
+        match arguments.as_slice() {
             ["bundle", "check", file] => {
                 let sections = publish::load_bundle(file)?.sections();
                 let digest = ravenspoke_core::bundle::bundle_digest(&sections);
