--- a/crates/box/src/driver.rs
+++ b/crates/box/src/driver.rs
@@ -135,7 +135,7 @@
     }
 
     fn dispatch(&self, effect: BoxEffect) {
-        observe::note_effect(&effect);
+        observe::record_effect(&effect);
         match effect {
             BoxEffect::PrepareAttempt(ticket, key, order) => {
                 self.step(ticket, RequestStep::Prepare(key, order));
--- a/crates/box/src/observe.rs
+++ b/crates/box/src/observe.rs
@@ -77,7 +77,7 @@
 ];
 
 /// Logs and counts an effect, if it has a log event or a metric.
-pub fn note_effect(effect: &BoxEffect) {
+pub fn record_effect(effect: &BoxEffect) {
     match effect {
         BoxEffect::BundleInForce { sequence, digest } => {
             metrics::gauge!("ravenspoke_bundle_sequence").set(*sequence as f64);
