--- a/crates/box/src/gateway/topic_follower.rs
+++ b/crates/box/src/gateway/topic_follower.rs
@@ -31,8 +31,8 @@
 /// two seconds after the store confirmed the change.
 pub const RETRY_READER_LIMIT_MS: u64 = 500;
 
-/// Shortest retry pause of the other boxes, in milliseconds. If many lost the store at once, the
-/// store readers find out when it is back.
+/// Shortest retry pause of the other boxes, in milliseconds. If many boxes lose the store at the
+/// same time, the store readers detect that it is reachable again.
 pub const RETRY_OTHERS_MS: u64 = 1_000;
 
 /// Longest retry pause of the other boxes, in milliseconds.
@@ -46,8 +46,8 @@
 /// in milliseconds. A confirmed plan must be in force within two or three seconds.
 pub const RETRY_BEHIND_MS: u64 = 500;
 
-/// Interval at which a box checks whether the store was restored from a copy, in milliseconds. It
-/// then writes its own records again.
+/// Interval at which a box checks whether the store's era has changed, in milliseconds. A new era
+/// begins when the store is restored from a copy; the box then writes its own records again.
 pub const ERA_POLL_MS: u64 = 1_000;
 
 /// Whether a box with this state must call the store for a topic now.
@@ -58,14 +58,15 @@
     driver: Arc<GatewayDriver>,
     store: StoreClient,
     topic: &'static str,
-    /// Whether calls are due, both first calls and those beside a late one.
+    /// Whether a call is due: a first one, or another one while an earlier call is late.
     due: DueCheck,
-    /// Open reads, each with the position that it began at.
+    /// Open reads, each with the position from which it reads.
     reads: OpenCalls<(TopicPosition, TopicRead)>,
     /// When the store was lost, if it is unreachable.
     lost_at: Option<BoxTime>,
-    /// When a call last failed or was found late. `jitter` is drawn anew for the pause after it.
+    /// When a call last failed or was found late.
     failed_at: BoxTime,
+    /// Jitter of the pause after that failure, between 0 and 1.
     jitter: f64,
     /// Pause before the next retry while the store is lost, in milliseconds.
     retry_ms: u64,
@@ -180,7 +181,8 @@
         Some(TopicUpdate { asked_at, wait_ms, listed_to, records: value.records })
     }
 
-    /// The next answer of the open reads and of those that begin now, from `from` on.
+    /// Begins reads from `from` on as they are due. Returns the next answer of any open read, which
+    /// may have begun at an earlier position.
     async fn read_from(
         &mut self,
         from: TopicPosition,
@@ -196,7 +198,7 @@
         answer
     }
 
-    /// Calls the store until an answer arrives or no call is open.
+    /// Calls the store until a call is answered or all open calls have failed.
     async fn answer<T, F>(
         &mut self,
         calls: &mut OpenCalls<T>,
@@ -210,7 +212,8 @@
     {
         loop {
             if calls.is_empty() || (calls.has_room() && self.may_try_again()) {
-                // A call beside a late one does not wait for new records.
+                // Only a first call is a long poll. One that begins while another is late returns
+                // at once.
                 let wait_ms = if calls.is_empty() { wait_ms } else { 0 };
                 self.driver.stats.count_call(self.topic, kind);
                 let (store, activity) = self.store.watched();
@@ -293,9 +296,9 @@
         StoreRole { reads: state.is_reader(now), tries: (self.due)(&state, now) }
     }
 
-    /// Waits before the next retry, longer each time, because refused calls cost money too. A box
-    /// that becomes a store reader meanwhile, or learns that it is behind, waits no longer than
-    /// such a box does.
+    /// Waits before the next retry. The pause doubles each time, because refused calls cost money
+    /// too. If the box becomes a store reader or falls behind while it waits, the shorter pause of
+    /// that role applies.
     pub(super) async fn wait_to_retry(&mut self) {
         let mut pause_ms = self.pause_ms();
         while !self.pause_elapsed(pause_ms) {
@@ -305,7 +308,7 @@
         self.retry_ms = pause_ms * 2;
     }
 
-    /// Waits the shortest retry pause before a read that did not confirm the plan is repeated.
+    /// Waits for the shortest retry pause before repeating a read that did not confirm the plan.
     pub(super) async fn pause_before_reread(&mut self) {
         let (min_ms, _) = self.retry_bounds();
         tokio::time::sleep(Duration::from_millis(min_ms)).await;
