--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! Serves one request: asks the reducer for each step, sends the request to replicas, and returns
+//! Serves one request: gets each step from the reducer, sends the request to replicas, and returns
 //! the response.
 
 use std::net::SocketAddr;
--- a/crates/box/src/gateway/gossip.rs
+++ b/crates/box/src/gateway/gossip.rs
@@ -35,7 +35,7 @@
                 Ok(DecodedDatagram::SyncRequest(request)) if driver.sync_pacer.has_room() => {
                     driver.feed(RouteEvent::SyncRequested(request));
                 }
-                // The requesting box asks another box.
+                // The request is dropped; the requesting box sends it to another box.
                 Ok(DecodedDatagram::SyncRequest(_)) => {
                     driver.stats.count_dropped(DatagramKind::SyncResponse)
                 }
@@ -57,7 +57,7 @@
                 Ok(DecodedDatagram::Empty) => observe::log_bad_gossip("the datagram is empty"),
                 Err(error) => observe::log_bad_gossip(&error.to_string()),
             },
-            // A datagram to a box that is gone results in an error on this socket.
+            // A datagram to a box that no longer runs results in an error on this socket.
             Err(error) => observe::log_socket_failed("notes", &error),
         }
     }
--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -3,8 +3,8 @@
 //!
 //! Load pattern: a store that takes a second or more for each call. A call that is cancelled and
 //! retried would never be answered there, and a call that begins only after the previous one has
-//! ended returns data that is twice as old as a call takes. A store that has gone silent looks the
-//! same until an answer arrives, so a late call counts as a failed one meanwhile.
+//! ended returns data that is twice as old as a call takes. A store that no longer answers looks
+//! the same until an answer arrives, so a late call counts as a failed one meanwhile.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
