--- a/crates/box/tests/soak.rs
+++ b/crates/box/tests/soak.rs
@@ -18,7 +18,7 @@
 /// Seeds of the series of stops and kills in every CI run.
 const SERIES_SEEDS: [u64; 4] = [1004, 1005, 1007, 2001];
 
-/// A seed that runs in a test of its own.
+/// A seed that has its own test.
 const SEPARATE_SEED: u64 = 2;
 
 async fn assert_guarantees_hold(seeds: BTreeSet<u64>) {
@@ -49,8 +49,8 @@
     assert_guarantees_hold(BTreeSet::from([SEPARATE_SEED])).await;
 }
 
-// Guards against requests that stopping boxes cut, and against sessions that boxes move back when
-// they start and stop during a trial.
+// Guards against requests that are aborted by a stopping box, and against sessions that return to
+// the old version because boxes start and stop during a trial.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_in_a_series_of_stops_and_kills() {
     let binary = Path::new(env!("CARGO_BIN_EXE_ravenspoked"));
