--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -33,7 +33,7 @@
 /// reader, then of any other box.
 const RETRIES_MS: [(u64, u64); 2] = [(250, 500), (1_000, 8_000)];
 
-/// Lost datagrams of 100.
+/// Percentage of datagrams that are lost.
 const LOST_PERCENT: u64 = 3;
 
 /// Size of a datagram without replicas' entries, in bytes.
@@ -45,10 +45,10 @@
 /// Size of an entry in a listing of the store, in bytes.
 const LISTED_BYTES: u64 = 280;
 
-/// Longest time that a response waits at a box, in milliseconds; later ones are dropped.
+/// Maximum time that a sync response is queued at a box, in milliseconds. Longer queues drop it.
 const RESPONSE_WAIT_MS: u64 = 250;
 
-/// Links and listing pages of a fleet.
+/// Bandwidth of the boxes' links, and size of the store's listing pages.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Bytes a millisecond on a box's link; 0 without a limit.
@@ -64,6 +64,7 @@
     PollPlan,
     PollEntries,
     PollBoxes,
+    /// A read of the plan ends, which shows the store as of `shown_at`.
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
     BoxesRead,
@@ -103,9 +104,9 @@
     incarnation: u32,
     pub killed: bool,
     calls: u32,
-    /// Where its next read of the plan begins.
+    /// Position from which it next reads the plan.
     next: TopicPosition,
-    /// Its link is busy until then, in microseconds.
+    /// Time until which its link is busy, in microseconds.
     link_until: u64,
     /// The store's era in its last response.
     era: u64,
@@ -160,9 +161,9 @@
     pub listed_entries: u64,
     /// Entries in listings that boxes sent each other.
     pub gossiped_entries: u64,
-    /// The store is unreachable until then.
+    /// Time until which the store is unreachable.
     pub outage_until: u64,
-    /// Messages within an availability zone, and between zones.
+    /// Gossip messages within an availability zone and between zones, without sync responses.
     pub messages: [u64; 2],
 }
 
@@ -229,6 +230,7 @@
         }
     }
 
+    /// Kills a box, with all steps that are scheduled for it.
     pub fn kill(&mut self, number: usize) {
         self.boxes[number].killed = true;
         self.boxes[number].incarnation += 1;
@@ -250,6 +252,7 @@
         self.launch(number, at);
     }
 
+    /// Writes the entry of a replica to the store.
     pub fn put(&mut self, id: &str, leaving: bool) {
         let entry = BackendEntry { leaving, ..entry(id, "v1") };
         let at = TopicPosition::new(self.era, self.entries.len() as u64);
@@ -346,7 +349,7 @@
                 // Tests write to the store only between two runs, so that the end of a long poll is
                 // known.
                 let held = if waits && from == self.plans_end() { WAIT_MS } else { 0 };
-                // A position of a former era is refused, and a second call lists everything.
+                // The store refuses a position of a former era, so a second call lists all records.
                 self.boxes[to].calls += 1 + u32::from(from.era > 0 && from.era != self.era);
                 let at = self.now + held + CALL_MS;
                 let shown_at = self.now + held;
@@ -455,7 +458,8 @@
         LostRows { plans, entries }
     }
 
-    /// Writes the lost records again as the operator and the replicas would: the newest of each.
+    /// Writes lost records again: the newest plan, as its operator would, and the replicas'
+    /// entries.
     pub fn write_again(&mut self, lost: LostRows) {
         if let Some(newest) = lost.plans.last() {
             self.write_plan(newest.version);
@@ -506,7 +510,7 @@
         self.feed(to, RouteEvent::EntriesRead { as_of, to: end });
     }
 
-    /// Applies the operator's records that come with a response.
+    /// Applies the plan and its position from a sync response.
     fn apply_records(&mut self, to: usize, message: &GossipMessage) {
         let state = &self.boxes[to].state;
         let as_of = state.message_as_of(message, BoxTime::from_millis(self.now));
@@ -520,25 +524,28 @@
         }
     }
 
+    /// Number of running boxes that are store readers.
     pub fn readers(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
         let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.is_reader(now)).count()
     }
 
+    /// Number of running boxes that are open to callers.
     pub fn open(&self) -> usize {
         let now = BoxTime::from_millis(self.now);
         let alive = self.boxes.iter().filter(|subject| !subject.killed);
         alive.filter(|subject| subject.state.open(now)).count()
     }
 
-    /// Calls of boxes that are not readers.
+    /// Number of calls to the store of boxes that are not store readers.
     pub fn non_reader_calls(&self) -> u32 {
         let now = BoxTime::from_millis(self.now);
         let others = self.boxes.iter().filter(|subject| !subject.state.is_reader(now));
         others.map(|subject| subject.calls).sum()
     }
 
+    /// Number of calls to the store since the previous use of this function.
     pub fn calls(&mut self) -> u32 {
         let calls = self.boxes.iter().map(|subject| subject.calls).sum();
         self.boxes.iter_mut().for_each(|subject| subject.calls = 0);
