--- a/crates/core/src/route/backoff.rs
+++ b/crates/core/src/route/backoff.rs
@@ -1,5 +1,5 @@
-//! Replicas that ask a box to back off: as a replica refuses a request, it may state for how long
-//! it wants no more from this box.
+//! Replicas that ask a box to back off: when a replica refuses a request, it may state for how long
+//! this box must not send it another one.
 //!
 //! Load pattern: a full or overloaded replica refuses all requests, and each try there costs a
 //! request one of its attempts. The backoff applies to the box that received it alone, so it is not
@@ -12,7 +12,7 @@
 use crate::ids::ReplicaKey;
 use crate::time::BoxTime;
 
-/// Longest backoff, in milliseconds. A replica that wants no more requests at all leaves instead.
+/// Longest backoff, in milliseconds. A replica that accepts no more requests at all leaves instead.
 pub const BACKOFF_LIMIT_MS: u64 = 3_600_000;
 
 impl BackendState {
--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -3,7 +3,7 @@
 //!
 //! Load pattern: a zone is evacuated while boxes are cut off from the store, start, or lose
 //! datagrams. The evacuated zones are one value, versioned by the position up to which the
-//! operator's records were read: whoever has read further is right about all zones, also about
+//! operator's records were read: the box that has read further is right about all zones, also about
 //! orders that were withdrawn. So each gossip message carries the whole value, a few bytes, and a
 //! box that receives any message knows as much as its sender, without a sync request and whatever
 //! messages it missed before.
--- a/crates/core/src/route/event.rs
+++ b/crates/core/src/route/event.rs
@@ -87,7 +87,7 @@
     NeverSent,
     /// The connection broke, or the response does not belong to this request.
     Broken,
-    /// The replica stayed silent for too long, and another one is tried.
+    /// The replica sent nothing for too long, and another one is tried.
     Silent,
     /// The replica became unusable after it was chosen; nothing was written.
     Withdrawn,
@@ -175,7 +175,7 @@
     GossipReceived(Box<GossipMessage>),
     /// Another box placed a long prompt.
     PlacementReceived(PlacementUpdate),
-    /// Another box asks for what it lacks.
+    /// Another box sent a sync request.
     SyncRequested(SyncRequest),
     /// The store responded to a request for the leader lease.
     LeaseAnswered {
@@ -219,7 +219,7 @@
     /// The response head of a replica arrived.
     HeadReceived(RequestTicket, AnswerHead),
     /// Nothing arrived for as long as the send order allows: another replica may be tried, or the
-    /// attempt continues. Silence alone never ends a request.
+    /// attempt continues. A stall alone never ends a request.
     AttemptStalled(RequestTicket),
     /// The attempt failed.
     AttemptFailed(RequestTicket, AttemptFailure),
@@ -363,10 +363,10 @@
     pub urgency: Option<u8>,
     /// Deadline of the request.
     pub deadline: BoxTime,
-    /// Silence before the response head after which [`RouteEvent::AttemptStalled`] is due, in
+    /// Time without a response head after which [`RouteEvent::AttemptStalled`] is due, in
     /// milliseconds.
     pub head_ms: u64,
-    /// Silence between events of a stream after which [`RouteEvent::AttemptStalled`] is due, in
+    /// Time between two events of a stream after which [`RouteEvent::AttemptStalled`] is due, in
     /// milliseconds.
     pub pause_ms: u64,
     /// Inputs of the decision.
--- a/crates/core/src/route/feedback.rs
+++ b/crates/core/src/route/feedback.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Learns a model's latency from the head of an answer, if nothing else was queued.
+    /// Updates a model's latency estimate from the head of an answer, if nothing else was queued.
     pub(super) fn learn_latency(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/route/leader/mod.rs
+++ b/crates/core/src/route/leader/mod.rs
@@ -68,7 +68,7 @@
 pub enum CallOutcome {
     /// The platform carried it out.
     Done,
-    /// The platform refused it: it has seen a higher token, or has no such replicas to give.
+    /// The platform refused it: it has seen a higher token, or has no such replicas.
     Refused,
     /// There was no answer, or one that does not tell whether the call was carried out.
     Unknown,
--- a/crates/core/src/route/leader/scale.rs
+++ b/crates/core/src/route/leader/scale.rs
@@ -4,8 +4,9 @@
 //! share of the zone's replicas are spot; the on-demand share keeps running when all spot replicas
 //! of a zone are reclaimed at once, until replacements have started.
 //!
-//! Load pattern: a zone loses all its spot replicas in one moment. On-demand replicas are ordered
-//! in their place at once, and are given up only after spot replicas have served for a while again.
+//! Load pattern: a zone loses all its spot replicas at the same time. On-demand replicas are
+//! ordered in their place at once, and are removed only after spot replicas have served for a while
+//! again.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +17,7 @@
 /// Share of a zone's replicas that are on demand even where spot replicas are cheaper.
 pub const ON_DEMAND_SHARE: f64 = 0.125;
 
-/// On-demand replicas are given up after their replacements have served for this long, in
+/// On-demand replicas are removed after their replacements have served for this long, in
 /// milliseconds.
 pub const SCALE_DOWN_DELAY_MS: u64 = 2_000;
 
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -30,7 +30,7 @@
 //! - [`warm_up`]: cold replicas
 //! - `leaving`: replicas that report that they are leaving
 //! - [`rate_limit`]: replicas with a rate limit
-//! - [`backoff`]: replicas that asked for a pause
+//! - [`backoff`]: replicas that asked a box to back off
 //! - `rate_share`: each box's share of a limited or cold replica
 //! - [`poison`]: requests that crash replicas
 //!
--- a/crates/core/src/route/peers/mod.rs
+++ b/crates/core/src/route/peers/mod.rs
@@ -67,16 +67,15 @@
 pub const CLIENTS_PER_READER: usize = 64;
 
 /// Delay before a box that was recently started acts as a store reader, in milliseconds. Each such
-/// box knows few others yet and would take itself for a reader: of 300 that start together, 94 do
+/// box knows few others yet and would consider itself a reader: of 300 that start together, 94 do
 /// so after one second and 8 after this delay.
 pub const START_SETTLE_MS: u64 = 1_500;
 
 /// Delay before any other box acts as a store reader, in milliseconds. It takes over before the
-/// others, which no longer hear from a reader, read the store themselves.
+/// others, which no longer receive from a reader, read the store themselves.
 pub const READER_SETTLE_MS: u64 = 300;
 
-/// A box counts as recently started for this long, in milliseconds; by then it has heard of all
-/// others.
+/// A box counts as recently started for this long, in milliseconds; by then it knows of all others.
 pub const STARTED_LATELY_MS: u64 = 5_000;
 
 /// First pause between the sync requests of a starting box, in milliseconds: the time of a few
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -2,10 +2,10 @@
 //! any more.
 //!
 //! Load pattern: many callers send the same request, and each replica that starts it crashes with
-//! everything that runs there. Each retry of each caller is another request to another box, so what
-//! they share is their *content*, identified by a hash. Other requests on a crashed replica fail as
-//! well and are sent again, often to the replica that crashes next. Poison differs from such
-//! bystanders in that it is present at each crash, under several requests, and never answered.
+//! all other requests that it runs. Each retry of each caller is another request to another box, so
+//! what they share is their *content*, identified by a hash. Other requests on a crashed replica
+//! fail as well and are sent again, often to the replica that crashes next. Poison differs from
+//! such bystanders in that it is present at each crash, under several requests, and never answered.
 //!
 //! A broken attempt counts as a crash once its replica is unreachable or silent for a while.
 //! Crashes under different requests at about the same time count once, since a power failure takes
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -5,11 +5,11 @@
 //! counts. It may always use the share that its own traffic earns. Beyond that it continues while
 //! the boxes with recent reports have together not spent their shares.
 //!
-//! Load pattern: hundreds of boxes with some twenty requests a window each, half of which want one
-//! extra attempt. By chance some boxes want more than their share while others use less. Where 100
+//! Load pattern: hundreds of boxes with some twenty requests a window each, half of which need one
+//! extra attempt. By chance some boxes need more than their share while others use less. Where 100
 //! boxes kept to their own shares, 5 of 100 extra attempts were denied although the fleet's budget
 //! had room for all; with shared counts none is (simulated). The limits below are for the other
-//! pattern, where all boxes want more at once, as when every request fails. Since reports lag
+//! pattern, where all boxes need more at once, as when every request fails. Since reports lag
 //! behind, they count for [`REPORT_KEPT_MS`] only, and each box stops at [`OWN_SHARE_LIMIT`] times
 //! its own share.
 
@@ -33,9 +33,9 @@
 pub const STALL_RATIO: f64 = 0.05;
 
 /// How long another box's counts are used, in milliseconds: two gossip messages, in which a box
-/// hears from some twenty others. A failure storm that no report shows yet continues for as long.
-/// With 2,000 ms, one on an unspent budget made 10 attempts more than the operator's 2,000 (100
-/// boxes, simulated).
+/// receives from some twenty others. A failure storm that no report shows yet continues for as
+/// long. With 2,000 ms, one on an unspent budget made 10 attempts more than the operator's 2,000
+/// (100 boxes, simulated).
 pub const REPORT_KEPT_MS: u64 = 1_000;
 
 /// Extra attempts of a box, at most, as a multiple of its own share, however much others have left.
--- a/crates/core/src/route/trial_progress.rs
+++ b/crates/core/src/route/trial_progress.rs
@@ -5,7 +5,7 @@
 use super::trial::TRIAL_SHARE;
 
 /// Phase of a running trial. It never goes back: a share computed anew from the current evidence
-/// would move sessions back and forth, since boxes and their statistics come and go.
+/// would move sessions back and forth, since boxes and their statistics appear and disappear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum TrialPhase {
     /// All sessions stay on the old versions.
--- a/crates/core/tests/route/requests.rs
+++ b/crates/core/tests/route/requests.rs
@@ -91,9 +91,9 @@
     assert_eq!(second.number, 1);
 }
 
-/// Boxes learn of crashed replicas only by failed connections. On a day on which a quarter of 140
-/// replicas crashed, 257 requests were refused after a single failed connection: extra attempts of
-/// other requests had spent the retry budget, although nothing of these 257 had reached a replica.
+/// Boxes learn of crashed replicas only by failed connections. When a quarter of 140 replicas
+/// crashed, 257 requests were refused after a single failed connection: extra attempts of other
+/// requests had spent the retry budget, although nothing of these 257 had reached a replica.
 #[test]
 fn a_failed_connection_costs_no_retry_budget() {
     for failure in [AttemptFailure::NeverSent, AttemptFailure::Withdrawn] {
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -37,7 +37,7 @@
 }
 
 /// Simulates a fleet. `demand` returns, for a time and a random number below 100, how many extra
-/// attempts a request wants and why. With `gossips`, boxes exchange their counts.
+/// attempts a request needs and why. With `gossips`, boxes exchange their counts.
 fn simulate(gossips: bool, demand: impl Fn(u64, u64) -> (u32, SendCause)) -> FleetSends {
     let mut boxes = vec![SendBudget::default(); BOXES];
     let mut seed = 5;
@@ -78,7 +78,7 @@
     sums
 }
 
-/// More than half of the requests want an escalation to a larger model.
+/// More than half of the requests need an escalation to a larger model.
 fn larger_models(_: u64, drawn: u64) -> (u32, SendCause) {
     (u32::from(drawn < 56), SendCause::LargerModel)
 }
