--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Time of one routing decision, for a deployment of `DecisionSize::TODAY` and of `TARGET`, and of
-//! one placement of a prompt.
+//! Time of one routing decision, for deployments of size `DecisionSize::TODAY` and
+//! `DecisionSize::TARGET`, and of one placement of a prompt.
 
 // `criterion_group!` generates a function without documentation.
 #![allow(missing_docs)]
--- a/crates/box/src/main.rs
+++ b/crates/box/src/main.rs
@@ -76,7 +76,8 @@
             return ExitCode::FAILURE;
         }
     };
-    // This comes first, because a signal without a listener ends the process.
+    // The signal handlers are installed before the settings are read, because a signal without a
+    // handler ends the process.
     let signals = {
         let _inside = runtime.enter();
         BoxSignals::listen()
--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -53,10 +53,10 @@
     began.elapsed()
 }
 
-// Guards against store calls that are cancelled while they bring bytes. With a plan of 890 KB on
-// links of 10 Mbit/s, calls were given up after 900 ms with more than half of the bytes received,
-// and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving bytes is
-// answered, however long it takes.
+// Guards against store calls that are cancelled while they still receive bytes. With a plan of 890
+// KB on links of 10 Mbit/s, calls were cancelled after 900 ms with more than half of the bytes
+// received, and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving
+// bytes is answered, however long it takes.
 #[tokio::test]
 async fn long_plan_on_a_slow_link_comes_into_force() {
     let (site, boxes) = site_of(5).await;
@@ -73,7 +73,7 @@
 }
 
 // Guards against a long retry pause of boxes that can't receive a plan by gossip because it does
-// not fit into a datagram: after one failed call they did not ask the store again for 20 s, though
+// not fit into a datagram: after one failed call they did not call the store again for 20 s, though
 // it answered each call of the other boxes.
 #[tokio::test]
 async fn box_learns_a_long_plan_after_a_short_store_outage() {
--- a/crates/box/tests/replica_headers.rs
+++ b/crates/box/tests/replica_headers.rs
@@ -15,7 +15,7 @@
 /// Backoff that the replica requests.
 const BACKOFF: Duration = Duration::from_secs(3);
 
-/// Requests that arrive this soon after the announcement were already in flight.
+/// Requests that arrive within this time after the announcement were already in flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 /// Maximum number of requests that may reach a replica during its backoff.
--- a/crates/cli/src/publish.rs
+++ b/crates/cli/src/publish.rs
@@ -22,7 +22,7 @@
 /// How long a publisher reads back to learn the outcome of an append before it appends again.
 const READ_BACK: Duration = Duration::from_secs(2);
 
-/// Most appends of one publish command.
+/// Maximum number of appends of one publish command.
 const APPEND_TRIES: u32 = 4;
 
 /// The file with the sign-offs of a bundle, stored next to the bundle file.
--- a/crates/core/src/session.rs
+++ b/crates/core/src/session.rs
@@ -27,7 +27,7 @@
     pub pins: SessionPins,
 }
 
-/// Pinned versions by model. The rungs of a cascade are pinned separately.
+/// Pinned versions by model. Each model of a cascade is pinned separately.
 pub type SessionPins = std::collections::BTreeMap<String, String>;
 
 /// Why a token is not valid.
--- a/crates/core/src/state/settle.rs
+++ b/crates/core/src/state/settle.rs
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Handles that bills of this box are in the log: releases the answers, and tells the witnesses
-    /// to drop their copies.
+    /// Handles that bills of this box are in the log: releases the answers, and lets the witnesses
+    /// drop their copies.
     pub(super) fn bills_appended(&mut self, bills: &[BillRecord], out: &mut Vec<BoxEffect>) {
         let mut releases = std::collections::BTreeMap::<String, Vec<u64>>::new();
         for bill in bills {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -155,7 +155,7 @@
     /// Starts the stand-ins and the boxes of `plan`, and waits until every box answers.
     ///
     /// # Panics
-    /// If something does not start.
+    /// If a stand-in or a box does not start.
     pub async fn start(plan: FleetPlan, binaries: BinaryPaths) -> Self {
         let dir = std::env::temp_dir().join(format!("ravenspoke-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&dir).expect("a folder for settings");
