--- a/crates/box/src/entry.rs
+++ b/crates/box/src/entry.rs
@@ -31,7 +31,7 @@
 pub struct EntryLimits {
     /// Largest request body, in bytes.
     pub body_bytes: u64,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub requests: usize,
     /// How long callers may cache the address response, in milliseconds.
     pub address_ttl_ms: u64,
--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -96,7 +96,7 @@
 enum ReadFailure {
     /// The request is too large; status and text of the response.
     TooLarge(StatusCode, &'static str),
-    /// The request was cut short.
+    /// The request was aborted.
     Broken(AbortedResponse),
 }
 
--- a/crates/box/src/gateway/follow.rs
+++ b/crates/box/src/gateway/follow.rs
@@ -20,8 +20,8 @@
 use super::topic_follower::{TopicFollower, TopicUpdate, RETRY_MS};
 
 /// Long-poll wait of a store reader, in milliseconds. It trades the cost of calls against the age
-/// of the data. A store that drops its history may answer nothing for a second and then cut waiting
-/// calls, and a leaving replica must be known within two seconds.
+/// of the data. A store that drops its history may answer nothing for a second and then abort
+/// waiting calls, and a leaving replica must be known within two seconds.
 pub const READER_WAIT_MS: u64 = 1_000;
 
 /// Pause of a store reader between two reads of replica entries, in milliseconds. Many replicas
@@ -41,7 +41,7 @@
     let mut discarded = None;
     loop {
         follower.wait_until_due().await;
-        // Gossip may have brought the box further than its own reads.
+        // The box may know later records by gossip than by its own reads.
         let known_to = driver.state().read_to();
         next = if undecoded {
             None
@@ -54,7 +54,7 @@
         let wait_ms = if long_polls { READER_WAIT_MS } else { 0 };
         let began_at = next;
         match follower.read(&mut next, wait_ms).await {
-            // Gossip brought the box further while the read was in flight.
+            // Later records arrived by gossip while the read was in flight.
             Some(_) if next.is_some_and(|next| next < driver.state().read_to()) => {
                 let read_to = driver.state().read_to();
                 if std::mem::replace(&mut discarded, next) == next {
@@ -81,8 +81,8 @@
     }
 }
 
-/// The time as of which a read shows the topic. A read that found nothing and took the whole long
-/// poll is current as of the end of its wait; any other read may have been answered at once.
+/// The time as of which a read shows the topic. A long poll that found nothing is current as of the
+/// end of its wait, if it lasted that long; any other read may have been answered at once.
 fn current_as_of(driver: &GatewayDriver, update: &TopicUpdate) -> BoxTime {
     let held = driver.now().millis_since(update.asked_at) >= update.wait_ms;
     if held && update.listed_to.is_none() && update.records.is_empty() {
@@ -99,7 +99,7 @@
     loop {
         follower.wait_until_due().await;
         let is_reader = driver.state().is_reader(driver.now());
-        // Gossip may have brought the box further than its own reads.
+        // The box may know later records by gossip than by its own reads.
         next = next.max(driver.state().entries_to());
         let wait_ms = if is_reader { READER_WAIT_MS } else { 0 };
         let Some(update) = follower.read(&mut next, wait_ms).await else {
--- a/crates/box/src/gateway/observe.rs
+++ b/crates/box/src/gateway/observe.rs
@@ -313,8 +313,8 @@
     warn!(event = 746, name = "store_era_unreadable", value);
 }
 
-/// Logs that a read of the operator's records ends before the position that gossip has brought this
-/// box to, and is discarded.
+/// Logs that a read of the operator's records is discarded, because it ends before a position that
+/// this box already knows by gossip.
 pub fn log_read_discarded(end: TopicPosition, read_to: TopicPosition) {
     counter!("ravenspoke_reads_passed_over_total").increment(1);
     warn!(event = 747, name = "read_passed_over", %end, %read_to);
--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -120,7 +120,7 @@
 }
 
 impl<T> OpenCall<T> {
-    /// Time until the call counts as late: its answer has brought no bytes for longer than the
+    /// Time until the call counts as late: no bytes of its answer have arrived for longer than the
     /// store usually takes.
     fn until_late(&self) -> Duration {
         Duration::from_millis(self.wait_ms + CALL_MS).saturating_sub(self.activity.quiet())
--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -188,8 +188,8 @@
                 assert_eq!(content(&text), reference, "a resumed stream repeats and skips nothing");
                 resumed += 1;
             }
-            // The connection was cut after the typed error, so the client knows that the stream is
-            // incomplete.
+            // The connection was closed after the typed error, so the client knows that the stream
+            // is incomplete.
             Ok(text) => assert!(text.contains("stream_broken") && !whole(&text), "{text}"),
             Err(_) => typed += 1,
         }
--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -133,9 +133,9 @@
 }
 
 // Guards against reads that begin only after the previous one has ended. While the store took 1.6
-// to 3.2 s for each call, 5,446 requests of a day were refused as "plan_stale", by plans up to 8.2
-// s old. Overlapping reads keep the plan younger than the 4.6 s for which a key may be honoured:
-// one call and the time between two.
+// to 3.2 s for each call, 5,446 requests were refused as "plan_stale", by plans up to 8.2 s old.
+// Overlapping reads keep the plan younger than the 4.6 s for which a key may be honoured: one call
+// and the time between two.
 #[tokio::test]
 async fn slow_store_does_not_make_plans_stale() {
     let (site, boxes) = site_of(2).await;
--- a/crates/box/tests/platform.rs
+++ b/crates/box/tests/platform.rs
@@ -30,8 +30,8 @@
     .await;
 }
 
-/// Waits until callers can connect, without a pause between attempts, so that the next action meets
-/// the box while it starts.
+/// Waits until callers can connect, without a pause between attempts, so that the next action
+/// happens while the box starts.
 async fn wait_until_listening(subject: &SiteBox) {
     let until = Instant::now() + Duration::from_secs(10);
     while TcpStream::connect(subject.entry_address()).await.is_err() {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -98,13 +98,13 @@
     pub claim_ms: u64,
     /// How long callers may cache the address response, in milliseconds.
     pub entry_keep_ms: u64,
-    /// Most bills that may wait for the log.
+    /// Maximum number of bills that may wait for the log.
     pub bill_limit: usize,
     /// Largest request body, in bytes.
     pub body_bytes: u64,
     /// Largest response, in bytes.
     pub answer_bytes: usize,
-    /// Most requests in flight at once.
+    /// Maximum number of requests in flight.
     pub connections: usize,
     /// Longest time without data from a replica during a response, in milliseconds.
     pub silence_ms: u64,
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -83,7 +83,7 @@
         /// Whether it reports that it is leaving.
         leaving: bool,
     },
-    /// The answer was cut short.
+    /// The answer was aborted.
     Aborted {
         /// Tokens of this attempt that the caller already has.
         delivered: u32,
--- a/crates/core/src/route/arrival.rs
+++ b/crates/core/src/route/arrival.rs
@@ -114,8 +114,8 @@
     }
 }
 
-/// Tokens assumed for a prompt whose size the caller does not state. It is a short prompt, and the
-/// latency learnt with it fits others like it.
+/// Tokens assumed for a prompt whose size the caller does not state. A short prompt is
+/// assumed; the latency that is learned under this assumption fits other requests without a size.
 const DEFAULT_PROMPT_TOKENS: u32 = 1_000;
 
 /// Returns the size of a request's prompt, if it has one.
--- a/crates/core/src/route/attempt.rs
+++ b/crates/core/src/route/attempt.rs
@@ -24,7 +24,7 @@
 /// Time limit of a pause between events, as a share of the longest pause that counts in full.
 pub const PAUSE_SHARE: f64 = 0.8;
 
-/// Queued work up to which a replica counts as idle when its latency is learnt, in milliseconds: a
+/// Queued work up to which a replica counts as idle when its latency is learned, in milliseconds: a
 /// few steps of the engine.
 const IDLE_WORK_MS: f64 = 20.0;
 
@@ -258,8 +258,8 @@
     }
 
     /// Sends a request again whose last attempt wrote nothing to a replica. The retry budget bounds
-    /// what arrives at replicas, so it does not apply here: with it, 257 requests of a day on which
-    /// a quarter of 140 replicas crashed were refused after one failed connection.
+    /// what arrives at replicas, so it does not apply here: with it, 257 requests were refused
+    /// after one failed connection when a quarter of 140 replicas crashed.
     fn resend_unwritten(
         &mut self,
         stamp: EventStamp,
--- a/crates/core/src/route/entry_sync.rs
+++ b/crates/core/src/route/entry_sync.rs
@@ -20,8 +20,8 @@
 pub const TOMBSTONES_PER_MESSAGE: usize = CHANGES_PER_MESSAGE / 2;
 
 /// A listing is in progress for this long after its last page, in milliseconds, which covers a
-/// request and its response, lost once and repeated. Meanwhile the replicas are not listed in the
-/// store as well.
+/// request and its response, lost once and repeated. During this time the box does not also list
+/// the replicas in the store.
 pub const LISTING_MS: u64 = 500;
 
 /// Properties of a page of a listing.
--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -97,7 +97,7 @@
     pub fn apply_read(&mut self, read: EvacuationRead, now: BoxTime) -> Vec<ZoneOrder> {
         let EvacuationRead { from, to, orders } = read;
         // The records between the known position and the start of the read may hold other orders.
-        // Gossip brings the whole value of a box that has read them.
+        // The complete value arrives by gossip from a box that has read them.
         if to < self.known_to || from.is_some_and(|from| from > self.known_to) {
             return Vec::new();
         }
--- a/crates/core/src/route/gossip.rs
+++ b/crates/core/src/route/gossip.rs
@@ -20,8 +20,8 @@
 /// Boxes that receive it announce it in turn.
 pub const CHANGE_GOSSIP_MS: u64 = 1_500;
 
-/// Upper bound of the changes in one message, the newest first. A box reads the changes that it
-/// misses from the store later.
+/// Upper bound of the changes in one message, the newest first. A box later reads from the store
+/// the changes that it missed.
 pub const CHANGES_PER_ROUND: usize = 40;
 
 /// Rounds of gossip, and the changes that they announce.
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -434,8 +434,9 @@
     }
 
     /// Applies changes and announces what is new. Every box that learns of a leaving replica
-    /// announces it; other changes are announced by the box that read them, because the rest
-    /// request them. Entries that vanished are used until `grace_until`.
+    /// announces it; other changes are announced only by the box that read them from the store,
+    /// because the other boxes get them by sync requests. Entries that vanished are used until
+    /// `grace_until`.
     fn apply_backends(
         &mut self,
         stamp: EventStamp,
@@ -461,8 +462,8 @@
         out: &mut Vec<RouteEffect>,
     ) {
         let all = self.backends.apply_all(end, listed, stamp.now, grace_until);
-        // A listing box learns late what the others already know, so that it announces leaving
-        // replicas only.
+        // A box that lists the store mostly learns what the others already know, so it announces
+        // leaving replicas only.
         for (change, kind) in all.into_iter().filter(|row| row.1 == ChangeKind::Leaving) {
             self.announce_change(stamp, change, kind, out);
         }
@@ -566,8 +567,8 @@
         self.has_plan() && trials_known && self.knows_replicas()
     }
 
-    /// Whether a box that has started may accept callers: it is synced, or there is no more to wait
-    /// for.
+    /// Whether a box that has started may accept callers: it is synced, or it has waited long
+    /// enough.
     pub fn accepts_callers(&self, now: BoxTime) -> bool {
         let due = self.start.is_some_and(|start| now >= start.callers_at());
         due || self.is_synced()
--- a/crates/core/src/route/model_cascade.rs
+++ b/crates/core/src/route/model_cascade.rs
@@ -10,7 +10,7 @@
 //! to a quarter of the latency target every unsure answer is escalated, and none if the new answer
 //! would miss the target. If the largest model would be slow, a middle one is asked instead if its
 //! expected confidence suffices. How much more confident each model is than the smaller ones is
-//! learnt from the answers.
+//! learned from the answers.
 
 use serde::Serialize;
 
--- a/crates/core/src/route/model_latency.rs
+++ b/crates/core/src/route/model_latency.rs
@@ -1,9 +1,9 @@
-//! Latency of models: how long engines take to read prompts, learnt from answers, and the expected
+//! Latency of models: how long engines take to read prompts, learned from answers, and the expected
 //! work of a request.
 //!
 //! Load pattern: models whose latency differs tenfold and prompts whose length differs a
 //! hundredfold run on the same replicas. No replica reports the time that a model takes per token,
-//! so it is learnt as a running median, which wrong guesses about cached prefixes or full queues
+//! so it is learned as a running median, which wrong guesses about cached prefixes or full queues
 //! hardly move. Where hundreds of boxes handle two requests a second each, a single box would need
 //! half a minute to learn the latency of the largest model, and would escalate every unsure answer
 //! to it until then. Boxes therefore gossip their estimates.
@@ -31,8 +31,8 @@
 /// answers.
 const BEGIN_QUANTILE: f64 = 0.1;
 
-/// Fewest tokens of a prompt from which the time per token is learnt. Shorter ones carry no
-/// information on it.
+/// Minimum number of tokens of a prompt from which the time per token is learned. Shorter ones
+/// carry no information on it.
 const MIN_LEARN_TOKENS: f64 = 500.0;
 
 /// Weight of one request in the mean work.
@@ -49,7 +49,7 @@
 /// message can use.
 const REMOTE_MODEL_LIMIT: usize = 64;
 
-/// A quantile that a box has learnt, as boxes gossip it.
+/// A quantile that a box has learned, as boxes gossip it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencyEstimate {
     /// The time, in milliseconds.
--- a/crates/core/src/route/poison/mod.rs
+++ b/crates/core/src/route/poison/mod.rs
@@ -5,7 +5,7 @@
 //! all other requests that it runs. Each retry of each caller is another request to another box, so
 //! what they share is their *content*, identified by a hash. Other requests on a crashed replica
 //! fail as well and are sent again, often to the replica that crashes next. Poison differs from
-//! such bystanders in that it is present at each crash, under several requests, and never answered.
+//! such requests in that it is present at each crash, under several requests, and never answered.
 //!
 //! A broken attempt counts as a crash once its replica is unreachable or silent for a while.
 //! Crashes under different requests at about the same time count once, since a power failure takes
@@ -31,8 +31,8 @@
 /// Crashes after which a content is refused, whatever the requests.
 pub const POISON_CRASHES: usize = 3;
 
-/// The same where the crashes were under different requests. A bystander is mostly a single request
-/// that is sent again.
+/// The same where the crashes were under different requests. A request that merely ran on a crashed
+/// replica is mostly a single one that is sent again.
 pub const POISON_CRASHES_DISTINCT: usize = 2;
 
 /// Crashes under different requests within this time count once, in milliseconds: an event that
--- a/crates/core/src/route/rate_limit.rs
+++ b/crates/core/src/route/rate_limit.rs
@@ -36,7 +36,7 @@
 const LIMITS_PER_MESSAGE: usize = 40;
 
 /// Time without a report after which a limit expires, in milliseconds. The answers to its senders
-/// bring a report every few seconds.
+/// contain a report every few seconds.
 pub const LIMIT_KEPT_MS: u64 = 30_000;
 
 /// A replica's limit, as boxes gossip it.
--- a/crates/core/src/route/retry_budget.rs
+++ b/crates/core/src/route/retry_budget.rs
@@ -29,7 +29,7 @@
 pub const FAILURE_RESERVE: f64 = 0.1;
 
 /// Extra attempts for stalls, for each request. Where replicas are slow because all are busy,
-/// asking others as well makes it worse.
+/// further attempts add to their load.
 pub const STALL_RATIO: f64 = 0.05;
 
 /// How long another box's counts are used, in milliseconds: two gossip messages, in which a box
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -64,8 +64,8 @@
         let answered_at = self.sync.answered_at;
         let answered =
             self.store_unreachable(now) && answered_at.is_some_and(within(peers::SYNC_ANSWERED_MS));
-        // No box can confirm that the plan is fresh, so that only the response of a reader replaces
-        // a read.
+        // No box can confirm that the plan is current, so only the response of a reader replaces a
+        // read.
         let read_at = self.sync.reader_answered_at;
         let read = self.awaits_plan() && read_at.is_some_and(within(READER_LOST_MS));
         answered || read
--- a/crates/core/tests/route/fleet.rs
+++ b/crates/core/tests/route/fleet.rs
@@ -164,8 +164,8 @@
 
         let (calls, listings) = (fleet.calls(), fleet.listed_entries / LARGE_REPLICAS as u64);
         let label = format!("{count} boxes: after {took:?} ms, {calls} calls, {listings} listings");
-        // Boxes that know no other in time, or that see themselves first in the order, list the
-        // store as well.
+        // Boxes that learn of no other in time, or that rank themselves first in the order, list
+        // the store as well.
         assert!(listings <= 12, "{label}");
         assert!(calls <= 50 * 12 + 2 * count as u32, "{label}");
         assert!(took.is_some_and(|ms| ms <= 4_000), "{label}");
--- a/crates/core/tests/route/placement.rs
+++ b/crates/core/tests/route/placement.rs
@@ -61,7 +61,7 @@
     subject.feed(RouteEvent::ResponseFinished(ticket));
 }
 
-/// A box that has learnt that its engines read a token in `token_ms`.
+/// A box that has learned that its engines read a token in `token_ms`.
 fn trained_box(count: usize, token_ms: f64) -> TestBox {
     let mut subject = box_with_engines(count);
     for number in 0..80 {
@@ -311,7 +311,7 @@
     assert!((500..=1_333).contains(&after), "{after}");
 }
 
-/// The latency learnt from `answers` answers at `token_ms` a token.
+/// The latency learned from `answers` answers at `token_ms` a token.
 fn learnt(token_ms: f64, answers: usize) -> ServiceLatency {
     let mut latency = ServiceLatency::default();
     for _ in 0..answers {
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -57,14 +57,14 @@
     pub page: usize,
 }
 
-/// A step of a box's tasks.
+/// A step of a box's tasks. `asked_at` is the start of a read, and `shown_at` the time as of which
+/// it shows the plan.
 #[derive(Clone, Debug)]
 enum Step {
     Tick,
     PollPlan,
     PollEntries,
     PollBoxes,
-    /// A read of the plan ends, which shows the store as of `shown_at`.
     PlanRead { asked_at: u64, shown_at: u64 },
     EntriesRead { asked_at: u64, listing: bool },
     BoxesRead,
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -1,10 +1,11 @@
 //! Boxes that start during a trial: what began before their start keeps its age.
 //!
 //! Six of seven boxes restarted shortly before the second half of a roll-out of 24 s. Ages that
-//! reached back beyond the start of a box were cut at its start, so that those boxes took the order
-//! for as old as themselves: 22 s after the order one of them counted 9.3 s. They gave the new
-//! version no sessions while the seventh box gave it all, which moved sessions back and forth, and
-//! the verdict came 1.7 s late. The same error made old knowledge of keys appear canary.
+//! reached back beyond the start of a box were limited to the time since its start, so that those
+//! boxes counted the order's age from their own start: 22 s after the order, one of them counted
+//! 9.3 s. They gave the new version no sessions while the seventh box gave it all, which moved
+//! sessions back and forth, and the verdict was 1.7 s late. The same error made old knowledge of
+//! keys appear recent.
 
 use ravenspoke_core::position::TopicPosition;
 use ravenspoke_core::route::backend::BackendChange;
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -29,7 +29,7 @@
     pub prefill_ms: u64,
     /// Time between tokens, in milliseconds.
     pub token_ms: u64,
-    /// Number of streams that are still to be cut after half of their tokens.
+    /// Number of streams that are still to be aborted after half of their tokens.
     pub cut: u32,
     /// Number of streams that are still to end after half of their tokens, without the end marker.
     pub no_marker: u32,
--- a/crates/standins/src/log.rs
+++ b/crates/standins/src/log.rs
@@ -24,7 +24,7 @@
     pub outage: bool,
     /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Number of appends that are still to be stored and have their responses cut.
+    /// Number of appends that are still to be stored and have their responses aborted.
     pub lose_acks: u32,
     /// Number of appends that still get status 503 and are stored after `late_ms`.
     pub late_effects: u32,
--- a/crates/standins/src/platform/store.rs
+++ b/crates/standins/src/platform/store.rs
@@ -167,7 +167,7 @@
         self.lock().faults = faults;
     }
 
-    /// Compacts a topic: its records go, and the newest value of each key stays.
+    /// Compacts a topic: drops its records, and keeps the newest value of each key.
     pub fn compact(&self, topic: &str) {
         if let Some(row) = self.lock().topics.get_mut(topic) {
             row.first = row.end();
--- a/crates/standins/src/serve.rs
+++ b/crates/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! Shared parts of the stand-ins: a server on a free port, and responses that can be cut.
+//! Shared parts of the stand-ins: a server on a free port, and responses that can be aborted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     RunningServer { address, task }
 }
 
-/// A response with headers and a body in pieces. A piece that is an error cuts the connection.
+/// A response with headers and a body in pieces. A piece that is an error closes the connection.
 pub struct StreamedResponse {
     /// HTTP status code.
     pub status: u16,
@@ -86,7 +86,7 @@
         self
     }
 
-    /// Creates a response whose connection is cut before its body.
+    /// Creates a response whose connection is closed before its body.
     pub fn cut() -> Self {
         let (sender, pieces) = mpsc::channel(1);
         let _ = sender.try_send(Err(io::ErrorKind::ConnectionAborted.into()));
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -19,7 +19,7 @@
 pub struct ServiceFaults {
     /// Time between the run and the response, in milliseconds.
     pub slow_ms: u64,
-    /// Number of calls that are still to run and have their responses cut.
+    /// Number of calls that are still to run and have their responses aborted.
     pub cut: u32,
 }
 
