--- a/crates/box/tests/evacuations.rs
+++ b/crates/box/tests/evacuations.rs
@@ -1,9 +1,8 @@
 //! Tests of evacuations of availability zones, with boxes as processes and stand-ins of the
 //! platform.
 //!
-//! They guard against orders that no box reads: on one day with evacuations, 5,896 requests were
-//! sent to replicas of evacuated zones more than five seconds after the store had confirmed the
-//! order.
+//! They guard against orders that no box reads: in that case, 5,896 requests were sent to replicas
+//! of evacuated zones more than five seconds after the store had confirmed the order.
 
 use std::path::Path;
 use std::time::Duration;
--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -315,7 +315,7 @@
     for index in 0..3 {
         let name = fleet.boxes[index].row.name.clone();
         let other = (index + 1) % 3;
-        // A long stream runs on the box while it is told to stop.
+        // A long stream runs on the box when its planned stop begins.
         let body = json!({
             "model": "small", "stream": true, "max_tokens": 400,
             "messages": [{ "role": "user", "content": "read the dossier" }],
--- a/crates/box/tests/plans.rs
+++ b/crates/box/tests/plans.rs
@@ -53,8 +53,8 @@
     began.elapsed()
 }
 
-// Guards against store calls that are cancelled while they still receive bytes. With a plan of 890
-// KB on links of 10 Mbit/s, calls were cancelled after 900 ms with more than half of the bytes
+// Guards against store calls that are cancelled while they still receive bytes. With a plan of
+// 890 KB on links of 10 Mbit/s, calls were cancelled after 900 ms with more than half of the bytes
 // received, and 40 of 91 boxes ran requests by the old plan for 20 s. A call that keeps receiving
 // bytes is answered, however long it takes.
 #[tokio::test]
--- a/crates/core/tests/decision.rs
+++ b/crates/core/tests/decision.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the parts of a decision: queues, replicas, cascade, roll-out and retries.
+//! Unit tests of the parts of a decision: queues, replicas, cascade, rollout and retries.
 
 use ravenspoke_core::cascade::{QualityTable, RungView};
 use ravenspoke_core::fair_queue::{FairQueue, QueueRefusal, ACCOUNT_QUEUE_LIMIT};
--- a/crates/core/tests/route/leader_fleet.rs
+++ b/crates/core/tests/route/leader_fleet.rs
@@ -60,7 +60,7 @@
     /// Members, each with the time of its last request.
     members: BTreeMap<(usize, u32), u64>,
     owner: Option<(usize, u32)>,
-    /// The owner loses the lease to this member when it asks again.
+    /// The owner loses the lease to this member when it next requests it.
     next_owner: Option<(usize, u32)>,
     epoch: u64,
     /// Number of the next record in the epoch.
@@ -144,7 +144,7 @@
     pub expected_counts: BTreeMap<u64, u64>,
     /// Whether faults are injected.
     pub faults: bool,
-    /// Whether the platform has spot replicas to give.
+    /// Whether the platform has spot replicas available.
     pub has_spot: bool,
     orders: BTreeMap<ScaleSubject, u32>,
     offset: u64,
@@ -280,7 +280,7 @@
         self.broadcast(BackendChange { id, at: at(self.offset), entry: None });
     }
 
-    /// The platform takes away all spot replicas of a zone.
+    /// The platform reclaims all spot replicas of a zone.
     pub fn reclaim(&mut self, zone: &str) {
         while self.count(zone, true) > 0 {
             self.drop_replica(zone, true);
@@ -459,7 +459,7 @@
         self.schedule(self.now + delay_ms, Delivery::Event(number, restarts, event));
     }
 
-    /// Sends a step off; a call may be carried out seconds later.
+    /// Starts a step; a call may be carried out seconds later.
     fn send_step(&mut self, number: usize, restarts: u32, order: LeaderOrder) {
         let subject = &self.boxes[number];
         let is_call = matches!(order.step, LeaderStep::Call(_));
--- a/crates/core/tests/route/plan_fleet.rs
+++ b/crates/core/tests/route/plan_fleet.rs
@@ -33,7 +33,7 @@
 /// reader, then of any other box.
 const RETRIES_MS: [(u64, u64); 2] = [(250, 500), (1_000, 8_000)];
 
-/// Percentage of datagrams that are lost.
+/// Number of datagrams lost of each 100.
 const LOST_PERCENT: u64 = 3;
 
 /// Size of a datagram without replicas' entries, in bytes.
--- a/crates/core/tests/route/restarts.rs
+++ b/crates/core/tests/route/restarts.rs
@@ -1,6 +1,6 @@
 //! Boxes that start during a trial: what began before their start keeps its age.
 //!
-//! Six of seven boxes restarted shortly before the second half of a roll-out of 24 s. Ages that
+//! Six of seven boxes restarted shortly before the second half of a rollout of 24 s. Ages that
 //! reached back beyond the start of a box were limited to the time since its start, so that those
 //! boxes counted the order's age from their own start: 22 s after the order, one of them counted
 //! 9.3 s. They gave the new version no sessions while the seventh box gave it all, which moved
@@ -44,7 +44,8 @@
 /// order, and that its trial is running.
 fn started_box(name: &str) -> TestBox {
     let mut subject = new_box(name);
-    // The orders come before the plan, because earlier knowledge would date them.
+    // The order is read before the plan: a box that knew the plan before would take the order for
+    // new.
     subject.give_order(order());
     subject.read_plan(Some(plan(1)));
     for (id, version) in [("a", "v1"), ("b", "v1"), ("c", "v2"), ("d", "v2")] {
--- a/crates/core/tests/route/retry_budget.rs
+++ b/crates/core/tests/route/retry_budget.rs
@@ -23,7 +23,7 @@
 
 /// The extra attempts of a fleet.
 struct FleetSends {
-    /// Extra attempts wanted, and made, from the tenth second on.
+    /// Extra attempts needed, and made, from the tenth second on.
     wanted: u32,
     made: u32,
     /// The most that were made in any window beyond the operator's bound.
