--- a/crates/bench/src/plan.rs
+++ b/crates/bench/src/plan.rs
@@ -7,10 +7,10 @@
 /// Time between load reports, in microseconds.
 pub const REPORT_US: u64 = 250_000;
 
-/// Quality of the new version in a roll-out.
+/// Quality of the new version in a rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BadKind {
-    /// There is no roll-out.
+    /// There is no rollout.
     None,
     /// As good as the old version.
     Good,
--- a/crates/core/src/appender.rs
+++ b/crates/core/src/appender.rs
@@ -31,7 +31,7 @@
     Claims,
     /// Bills.
     Bills,
-    /// Roll-out verdicts.
+    /// Rollout verdicts.
     Verdicts,
     /// Leases on ordering the replicas of pools.
     Leases,
--- a/crates/core/src/bundle.rs
+++ b/crates/core/src/bundle.rs
@@ -50,7 +50,7 @@
 pub struct ModelSpec {
     /// Cost units per 1,000 generated tokens.
     pub cost_per_1k: f64,
-    /// Default version, which answers new sessions unless a roll-out selects another.
+    /// Default version, which answers new sessions unless a rollout selects another.
     pub version: String,
 }
 
@@ -64,7 +64,7 @@
     pub state: VersionState,
 }
 
-/// A roll-out of a version in steps.
+/// A rollout of a version in steps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutSpec {
@@ -153,7 +153,7 @@
     /// Versions by name.
     #[serde(default)]
     pub versions: BTreeMap<String, VersionSpec>,
-    /// Roll-outs by the name of the new version.
+    /// Rollouts by the name of the new version.
     #[serde(default)]
     pub rollouts: BTreeMap<String, RolloutSpec>,
     /// Cascades by name.
--- a/crates/core/src/effect.rs
+++ b/crates/core/src/effect.rs
@@ -80,9 +80,9 @@
     BundleRejected(FoldRejection),
     /// Read the bundles stream now: a peer has a higher sequence.
     ReadBundles,
-    /// Report that a roll-out was halted.
+    /// Report that a rollout was halted.
     RolloutHalted(String),
-    /// Report that a roll-out reached a step.
+    /// Report that a rollout reached a step.
     RolloutStep(String, u32),
     /// Report that a replica is leaving.
     ReplicaLeaving(String),
--- a/crates/core/src/message.rs
+++ b/crates/core/src/message.rs
@@ -126,16 +126,16 @@
     pub number: u64,
 }
 
-/// A verdict of the roll-out guard.
+/// A verdict of the rollout guard.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct VerdictRecord {
-    /// Version under roll-out.
+    /// Version under rollout.
     #[prost(string, tag = "1")]
     pub version: String,
-    /// Whether the roll-out is halted; otherwise it has reached `step`.
+    /// Whether the rollout is halted; otherwise it has reached `step`.
     #[prost(bool, tag = "2")]
     pub halted: bool,
-    /// Step that the roll-out has reached, from 0.
+    /// Step that the rollout has reached, from 0.
     #[prost(uint32, tag = "3")]
     pub step: u32,
 }
@@ -232,7 +232,7 @@
     /// [`LeavingNotice`] is sent once and may not reach every box.
     #[prost(string, repeated, tag = "4")]
     pub leaving_replicas: Vec<String>,
-    /// Versions whose roll-out is halted.
+    /// Versions whose rollout is halted.
     #[prost(string, repeated, tag = "5")]
     pub halted: Vec<String>,
 }
@@ -304,7 +304,7 @@
     /// Numbers of bills that are in the log, so that the witness can drop them.
     #[prost(message, tag = "8")]
     Release(BillNumbers),
-    /// A roll-out verdict.
+    /// A rollout verdict.
     #[prost(message, tag = "9")]
     Verdict(VerdictRecord),
     /// A notice that a replica is leaving.
@@ -313,7 +313,7 @@
     /// A request for the complete bundle in force.
     #[prost(message, tag = "11")]
     RequestBundle(BundleRequest),
-    /// Evidence on a version under roll-out, for the first canary box.
+    /// Evidence on a version under rollout, for the first canary box.
     #[prost(message, tag = "12")]
     Evidence(RolloutEvidence),
     /// Ratings since the last round, or all ratings in answer to a [`QualityRequest`].
@@ -353,7 +353,7 @@
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct QualityRequest {}
 
-/// Numbers of judged answers of a version under roll-out, for one request class.
+/// Numbers of judged answers of a version under rollout, for one request class.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RolloutEvidence {
     /// Version.
--- a/crates/core/src/rollout.rs
+++ b/crates/core/src/rollout.rs
@@ -1,4 +1,4 @@
-//! Canary analysis of roll-outs: a new version is tried in steps, on few boxes, within an exposure
+//! Canary analysis of rollouts: a new version is tried in steps, on few boxes, within an exposure
 //! budget of the fleet.
 //!
 //! In each step only the *canary boxes* send new work to the version at the step's share. They are
@@ -7,8 +7,8 @@
 //! that passed. Evidence, which is rated answers and failures by request class, is sent to the
 //! first canary box, which runs the tests. A step passes after enough answers that are no worse
 //! than those of the replaced version. A cumulative sum of log-likelihood ratios, over all classes
-//! and for each class, halts the roll-out. A halt is sent to peers at once and appended to the log
-//! as a verdict, so that a new box does not continue the roll-out.
+//! and for each class, halts the rollout. A halt is sent to peers at once and appended to the log
+//! as a verdict, so that a new box does not continue the rollout.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
 /// faults sooner.
 pub const BAD_MARGINS: [f64; 2] = [0.15, 0.4];
 
-/// Log-likelihood ratio in favour of a bad version at which the roll-out is halted.
+/// Log-likelihood ratio in favour of a bad version at which the rollout is halted.
 pub const HALT_EVIDENCE: f64 = 7.5;
 
 /// Number of judged answers needed for a step to pass.
@@ -54,13 +54,13 @@
 /// Result of the tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GuardVerdict {
-    /// Halt the roll-out.
+    /// Halt the rollout.
     Halt,
     /// Continue with this step.
     Step(u32),
 }
 
-/// State of one roll-out on one box.
+/// State of one rollout on one box.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RolloutState {
     /// Step on trial, from 0; the number of steps once all have passed.
@@ -151,7 +151,7 @@
     }
 
     /// Applies a verdict of this box or of another. A halt is final, and the step never decreases.
-    /// Returns false if it was known or the roll-out was already halted.
+    /// Returns false if it was known or the rollout was already halted.
     pub fn apply_verdict(&mut self, halted: bool, step: u32) -> bool {
         let is_new = !self.halted && (halted || step > self.step);
         self.halted |= halted;
--- a/crates/core/src/route/mod.rs
+++ b/crates/core/src/route/mod.rs
@@ -198,7 +198,7 @@
     read_to: TopicPosition,
     /// The store's era, as the store or another box reported it; 0 if neither has.
     era: u64,
-    /// The era in which roll-out orders were last read.
+    /// The era in which rollout orders were last read.
     orders_era: u64,
     /// How far the replicas' entries are known.
     entries: EntryPosition,
--- a/crates/core/src/route/store_readers.rs
+++ b/crates/core/src/route/store_readers.rs
@@ -169,7 +169,7 @@
     }
 
     /// Lets a box that started and read the store by itself continue at once if it is a store
-    /// reader. Boxes that started with it learn from it what follows, such as a roll-out order.
+    /// reader. Boxes that started with it learn from it what follows, such as a rollout order.
     pub(super) fn continue_reading(&mut self, now: BoxTime) {
         if self.settling(now) && self.peers.readers(&self.local_peer(now), now).0 {
             self.reader.reader_at = Some(now);
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -83,7 +83,7 @@
     pub service: String,
     /// Version to roll out.
     pub version: String,
-    /// Duration of the roll-out, in milliseconds.
+    /// Duration of the rollout, in milliseconds.
     pub duration_ms: u64,
 }
 
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -3,7 +3,7 @@
 //! [`BoxState::apply`] passes each event to the module that handles it: `admit` (arriving
 //! requests), `choose` (model, version and replica), `run` (attempts), `settle` (ratings, bills and
 //! the end of an answer), `log` (folds and appends), `peers` (heartbeats, witnesses and leaving
-//! notices), `guard` (roll-outs), `orders` (versions that engines should load) and `stop`. `dump`
+//! notices), `guard` (rollouts), `orders` (versions that engines should load) and `stop`. `dump`
 //! describes the state for operators.
 
 mod admit;
--- a/crates/core/src/state/dump.rs
+++ b/crates/core/src/state/dump.rs
@@ -86,7 +86,7 @@
     pub replicas: Vec<ReplicaState>,
     /// Versions that each replica has loaded, by replica name.
     pub loaded: Vec<(String, Vec<String>)>,
-    /// Roll-outs by version.
+    /// Rollouts by version.
     pub rollouts: Vec<(String, RolloutState)>,
     /// Ratings as model, class, number of good answers and number of bad answers.
     pub quality: Vec<(String, u8, f64, f64)>,
--- a/crates/core/src/state/guard.rs
+++ b/crates/core/src/state/guard.rs
@@ -1,4 +1,4 @@
-//! Canary analysis of roll-outs: shares, evidence and verdicts, see [`crate::rollout`].
+//! Canary analysis of rollouts: shares, evidence and verdicts, see [`crate::rollout`].
 
 use crate::appender::LogStream;
 use crate::cascade::QualityCount;
@@ -15,14 +15,14 @@
 const UNKNOWN_BASELINE_BAD: f64 = 0.1;
 
 impl BoxState {
-    /// Returns the name of the version if the bundle has a roll-out of it.
+    /// Returns the name of the version if the bundle has a rollout of it.
     pub(super) fn under_rollout(&self, version: VersionKey) -> Option<&str> {
         let name = self.names.versions.name(version);
         self.index.spec.rollouts.get_key_value(name).map(|(name, _)| name.as_str())
     }
 
-    /// Returns the version under roll-out for a new session of `model`, if `random` selects it
-    /// within the roll-out's share.
+    /// Returns the version under rollout for a new session of `model`, if `random` selects it
+    /// within the rollout's share.
     pub(super) fn rollout_version(
         &self,
         model: &str,
@@ -44,14 +44,14 @@
             .then_some(version)
     }
 
-    /// Counts a request as exposed if its version is under roll-out.
+    /// Counts a request as exposed if its version is under rollout.
     pub(super) fn count_exposed(&mut self, version: VersionKey) {
         if let Some(name) = self.under_rollout(version).map(str::to_owned) {
             self.rollouts.entry(name).or_default().exposed += 1;
         }
     }
 
-    /// Counts a failed attempt as a bad answer if its version is under roll-out.
+    /// Counts a failed attempt as a bad answer if its version is under rollout.
     pub(super) fn record_failure_evidence(&mut self, key: RequestKey) {
         let request = &self.requests[key];
         let RequestTarget::Model { class, .. } = request.target else { return };
--- a/crates/core/src/state/log.rs
+++ b/crates/core/src/state/log.rs
@@ -107,7 +107,7 @@
         self.drain_queues(stamp, out);
     }
 
-    /// Appends the bundle in force and the verdicts on roll-outs again, before the log's retention
+    /// Appends the bundle in force and the verdicts on rollouts again, before the log's retention
     /// removes them. Boxes wait by rank, so that usually one box appends and the others read it in
     /// time.
     pub(super) fn carry_bundle(&mut self, stamp: EventStamp) {
--- a/crates/core/src/state/orders.rs
+++ b/crates/core/src/state/orders.rs
@@ -3,7 +3,7 @@
 //! The first live box by a hash of box and pool takes the lease on the pool, or a later box if that
 //! one does not renew it. The holder compares the versions that replicas report with those that
 //! they should have. An order names the complete target state, so the next holder can continue an
-//! interrupted roll-out, and a repeat is harmless. The number of replicas that load at the same
+//! interrupted rollout, and a repeat is harmless. The number of replicas that load at the same
 //! time is limited by the throughput of the weight store.
 
 use crate::appender::LogStream;
--- a/crates/standins/src/platform/site.rs
+++ b/crates/standins/src/platform/site.rs
@@ -28,7 +28,7 @@
 /// Topic of the boxes' reports to the operator.
 pub const STATUS_TOPIC: &str = "keyed.status";
 
-/// Key of the roll-out order for the site's service, and of its status.
+/// Key of the rollout order for the site's service, and of its status.
 pub const ROLLOUT_KEY: &str = "rollout/pool";
 
 /// Topic of the replicas' entries.
--- a/crates/standins/src/soak/judge.rs
+++ b/crates/standins/src/soak/judge.rs
@@ -68,7 +68,7 @@
     pub replicas: &'a [ReplicaStandin],
     /// Replicas of the new version.
     pub new_replicas: &'a [ReplicaStandin],
-    /// The roll-out of the new version.
+    /// The rollout of the new version.
     pub rollout: &'a RolloutResult,
     /// Spans in which the zone of the first of `replicas` was evacuated.
     pub evacuated: &'a [EvacuationSpan],
--- a/crates/standins/src/soak/mod.rs
+++ b/crates/standins/src/soak/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! [`schedule`] draws the faults, `site` starts the boxes and their surroundings, `inflict` injects
 //! the faults, and [`proxy`] causes those of the network. [`callers`] send requests, [`recorder`]
-//! holds the records, [`judge`] checks the guarantees, [`sessions`] checks those of the roll-out
+//! holds the records, [`judge`] checks the guarantees, [`sessions`] checks those of the rollout
 //! that runs with every seed, and [`play`] puts a run together. No fault affects clocks or disks,
 //! because boxes use only the monotonic clock and no disk.
 
--- a/crates/standins/src/soak/sessions.rs
+++ b/crates/standins/src/soak/sessions.rs
@@ -1,4 +1,4 @@
-//! Checks that faults of boxes do not switch sessions between versions during a roll-out, which
+//! Checks that faults of boxes do not switch sessions between versions during a rollout, which
 //! runs with every seed.
 
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 /// Number of replicas of the new version. More than one, as one may be busy.
 pub(super) const NEW_REPLICAS: usize = 2;
 
-/// Length of the roll-out in its order. The second half starts during the faults, and it ends with
+/// Length of the rollout in its order. The second half starts during the faults, and it ends with
 /// the run.
 const ROLLOUT_TIME: Duration = Duration::from_secs(11);
 
@@ -32,7 +32,7 @@
 /// platform's bound.
 const MOVED_LIMIT: usize = 3;
 
-/// The operator's order of the roll-out.
+/// The operator's order of the rollout.
 pub(super) fn order() -> Value {
     json!({
         "service": SITE_SERVICE, "target_version": NEW_VERSION,
@@ -40,7 +40,7 @@
     })
 }
 
-/// Start and result of a roll-out.
+/// Start and result of a rollout.
 pub struct RolloutResult {
     /// When it was ordered.
     pub ordered_at: Instant,
@@ -103,7 +103,7 @@
 }
 
 /// Whether a session must not switch between these versions at this time: to the new one in the
-/// first half of the roll-out, and back in the second half, unless the new version was rolled back.
+/// first half of the rollout, and back in the second half, unless the new version was rolled back.
 fn is_forbidden(rollout: &RolloutResult, ask: &AskRecord, from: &str, to: &str) -> bool {
     let first_half = ask.ended_at < rollout.ordered_at + ROLLOUT_TIME / 2;
     match (from == OLD_VERSION, to == OLD_VERSION) {
@@ -113,7 +113,7 @@
     }
 }
 
-/// Whether the roll-out's progress was lost near this time: all boxes were killed so soon after the
+/// Whether the rollout's progress was lost near this time: all boxes were killed so soon after the
 /// store was restored from an older copy that no box could rewrite what the copy lacked.
 fn is_progress_lost(faults: &[InjectedFault], from: Instant, until: Instant) -> bool {
     let of = |fault: SoakFault| faults.iter().filter(move |row| row.fault == fault);
--- a/crates/standins/src/soak/site.rs
+++ b/crates/standins/src/soak/site.rs
@@ -72,7 +72,7 @@
     pub(super) new_replicas: Vec<ReplicaStandin>,
     /// Proxies before the replicas of the new version.
     _new_paths: Vec<FaultProxy>,
-    /// When the roll-out was ordered.
+    /// When the rollout was ordered.
     ordered_at: Instant,
     /// Proxy between each box and the store.
     pub(super) store_paths: Vec<FaultProxy>,
@@ -105,7 +105,7 @@
             (named.len() == BOXES).then_some(())
         })
         .await;
-        // The platform starts the new version's replicas when the roll-out is ordered.
+        // The platform starts the new version's replicas when the rollout is ordered.
         site.store.put(OPERATOR_TOPIC, ROLLOUT_KEY, &order());
         let ordered_at = Instant::now();
         let (new_replicas, new_paths) = start_replicas(&site, "n", NEW_VERSION, NEW_REPLICAS).await;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Start and result of the roll-out.
+    /// Start and result of the rollout.
     pub(super) async fn rollout(&self) -> RolloutResult {
         let status = self.site.lock().await.store.newest(STATUS_TOPIC, ROLLOUT_KEY);
         let rolled_back = status.is_some_and(|status| status["state"] == "rolled_back");
