--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -22,8 +22,8 @@
 use super::responses::{full_body, refusal_response, text_response, AbortedResponse, CallerBody};
 use super::unknown_headers::UnknownHeaders;
 
-/// Maximum size of a response that is not a stream, in bytes. It is read whole before any of it is
-/// forwarded.
+/// Maximum size of a response that is not a stream, in bytes. It is read completely before any of
+/// it is forwarded.
 pub const RESPONSE_LIMIT: usize = 4 << 20;
 
 /// Shared context of requests.
--- a/crates/box/src/gateway/pool.rs
+++ b/crates/box/src/gateway/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to replicas. Each carries one request at a time, and returns to the pool only when
-//! it is known to be clean: the request was written whole, the response read whole, and no further
-//! bytes have arrived.
+//! it is known to be clean: the request was written and the response read completely, and no
+//! further bytes have arrived.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/box/src/gateway/verdicts.rs
+++ b/crates/box/src/gateway/verdicts.rs
@@ -91,8 +91,9 @@
     }
 }
 
-/// Appends a record, unless the topic has one that supersedes it. Returns whether the store took
-/// it, false in doubt: the reducer asks again if the store does not show the record.
+/// Appends a record, unless the topic has one that supersedes it. Returns whether the store
+/// accepted it. The result is false if that is unknown, because the reducer requests the write
+/// again if the store does not show the record.
 pub(super) async fn append_unless(
     follower: &mut TopicFollower,
     record: &KeyedRecord,
--- a/crates/core/src/route/plan_freshness.rs
+++ b/crates/core/src/route/plan_freshness.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Whether unknown routes and keys may be denied. With an older plan a newer one, which has
-    /// them, may be in force.
+    /// Whether unknown routes and keys may be denied. If the plan is too old, a newer one that has
+    /// them may be in force.
     pub fn may_deny(&self, now: BoxTime, bounds: FreshBounds) -> bool {
         self.age_ms(now).is_some_and(|age| age < bounds.apply_ms)
     }
--- a/crates/core/src/route/trial.rs
+++ b/crates/core/src/route/trial.rs
@@ -4,11 +4,12 @@
 //! The operator's order names a service, a version and a duration. In the first half of the
 //! duration a running session must not be moved to the new version, and in the second half none
 //! must be moved back. So the trial begins with the second half, and a function of the session's id
-//! alone decides which sessions take part: no box has to know which sessions are running, or ask
-//! another box. Every box keeps statistics of the responses of both versions and gossips them, so
-//! the verdict rests on the evidence of the whole fleet. A bad version is rolled back as soon as
-//! the evidence is significant. A good one is accepted shortly before the end of the duration,
-//! after a short phase in which it carries all sessions, since some versions fail only under load.
+//! alone decides which sessions take part: no box needs to know which sessions are running, or to
+//! request that from another box. Every box keeps statistics of the responses of both versions and
+//! gossips them, so the verdict rests on the evidence of the whole fleet. A bad version is rolled
+//! back as soon as the evidence is significant. A good one is accepted shortly before the end of
+//! the duration, after a short phase in which it carries all sessions, since some versions fail
+//! only under load.
 //!
 //! All boxes must decide alike which sessions move, whenever they were started. So the order's age
 //! and the phase (see [`super::trial_progress`]) are gossiped and written to the store as
