--- a/crates/box/src/gateway/exchange.rs
+++ b/crates/box/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! Serves one request: asks the reducer for each step, sends the request to replicas, and returns
+//! Serves one request: gets each step from the reducer, sends the request to replicas, and returns
 //! the response.
 
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 use super::responses::{full_body, refusal_response, text_response, AbortedResponse, CallerBody};
 use super::unknown_headers::UnknownHeaders;
 
-/// Maximum size of a response that is not a stream, in bytes. It is read whole before any of it is
-/// forwarded.
+/// Maximum size of a response that is not a stream, in bytes. It is read completely before any of
+/// it is forwarded.
 pub const RESPONSE_LIMIT: usize = 4 << 20;
 
 /// Shared context of requests.
@@ -96,7 +96,7 @@
 enum ReadFailure {
     /// The request is too large; status and text of the response.
     TooLarge(StatusCode, &'static str),
-    /// The request was cut short.
+    /// The request was aborted.
     Broken(AbortedResponse),
 }
 
--- a/crates/box/src/gateway/store_calls.rs
+++ b/crates/box/src/gateway/store_calls.rs
@@ -3,8 +3,8 @@
 //!
 //! Load pattern: a store that takes a second or more for each call. A call that is cancelled and
 //! retried would never be answered there, and a call that begins only after the previous one has
-//! ended returns data that is twice as old as a call takes. A store that has gone silent looks the
-//! same until an answer arrives, so a late call counts as a failed one meanwhile.
+//! ended returns data that is twice as old as a call takes. A store that no longer answers looks
+//! the same until an answer arrives, so a late call counts as a failed one meanwhile.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -120,7 +120,7 @@
 }
 
 impl<T> OpenCall<T> {
-    /// Time until the call counts as late: its answer has brought no bytes for longer than the
+    /// Time until the call counts as late: no bytes of its answer have arrived for longer than the
     /// store usually takes.
     fn until_late(&self) -> Duration {
         Duration::from_millis(self.wait_ms + CALL_MS).saturating_sub(self.activity.quiet())
--- a/crates/box/tests/failures.rs
+++ b/crates/box/tests/failures.rs
@@ -188,8 +188,8 @@
                 assert_eq!(content(&text), reference, "a resumed stream repeats and skips nothing");
                 resumed += 1;
             }
-            // The connection was cut after the typed error, so the client knows that the stream is
-            // incomplete.
+            // The connection was closed after the typed error, so the client knows that the stream
+            // is incomplete.
             Ok(text) => assert!(text.contains("stream_broken") && !whole(&text), "{text}"),
             Err(_) => typed += 1,
         }
@@ -315,7 +315,7 @@
     for index in 0..3 {
         let name = fleet.boxes[index].row.name.clone();
         let other = (index + 1) % 3;
-        // A long stream runs on the box while it is told to stop.
+        // A long stream runs on the box when its planned stop begins.
         let body = json!({
             "model": "small", "stream": true, "max_tokens": 400,
             "messages": [{ "role": "user", "content": "read the dossier" }],
--- a/crates/core/src/route/evacuation.rs
+++ b/crates/core/src/route/evacuation.rs
@@ -3,7 +3,7 @@
 //!
 //! Load pattern: a zone is evacuated while boxes are cut off from the store, start, or lose
 //! datagrams. The evacuated zones are one value, versioned by the position up to which the
-//! operator's records were read: whoever has read further is right about all zones, also about
+//! operator's records were read: the box that has read further is right about all zones, also about
 //! orders that were withdrawn. So each gossip message carries the whole value, a few bytes, and a
 //! box that receives any message knows as much as its sender, without a sync request and whatever
 //! messages it missed before.
@@ -97,7 +97,7 @@
     pub fn apply_read(&mut self, read: EvacuationRead, now: BoxTime) -> Vec<ZoneOrder> {
         let EvacuationRead { from, to, orders } = read;
         // The records between the known position and the start of the read may hold other orders.
-        // Gossip brings the whole value of a box that has read them.
+        // The complete value arrives by gossip from a box that has read them.
         if to < self.known_to || from.is_some_and(|from| from > self.known_to) {
             return Vec::new();
         }
